--- a/packages/cluster-membership/test/leaseTerms.test.ts
+++ b/packages/cluster-membership/test/leaseTerms.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 import { Duties, LeaseBook } from '@martenworks/cluster-membership';
 import type { LeaseAsk, LeaseReply, LeaseTerms } from '@martenworks/cluster-membership';
 
--- a/packages/cluster-membership/test/rounds.test.ts
+++ b/packages/cluster-membership/test/rounds.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { LeaseBook, ring } from '@martenworks/cluster-membership';
-import { Judge, SimFleet, SimWorld } from '@martenworks/proving';
+import { Judge, SimFleet, SimWorld } from '@martenworks/test-fleet';
 
 const kvHolders = (fleet: SimFleet, replica: string): number[] =>
   fleet.postmasters.flatMap((postmaster, at) =>
--- a/packages/control-plane/test/catchUp.test.ts
+++ b/packages/control-plane/test/catchUp.test.ts
@@ -5,8 +5,8 @@
 import { CatchUp, acceptors, catchUpTopics, pageBytes } from '@martenworks/control-plane';
 import type { Acceptor, Page } from '@martenworks/control-plane';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import { SimWorld } from '@martenworks/proving';
-import type { SimMachine } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
+import type { SimMachine } from '@martenworks/test-fleet';
 
 const finish = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
   const held: { value: T }[] = [];
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { recovery } from '@martenworks/control-plane';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/proving';
-import type { Told } from '@martenworks/proving';
+import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
+import type { Told } from '@martenworks/test-fleet';
 
 const small = { fronts: 2, replicas: 3 };
 
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -2,7 +2,7 @@
 import type { ClaimState, ReplicaRecord } from '@martenworks/core-types';
 import { LeaseBook } from '@martenworks/cluster-membership';
 import { claimTables, leaseBooks, replicaTables } from '@martenworks/control-plane';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 
 const started = () => {
   const world = new SimWorld(5);
--- a/packages/control-plane/test/platform.test.ts
+++ b/packages/control-plane/test/platform.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { SimFleet } from '@martenworks/proving';
+import { SimFleet } from '@martenworks/test-fleet';
 
 interface Shown {
   readonly state: string;
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -1,6 +1,6 @@
 import { err, ok } from 'neverthrow';
 import { expect } from 'chai';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 import { agreed } from '@martenworks/core-types';
 import type { Agreed, Change, Member } from '@martenworks/core-types';
 import { Proposer, acceptors, positions } from '@martenworks/control-plane';
--- a/packages/control-plane/test/seats.test.ts
+++ b/packages/control-plane/test/seats.test.ts
@@ -5,7 +5,7 @@
 import type { Agreed, Change, Member } from '@martenworks/core-types';
 import { acceptors, Membership, Proposer } from '@martenworks/control-plane';
 import type { Acceptor, Standing, Voters } from '@martenworks/control-plane';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 
 const member = (incarnation: string): Member => ({ name: incarnation, address: `${incarnation}:1`, incarnation });
 
--- a/packages/control-plane/test/since.test.ts
+++ b/packages/control-plane/test/since.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 import { agreed } from '@martenworks/core-types';
 import type { Change } from '@martenworks/core-types';
 import { acceptors } from '@martenworks/control-plane';
--- a/packages/control-plane/test/staleIndex.test.ts
+++ b/packages/control-plane/test/staleIndex.test.ts
@@ -2,7 +2,7 @@
 import { err, ok } from 'neverthrow';
 import type { BackEnds, KeptNews, KeptPage, ShelfNews } from '@martenworks/core-types';
 import { ShelfDesk } from '@martenworks/control-plane';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 
 const address = '10.2.0.1:8080';
 const news = (part: string, tokens = 1_000): KeptNews => ({ isKept: tokens > 0, salt: 's', part, tokens });
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -2,8 +2,8 @@
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import { acceptors, compressedChanges, compressedStates, recovery } from '@martenworks/control-plane';
 import { wireRelease } from '@martenworks/peer-transport';
-import { Judge, keyOf, plans, SimFleet, statePlaints } from '@martenworks/proving';
-import type { SimDisk } from '@martenworks/proving';
+import { Judge, keyOf, plans, SimFleet, statePlaints } from '@martenworks/test-fleet';
+import type { SimDisk } from '@martenworks/test-fleet';
 
 const sizeOf = (disk: SimDisk): number => [...disk.files.values()].reduce((sum, held) => sum + held.safe.length, 0);
 
--- a/packages/counter/test/callers.test.ts
+++ b/packages/counter/test/callers.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/proving';
-import type { Ask, Told } from '@martenworks/proving';
+import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
+import type { Ask, Told } from '@martenworks/test-fleet';
 
 const bearer = (key: string): Record<string, string> => ({ authorization: `Bearer ${key}` });
 
--- a/packages/counter/test/fairness.test.ts
+++ b/packages/counter/test/fairness.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/proving';
-import type { Call } from '@martenworks/proving';
+import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
+import type { Call } from '@martenworks/test-fleet';
 
 const threeTiers = {
   first: { rank: 0, horizonMs: 5_000 },
--- a/packages/counter/test/grayFailures.test.ts
+++ b/packages/counter/test/grayFailures.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Judge, kinds, plans, SimFleet } from '@martenworks/proving';
+import { Judge, kinds, plans, SimFleet } from '@martenworks/test-fleet';
 
 describe('replicas in trouble', () => {
   it('given a replica that takes requests and answers nothing, when the other is sound, then counters soon send it no more but for one try each of those that had none out, and use it again afterwards', async () => {
--- a/packages/counter/test/path.test.ts
+++ b/packages/counter/test/path.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Judge, SimFleet } from '@martenworks/proving';
+import { Judge, SimFleet } from '@martenworks/test-fleet';
 
 describe('the ordinary path', () => {
   it('given a whole fleet, when eight tenants ask for ten seconds, then every call is answered whole and no rule is broken', async () => {
--- a/packages/counter/test/standing.test.ts
+++ b/packages/counter/test/standing.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/proving';
-import type { Ask } from '@martenworks/proving';
+import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/test-fleet';
+import type { Ask } from '@martenworks/test-fleet';
 
 const layoutOf = (more: Record<string, unknown> = {}): Record<string, unknown> => ({
   ...plans.layout('weights-1'),
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 import type { CallerOrder, Customer, ReplicaCard, WayBook } from '@martenworks/core-types';
 import { BookDoor } from '@martenworks/route-table';
 import { EventCutter, ExtraBudget, ReplicaTracks, ShelfBook, WayPlacing, headerLists } from '@martenworks/edge-proxy';
--- a/packages/edge-proxy/test/staleIndex.test.ts
+++ b/packages/edge-proxy/test/staleIndex.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 import type { ShelfNews } from '@martenworks/core-types';
 import { ReplicaTracks, ShelfBook, StaleWatch, answerTimings } from '@martenworks/edge-proxy';
 import type { AnswerTiming } from '@martenworks/edge-proxy';
--- a/packages/inspector/test/inspector.test.ts
+++ b/packages/inspector/test/inspector.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { codes, query } from '@martenworks/inspector';
 import type { Ask, Outcome } from '@martenworks/inspector';
-import { SimFleet } from '@martenworks/proving';
+import { SimFleet } from '@martenworks/test-fleet';
 
 const raised = async (): Promise<{ fleet: SimFleet; see: (...words: string[]) => Promise<Outcome> }> => {
   const fleet = new SimFleet({ seed: 12, fronts: 2, replicas: 5 });
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -3,7 +3,7 @@
 import type { Wire } from '@martenworks/core-types';
 import { Unpacker, frames, hellos, peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, Hello, PeerConnection, PeerFault } from '@martenworks/peer-transport';
-import { SimWorld } from '@martenworks/proving';
+import { SimWorld } from '@martenworks/test-fleet';
 
 const nearHost = '10.0.0.1';
 const farHost = '10.0.0.2';
--- a/packages/prefix-index/test/holders.test.ts
+++ b/packages/prefix-index/test/holders.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { Pigeonhole } from '@martenworks/prefix-index';
-import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/proving';
-import type { Ask, Run } from '@martenworks/proving';
+import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/test-fleet';
+import type { Ask, Run } from '@martenworks/test-fleet';
 
 const manual = (name: string): string => `${name} `.repeat(3_000).slice(0, 12_000);
 
--- a/packages/proving/test/capacity.test.ts
+++ b/packages/test-fleet/test/capacity.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { capacityLines, fits, models, plots, tables } from '@martenworks/proving';
-import type { Measured, Point } from '@martenworks/proving';
+import { capacityLines, fits, models, plots, tables } from '@martenworks/test-fleet';
+import type { Measured, Point } from '@martenworks/test-fleet';
 
 const points = (at: readonly number[], measure: (x: number) => number): Point[] =>
   at.map((x) => ({ x, values: [measure(x)] }));
--- a/packages/proving/test/judge.test.ts
+++ b/packages/test-fleet/test/judge.test.ts
@@ -2,8 +2,8 @@
 import { err, ok } from 'neverthrow';
 import type { Counter } from '@martenworks/counter';
 import type { Carriage, Disk, Ports } from '@martenworks/core-types';
-import { Storm } from '@martenworks/proving';
-import type { FaultKind, StormPlan } from '@martenworks/proving';
+import { Storm } from '@martenworks/test-fleet';
+import type { FaultKind, StormPlan } from '@martenworks/test-fleet';
 
 type Open<T> = { -readonly [K in keyof T]: T[K] };
 const loosened = <T extends object>(held: T): Open<T> & Record<string, unknown> =>
--- a/packages/proving/test/knownRed.test.ts
+++ b/packages/test-fleet/test/knownRed.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { knownRed } from '@martenworks/proving';
-import type { TestResult } from '@martenworks/proving';
+import { knownRed } from '@martenworks/test-fleet';
+import type { TestResult } from '@martenworks/test-fleet';
 
 const passing = (title: string): TestResult => ({ title, fault: null, isTest: true });
 const failing = (title: string): TestResult => ({ title, fault: `${title} broke`, isTest: true });
--- a/packages/proving/test/storms.test.ts
+++ b/packages/test-fleet/test/storms.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { faultKinds, finalKinds, sizes, Storm } from '@martenworks/proving';
-import type { FinalKind } from '@martenworks/proving';
+import { faultKinds, finalKinds, sizes, Storm } from '@martenworks/test-fleet';
+import type { FinalKind } from '@martenworks/test-fleet';
 
 describe('storms', () => {
   it('given one seed, when its storm is run twice, then both runs are the same to the event', async () => {
--- a/packages/write-ahead-log/test/ledger.test.ts
+++ b/packages/write-ahead-log/test/ledger.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { Opened } from '@martenworks/write-ahead-log';
-import { SimDisk } from '@martenworks/proving';
+import { SimDisk } from '@martenworks/test-fleet';
 
 const live = (): boolean => true;
 
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -2,7 +2,7 @@
 import type { Result } from 'neverthrow';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { Opened, WriteAheadLogFault } from '@martenworks/write-ahead-log';
-import { SimDisk } from '@martenworks/proving';
+import { SimDisk } from '@martenworks/test-fleet';
 
 const live = (): boolean => true;
 const filler = 'x'.repeat(400_000);
