--- a/packages/test-fleet/src/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -18,7 +18,7 @@
   | { readonly kind: 'result'; readonly result: TestResult; readonly tookMs: number }
   | { readonly kind: 'done' };
 
-const root = join(dirname(fileURLToPath(import.meta.url)), '../../..');
+const root = join(dirname(fileURLToPath(import.meta.url)), '../../../..');
 const compiled = join(root, 'target/tests');
 const listFile = join(root, 'KNOWN-RED.txt');
 
