--- a/packages/test-fleet/src/capacity/size.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -1,4 +1,4 @@
-import type { Point } from './fit.js';
+import type { Point } from './curveFit.js';
 import type { Measured } from './table.js';
 
 export const size = {
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -1,6 +1,6 @@
 import { frameLimit } from '@martenworks/peer-transport';
-import { fits } from './fit.js';
-import { runningPerFront, size } from './size.js';
+import { fits } from './curveFit.js';
+import { runningPerFront, size } from './fleetSize.js';
 import { tables } from './table.js';
 import type { Measured } from './table.js';
 
--- a/packages/test-fleet/src/capacity/plot.ts
+++ b/packages/test-fleet/src/capacity/plot.ts
@@ -1,4 +1,4 @@
-import { fits } from './fit.js';
+import { fits } from './curveFit.js';
 import { tables } from './table.js';
 import type { Measured } from './table.js';
 
--- a/packages/test-fleet/src/capacity/probes.ts
+++ b/packages/test-fleet/src/capacity/probes.ts
@@ -18,9 +18,17 @@
 import type { Ballot, Acceptor, Position, Settled, Since, Vote } from '@martenworks/control-plane';
 import { Duties, Roster, Watch, ring } from '@martenworks/cluster-membership';
 import type { LeaseAsk, LeaseReply, RosterEntry } from '@martenworks/cluster-membership';
-import { asMember, openCore, withPeers } from './core.js';
+import { asMember, openCore, withPeers } from './measuredControlNode.js';
 import { Meter, isolatedShare, poolCount, rig } from './rig.js';
-import { blocksPerReplica, nodeCounts, replicaCounts, runningPerFront, series, size, tenantCounts } from './size.js';
+import {
+  blocksPerReplica,
+  nodeCounts,
+  replicaCounts,
+  runningPerFront,
+  series,
+  size,
+  tenantCounts,
+} from './fleetSize.js';
 import type { Measured } from './table.js';
 import { wayProbes } from './wayProbes.js';
 
--- a/packages/test-fleet/src/capacity/rig.ts
+++ b/packages/test-fleet/src/capacity/rig.ts
@@ -202,7 +202,7 @@
   private readonly child: ChildProcess;
 
   constructor() {
-    this.child = fork(fileURLToPath(new URL('./hollow.js', import.meta.url)), [], {
+    this.child = fork(fileURLToPath(new URL('./peerProcess.js', import.meta.url)), [], {
       execArgv: ['--expose-gc', '--max-old-space-size=3000'],
     });
     this.child.on('message', (told) => this.waiting.shift()?.(told as Record<string, number>));
--- a/packages/test-fleet/src/capacity/table.ts
+++ b/packages/test-fleet/src/capacity/table.ts
@@ -1,5 +1,5 @@
-import { fits } from './fit.js';
-import type { Point } from './fit.js';
+import { fits } from './curveFit.js';
+import type { Point } from './curveFit.js';
 
 export interface Measured {
   readonly run: string;
--- a/packages/test-fleet/src/capacity/wayProbes.ts
+++ b/packages/test-fleet/src/capacity/wayProbes.ts
@@ -16,9 +16,9 @@
 import { ReplicaTracks, ShelfBook, WayPlacing } from '@martenworks/edge-proxy';
 import type { WayQuestion } from '@martenworks/edge-proxy';
 import { BookDoor, salts } from '@martenworks/route-table';
-import { openCore, withPeers } from './core.js';
+import { openCore, withPeers } from './measuredControlNode.js';
 import { poolCount, rig } from './rig.js';
-import { nodeCounts, replicaCounts, series, size, tenantCounts } from './size.js';
+import { nodeCounts, replicaCounts, series, size, tenantCounts } from './fleetSize.js';
 import type { Measured } from './table.js';
 
 const modelOf = (at: number): string => `model-${at % poolCount}`;
--- a/packages/test-fleet/src/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -4,11 +4,11 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
-import { models } from './capacity/model.js';
-import { plots } from './capacity/plot.js';
-import { probes } from './capacity/probes.js';
-import { tables } from './capacity/table.js';
-import type { Measured } from './capacity/table.js';
+import { models } from '../capacity/model.js';
+import { plots } from '../capacity/plot.js';
+import { probes } from '../capacity/probes.js';
+import { tables } from '../capacity/table.js';
+import type { Measured } from '../capacity/table.js';
 
 const { values } = parseArgs({
   options: {
@@ -60,7 +60,7 @@
 
 const run = (name: string, limitMs: number): Promise<Told | null> =>
   new Promise((settle) => {
-    const child = fork(fileURLToPath(new URL('./capacity/probeRun.js', import.meta.url)), [name], {
+    const child = fork(fileURLToPath(new URL('../capacity/probeProcess.js', import.meta.url)), [name], {
       execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`],
     });
     let told: Told | null = null;
--- a/packages/test-fleet/src/roundsCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -1,4 +1,4 @@
-import { SimFleet } from './sim/simFleet.js';
+import { SimFleet } from '../simulator/simFleet.js';
 
 const kills = Number(process.argv[2] ?? '30');
 const noiseRounds = Number(process.argv[3] ?? '200');
--- a/packages/test-fleet/src/trialsCommand.ts
+++ b/packages/test-fleet/src/commands/faultInjectionCommand.ts
@@ -1,10 +1,10 @@
 import { availableParallelism } from 'node:os';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
-import { Storm } from './sim/storm/storm.js';
-import type { StormReport } from './sim/storm/storm.js';
-import { faultKinds, finalKinds, sizes } from './sim/storm/stormPlan.js';
-import type { FaultKind, FinalKind, StormPlan } from './sim/storm/stormPlan.js';
+import { Storm } from '../faults/faultInjectionRun.js';
+import type { StormReport } from '../faults/faultInjectionRun.js';
+import { faultKinds, finalKinds, sizes } from '../faults/faultSchedule.js';
+import type { FaultKind, FinalKind, StormPlan } from '../faults/faultSchedule.js';
 
 const usage = `seeded storms over the in-memory fleet; every line of the never list is judged
 
--- a/packages/test-fleet/src/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -1,7 +1,7 @@
 import { parseArgs } from 'node:util';
-import { firms } from './firms.js';
-import { load, summaries } from './load.js';
-import { LocalFleet } from './localFleet.js';
+import { firms } from '../workload/sampleDeployments.js';
+import { load, summaries } from '../workload/loadGenerator.js';
+import { LocalFleet } from '../processes/localFleet.js';
 
 const { values } = parseArgs({
   options: {
--- a/packages/test-fleet/src/urgencyCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -1,8 +1,8 @@
 import { parseArgs } from 'node:util';
-import { firms } from './firms.js';
-import { Judge } from './sim/judge.js';
-import type { Call } from './sim/judge.js';
-import { SimFleet } from './sim/simFleet.js';
+import { firms } from '../workload/sampleDeployments.js';
+import { Judge } from '../invariants/invariantChecker.js';
+import type { Call } from '../invariants/invariantChecker.js';
+import { SimFleet } from '../simulator/simFleet.js';
 
 const { values } = parseArgs({
   options: {
--- a/packages/test-fleet/src/realTrialsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -1,11 +1,11 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
 import { carriages } from '@martenworks/upstream';
-import { firms, keyOf, plans, seeded } from './firms.js';
-import { LocalFleet } from './localFleet.js';
-import type { Reply } from './localFleet.js';
-import { Judge } from './sim/judge.js';
-import type { Life, Scene, Told } from './sim/judge.js';
+import { firms, keyOf, plans, seeded } from '../workload/sampleDeployments.js';
+import { LocalFleet } from '../processes/localFleet.js';
+import type { Reply } from '../processes/localFleet.js';
+import { Judge } from '../invariants/invariantChecker.js';
+import type { Life, Scene, Told } from '../invariants/invariantChecker.js';
 
 const faultKinds = [
   'counter killed',
--- a/packages/test-fleet/src/sim/storm/operators.ts
+++ b/packages/test-fleet/src/faults/configurationChanges.ts
@@ -1,4 +1,4 @@
-import { plans } from '../../firms.js';
+import { plans } from '../workload/sampleDeployments.js';
 import { inForceMs } from './faultContext.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
--- a/packages/test-fleet/src/sim/storm/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -1,7 +1,7 @@
-import type { Grant, Judge, Told } from '../judge.js';
-import type { SimFleet } from '../simFleet.js';
-import type { SimWorld } from '../simWorld.js';
-import type { FaultKind } from './stormPlan.js';
+import type { Grant, Judge, Told } from '../invariants/invariantChecker.js';
+import type { SimFleet } from '../simulator/simFleet.js';
+import type { SimWorld } from '../simulator/simWorld.js';
+import type { FaultKind } from './faultSchedule.js';
 
 interface StormState {
   readonly busy: Set<string>;
--- a/packages/test-fleet/src/sim/storm/stormPlan.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -1,5 +1,5 @@
-import { plans } from '../../firms.js';
-import type { SimPlan } from '../simFleet.js';
+import { plans } from '../workload/sampleDeployments.js';
+import type { SimPlan } from '../simulator/simFleet.js';
 
 export const faultKinds = [
   'replica crashes',
--- a/packages/test-fleet/src/sim/storm/finals.ts
+++ b/packages/test-fleet/src/faults/permanentLosses.ts
@@ -1,5 +1,5 @@
 import type { FaultContext } from './faultContext.js';
-import type { FinalKind } from './stormPlan.js';
+import type { FinalKind } from './faultSchedule.js';
 
 export const bringFinal = async (storm: FaultContext, final: FinalKind): Promise<void> => {
   const { fleet, judge } = storm;
--- a/packages/test-fleet/src/sim/judge.ts
+++ b/packages/test-fleet/src/invariants/invariantChecker.ts
@@ -1,8 +1,8 @@
 import { createParser } from 'eventsource-parser';
-import { keyOf, plans } from '../firms.js';
-import type { Ask, Kind } from '../firms.js';
-import { speech } from '../standIn.js';
-import type { Breach, Run, Visit } from '../standIn.js';
+import { keyOf, plans } from '../workload/sampleDeployments.js';
+import type { Ask, Kind } from '../workload/sampleDeployments.js';
+import { speech } from '../replica/emulatedReplica.js';
+import type { Breach, Run, Visit } from '../replica/emulatedReplica.js';
 import type { Carriage } from '@martenworks/core-types';
 
 export interface Call {
--- a/packages/test-fleet/src/sim/statePlaints.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -1,5 +1,5 @@
-import type { Judge, Told } from './judge.js';
-import type { SimFleet } from './simFleet.js';
+import type { Judge, Told } from './invariantChecker.js';
+import type { SimFleet } from '../simulator/simFleet.js';
 
 export const statePlaints = (fleet: SimFleet, judge: Judge): Told[] => {
   const told: Told[] = [];
--- a/packages/test-fleet/src/standInsCommand.ts
+++ b/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
@@ -2,8 +2,8 @@
 import { machine } from '@martenworks/core-types';
 import type { Clock, WebHandler } from '@martenworks/core-types';
 import { realDoor } from '@martenworks/postrider';
-import { StandIn } from './standIn.js';
-import type { StandInEnv } from './standIn.js';
+import { StandIn } from '../replica/emulatedReplica.js';
+import type { StandInEnv } from '../replica/emulatedReplica.js';
 
 export interface StandInSeat {
   readonly env: StandInEnv;
--- a/packages/test-fleet/src/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -6,12 +6,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { keyOf, plans } from './firms.js';
-import type { Firm } from './firms.js';
-import { Relay } from './relay.js';
-import type { Life } from './sim/judge.js';
-import type { StandInEnv } from './standIn.js';
-import type { StandInSeat } from './standInsCommand.js';
+import { keyOf, plans } from '../workload/sampleDeployments.js';
+import type { Firm } from '../workload/sampleDeployments.js';
+import { Relay } from './faultProxy.js';
+import type { Life } from '../invariants/invariantChecker.js';
+import type { StandInEnv } from '../replica/emulatedReplica.js';
+import type { StandInSeat } from './emulatedReplicasProcess.js';
 import { addresses } from '@martenworks/core-types';
 
 const here = dirname(fileURLToPath(import.meta.url));
@@ -141,7 +141,7 @@
             this.start(
               `stand-ins-${at + 1}`,
               [JSON.stringify(some), this.controls[at] as string],
-              join(here, 'standInsCommand.js'),
+              join(here, 'emulatedReplicasProcess.js'),
             ).stdout?.once('data', () => ready());
           }),
       ),
--- a/packages/test-fleet/src/sim/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -5,10 +5,10 @@
 import type { Carriage, Ports } from '@martenworks/core-types';
 import type { Env, Role } from '@martenworks/settings';
 import { envs } from '@martenworks/settings';
-import { keyOf, plans } from '../firms.js';
-import { StandIn } from '../standIn.js';
-import type { StandInEnv } from '../standIn.js';
-import type { Life, Scene } from './judge.js';
+import { keyOf, plans } from '../workload/sampleDeployments.js';
+import { StandIn } from '../replica/emulatedReplica.js';
+import type { StandInEnv } from '../replica/emulatedReplica.js';
+import type { Life, Scene } from '../invariants/invariantChecker.js';
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simWorld.js';
 
--- a/packages/test-fleet/src/sim/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -15,7 +15,7 @@
   Wire,
 } from '@martenworks/core-types';
 import { logs } from '@martenworks/core-types';
-import { seeded } from '../firms.js';
+import { seeded } from '../workload/sampleDeployments.js';
 import { SimDisk } from './simDisk.js';
 import { SimLink, SimSender } from './simLink.js';
 
--- a/packages/test-fleet/src/load.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -1,9 +1,9 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Agent, request } from 'undici';
 import { createParser } from 'eventsource-parser';
-import { plans, seeded } from './firms.js';
-import type { Ask } from './firms.js';
-import { speech } from './standIn.js';
+import { plans, seeded } from './sampleDeployments.js';
+import type { Ask } from './sampleDeployments.js';
+import { speech } from '../replica/emulatedReplica.js';
 
 export interface Outcome {
   readonly kind: Ask['kind'];
