--- a/packages/control-plane/src/membership.ts
+++ b/packages/control-plane/src/membership.ts
@@ -128,7 +128,7 @@
       const outgoing = this.seatFor(member, state.members);
       if (outgoing === undefined) continue;
       const standing = await this.standingOf(connection);
-      if (standing !== null && this.isCaughtUp(standing, state, outgoing)) return this.swap(outgoing, member);
+      if (standing !== null && this.isCaughtUp(standing, state, outgoing)) return this.swap(outgoing, member, standing);
     }
   };
 
@@ -155,14 +155,29 @@
     return false;
   };
 
-  private readonly swap = async (outgoing: Member, incoming: Member): Promise<void> => {
+  /**
+   * Whether a swap may be proposed on `state`. Asked anew on each try, since `state` may be newer than the one that
+   * `standing` was compared with before: a seat goes only to a newcomer that reported the generation it is proposed on.
+   */
+  private readonly swapRefusal = (
+    state: Agreed,
+    outgoing: Member,
+    incoming: Member,
+    standing: Standing,
+  ): string | null => {
+    if (!agreedState.maySwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
+    return this.isCaughtUp(standing, state, outgoing) ? null : 'the newcomer has not reported the newest state';
+  };
+
+  private readonly swap = async (outgoing: Member, incoming: Member, standing: Standing): Promise<void> => {
     const id = `swap-${outgoing.incarnation}-${incoming.incarnation}`;
     const body = { kind: 'swap' as const, outgoing: outgoing.incarnation, incoming };
     const digest = digests.of(body);
-    const check = (state: Agreed): Result<Change, ProposeFault> =>
-      agreedState.maySwap(state, outgoing.incarnation, incoming)
-        ? ok({ id, digest, body })
-        : err({ kind: 'conflict', layoutGeneration: state.layoutGeneration, detail: 'the seats have changed' });
+    const check = (state: Agreed): Result<Change, ProposeFault> => {
+      const refusal = this.swapRefusal(state, outgoing, incoming, standing);
+      if (refusal === null) return ok({ id, digest, body });
+      return err({ kind: 'conflict', layoutGeneration: state.layoutGeneration, detail: refusal });
+    };
     const before = this.acceptor.agreed() as Agreed;
     const outcome = await this.proposer.propose(check, id, digest, swapPatienceMs);
     this.log.info('a membership swap was proposed', {
