--- a/packages/cluster-membership/src/ring.ts
+++ b/packages/cluster-membership/src/ring.ts
@@ -15,7 +15,7 @@
   readonly zone: string;
 }
 
-export const watcherCount = 3;
+const watcherCount = 3;
 
 export const ring = {
   watchersOf: (name: string, nodes: readonly RingNode[]): string[] => {
--- a/packages/control-plane/src/configService.ts
+++ b/packages/control-plane/src/configService.ts
@@ -10,7 +10,7 @@
 const bytesPerExtraMs = 4_000;
 const namePatienceMs = 700;
 
-export type EditOf = (held: WaysInForce | null) => Result<OperatorEdit, readonly BookFault[]>;
+type EditOf = (held: WaysInForce | null) => Result<OperatorEdit, readonly BookFault[]>;
 
 /** One order of the operator to change the configuration. */
 export interface ConfigOrder {
--- a/packages/control-plane/src/consensusMessages.ts
+++ b/packages/control-plane/src/consensusMessages.ts
@@ -10,12 +10,12 @@
 /** True where a value that came from another process has the type. */
 export type MessageCheck<T> = (value: unknown) => value is T;
 
-export interface PrepareMessage {
+interface PrepareMessage {
   readonly slot: number;
   readonly ballot: Ballot;
 }
 
-export interface AcceptMessage extends PrepareMessage {
+interface AcceptMessage extends PrepareMessage {
   /** In its compressed bytes. */
   readonly change: Uint8Array;
 }
--- a/packages/control-plane/src/controlNode.ts
+++ b/packages/control-plane/src/controlNode.ts
@@ -56,7 +56,7 @@
   },
 };
 
-export const wayPace = { patienceMs: 700, longestWaitMs: 400 };
+const wayPace = { patienceMs: 700, longestWaitMs: 400 };
 
 const consensusPace: ConsensusPace = {
   votePatienceMs: 800,
--- a/packages/core-types/src/backEnds.ts
+++ b/packages/core-types/src/backEnds.ts
@@ -6,7 +6,7 @@
   readonly code: string;
 }
 
-export interface WeightsOrder {
+interface WeightsOrder {
   readonly model: string;
   readonly version: number;
   readonly holder: string;
@@ -16,7 +16,7 @@
 /** `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fence was seen; `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken. */
 export type OrderReceipt = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
-export interface ReplicaReport {
+interface ReplicaReport {
   readonly weights: Record<string, number>;
   readonly isBusy: boolean;
 }
@@ -28,7 +28,7 @@
   readonly news: readonly KeptNews[];
 }
 
-export interface KeptList {
+interface KeptList {
   readonly epoch: string;
   readonly next: number;
   readonly held: readonly KeptNews[];
--- a/packages/core-types/src/layout.ts
+++ b/packages/core-types/src/layout.ts
@@ -45,7 +45,7 @@
 }
 
 /** What is kept of a change that was agreed on: by it, the same change sent again is known. */
-export interface ChangeRecord {
+interface ChangeRecord {
   readonly generation: number;
   readonly digest: string;
   /** The edition it brought into force; absent for other kinds of change, and in states of older releases. */
@@ -88,7 +88,7 @@
   readonly body: ChangeBody;
 }
 
-export type ReplicaState = 'ready' | 'leaving' | 'gone';
+type ReplicaState = 'ready' | 'leaving' | 'gone';
 
 export interface ReplicaRecord {
   readonly name: string;
--- a/packages/core-types/src/ports.ts
+++ b/packages/core-types/src/ports.ts
@@ -77,7 +77,7 @@
  * the request is unsent. `accepts` is asked with the head of the answer, before its body; a head that is not accepted
  * ends the request (`HEAD_REFUSED`) and closes its connection.
  */
-export interface CarriageRequest {
+interface CarriageRequest {
   readonly method: string;
   readonly url: string;
   readonly headers: Record<string, string> | readonly string[];
--- a/packages/core-types/src/prompt.ts
+++ b/packages/core-types/src/prompt.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 
-export const blockBytes = 256;
-export const bytesPerToken = 4;
+const blockBytes = 256;
+const bytesPerToken = 4;
 
 export const prompts = {
   blocks: (prompt: string): string[] => {
--- a/packages/core-types/src/wayNews.ts
+++ b/packages/core-types/src/wayNews.ts
@@ -20,7 +20,7 @@
   readonly deflated: Uint8Array;
 }
 
-export interface NamedAge {
+interface NamedAge {
   readonly version: number;
   readonly msAgo: number;
 }
--- a/packages/core-types/src/ways.ts
+++ b/packages/core-types/src/ways.ts
@@ -1,6 +1,6 @@
 export type WayKind = 'repeatable' | 'once' | 'stream';
 
-export interface WayShare {
+interface WayShare {
   readonly pool: string;
   readonly share: number;
 }
@@ -20,7 +20,7 @@
   readonly gapMs: number | null;
 }
 
-export interface Engine {
+interface Engine {
   readonly slots: number;
   readonly cacheTokens: number;
   readonly tokenBytes: number;
--- a/packages/counter/src/claims.ts
+++ b/packages/counter/src/claims.ts
@@ -36,7 +36,7 @@
   bytes: number;
 }
 
-export class ReceiptShelf {
+class ReceiptShelf {
   private readonly held = new Map<string, Shelved>();
   private bytes = 0;
 
--- a/packages/edge-proxy/src/retryPolicy.ts
+++ b/packages/edge-proxy/src/retryPolicy.ts
@@ -26,12 +26,12 @@
   | { readonly kind: 'may have run'; readonly cause: string };
 
 /** What an answer's head leads to; `holdsAgainst` tells that the replica is taken to be unwell. */
-export type HeadVerdict =
+type HeadVerdict =
   | { readonly kind: 'turned away' }
   | { readonly kind: 'pass on'; readonly isSuccess: boolean; readonly isFailure: boolean }
   | { readonly kind: 'drop'; readonly cause: string; readonly holdsAgainst: boolean };
 
-export interface HeadCircumstances {
+interface HeadCircumstances {
   readonly hasReply: boolean;
   readonly mayTryAnother: boolean;
 }
--- a/packages/prefix-index/src/place.ts
+++ b/packages/prefix-index/src/place.ts
@@ -3,7 +3,7 @@
 import { prompts } from '@martenworks/core-types';
 import type { Pigeonhole } from './pigeonhole.js';
 
-export interface Candidate {
+interface Candidate {
   readonly record: ReplicaRecord;
   readonly running: number;
   readonly pendingTokens: number;
--- a/packages/prefix-index/src/quarters.ts
+++ b/packages/prefix-index/src/quarters.ts
@@ -30,7 +30,7 @@
   return best;
 };
 
-export const quarterPlan = {
+const quarterPlan = {
   roles: (replicaNames: readonly string[], isolatedTenants: readonly string[]): Map<string, string> => {
     const roles = new Map(replicaNames.map((name) => [name, shared]));
     if (isolatedTenants.length === 0) return roles;
--- a/packages/test-fleet/src/capacity/curveFit.ts
+++ b/packages/test-fleet/src/capacity/curveFit.ts
@@ -3,9 +3,9 @@
   readonly values: readonly number[];
 }
 
-export type Shape = 'flat' | 'line' | 'not a line';
+type Shape = 'flat' | 'line' | 'not a line';
 
-export interface Fit {
+interface Fit {
   readonly slope: number;
   readonly intercept: number;
   readonly r2: number;
@@ -68,7 +68,7 @@
   };
 };
 
-export interface Forecast {
+interface Forecast {
   readonly value: number;
   readonly how: 'measured' | 'interpolated' | 'extrapolated';
 }
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -4,7 +4,7 @@
 import { tables } from './table.js';
 import type { Measured } from './table.js';
 
-export const budget = {
+const budget = {
   cpuMs: 30,
   memoryBytes: 256_000_000,
   wireBytes: 8_000,
@@ -27,7 +27,7 @@
   readonly value: (of: Of) => number;
 }
 
-export const traffic = {
+const traffic = {
   longShare: 0.09,
   corePings: size.voters * 4,
   wayPings: size.voters * 2,
@@ -557,9 +557,9 @@
     : `**breaks** ${tables.figure(limit)}, ${tables.figure(value / limit)} times`;
 };
 
-export type Status = 'runs today and measured' | 'modelled from a slope' | 'not built';
+type Status = 'runs today and measured' | 'modelled from a slope' | 'not built';
 
-export interface Worked {
+interface Worked {
   readonly id: string;
   readonly value: number;
   readonly verdict: string;
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -33,7 +33,7 @@
   readonly shares: readonly Share[];
 }
 
-export interface Span {
+interface Span {
   readonly kind: FaultKind;
   readonly from: number;
   readonly to: number;
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -11,7 +11,6 @@
 export { Judge } from './invariants/invariantChecker.js';
 export type { Call } from './invariants/invariantChecker.js';
 export { SimDisk } from './simulator/simDisk.js';
-export type { DiskStep } from './simulator/simDisk.js';
 export { SimFleet } from './simulator/simFleet.js';
 export type { Told } from './simulator/simFleet.js';
 export { SimWorld } from './simulator/simWorld.js';
--- a/packages/test-fleet/src/runner/knownRed.ts
+++ b/packages/test-fleet/src/runner/knownRed.ts
@@ -4,29 +4,29 @@
   readonly isTest: boolean;
 }
 
-export interface KnownRed {
+interface KnownRed {
   readonly title: string;
   readonly cause: string;
   readonly issue: string;
 }
 
-export interface Listing {
+interface Listing {
   readonly entries: readonly KnownRed[];
   readonly faults: readonly string[];
 }
 
-export interface Run {
+interface Run {
   readonly results: readonly TestResult[];
   readonly declared: readonly string[];
   readonly selected: readonly string[];
 }
 
-export interface Failure {
+interface Failure {
   readonly title: string;
   readonly fault: string;
 }
 
-export interface Verdict {
+interface Verdict {
   readonly passed: number;
   readonly failures: readonly Failure[];
   readonly knownReds: readonly KnownRed[];
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -40,7 +40,7 @@
 }
 
 const zones = ['a', 'b', 'c'];
-export const outsideHost = '10.9.0.1';
+const outsideHost = '10.9.0.1';
 
 export class SimFleet implements Scene {
   readonly world: SimWorld;
--- a/packages/upstream/src/gatedAgent.ts
+++ b/packages/upstream/src/gatedAgent.ts
@@ -11,7 +11,7 @@
 }
 
 /** Why the agent ended a request by itself. */
-export type GateCode = 'GATED' | 'WRITTEN_BEFORE' | 'HEAD_REFUSED';
+type GateCode = 'GATED' | 'WRITTEN_BEFORE' | 'HEAD_REFUSED';
 
 class GateError extends Error {
   constructor(readonly code: GateCode) {
--- a/packages/write-ahead-log/src/writeAheadLog.ts
+++ b/packages/write-ahead-log/src/writeAheadLog.ts
@@ -11,7 +11,7 @@
 const segmentLimit = 1024 * 1024;
 const digits = 10;
 
-export interface CorruptFault {
+interface CorruptFault {
   readonly kind: 'corrupt';
   readonly file: string;
   readonly offset: number;
