--- /dev/null
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -0,0 +1,155 @@
+/** A control node of the simulated world that holds whatever state a test gives it and publishes as the product does. */
+import { logs } from '@martenworks/core-types';
+import type {
+  FrontPong,
+  Listener,
+  Member,
+  StateHeld,
+  StateMessage,
+  Subscription,
+  WayBook,
+} from '@martenworks/core-types';
+import { hellos, peerConnections } from '@martenworks/peer-transport';
+import type { Hello, PeerConnection } from '@martenworks/peer-transport';
+import type { SimWorld } from '@martenworks/test-fleet';
+import { packedBooks } from '@martenworks/route-table';
+
+const peerPort = 7_000;
+
+const limits = { headerBytes: 16_384, bodyBytes: 65_536, headerMs: 3_000, idleMs: 15_000 };
+
+/** The routing table of a generation: one pool, named after it. */
+export const bookOf = (generation: number): WayBook => ({
+  ways: [],
+  pools: [{ name: `pool of ${generation}`, connectionLimit: null, engine: null }],
+  stores: [],
+  customers: null,
+  limits,
+});
+
+export const memberOf = (host: string): Member => ({
+  name: `node ${host}`,
+  address: `${host}:${peerPort}`,
+  incarnation: `incarnation of ${host}`,
+});
+
+/** Whether a node compares what it holds with what an edge told before it sends its state, as the product does. */
+export type Publishing = 'newer states only' | 'any state';
+
+interface Subscriber {
+  held: number;
+  wantsContent: boolean;
+}
+
+export class ControlNodeStub {
+  private readonly subscribers = new Map<PeerConnection, Subscriber>();
+  private readonly connections = new Set<PeerConnection>();
+  private listener: Listener | null = null;
+  private starts = 0;
+  /** States sent since the last start, asked for or not. */
+  statesSent = 0;
+  /** States that arrived at an edge which held a newer one, by its acknowledgements. */
+  staleArrivals = 0;
+
+  constructor(
+    private readonly world: SimWorld,
+    readonly host: string,
+    private readonly zone: string,
+    private readonly members: readonly Member[],
+    public generation: number,
+    private readonly publishing: Publishing = 'newer states only',
+  ) {}
+
+  private readonly hello = (): Hello => {
+    const { name, address } = memberOf(this.host);
+    const node = { name, coach: address, http: `${this.host}:8081`, operators: null, zone: this.zone };
+    return hellos.of('postmaster', node, `start ${this.starts} of ${this.host}`);
+  };
+
+  readonly start = async (): Promise<void> => {
+    this.starts += 1;
+    this.statesSent = 0;
+    const { net, clock } = this.world.machine(this.host).ports();
+    const listening = await peerConnections.listen(net, clock, logs.silent(), this.hello, memberOf(this.host).address, {
+      joined: (connection) => void this.connections.add(connection),
+      left: this.forget,
+      told: this.told,
+      asked: async (_, topic) => this.answer(topic),
+    });
+    this.listener = listening._unsafeUnwrap();
+  };
+
+  readonly stop = async (): Promise<void> => {
+    await this.listener?.close();
+    this.listener = null;
+    for (const connection of [...this.connections]) connection.close();
+  };
+
+  /** Puts a state in force here, which is published at once. */
+  readonly advanceTo = (generation: number): void => {
+    this.generation = generation;
+    for (const connection of this.subscribers.keys()) this.publish(connection);
+  };
+
+  /** Whether an edge takes this node for its source. */
+  readonly isSource = (): boolean => [...this.subscribers.values()].some(({ wantsContent }) => wantsContent);
+
+  private readonly forget = (connection: PeerConnection): void => {
+    this.connections.delete(connection);
+    this.subscribers.delete(connection);
+  };
+
+  private readonly told = (connection: PeerConnection, topic: string, body: unknown): void => {
+    if (topic === 'subscribe') this.subscribe(connection, body as Subscription);
+    if (topic === 'ack') this.acknowledged(connection, body as StateHeld);
+  };
+
+  private readonly acknowledged = (connection: PeerConnection, { generation }: StateHeld): void => {
+    const subscriber = this.subscribers.get(connection);
+    if (subscriber !== undefined) subscriber.held = Math.max(subscriber.held, generation);
+    if (generation > this.generation) this.staleArrivals += 1;
+  };
+
+  private readonly subscribe = (connection: PeerConnection, { generation, wantsContent }: Subscription): void => {
+    this.subscribers.set(connection, { held: generation, wantsContent });
+    this.publish(connection);
+  };
+
+  private readonly publish = (connection: PeerConnection): void => {
+    const subscriber = this.subscribers.get(connection);
+    if (subscriber === undefined) return;
+    if (this.publishing === 'newer states only' && this.generation <= subscriber.held) return;
+    connection.tell('news', this.generation);
+    if (!subscriber.wantsContent) return;
+    this.statesSent += 1;
+    connection.tell('state', this.message());
+  };
+
+  private readonly message = (): StateMessage => ({
+    generation: this.generation,
+    edition: this.generation,
+    book: packedBooks.whole(bookOf(this.generation)),
+    named: {},
+    namedAges: {},
+    members: this.members,
+  });
+
+  private readonly answerState = (): StateMessage => {
+    this.statesSent += 1;
+    return this.message();
+  };
+
+  private readonly pong = (): FrontPong => ({
+    generation: this.generation,
+    fronts: 1,
+    isSettled: true,
+    majorityHeardMs: 0,
+    listAgeMs: 0,
+  });
+
+  private readonly answer = (topic: string): unknown => {
+    if (topic === 'state') return this.answerState();
+    if (topic === 'ping') return this.pong();
+    return topic === 'roster' ? [{ hello: this.hello(), ageMs: 0 }] : null;
+  };
+}
