--- /dev/null
+++ b/packages/dev-tools/src/docBudgets.ts
@@ -0,0 +1,108 @@
+/**
+ * Holds the number of undocumented items of each package to what the settings file allows.
+ *
+ * A package is either done, and then has none, or has a ceiling, so that the count cannot rise while it is being
+ * worked off. A package that the settings do not name counts as done: a new package starts documented.
+ */
+import { err, ok } from 'neverthrow';
+import type { Result } from 'neverthrow';
+import * as v from 'valibot';
+import { CheckSettingsError } from './errors.js';
+
+const settingsSchema = v.strictObject({
+  done: v.array(v.string()),
+  ceilings: v.record(v.string(), v.pipe(v.number(), v.integer(), v.minValue(0))),
+});
+
+/** The settings file: packages by their folder, relative to the root of the repository. */
+export type DocBudgets = v.InferOutput<typeof settingsSchema>;
+
+/** The number of undocumented items that was found in one package. */
+export interface PackageCount {
+  /** Folder of the package, relative to the root of the repository. */
+  readonly name: string;
+  /** Undocumented items and modules. */
+  readonly missing: number;
+}
+
+/** The outcome for one package. */
+interface PackageVerdict extends PackageCount {
+  /** The highest count that passes: 0 for a package that is done. */
+  readonly ceiling: number;
+  /** Whether the settings list the package as done. */
+  readonly isDone: boolean;
+}
+
+/** The outcome of the check. */
+interface DocVerdict {
+  /** One entry for each package, in the order of the counts. */
+  readonly packages: readonly PackageVerdict[];
+  /** What makes the check fail, one sentence each; empty if it passes. */
+  readonly failures: readonly string[];
+}
+
+/**
+ * Reads the settings.
+ *
+ * @param file name of the settings file, for messages
+ * @param text its content
+ */
+const parse = (file: string, text: string): Result<DocBudgets, CheckSettingsError> => {
+  let value: unknown;
+  try {
+    value = JSON.parse(text);
+  } catch (cause) {
+    return err(new CheckSettingsError(file, String(cause)));
+  }
+  const parsed = v.safeParse(settingsSchema, value);
+  return parsed.success ? ok(parsed.output) : err(new CheckSettingsError(file, v.summarize(parsed.issues)));
+};
+
+const settingsFailures = (budgets: DocBudgets, counts: readonly PackageCount[]): string[] => {
+  const known = new Set(counts.map((count) => count.name));
+  const twice = budgets.done.filter((name) => Object.hasOwn(budgets.ceilings, name));
+  const gone = [...budgets.done, ...Object.keys(budgets.ceilings)].filter((name) => !known.has(name));
+  return [
+    ...twice.map((name) => `${name} is listed as done and has a ceiling as well`),
+    ...gone.map((name) => `${name} is in the settings, but there is no such package`),
+  ];
+};
+
+/**
+ * Compares the counts of all packages with the settings.
+ *
+ * Fails on a count over its ceiling, and on settings that name a package that does not exist or name one twice.
+ */
+const judge = (budgets: DocBudgets, counts: readonly PackageCount[]): DocVerdict => {
+  const packages = counts.map((count) => {
+    const ceiling = budgets.done.includes(count.name) ? 0 : (budgets.ceilings[count.name] ?? 0);
+    return { ...count, ceiling, isDone: budgets.done.includes(count.name) };
+  });
+  const risen = packages.filter(({ missing, ceiling }) => missing > ceiling);
+  const failures = risen.map(
+    ({ name, missing, ceiling }) => `${name}: ${missing} without a doc comment, at most ${ceiling}`,
+  );
+  return { packages, failures: [...settingsFailures(budgets, counts), ...failures] };
+};
+
+/** The settings with each ceiling lowered to the count found, and packages without a missing comment listed as done. */
+const lowered = (budgets: DocBudgets, counts: readonly PackageCount[]): DocBudgets => {
+  const verdicts = judge(budgets, counts).packages;
+  const isDone = ({ isDone, missing }: PackageVerdict): boolean => isDone || missing === 0;
+  const open = verdicts.filter((verdict) => !isDone(verdict));
+  return {
+    done: verdicts.filter(isDone).map(({ name }) => name),
+    ceilings: Object.fromEntries(open.map(({ name, missing, ceiling }) => [name, Math.min(missing, ceiling)])),
+  };
+};
+
+/** The lines that the command prints: a line a package, then the failures. */
+const lines = ({ packages, failures }: DocVerdict): string[] => [
+  ...packages.map(({ name, missing, ceiling, isDone }) =>
+    isDone ? `${name}: ${missing} missing, done` : `${name}: ${missing} missing, ceiling ${ceiling}`,
+  ),
+  ...failures.map((failure) => `FAILED ${failure}`),
+];
+
+/** Reads the settings of the doc check and compares counts with them. */
+export const docBudgets = { parse, judge, lowered, lines };
--- /dev/null
+++ b/packages/dev-tools/src/docsCheckCommand.ts
@@ -0,0 +1,82 @@
+/**
+ * The command `npm run docs:check`: fails where an exported item lacks its doc comment.
+ *
+ *     docsCheckCommand [--list PACKAGE] [--lower]
+ *
+ * `--list` prints what is missing in one package as `file:line kind name` and checks nothing. `--lower` writes the
+ * settings file anew with each ceiling at the count found. Exit code 0: passed; 1: failed; 2: bad arguments or settings.
+ */
+import { readFileSync, readdirSync, writeFileSync } from 'node:fs';
+import { dirname, join, relative } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { parseArgs } from 'node:util';
+import { Project } from 'ts-morph';
+import { docBudgets } from './docBudgets.js';
+import type { PackageCount } from './docBudgets.js';
+import { missingDocs } from './missingDocs.js';
+import type { MissingDoc } from './missingDocs.js';
+
+const root = join(dirname(fileURLToPath(import.meta.url)), '../../..');
+const settingsName = 'docs-check.json';
+const settingsFile = join(root, settingsName);
+const usageExitCode = 2;
+
+const packageFolders = (): string[] => {
+  const manifests = readdirSync(join(root, 'packages')).map((name) => `packages/${name}`);
+  const platform = ['platform', ...readdirSync(join(root, 'platform')).map((name) => `platform/${name}`)];
+  const project = new Project({ skipAddingFilesFromTsConfig: true });
+  return [...manifests, ...platform].filter((folder) =>
+    project.getFileSystem().fileExistsSync(join(root, folder, 'package.json')),
+  );
+};
+
+const openProject = (folders: readonly string[]): Project => {
+  const project = new Project({
+    tsConfigFilePath: join(root, 'tsconfig.base.json'),
+    skipAddingFilesFromTsConfig: true,
+    compilerOptions: { customConditions: ['source'] },
+  });
+  for (const folder of folders) project.addSourceFilesAtPaths(join(root, folder, 'src/**/*.ts'));
+  return project;
+};
+
+const missingIn = (project: Project, folder: string): MissingDoc[] => {
+  const sources = `${join(root, folder, 'src')}/`;
+  const files = project.getSourceFiles().filter((file) => file.getFilePath().startsWith(sources));
+  return files.flatMap(missingDocs.inFile);
+};
+
+const print = (lines: readonly string[]): void => {
+  process.stdout.write(lines.map((line) => `${line}\n`).join(''));
+};
+
+const listPackage = (folders: readonly string[], wanted: string): number => {
+  const folder = folders.find((name) => name === wanted.replace(/\/$/, '') || name === `packages/${wanted}`);
+  if (folder === undefined) {
+    print([`no package ${wanted}; there are ${folders.join(', ')}`]);
+    return usageExitCode;
+  }
+  const missing = missingIn(openProject(folders), folder);
+  print(missing.map(({ file, line, kind, name }) => `${relative(root, file)}:${line} ${kind} ${name}`));
+  print([`${folder}: ${missing.length} missing`]);
+  return 0;
+};
+
+const check = (folders: readonly string[], isLowering: boolean): number => {
+  const budgets = docBudgets.parse(settingsName, readFileSync(settingsFile, 'utf8'));
+  if (budgets.isErr()) {
+    print([budgets.error.message]);
+    return usageExitCode;
+  }
+  const project = openProject(folders);
+  const counts: PackageCount[] = folders.map((name) => ({ name, missing: missingIn(project, name).length }));
+  const verdict = docBudgets.judge(budgets.value, counts);
+  print(docBudgets.lines(verdict));
+  if (isLowering)
+    writeFileSync(settingsFile, `${JSON.stringify(docBudgets.lowered(budgets.value, counts), null, 2)}\n`);
+  return verdict.failures.length === 0 ? 0 : 1;
+};
+
+const { values } = parseArgs({ options: { list: { type: 'string' }, lower: { type: 'boolean', default: false } } });
+const folders = packageFolders();
+process.exitCode = values.list === undefined ? check(folders, values.lower) : listPackage(folders, values.list);
--- /dev/null
+++ b/packages/dev-tools/test/docBudgets.test.ts
@@ -0,0 +1,59 @@
+import { expect } from 'chai';
+import { docBudgets } from '@martenworks/dev-tools';
+import type { DocBudgets } from '@martenworks/dev-tools';
+
+const budgets: DocBudgets = { done: ['packages/a'], ceilings: { 'packages/b': 3 } };
+const failuresOf = (a: number, b: number, settings = budgets): readonly string[] =>
+  docBudgets.judge(settings, [
+    { name: 'packages/a', missing: a },
+    { name: 'packages/b', missing: b },
+  ]).failures;
+
+describe('budgets of missing doc comments', () => {
+  it('given a package that is done, when one comment is missing, then the check fails', () => {
+    expect(failuresOf(0, 3)).to.deep.equal([]);
+    expect(failuresOf(1, 3)).to.deep.equal(['packages/a: 1 without a doc comment, at most 0']);
+  });
+
+  it('given a package with a ceiling, when its count rises over it, then the check fails', () => {
+    expect(failuresOf(0, 2)).to.deep.equal([]);
+    expect(failuresOf(0, 4)).to.deep.equal(['packages/b: 4 without a doc comment, at most 3']);
+  });
+
+  it('given a package that the settings do not name, when a comment is missing, then the check fails', () => {
+    expect(failuresOf(0, 1, { done: ['packages/a'], ceilings: {} })).to.deep.equal([
+      'packages/b: 1 without a doc comment, at most 0',
+    ]);
+  });
+
+  it('given settings that name a package that is gone, or one as done and with a ceiling, when they are judged, then the check fails', () => {
+    const settings = { done: ['packages/a', 'packages/gone'], ceilings: { 'packages/a': 2, 'packages/b': 3 } };
+    expect(failuresOf(0, 3, settings)).to.deep.equal([
+      'packages/a is listed as done and has a ceiling as well',
+      'packages/gone is in the settings, but there is no such package',
+    ]);
+  });
+
+  it('given counts under their ceilings, when the settings are lowered, then no ceiling rises and a package with none missing is done', () => {
+    const counts = [
+      { name: 'packages/a', missing: 1 },
+      { name: 'packages/b', missing: 2 },
+      { name: 'packages/c', missing: 0 },
+    ];
+    expect(docBudgets.lowered(budgets, counts)).to.deep.equal({
+      done: ['packages/a', 'packages/c'],
+      ceilings: { 'packages/b': 2 },
+    });
+    const risen = docBudgets.lowered(budgets, [{ name: 'packages/b', missing: 9 }]);
+    expect(risen).to.deep.equal({ done: [], ceilings: { 'packages/b': 3 } });
+  });
+
+  it('given settings that are no JSON or of another form, when they are read, then the error names the file', () => {
+    for (const text of ['{', '[]', '{"done":[],"ceilings":{"packages/b":-1}}', '{"done":[],"ceilings":{},"more":1}']) {
+      const error = docBudgets.parse('docs-check.json', text)._unsafeUnwrapErr();
+      expect(error.code).to.equal('CHECK_SETTINGS_INVALID');
+      expect(error.message).to.match(/^docs-check\.json: /);
+    }
+    expect(docBudgets.parse('docs-check.json', JSON.stringify(budgets))._unsafeUnwrap()).to.deep.equal(budgets);
+  });
+});
