--- a/packages/cluster-membership/test/rounds.test.ts
+++ b/packages/cluster-membership/test/rounds.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { LeaseBook, ring } from '@martenworks/cluster-membership';
-import { Judge, SimFleet, SimWorld } from '@martenworks/test-fleet';
+import { InvariantChecker, SimFleet, SimWorld } from '@martenworks/test-fleet';
 
 const kvHolders = (fleet: SimFleet, replica: string): number[] =>
   fleet.postmasters.flatMap((postmaster, at) =>
@@ -68,8 +68,8 @@
       const hosts = [...fleet.counterHosts, ...fleet.postmasterHosts];
       const pick = (): string => hosts[Math.floor(fleet.world.random() * hosts.length)] as string;
       const [from, to, frozen] = [pick(), pick(), pick()];
-      fleet.world.cut(from, to);
-      fleet.world.slow(pick(), pick(), 700);
+      fleet.world.blockLink(from, to);
+      fleet.world.delayLink(pick(), pick(), 700);
       fleet.world.machine(frozen).freeze();
       await fleet.world.run(600);
       fleet.world.machine(frozen).thaw();
@@ -82,7 +82,7 @@
 
   it('given a postmaster cut off from one neighbour only, when a stranger waits to be swapped in, then the living member keeps its seat', async () => {
     const fleet = await raised(43, 4, 3);
-    fleet.world.cutBoth('10.0.0.1', '10.0.0.3');
+    fleet.world.partition('10.0.0.1', '10.0.0.3');
     fleet.postmasterHosts.push('10.0.0.9');
     fleet.postmasterNames.push('postmaster-9');
     fleet.postmasters.push(null);
@@ -122,7 +122,7 @@
     await watchFor(8_000);
     for (const name of names) expect(kvHolders(fleet, name).length, `${name} during a cut`).to.equal(1);
     fleet.world.healAll();
-    fleet.machineOf('postmaster', kvHolders(fleet, 'replica-4')[0] as number).wallJump += 3_600_000;
+    fleet.machineOf('postmaster', kvHolders(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
     await watchFor(6_000);
     expect(overlaps).to.equal(0);
   });
@@ -158,8 +158,8 @@
 
   it('given traffic, when the follower of kv-events changes again and again, then the index misses nothing and is whole on every counter', async () => {
     const fleet = await raised(52, 3, 4);
-    const judge = new Judge(fleet);
-    judge.traffic(40, 30_000, 0.2);
+    const checker = new InvariantChecker(fleet);
+    checker.traffic(40, 30_000, 0.2);
     for (let round = 0; round < 5; round += 1) {
       fleet.killPostmaster(round % 3);
       await fleet.world.run(4_000);
@@ -169,10 +169,10 @@
     await fleet.world.run(20_000);
     for (const counter of fleet.counters) {
       for (const shelf of counter?.book.index.sizes() ?? []) {
-        const standIn = fleet.current.get(shelf.replica);
-        expect([shelf.replica, shelf.seq, shelf.isWhole]).to.deep.equal([shelf.replica, standIn?.newsCount(), true]);
+        const standIn = fleet.runningReplicas.get(shelf.replica);
+        expect([shelf.replica, shelf.seq, shelf.isWhole]).to.deep.equal([shelf.replica, standIn?.eventCount(), true]);
       }
     }
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/control-plane/test/catchUp.test.ts
+++ b/packages/control-plane/test/catchUp.test.ts
@@ -97,7 +97,7 @@
           traffic.mostOpen = Math.max(traffic.mostOpen, traffic.open);
           traffic.pages += 1;
           const isBroken = rules.breaks(at, traffic.pages);
-          await new Promise<void>((wake) => void world.plan(null, 1, wake));
+          await new Promise<void>((wake) => void world.schedule(null, 1, wake));
           traffic.open -= 1;
           if (isBroken) return err({ kind: 'coach', code: 'closed' });
           await rules.onPage();
@@ -176,13 +176,13 @@
     const { world, members, catchUps, traffic, settle } = await stage(2);
     await settle(1, 1, bookChange(1, 2_000));
     const disk = (members[0] as Member).machine.disk;
-    disk.mood.isFull = true;
+    disk.faults.isFull = true;
     await finish(world, catchUps[0].step());
     const sent = traffic.bytes;
     for (let tries = 0; tries < 5; tries += 1) await finish(world, catchUps[0].step());
     expect(members[0]?.acceptor.agreed()?.generation).to.equal(0);
     expect(traffic.bytes).to.equal(sent);
-    disk.mood.isFull = false;
+    disk.faults.isFull = false;
     await finish(world, catchUps[0].step());
     expect(members[0]?.acceptor.agreed()?.generation).to.equal(1);
     expect(traffic.bytes).to.equal(sent);
@@ -191,7 +191,8 @@
   it('given a change that was accepted and then settled, when its log is read again, then it is kept once, compressed, and the state is the same', async () => {
     const { world, members, settle } = await stage(1);
     const [one] = members as [Member];
-    const sizeOf = (): number => [...one.machine.disk.files.values()].reduce((sum, held) => sum + held.safe.length, 0);
+    const sizeOf = (): number =>
+      [...one.machine.disk.files.values()].reduce((sum, held) => sum + held.synced.length, 0);
     const before = sizeOf();
     const change = bookChange(1, 2_000);
     await finish(world, one.acceptor.accept(1, [1, 'a'], change));
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { recovery } from '@martenworks/control-plane';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
-import type { Told } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
+import type { HttpReply } from '@martenworks/test-fleet';
 
 const small = { fronts: 2, replicas: 3 };
 
@@ -13,7 +13,7 @@
 
 const tier = (horizonMs: number): Record<string, unknown> => ({ tiers: { steady: { rank: 1, horizonMs } } });
 
-const patch = (fleet: SimFleet, at: number, part: unknown, base: number | null, id: string): Promise<Told> =>
+const patch = (fleet: SimFleet, at: number, part: unknown, base: number | null, id: string): Promise<HttpReply> =>
   fleet.onPostmaster(at, 'PATCH', '/operator/layout', part, {
     'change-id': id,
     ...(base === null ? {} : { 'if-match': `"${base}"` }),
@@ -52,7 +52,7 @@
     await fleet.world.run(20_000);
     expect(fleet.postmasters.map((one) => one?.acceptor.agreed() ?? null)).to.deep.equal([null, null, null]);
     const told = await fleet.finish(
-      fleet.onPostmaster(0, 'PUT', '/operator/layout', plans.layout('weights-1'), { 'if-match': '"0"' }),
+      fleet.onPostmaster(0, 'PUT', '/operator/layout', sampleWorkload.layout('weights-1'), { 'if-match': '"0"' }),
     );
     expect([told.status, told.body.outcome, told.retryAfter]).to.deep.equal([503, 'not accepted', '1']);
     await fleet.startPostmaster(2);
@@ -224,7 +224,7 @@
       const base = await baseOf(fleet);
       const call = patch(fleet, 0, tier(13_000), base, 'half');
       await fleet.world.run(2 + (seed - 30) * 0.35);
-      for (const host of ['10.0.0.2', '10.0.0.3']) fleet.world.cutBoth('10.0.0.1', host);
+      for (const host of ['10.0.0.2', '10.0.0.3']) fleet.world.partition('10.0.0.1', host);
       const told = await fleet.finish(call, 20_000);
       if (told.status === 504) unknowns += 1;
       expect([200, 503, 504]).to.include(told.status);
@@ -247,8 +247,8 @@
     const fleet = await raised(9);
     const base = await baseOf(fleet);
     fleet.world.isolate('10.0.0.1');
-    fleet.world.heal('10.0.0.1', '10.9.0.1');
-    fleet.world.heal('10.9.0.1', '10.0.0.1');
+    fleet.world.unblockLink('10.0.0.1', '10.9.0.1');
+    fleet.world.unblockLink('10.9.0.1', '10.0.0.1');
     const told = await fleet.finish(patch(fleet, 0, tier(12_000), base, 'alone'), 20_000);
     expect([told.status, told.retryAfter]).to.deep.equal([503, '1']);
     fleet.world.healAll();
@@ -258,7 +258,7 @@
 
   it('given the platform, when a client is granted and revoked, then its key works and stops within two seconds, for held streams too', async () => {
     const fleet = await raised(11);
-    const judge = new Judge(fleet);
+    const checker = new InvariantChecker(fleet);
     const key = 'a-new-riders-key';
     const granted = await fleet.finish(
       fleet.onPostmaster(2, 'POST', '/platform/clients', {
@@ -270,22 +270,22 @@
     expect(granted.status).to.equal(200);
     await fleet.world.until('in force', () => allHold(fleet, Number(granted.body.generation)), 2_000);
     const ask = {
-      ...plans.ask(fleet.world.random, 1),
+      ...sampleWorkload.request(fleet.world.random, 1),
       kind: 'query' as const,
       tenant: 'newcomer',
       key,
       maxTokens: 2_000,
     };
-    const held = judge.send(ask, 0);
+    const held = checker.send(ask, 0);
     await fleet.world.run(500);
-    expect([held.verdict, held.text.length > 0]).to.deep.equal(['open', true]);
+    expect([held.outcome, held.text.length > 0]).to.deep.equal(['open', true]);
     const revoked = await fleet.finish(fleet.onPostmaster(0, 'POST', '/platform/keys/revoke', { key }));
     expect(revoked.status).to.equal(200);
     const at = fleet.world.time;
     await fleet.world.run(2_000);
-    expect(held.verdict).to.equal('cut');
+    expect(held.outcome).to.equal('cut');
     expect(held.endedAt - at).to.be.lessThan(1_000);
-    const late = judge.send(ask, 1);
+    const late = checker.send(ask, 1);
     await fleet.world.run(500);
     expect([late.status, late.ran]).to.deep.equal([401, 'no']);
     expect(keyOf('north')).to.not.equal(key);
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -7,7 +7,7 @@
 const started = () => {
   const world = new SimWorld(5);
   const machine = world.machine('10.0.0.1');
-  return { world, machine, ports: machine.ports(), mood: machine.disk.mood };
+  return { world, machine, ports: machine.ports(), mood: machine.disk.faults };
 };
 
 const finish = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
--- a/packages/control-plane/test/platform.test.ts
+++ b/packages/control-plane/test/platform.test.ts
@@ -61,7 +61,7 @@
     for (let seed = 80; seed < 86; seed += 1) {
       const fleet = new SimFleet({ seed, fronts: 3, replicas: 3 });
       await fleet.up();
-      for (const host of ['10.0.0.1', '10.0.0.3']) fleet.world.cutBoth('10.0.0.2', host);
+      for (const host of ['10.0.0.1', '10.0.0.3']) fleet.world.partition('10.0.0.2', host);
       fleet.killReplica('replica-1');
       fleet.bootReplica('replica-1');
       expect((await fleet.finish(fleet.announce('replica-1', 0))).status).to.equal(200);
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -40,12 +40,12 @@
   const built: { value: Cluster | null } = { value: null };
   const call = async <T>(from: string, to: string, topic: string, act: () => T | Promise<T>): Promise<T | null> => {
     counts[topic] = (counts[topic] ?? 0) + 1;
-    const late = new Promise<null>((end) => void world.plan(null, 800, () => end(null)));
+    const late = new Promise<null>((end) => void world.schedule(null, 800, () => end(null)));
     const reply = (async (): Promise<T> => {
-      await new Promise<void>((go) => void world.plan(null, hopMs, go));
+      await new Promise<void>((go) => void world.schedule(null, hopMs, go));
       if (built.value?.passes(from, to, topic) === false) return new Promise<T>(() => {});
       const told = await act();
-      await new Promise<void>((go) => void world.plan(null, hopMs, go));
+      await new Promise<void>((go) => void world.schedule(null, hopMs, go));
       return built.value?.passes(to, from, `${topic} reply`) === false ? new Promise<T>(() => {}) : told;
     })();
     return Promise.race([reply, late]);
@@ -186,10 +186,10 @@
   it('given many orders before one that waits, when the waiting ones are answered "unavailable", then they are never offered afterwards', async () => {
     const built = await cluster(5, 3);
     const { world, nodes } = built;
-    for (const { host } of nodes) world.machine(host).disk.mood.delayMs = 200;
+    for (const { host } of nodes) world.machine(host).disk.faults.delayMs = 200;
     const changes = Array.from({ length: 8 }, (_, at) => revoked(`c${at}`, `c${at}`));
     const outcomes = await done(world, Promise.all(changes.map((change) => propose(nodes[0], change))));
-    for (const { host } of nodes) world.machine(host).disk.mood.delayMs = 0;
+    for (const { host } of nodes) world.machine(host).disk.faults.delayMs = 0;
     await world.run(10_000);
     const refused = changes.filter((_, at) => {
       const outcome = outcomes[at];
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -2,10 +2,10 @@
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import { acceptors, compressedChanges, compressedStates, recovery } from '@martenworks/control-plane';
 import { wireRelease } from '@martenworks/peer-transport';
-import { Judge, keyOf, plans, SimFleet, statePlaints } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, sampleWorkload, SimFleet, stateViolations } from '@martenworks/test-fleet';
 import type { SimDisk } from '@martenworks/test-fleet';
 
-const sizeOf = (disk: SimDisk): number => [...disk.files.values()].reduce((sum, held) => sum + held.safe.length, 0);
+const sizeOf = (disk: SimDisk): number => [...disk.files.values()].reduce((sum, held) => sum + held.synced.length, 0);
 
 const raised = async (
   seed: number,
@@ -41,8 +41,8 @@
 describe('roll-outs', () => {
   it('given load, when every postmaster and counter is restarted in turn, then no accepted change and no begun answer is lost', async () => {
     const fleet = await raised(61);
-    const judge = new Judge(fleet);
-    judge.traffic(40, 45_000);
+    const checker = new InvariantChecker(fleet);
+    checker.traffic(40, 45_000);
     for (let round = 0; round < 3; round += 1) {
       const base = Number((await fleet.finish(fleet.onPostmaster(round, 'GET', '/operator/layout'))).body.generation);
       const put = await fleet.finish(
@@ -55,26 +55,26 @@
         ),
       );
       expect(put.status).to.equal(200);
-      judge.acceptedIds.set(`roll-${round}`, Number(put.body.generation));
+      checker.acceptedIds.set(`roll-${round}`, Number(put.body.generation));
       await fleet.finish(fleet.rollPostmaster(round));
       await fleet.world.until('the postmaster is back', () => fleet.postmasters[round]?.isReady() === true);
       await fleet.finish(fleet.rollCounter(round), 60_000);
       await fleet.world.until('the counter is back', () => fleet.counters[round]?.freshness.isFresh() === true);
     }
     await fleet.world.run(60_000);
-    const tally = judge.tally();
+    const tally = checker.tally();
     expect(tally.cut ?? 0, JSON.stringify(tally)).to.equal(0);
-    for (const call of judge.calls) {
-      if (call.verdict === 'lost') expect(call.code).to.equal('ECONNREFUSED');
-      if (call.verdict === 'denied')
+    for (const call of checker.calls) {
+      if (call.outcome === 'lost') expect(call.code).to.equal('ECONNREFUSED');
+      if (call.outcome === 'denied')
         expect([call.code, call.ran, call.retryAfter === null]).to.deep.equal([
           call.code === 'draining' ? 'draining' : 'not_fresh',
           'no',
           false,
         ]);
     }
-    expect(tally.whole ?? 0).to.be.greaterThan(judge.calls.length * 0.9);
-    expect([...judge.complaints(), ...statePlaints(fleet, judge)]).to.deep.equal([]);
+    expect(tally.whole ?? 0).to.be.greaterThan(checker.calls.length * 0.9);
+    expect([...checker.violations(), ...stateViolations(fleet, checker)]).to.deep.equal([]);
   });
 
   it('given a counter of another wire release, when it greets the fleet, then it is refused and says so, and the others serve on', async () => {
@@ -93,12 +93,17 @@
     for (const connection of fleet.counters[2]?.lines.open() ?? []) connection.close();
     await fleet.world.run(10_000);
     expect(fleet.counters.map((counter) => counter?.freshness.isFresh())).to.deep.equal([true, true, false]);
-    expect(fleet.world.lines.some((line) => line.context.cause === 'another wire release')).to.equal(true);
-    const judge = new Judge(fleet);
-    const ask = { ...plans.ask(fleet.world.random, 1), kind: 'query' as const, tenant: 'north', key: keyOf('north') };
-    const calls = [0, 1, 2].map((at) => judge.send(ask, at));
+    expect(fleet.world.logLines.some((line) => line.context.cause === 'another wire release')).to.equal(true);
+    const checker = new InvariantChecker(fleet);
+    const ask = {
+      ...sampleWorkload.request(fleet.world.random, 1),
+      kind: 'query' as const,
+      tenant: 'north',
+      key: keyOf('north'),
+    };
+    const calls = [0, 1, 2].map((at) => checker.send(ask, at));
     await fleet.world.run(3_000);
-    expect(calls.map((call) => call.verdict)).to.deep.equal(['whole', 'whole', 'denied']);
+    expect(calls.map((call) => call.outcome)).to.deep.equal(['whole', 'whole', 'denied']);
     expect([calls[2]?.code, calls[2]?.ran]).to.deep.equal(['not_fresh', 'no']);
   });
 });
@@ -146,8 +151,8 @@
   it('given a log damaged before its tail, when its control node starts, then the file and the place are named, it counts as empty under a new incarnation, and it is swapped in again with all that was agreed', async () => {
     for (const prefix of ['decrees', 'leases', 'replicas', 'claims']) {
       const fleet = await raised(65);
-      const judge = new Judge(fleet);
-      judge.keyedTraffic(10, 1_000);
+      const checker = new InvariantChecker(fleet);
+      checker.keyedTraffic(10, 1_000);
       await fleet.world.run(3_000);
       const before = fleet.postmasters[0]?.acceptor.incarnation;
       const state = fleet.postmasters[1]?.acceptor.agreed();
@@ -156,11 +161,11 @@
       const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith(`${prefix}-segment`)) ?? [];
       if (prefix === 'leases' && held === undefined) throw new Error('no lease was ever kept');
       if (name === undefined || held === undefined) throw new Error(`no segment of ${prefix}`);
-      held.safe[20] = (held.safe[20] ?? 0) ^ 0x55;
+      held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
       await fleet.bootPostmaster(0);
       const again = fleet.postmasters[0]?.acceptor;
       expect(again?.incarnation).to.not.equal(before);
-      const told = fleet.world.lines.find((line) => line.context.file === name);
+      const told = fleet.world.logLines.find((line) => line.context.file === name);
       expect(told?.context).to.include({ file: name, offset: 0 });
       const waited = await fleet.world.until('it votes', () => again?.isVoter() === true);
       expect(waited).to.be.lessThan(6_000);
@@ -176,7 +181,7 @@
     const machine = fleet.machineOf('postmaster', 0);
     const lease = [...machine.disk.files].find(([file]) => file.startsWith('replicas-segment'));
     if (lease === undefined) throw new Error('no segment');
-    lease[1].safe[20] = (lease[1].safe[20] ?? 0) ^ 0x55;
+    lease[1].synced[20] = (lease[1].synced[20] ?? 0) ^ 0x55;
     const images: SimDisk[] = [];
     machine.disk.beforeStep = () => void images.push(machine.disk.copy());
     machine.boot();
@@ -204,7 +209,7 @@
     const machine = fleet.machineOf('postmaster', 0);
     const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith('decrees-segment')) ?? [];
     if (name === undefined || held === undefined) throw new Error('no segment');
-    held.safe[20] = (held.safe[20] ?? 0) ^ 0x55;
+    held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
     const files = [...machine.disk.files.keys()];
     machine.boot();
     const { disk, clock, random, log } = machine.ports();
@@ -240,23 +245,23 @@
       await fleet.bootCounter(at);
     }
     await fleet.world.run(12_000);
-    const judge = new Judge(fleet);
-    judge.traffic(40, 6_000, 0.1);
+    const checker = new InvariantChecker(fleet);
+    checker.traffic(40, 6_000, 0.1);
     await fleet.world.run(20_000);
-    expect(judge.tally()).to.deep.equal({ whole: judge.calls.length });
-    expect(judge.runs().filter((run) => run.cacheFrom !== null).length).to.equal(0);
+    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.equal(0);
     expect(fleet.postmasters[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
   });
 
   it('given claims past their retention, when postmasters tidy, then they are gone from memory and disk', async () => {
     const fleet = await raised(66, { postmasterEnv: { claimRetentionMs: 5_000 } });
-    const judge = new Judge(fleet);
-    judge.keyedTraffic(40, 20_000);
+    const checker = new InvariantChecker(fleet);
+    checker.keyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
     const sizes = fleet.postmasters.map((one) => one?.claims.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
     await fleet.world.run(15_000);
     expect(fleet.postmasters.map((one) => one?.claims.size())).to.deep.equal([0, 0, 0]);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/counter/test/callers.test.ts
+++ b/packages/counter/test/callers.test.ts
@@ -1,19 +1,19 @@
 import { expect } from 'chai';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
-import type { Ask, Told } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
+import type { SampleRequest, HttpReply } from '@martenworks/test-fleet';
 
 const bearer = (key: string): Record<string, string> => ({ authorization: `Bearer ${key}` });
 
 const raised = async (
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
-): Promise<{ fleet: SimFleet; judge: Judge }> => {
+): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({ seed: 3, fronts: 2, replicas: 3, ...more });
   await fleet.up();
-  return { fleet, judge: new Judge(fleet) };
+  return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const ask = (fleet: SimFleet, kind: Ask['kind'], tenant: string, tail = 'one'): Ask => ({
-  ...plans.ask(fleet.world.random, 1),
+const ask = (fleet: SimFleet, kind: SampleRequest['kind'], tenant: string, tail = 'one'): SampleRequest => ({
+  ...sampleWorkload.request(fleet.world.random, 1),
   kind,
   tenant,
   key: keyOf(tenant),
@@ -26,15 +26,15 @@
   body: unknown,
   headers: Record<string, string>,
   path = '/v1/completions',
-): Promise<Told> => fleet.finish(fleet.call(`http://${fleet.counterHosts[0]}:7101${path}`, 'POST', body, headers));
+): Promise<HttpReply> => fleet.finish(fleet.call(`http://${fleet.counterHosts[0]}:7101${path}`, 'POST', body, headers));
 
 describe('callers', () => {
   it('given each wrong request, when it is sent, then its status, type and ran are told at once', async () => {
     const { fleet } = await raised({
       counterEnv: { bodyLimitBytes: 4_096 },
       layout: {
-        ...plans.layout('weights-1'),
-        lanes: { ...(plans.layout('weights-1').lanes as object), secret: { pool: 'main', repeat: 'freely' } },
+        ...sampleWorkload.layout('weights-1'),
+        lanes: { ...(sampleWorkload.layout('weights-1').lanes as object), secret: { pool: 'main', repeat: 'freely' } },
       },
     });
     const good = { model: 'query', prompt: 'hello', max_tokens: 4 };
@@ -69,74 +69,74 @@
   });
 
   it('given a tenant over its rate, when it asks on, then it gets 429 with Retry-After and its neighbours do not', async () => {
-    const layout = plans.layout('weights-1');
+    const layout = sampleWorkload.layout('weights-1');
     const tenants = layout.tenants as Record<string, Record<string, unknown>>;
-    const { fleet, judge } = await raised({
+    const { fleet, checker } = await raised({
       layout: { ...layout, tenants: { ...tenants, north: { ...tenants.north, ratePerSecond: 4 } } },
     });
     for (let at = 0; at < 20; at += 1) {
-      judge.send(ask(fleet, 'query', 'north', `n${at}`), 0);
-      judge.send(ask(fleet, 'query', 'south', `s${at}`), 0);
+      checker.send(ask(fleet, 'query', 'north', `n${at}`), 0);
+      checker.send(ask(fleet, 'query', 'south', `s${at}`), 0);
     }
     await fleet.world.run(5_000);
-    const north = judge.calls.filter((call) => call.ask.tenant === 'north');
+    const north = checker.calls.filter((call) => call.request.tenant === 'north');
     expect(
       north.filter((call) => call.status === 429 && call.ran === 'no' && call.retryAfter !== null).length,
     ).to.equal(16);
     expect(
-      judge.calls.filter((call) => call.ask.tenant === 'south').every((call) => call.verdict === 'whole'),
+      checker.calls.filter((call) => call.request.tenant === 'south').every((call) => call.outcome === 'whole'),
     ).to.equal(true);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given a tier with a small share of the queue, when its requests pile up, then it is denied over its share while another tier still queues', async () => {
-    const layout = plans.layout('weights-1');
-    const { fleet, judge } = await raised({
+    const layout = sampleWorkload.layout('weights-1');
+    const { fleet, checker } = await raised({
       counterEnv: { queueLimit: 20 },
-      standIn: { decodeMs: 100 },
+      replicaSettings: { decodeMs: 100 },
       layout: {
         ...layout,
         tiers: { prompt: { rank: 0 }, steady: { rank: 1, share: 0.1 }, patient: { rank: 3 } },
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
     });
-    for (let at = 0; at < 12; at += 1) judge.send(ask(fleet, 'query', 'harbor', `h${at}`), 0);
-    for (let at = 0; at < 8; at += 1) judge.send(ask(fleet, 'query', 'north', `n${at}`), 0);
+    for (let at = 0; at < 12; at += 1) checker.send(ask(fleet, 'query', 'harbor', `h${at}`), 0);
+    for (let at = 0; at < 8; at += 1) checker.send(ask(fleet, 'query', 'north', `n${at}`), 0);
     await fleet.world.run(20_000);
-    const harbor = judge.calls.filter((call) => call.ask.tenant === 'harbor');
+    const harbor = checker.calls.filter((call) => call.request.tenant === 'harbor');
     expect(
       harbor.filter(
         (call) => call.code === 'over_share' && call.status === 429 && call.ran === 'no' && call.retryAfter !== null,
       ).length,
     ).to.be.greaterThan(4);
     expect(
-      judge.calls.filter((call) => call.ask.tenant === 'north').every((call) => call.verdict === 'whole'),
+      checker.calls.filter((call) => call.request.tenant === 'north').every((call) => call.outcome === 'whole'),
     ).to.equal(true);
   });
 
   it('given a caller that leaves mid-stream or in the queue, when it has left, then its run is cancelled or never begun', async () => {
-    const { fleet, judge } = await raised({
-      standIn: { decodeMs: 50 },
+    const { fleet, checker } = await raised({
+      replicaSettings: { decodeMs: 50 },
       layout: {
-        ...plans.layout('weights-1'),
+        ...sampleWorkload.layout('weights-1'),
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
     });
     const quits = Array.from({ length: 12 }, () => new AbortController());
     const calls = quits.map((quit, at) =>
-      judge.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 200 }, 0, { signal: quit.signal }),
+      checker.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 200 }, 0, { signal: quit.signal }),
     );
     await fleet.world.run(1_000);
-    const before = judge.runs().length;
+    const before = checker.allRuns().length;
     expect(before).to.be.greaterThan(0).and.lessThan(calls.length);
     for (const quit of quits) quit.abort();
     await fleet.world.run(3_000);
-    expect(judge.runs().length).to.equal(before);
-    expect(judge.runs().some((run) => run.isFinished)).to.equal(false);
+    expect(checker.allRuns().length).to.equal(before);
+    expect(checker.allRuns().some((run) => run.isFinished)).to.equal(false);
     expect(fleet.counters[0]?.stages.live.size).to.equal(0);
-    judge.send(ask(fleet, 'query', 'south', 'after'), 0);
+    checker.send(ask(fleet, 'query', 'south', 'after'), 0);
     await fleet.world.run(3_000);
-    expect(judge.calls.at(-1)?.verdict).to.equal('whole');
+    expect(checker.calls.at(-1)?.outcome).to.equal('whole');
   });
 
   it('given a reader that stops reading, when the replica could send on, then the counter takes no more pieces than it can pass on', async () => {
@@ -157,7 +157,7 @@
     );
     const body = receipt._unsafeUnwrap().body[Symbol.asyncIterator]();
     await fleet.finish(body.next());
-    const standIns = [...fleet.current.values()];
+    const standIns = [...fleet.runningReplicas.values()];
     await fleet.world.run(5_000);
     expect(standIns.reduce((sum, standIn) => sum + standIn.piecesSaid, 0)).to.be.lessThan(10);
     quit.abort();
@@ -166,24 +166,24 @@
   });
 
   it('given a replica that cuts its stream midway, when the caller reads on, then an error event ends it, and the connection breaks', async () => {
-    const { fleet, judge } = await raised();
-    for (const standIn of fleet.current.values()) standIn.faults.cutAfterPieces = 3;
-    const streamed = judge.send(ask(fleet, 'query', 'north'), 0);
-    const whole = judge.send(ask(fleet, 'query', 'north'), 0, { whole: true });
+    const { fleet, checker } = await raised();
+    for (const standIn of fleet.runningReplicas.values()) standIn.faults.truncateAfterPieces = 3;
+    const streamed = checker.send(ask(fleet, 'query', 'north'), 0);
+    const whole = checker.send(ask(fleet, 'query', 'north'), 0, { whole: true });
     await fleet.world.run(2_000);
-    expect([streamed.verdict, streamed.ran, streamed.text.split(' ').length]).to.deep.equal(['cut', 'unknown', 4]);
-    expect([whole.verdict, whole.status, whole.code, whole.ran]).to.deep.equal([
+    expect([streamed.outcome, streamed.ran, streamed.text.split(' ').length]).to.deep.equal(['cut', 'unknown', 4]);
+    expect([whole.outcome, whole.status, whole.code, whole.ran]).to.deep.equal([
       'denied',
       502,
       'cut_stream',
       'unknown',
     ]);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given the horizon of a request, when no piece came by then, then it is denied at that moment with Retry-After', async () => {
-    const { fleet, judge } = await raised({ standIn: { decodeMs: 5_000 } });
-    const call = judge.send(ask(fleet, 'confirm', 'north'), 0, { horizonMs: 700 });
+    const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 5_000 } });
+    const call = checker.send(ask(fleet, 'confirm', 'north'), 0, { horizonMs: 700 });
     await fleet.world.run(20_000);
     expect([call.status, call.code, call.ran]).to.deep.equal([503, 'horizon_passed', 'unknown']);
     expect(call.retryAfter).to.not.equal(null);
@@ -191,39 +191,39 @@
   });
 
   it('given requests that wait in a counter, when it loses the postmasters, then each is denied within two seconds, not at its horizon', async () => {
-    const { fleet, judge } = await raised({
-      standIn: { decodeMs: 400 },
+    const { fleet, checker } = await raised({
+      replicaSettings: { decodeMs: 400 },
       layout: {
-        ...plans.layout('weights-1'),
+        ...sampleWorkload.layout('weights-1'),
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
     });
     const calls = Array.from({ length: 14 }, (_, at) =>
-      judge.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 20 }, 0, { horizonMs: 60_000 }),
+      checker.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 20 }, 0, { horizonMs: 60_000 }),
     );
     await fleet.world.run(500);
-    for (const host of fleet.postmasterHosts) fleet.world.cutBoth(fleet.counterHosts[0] as string, host);
+    for (const host of fleet.postmasterHosts) fleet.world.partition(fleet.counterHosts[0] as string, host);
     await fleet.world.run(2_100);
-    const waiting = calls.filter((call) => call.verdict === 'denied');
+    const waiting = calls.filter((call) => call.outcome === 'denied');
     expect(waiting.length)
-      .to.equal(calls.length - judge.runs().length)
+      .to.equal(calls.length - checker.allRuns().length)
       .and.greaterThan(8);
     for (const call of waiting) expect([call.code, call.ran, call.retryAfter]).to.deep.equal(['not_fresh', 'no', '1']);
     await fleet.world.run(20_000);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it("given a tenant that is made isolated, when its requests wait, then they run as the isolated tenant's", async () => {
-    const { fleet, judge } = await raised({
-      standIn: { decodeMs: 100 },
+    const { fleet, checker } = await raised({
+      replicaSettings: { decodeMs: 100 },
       layout: {
-        ...plans.layout('weights-1'),
+        ...sampleWorkload.layout('weights-1'),
         tenants: { north: { tier: 'prompt', lanes: ['query'] }, south: { tier: 'prompt', lanes: ['query'] } },
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
       tenants: ['north', 'south'],
     });
-    for (let at = 0; at < 14; at += 1) judge.send(ask(fleet, 'query', 'north', `n${at}`), 0, { horizonMs: 60_000 });
+    for (let at = 0; at < 14; at += 1) checker.send(ask(fleet, 'query', 'north', `n${at}`), 0, { horizonMs: 60_000 });
     await fleet.world.run(200);
     const put = await fleet.finish(
       fleet.onPostmaster(
@@ -236,12 +236,12 @@
     );
     expect(put.status).to.equal(200);
     await fleet.world.run(500);
-    const before = judge.runs().length;
+    const before = checker.allRuns().length;
     await fleet.world.run(40_000);
-    expect(judge.runs().length).to.be.greaterThan(before);
+    expect(checker.allRuns().length).to.be.greaterThan(before);
     expect(
-      judge
-        .runs()
+      checker
+        .allRuns()
         .slice()
         .sort((a, b) => a.startedAt - b.startedAt)
         .slice(before)
@@ -250,16 +250,16 @@
   });
 
   it('given the same Idempotency-Key at two counters at once and again later, when all are answered, then one run served them all', async () => {
-    const { fleet, judge } = await raised();
+    const { fleet, checker } = await raised();
     const wanted = ask(fleet, 'book', 'north');
-    judge.send(wanted, 0, { idempotencyKey: 'order-1' });
-    judge.send(wanted, 1, { idempotencyKey: 'order-1' });
+    checker.send(wanted, 0, { idempotencyKey: 'order-1' });
+    checker.send(wanted, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
-    judge.send(wanted, 1, { idempotencyKey: 'order-1', whole: true });
-    judge.send({ ...wanted, prompt: 'something else' }, 1, { idempotencyKey: 'order-1' });
+    checker.send(wanted, 1, { idempotencyKey: 'order-1', whole: true });
+    checker.send({ ...wanted, prompt: 'something else' }, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
-    expect(judge.runs().length).to.equal(1);
-    const told = judge.calls.map((call) => (call.verdict === 'denied' ? call.code : call.verdict));
+    expect(checker.allRuns().length).to.equal(1);
+    const told = checker.calls.map((call) => (call.outcome === 'denied' ? call.code : call.outcome));
     expect(told.slice(0, 2)).to.include('whole');
     expect(['whole', 'in_progress']).to.include.members(told.slice(0, 2));
     expect(told.slice(2)).to.deep.equal(['whole', 'key_reused']);
@@ -267,24 +267,24 @@
     fleet.killCounter(1);
     await fleet.bootCounter(1);
     await fleet.world.until('the counter is back', () => fleet.counters[1]?.freshness.isFresh() === true);
-    const late = judge.send(wanted, 1, { idempotencyKey: 'order-1' });
+    const late = checker.send(wanted, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
     expect([late.status, late.code, late.ran]).to.deep.equal([409, 'outcome_unknown', 'unknown']);
-    expect(judge.runs().length).to.equal(1);
+    expect(checker.allRuns().length).to.equal(1);
   });
 
   it('given a claim whose request was proved not run, when the key comes again, then it runs', async () => {
-    const { fleet, judge } = await raised();
+    const { fleet, checker } = await raised();
     fleet.killReplica('app-1');
-    const first = judge.send(ask(fleet, 'book', 'north'), 0, { idempotencyKey: 'order-2' });
+    const first = checker.send(ask(fleet, 'book', 'north'), 0, { idempotencyKey: 'order-2' });
     await fleet.world.run(2_000);
-    expect([first.verdict, first.ran]).to.deep.equal(['denied', 'no']);
+    expect([first.outcome, first.ran]).to.deep.equal(['denied', 'no']);
     fleet.bootReplica('app-1');
     await fleet.finish(fleet.announce('app-1'));
     await fleet.world.run(6_000);
-    const second = judge.send(ask(fleet, 'book', 'north'), 1, { idempotencyKey: 'order-2' });
+    const second = checker.send(ask(fleet, 'book', 'north'), 1, { idempotencyKey: 'order-2' });
     await fleet.world.run(3_000);
-    expect(second.verdict).to.equal('whole');
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(second.outcome).to.equal('whole');
+    expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/counter/test/fairness.test.ts
+++ b/packages/counter/test/fairness.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Judge, keyOf, plans, SimFleet } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { Call } from '@martenworks/test-fleet';
 
 const threeTiers = {
@@ -18,35 +18,41 @@
     book: { pool: 'app', repeat: 'once' },
   },
   tenants: Object.fromEntries(
-    plans.tenantNames.map((name) => [
+    sampleWorkload.tenantNames.map((name) => [
       name,
       { tier: tierOf[name] ?? 'second', lanes: ['confirm', 'query', 'diagnose', 'book'] },
     ]),
   ),
 });
 
-const raised = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; judge: Judge }> => {
+const raised = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 5,
     fronts: 3,
     replicas: 3,
     layout: layoutOf(tierOf),
-    standIn: { decodeMs: 20, slots: 4 },
+    replicaSettings: { decodeMs: 20, slots: 4 },
     counterEnv: { queueLimit: 256 },
   });
   await fleet.up();
-  return { fleet, judge: new Judge(fleet) };
+  return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const flow = (fleet: SimFleet, judge: Judge, tenant: string, ratePerSecond: number, forMs: number): void => {
+const flow = (
+  fleet: SimFleet,
+  checker: InvariantChecker,
+  tenant: string,
+  ratePerSecond: number,
+  forMs: number,
+): void => {
   const end = fleet.world.time + forMs;
   let count = 0;
   const go = (): void => {
     if (fleet.world.time >= end) return;
     count += 1;
-    judge.send(
+    checker.send(
       {
-        ...plans.ask(fleet.world.random, 1),
+        ...sampleWorkload.request(fleet.world.random, 1),
         kind: 'query',
         tenant,
         key: keyOf(tenant),
@@ -55,29 +61,29 @@
       },
       count % 3,
     );
-    fleet.world.plan(null, (-Math.log(1 - fleet.world.random()) * 1000) / ratePerSecond, go);
+    fleet.world.schedule(null, (-Math.log(1 - fleet.world.random()) * 1000) / ratePerSecond, go);
   };
   go();
 };
 
 const share = (calls: readonly Call[]): number =>
-  calls.filter((call) => call.verdict === 'whole').length / calls.length;
+  calls.filter((call) => call.outcome === 'whole').length / calls.length;
 const quantile = (calls: readonly Call[], part: number): number => {
   const waits = calls
-    .filter((call) => call.verdict === 'whole')
-    .map((call) => call.firstAt - call.sentAt)
+    .filter((call) => call.outcome === 'whole')
+    .map((call) => call.firstTokenAt - call.sentAt)
     .sort((a, b) => a - b);
   return waits[Math.floor(waits.length * part)] ?? Number.POSITIVE_INFINITY;
 };
 
 describe('a pool under twice its load', () => {
   it('given three tiers, when they ask for twice what the pool takes, then the first keeps its latency and share, the last still moves, and the rest is denied with Retry-After', async () => {
-    const { fleet, judge } = await raised({ north: 'first', south: 'second', east: 'third' });
-    flow(fleet, judge, 'north', 50, 20_000);
-    flow(fleet, judge, 'south', 50, 20_000);
-    flow(fleet, judge, 'east', 50, 20_000);
+    const { fleet, checker } = await raised({ north: 'first', south: 'second', east: 'third' });
+    flow(fleet, checker, 'north', 50, 20_000);
+    flow(fleet, checker, 'south', 50, 20_000);
+    flow(fleet, checker, 'east', 50, 20_000);
     await fleet.world.run(35_000);
-    const of = (tenant: string): Call[] => judge.calls.filter((call) => call.ask.tenant === tenant);
+    const of = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
     const [first, second, third] = [of('north'), of('south'), of('east')];
     const seen = {
       shares: [first, second, third].map(share),
@@ -87,7 +93,7 @@
     expect(seen.p95[0], JSON.stringify(seen)).to.be.lessThan(1_000);
     expect(seen.shares[1], JSON.stringify(seen)).to.be.greaterThan(seen.shares[2] ?? 1);
     expect(seen.shares[2], JSON.stringify(seen)).to.be.greaterThan(0.01);
-    const denied = judge.calls.filter((call) => call.verdict === 'denied');
+    const denied = checker.calls.filter((call) => call.outcome === 'denied');
     expect(denied.length).to.be.greaterThan(500);
     expect(
       denied.every((call) => (call.ran === 'no' || call.code === 'horizon_passed') && Number(call.retryAfter) >= 1),
@@ -96,18 +102,18 @@
       denied.filter((call) => call.endedAt - call.sentAt > waitMs).length / denied.length;
     expect(later(1_500), 'share of denials told after more than 1.5 s').to.be.lessThan(0.1);
     expect(later(4_900), 'share of denials that waited out the horizon').to.be.lessThan(0.04);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given one large tenant and three small ones of a tier, when the large one floods, then the small ones are served', async () => {
-    const { fleet, judge } = await raised({});
-    flow(fleet, judge, 'north', 150, 15_000);
-    for (const tenant of ['south', 'east', 'west']) flow(fleet, judge, tenant, 8, 15_000);
+    const { fleet, checker } = await raised({});
+    flow(fleet, checker, 'north', 150, 15_000);
+    for (const tenant of ['south', 'east', 'west']) flow(fleet, checker, tenant, 8, 15_000);
     await fleet.world.run(30_000);
-    const of = (tenant: string): Call[] => judge.calls.filter((call) => call.ask.tenant === tenant);
+    const of = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
     const shares = ['south', 'east', 'west'].map((tenant) => share(of(tenant)));
     for (const one of shares) expect(one, JSON.stringify(shares)).to.be.greaterThan(0.97);
     expect(share(of('north'))).to.be.greaterThan(0.2);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/counter/test/path.test.ts
+++ b/packages/counter/test/path.test.ts
@@ -1,17 +1,17 @@
 import { expect } from 'chai';
-import { Judge, SimFleet } from '@martenworks/test-fleet';
+import { InvariantChecker, SimFleet } from '@martenworks/test-fleet';
 
 describe('the ordinary path', () => {
   it('given a whole fleet, when eight tenants ask for ten seconds, then every call is answered whole and no rule is broken', async () => {
     const fleet = new SimFleet({ seed: 1, fronts: 9, replicas: 13 });
     await fleet.up();
-    const judge = new Judge(fleet);
-    judge.traffic(60, 10_000);
+    const checker = new InvariantChecker(fleet);
+    checker.traffic(60, 10_000);
     await fleet.world.run(30_000);
-    expect(judge.complaints()).to.deep.equal([]);
-    expect(judge.tally()).to.deep.equal({ whole: judge.calls.length });
-    expect(judge.calls.length).to.be.greaterThan(500);
-    expect(judge.runs().filter((run) => run.cacheFrom !== null).length).to.be.greaterThan(0);
+    expect(checker.violations()).to.deep.equal([]);
+    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.calls.length).to.be.greaterThan(500);
+    expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.be.greaterThan(0);
   });
 
   it('given nine counters that start together, when they have been up for a second, then each holds all three postmasters', async () => {
@@ -30,20 +30,20 @@
     for (const seed of [4, 5]) {
       const fleet = new SimFleet({ seed, fronts: 9, replicas: 8 });
       await fleet.up();
-      const judge = new Judge(fleet);
-      judge.traffic(180, 5_000);
+      const checker = new InvariantChecker(fleet);
+      checker.traffic(180, 5_000);
       await fleet.world.run(20_000);
-      const waits = judge.calls
-        .filter((call) => call.ask.kind !== 'diagnose' && call.ask.tier === 'prompt')
-        .map((call) => call.firstAt - call.sentAt)
+      const waits = checker.calls
+        .filter((call) => call.request.kind !== 'diagnose' && call.request.tier === 'prompt')
+        .map((call) => call.firstTokenAt - call.sentAt)
         .sort((a, b) => a - b);
       expect(waits[Math.floor(waits.length * 0.95)], `seed ${seed}`).to.be.lessThan(100);
-      const longs = judge.calls
-        .filter((call) => call.ask.kind === 'diagnose')
-        .map((call) => call.firstAt - call.sentAt)
+      const longs = checker.calls
+        .filter((call) => call.request.kind === 'diagnose')
+        .map((call) => call.firstTokenAt - call.sentAt)
         .sort((a, b) => a - b);
       expect(longs[Math.floor(longs.length * 0.95)], `seed ${seed}`).to.be.lessThan(2_500);
-      expect(judge.tally()).to.deep.equal({ whole: judge.calls.length });
+      expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
     }
   });
 });
--- a/packages/counter/test/standing.test.ts
+++ b/packages/counter/test/standing.test.ts
@@ -1,16 +1,16 @@
 import { expect } from 'chai';
-import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/test-fleet';
-import type { Ask } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
+import type { SampleRequest } from '@martenworks/test-fleet';
 
 const layoutOf = (more: Record<string, unknown> = {}): Record<string, unknown> => ({
-  ...plans.layout('weights-1'),
-  tenants: { north: { tier: 'prompt', lanes: [...kinds] }, south: { tier: 'prompt', lanes: [...kinds] } },
+  ...sampleWorkload.layout('weights-1'),
+  tenants: { north: { tier: 'prompt', lanes: [...requestKinds] }, south: { tier: 'prompt', lanes: [...requestKinds] } },
   ...more,
 });
 
 const raised = async (
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
-): Promise<{ fleet: SimFleet; judge: Judge }> => {
+): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 61,
     fronts: 1,
@@ -20,10 +20,10 @@
     ...more,
   });
   await fleet.up();
-  return { fleet, judge: new Judge(fleet) };
+  return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const ask = (kind: Ask['kind'], tenant: string, prompt = 'is a pack ready?'): Ask => ({
+const ask = (kind: SampleRequest['kind'], tenant: string, prompt = 'is a pack ready?'): SampleRequest => ({
   kind,
   tenant,
   key: keyOf(tenant),
@@ -42,77 +42,77 @@
 const oneSlot = layoutOf({ pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } } });
 
 const slowly = (fleet: SimFleet, delayMs: number): void => {
-  for (const host of fleet.replicaHosts) fleet.world.slow(fleet.counterHosts[0] as string, host, delayMs);
+  for (const host of fleet.replicaHosts) fleet.world.delayLink(fleet.counterHosts[0] as string, host, delayMs);
 };
 
 describe('what a request stands on', () => {
   it('given a shot that is out on a lane which may repeat, when the lane is made once and the shot then fails, then it runs no second time', async () => {
-    const { fleet, judge } = await raised({ standIn: { decodeMs: 3_000 } });
-    judge.traffic(20, 1);
-    const call = judge.send(ask('query', 'north'), 0);
+    const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 3_000 } });
+    checker.traffic(20, 1);
+    const call = checker.send(ask('query', 'north'), 0);
     await fleet.world.run(500);
     await change(fleet, { lanes: { query: { pool: 'main', repeat: 'once' } } });
     await fleet.world.run(500);
-    const run = judge.runs().find((one) => one.requestId === call.requestId);
+    const run = checker.allRuns().find((one) => one.requestId === call.requestId);
     fleet.killReplica(run?.replica ?? '');
     await fleet.world.run(8_000);
-    expect(judge.runs().filter((one) => one.requestId === call.requestId).length).to.equal(1);
-    expect([call.verdict, call.ran]).to.deep.equal(['denied', 'unknown']);
+    expect(checker.allRuns().filter((one) => one.requestId === call.requestId).length).to.equal(1);
+    expect([call.outcome, call.ran]).to.deep.equal(['denied', 'unknown']);
   });
 
   it("given a shot that is out, when its tenant is made isolated and the shot then fails, then the next one runs as the isolated tenant's", async () => {
-    const { fleet, judge } = await raised({ replicas: 4, standIn: { decodeMs: 1_500 } });
-    judge.traffic(40, 500, 0);
+    const { fleet, checker } = await raised({ replicas: 4, replicaSettings: { decodeMs: 1_500 } });
+    checker.traffic(40, 500, 0);
     await fleet.world.run(9_000);
-    const call = judge.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
+    const call = checker.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
     await fleet.world.run(500);
     await change(fleet, { tenants: { north: { isolated: true } } });
     await fleet.world.run(500);
-    fleet.killReplica(judge.runs().find((one) => one.requestId === call.requestId)?.replica ?? '');
+    fleet.killReplica(checker.allRuns().find((one) => one.requestId === call.requestId)?.replica ?? '');
     await fleet.world.run(40_000);
-    const own = judge
-      .runs()
+    const own = checker
+      .allRuns()
       .filter((one) => one.requestId === call.requestId)
       .sort((a, b) => a.startedAt - b.startedAt);
     expect(own.map((run) => run.isIsolated)).to.deep.equal([false, true]);
   });
 
   it('given a request that waits, when its tenant loses the lane, then it is denied at once and never runs', async () => {
-    const { fleet, judge } = await raised({ standIn: { decodeMs: 200 }, layout: oneSlot });
+    const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 200 }, layout: oneSlot });
     const calls = Array.from({ length: 8 }, (_, at) =>
-      judge.send(ask('query', 'north', `n${at}`), 0, { horizonMs: 60_000 }),
+      checker.send(ask('query', 'north', `n${at}`), 0, { horizonMs: 60_000 }),
     );
     await fleet.world.run(300);
-    const running = judge.runs().length;
+    const running = checker.allRuns().length;
     await change(fleet, { tenants: { north: { lanes: ['confirm'] } } });
     await fleet.world.run(500);
-    const denied = calls.filter((call) => call.verdict === 'denied');
+    const denied = calls.filter((call) => call.outcome === 'denied');
     expect(denied.length)
       .to.equal(calls.length - running)
       .and.greaterThan(2);
     for (const call of denied)
       expect([call.status, call.code, call.ran]).to.deep.equal([403, 'lane_not_granted', 'no']);
     await fleet.world.run(20_000);
-    expect(judge.runs().length).to.equal(running);
+    expect(checker.allRuns().length).to.equal(running);
   });
 
   it('given a connect that takes long, when the lane, the isolation or the replica changed meanwhile, then the body is not sent on what it was placed by', async () => {
-    const { fleet, judge } = await raised({ replicas: 4 });
+    const { fleet, checker } = await raised({ replicas: 4 });
     slowly(fleet, 700);
-    const lost = judge.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
-    const apart = judge.send(ask('confirm', 'south'), 0, { horizonMs: 60_000 });
+    const lost = checker.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
+    const apart = checker.send(ask('confirm', 'south'), 0, { horizonMs: 60_000 });
     await fleet.world.run(100);
     await change(fleet, { tenants: { north: { lanes: ['confirm'] }, south: { isolated: true } } });
     await fleet.world.run(30_000);
-    expect([lost.verdict, lost.code, lost.ran]).to.deep.equal(['denied', 'lane_not_granted', 'no']);
-    expect(judge.runs().filter((run) => run.requestId === lost.requestId).length).to.equal(0);
+    expect([lost.outcome, lost.code, lost.ran]).to.deep.equal(['denied', 'lane_not_granted', 'no']);
+    expect(checker.allRuns().filter((run) => run.requestId === lost.requestId).length).to.equal(0);
     expect(
-      judge
-        .runs()
+      checker
+        .allRuns()
         .filter((run) => run.requestId === apart.requestId)
         .map((run) => run.isIsolated),
     ).to.deep.equal([true]);
-    const again = judge.send(ask('confirm', 'north'), 0, { horizonMs: 60_000 });
+    const again = checker.send(ask('confirm', 'north'), 0, { horizonMs: 60_000 });
     await fleet.world.run(100);
     const placed = fleet.replicaHosts.map((_, at) => fleet.replicaName(at));
     for (const name of placed)
@@ -127,7 +127,7 @@
       ).to.equal(200);
     const before = fleet.world.time;
     await fleet.world.run(30_000);
-    const own = judge.runs().filter((run) => run.requestId === again.requestId);
+    const own = checker.allRuns().filter((run) => run.requestId === again.requestId);
     expect(own.length).to.equal(1);
     expect(own[0]?.startedAt).to.be.greaterThan(before + 700);
   });
@@ -135,43 +135,49 @@
 
 describe('what replicas turn away', () => {
   it('given a request that a replica finds faulty, when it answers 4xx, then the caller hears it at once, nothing is tried again and no replica is suspect', async () => {
-    const { fleet, judge } = await raised({ replicas: 3 });
-    judge.traffic(30, 2_000, 0);
+    const { fleet, checker } = await raised({ replicas: 3 });
+    checker.traffic(30, 2_000, 0);
     await fleet.world.run(4_000);
-    const before = fleet.stays.reduce((sum, { standIn }) => sum + standIn.visits.length, 0);
-    for (const standIn of fleet.current.values()) standIn.faults.failStatus = 400;
-    const call = judge.send(ask('query', 'north'), 0);
+    const before = fleet.startedReplicas.reduce((sum, { replica: standIn }) => sum + standIn.arrivals.length, 0);
+    for (const standIn of fleet.runningReplicas.values()) standIn.faults.failStatus = 400;
+    const call = checker.send(ask('query', 'north'), 0);
     await fleet.world.run(1_000);
     expect([call.status, call.code, call.retryAfter]).to.deep.equal([400, 'bad_request', null]);
-    expect(fleet.stays.reduce((sum, { standIn }) => sum + standIn.visits.length, 0) - before).to.equal(1);
+    expect(
+      fleet.startedReplicas.reduce((sum, { replica: standIn }) => sum + standIn.arrivals.length, 0) - before,
+    ).to.equal(1);
     expect(fleet.counters[0]?.tracks.all().some((track) => track.isSuspect)).to.equal(false);
   });
 
   it('given replicas that are full and say when to come back, when they answer 429, then another is tried and the last answer carries their Retry-After', async () => {
-    const { fleet, judge } = await raised({ replicas: 3 });
-    judge.traffic(30, 2_000, 0);
+    const { fleet, checker } = await raised({ replicas: 3 });
+    checker.traffic(30, 2_000, 0);
     await fleet.world.run(4_000);
-    for (const standIn of fleet.current.values()) Object.assign(standIn.faults, { failStatus: 429, failRetryAfter: 7 });
-    const call = judge.send(ask('query', 'north'), 0);
-    const once = judge.send(ask('confirm', 'north'), 0);
+    for (const standIn of fleet.runningReplicas.values()) standIn.setFaults({ failStatus: 429, failRetryAfter: 7 });
+    const call = checker.send(ask('query', 'north'), 0);
+    const once = checker.send(ask('confirm', 'north'), 0);
     await fleet.world.run(1_000);
     for (const one of [call, once])
       expect([one.status, one.code, one.ran, one.retryAfter]).to.deep.equal([503, 'no_capacity', 'unknown', '7']);
-    const visits = fleet.stays.flatMap(({ standIn }) => standIn.visits.map((visit) => visit.requestId));
+    const visits = fleet.startedReplicas.flatMap(({ replica: standIn }) =>
+      standIn.arrivals.map((visit) => visit.requestId),
+    );
     expect(visits.filter((id) => id === call.requestId).length).to.be.within(2, 3);
     expect(visits.filter((id) => id === once.requestId).length).to.equal(1);
   });
 
   it('given a request that breaks every replica it reaches, when it is sent, then it takes no more than two extra shots from the others', async () => {
-    const { fleet, judge } = await raised({ replicas: 6 });
-    judge.traffic(60, 3_000, 0);
+    const { fleet, checker } = await raised({ replicas: 6 });
+    checker.traffic(60, 3_000, 0);
     await fleet.world.run(5_000);
-    for (const standIn of fleet.current.values()) standIn.faults.failStatus = 500;
-    const call = judge.send(ask('query', 'north'), 0);
+    for (const standIn of fleet.runningReplicas.values()) standIn.faults.failStatus = 500;
+    const call = checker.send(ask('query', 'north'), 0);
     await fleet.world.run(2_000);
     expect(call.code).to.equal('replica_failed');
     expect(
-      fleet.stays.flatMap(({ standIn }) => standIn.visits).filter((visit) => visit.requestId === call.requestId).length,
+      fleet.startedReplicas
+        .flatMap(({ replica: standIn }) => standIn.arrivals)
+        .filter((visit) => visit.requestId === call.requestId).length,
     ).to.equal(3);
   });
 });
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -73,7 +73,7 @@
   readonly pause = (forMs: number): Promise<void> =>
     new Promise((wake) => void this.world.machine(farHost).clock().after(forMs, wake));
 
-  readonly dropped = (): unknown[] => this.world.lines.filter(({ message }) => message === 'connection dropped');
+  readonly dropped = (): unknown[] => this.world.logLines.filter(({ message }) => message === 'connection dropped');
 }
 
 const paired = async (): Promise<{ pair: Pair; connection: PeerConnection }> => {
@@ -89,7 +89,7 @@
 describe('large bodies on a connection', () => {
   it('given a body of 3 MB on a link of 7 Mbit/s, when pings go with it, then each comes back soon and the body takes hardly longer than the link needs', async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     const began = pair.world.time;
     connection.tell('state', bytesOf(3_000_000));
     const pings: { asked: number; seen: Seen }[] = [];
@@ -107,7 +107,7 @@
   it('given a reply, and a question, of 3 MB on a link of 7 Mbit/s, when they go on, then a patience of 700 ms does not end them', async () => {
     for (const isReplyLarge of [true, false]) {
       const { pair, connection } = await paired();
-      pair.world.narrow(farHost, narrowBytesPerSecond);
+      pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
       pair.answer = async () => (isReplyLarge ? bytesOf(3_000_000) : 'taken');
       const seen = pair.ask(connection, 'since', isReplyLarge ? 1 : bytesOf(3_000_000), 700);
       await pair.world.run(6_000);
@@ -117,12 +117,12 @@
 
   it('given a transfer that stops half way, when nothing more comes, then the ask ends once its patience has passed without progress', async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     pair.answer = async () => bytesOf(3_000_000);
     const seen = pair.ask(connection, 'since', 1, 700);
     await pair.world.run(1_500);
     const cutAt = pair.world.time;
-    pair.world.cutBoth(nearHost, farHost);
+    pair.world.partition(nearHost, farHost);
     await pair.world.run(3_000);
     expect(codeOf(seen)).to.equal('late');
     expect(seen.at - cutAt).to.be.within(500, 750);
@@ -130,7 +130,7 @@
 
   it("given a neighbour that reads at its link's pace, when more than 8 MB wait for it, then it is not cut and gets all of it", async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     for (const mark of [3, 5, 9]) connection.tell('shelves', bytesOf(4_000_000, mark));
     for (let count = 0; count < 16; count += 1) {
       connection.tell('news', count);
@@ -143,7 +143,7 @@
 
   it('given a neighbour that reads nothing, when ever more is told to it, then it is cut before much memory is held for it', async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     pair.world.machine(farHost).freeze();
     let count = 0;
     for (; connection.isLive() && count < 100; count += 1) {
@@ -156,7 +156,7 @@
 
   it('given a large body under way, when a smaller one of another kind follows, then they share the link and the smaller one is there first', async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     connection.tell('shelves', bytesOf(2_000_000));
     connection.tell('state', bytesOf(100_000));
     await pair.world.until('both', () => pair.told.length === 2);
@@ -165,7 +165,7 @@
 
   it('given large and small messages of one kind, when they are told one after another, then they arrive in that order', async () => {
     const { pair, connection } = await paired();
-    pair.world.narrow(farHost, narrowBytesPerSecond);
+    pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     for (const topic of ['shelves', 'reading'])
       for (const size of [200_000, 1, 100_000, 2, 3]) connection.tell(topic, bytesOf(size));
     await pair.world.until('all', () => pair.told.length === 10);
--- a/packages/prefix-index/test/holders.test.ts
+++ b/packages/prefix-index/test/holders.test.ts
@@ -1,19 +1,22 @@
 import { expect } from 'chai';
 import { Pigeonhole } from '@martenworks/prefix-index';
-import { Judge, keyOf, kinds, plans, SimFleet } from '@martenworks/test-fleet';
-import type { Ask, Run } from '@martenworks/test-fleet';
+import { InvariantChecker, keyOf, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
+import type { SampleRequest, Run } from '@martenworks/test-fleet';
 
 const manual = (name: string): string => `${name} `.repeat(3_000).slice(0, 12_000);
 
 const layoutOf = (isolated: readonly string[], more: Record<string, unknown> = {}): Record<string, unknown> => ({
-  ...plans.layout('weights-1'),
+  ...sampleWorkload.layout('weights-1'),
   pools: { main: { weights: 'weights-1', slots: 2, ...more }, app: { weights: 'app-1' } },
   tenants: Object.fromEntries(
-    plans.tenantNames.map((name) => [name, { tier: 'prompt', isolated: isolated.includes(name), lanes: [...kinds] }]),
+    sampleWorkload.tenantNames.map((name) => [
+      name,
+      { tier: 'prompt', isolated: isolated.includes(name), lanes: [...requestKinds] },
+    ]),
   ),
 });
 
-const ask = (tenant: string, prompt: string): Ask => ({
+const ask = (tenant: string, prompt: string): SampleRequest => ({
   kind: 'diagnose',
   tenant,
   key: keyOf(tenant),
@@ -27,26 +30,33 @@
   replicas: number,
   layout: Record<string, unknown>,
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
-): Promise<{ fleet: SimFleet; judge: Judge }> => {
-  const fleet = new SimFleet({ seed, fronts: 2, replicas, layout, standIn: { decodeMs: 20 }, ...more });
+): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
+  const fleet = new SimFleet({ seed, fronts: 2, replicas, layout, replicaSettings: { decodeMs: 20 }, ...more });
   await fleet.up();
-  return { fleet, judge: new Judge(fleet) };
+  return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const waves = async (fleet: SimFleet, judge: Judge, tenant: string, name: string, count: number): Promise<void> => {
-  for (let at = 0; at < count; at += 1) judge.send(ask(tenant, `${manual(name)} question ${at}`), at % 2);
+const waves = async (
+  fleet: SimFleet,
+  checker: InvariantChecker,
+  tenant: string,
+  name: string,
+  count: number,
+): Promise<void> => {
+  for (let at = 0; at < count; at += 1) checker.send(ask(tenant, `${manual(name)} question ${at}`), at % 2);
   await fleet.world.run(6_000);
 };
 
-const named = (judge: Judge): (Run & { replica: string })[] => judge.runs().filter((run) => run.cacheFrom !== null);
+const named = (checker: InvariantChecker): (Run & { replica: string })[] =>
+  checker.allRuns().filter((run) => run.cacheFrom !== null);
 
 describe('who is named in Cache-From', () => {
   it('given a manual kept by one replica, when more ask for it than that one takes, then others are sent with it as their holder and pull it', async () => {
-    const { fleet, judge } = await raised(31, 4, layoutOf([]));
-    await waves(fleet, judge, 'north', 'alpha', 1);
-    const keeper = judge.runs()[0]?.replica ?? '';
-    await waves(fleet, judge, 'south', 'alpha', 6);
-    const pulls = named(judge);
+    const { fleet, checker } = await raised(31, 4, layoutOf([]));
+    await waves(fleet, checker, 'north', 'alpha', 1);
+    const keeper = checker.allRuns()[0]?.replica ?? '';
+    await waves(fleet, checker, 'south', 'alpha', 6);
+    const pulls = named(checker);
     expect(pulls.length).to.be.greaterThan(0);
     expect(
       pulls.some(
@@ -56,31 +66,31 @@
           run.prefilledTokens < 200,
       ),
     ).to.equal(true);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it("given isolated tenants with the same manual, when all ask, then no isolated tenant's parts reach another, and the others still pull", async () => {
-    const { fleet, judge } = await raised(32, 12, layoutOf(['depot', 'mill']));
+    const { fleet, checker } = await raised(32, 12, layoutOf(['depot', 'mill']));
     for (let round = 0; round < 3; round += 1)
       for (const tenant of ['depot', 'mill', 'north', 'south'])
-        for (const count of [1, 10]) await waves(fleet, judge, tenant, `beta-${round}`, count);
-    expect(judge.complaints()).to.deep.equal([]);
-    expect(named(judge).filter((run) => !run.isIsolated).length).to.be.greaterThan(0);
+        for (const count of [1, 10]) await waves(fleet, checker, tenant, `beta-${round}`, count);
+    expect(checker.violations()).to.deep.equal([]);
+    expect(named(checker).filter((run) => !run.isIsolated).length).to.be.greaterThan(0);
     const homes = new Set(
-      judge
-        .runs()
+      checker
+        .allRuns()
         .filter((run) => run.isIsolated)
         .map((run) => run.replica),
     );
-    for (const run of named(judge))
+    for (const run of named(checker))
       if (!run.isIsolated)
         expect([...homes].map((name) => `${fleet.hostOfReplica(name)}:8000`)).to.not.include(run.cacheFrom);
   });
 
   it("given new weights, when the old ones' parts are still kept, then they are named to nobody, until replicas born under the new ones keep some", async () => {
-    const { fleet, judge } = await raised(33, 4, layoutOf([]));
-    await waves(fleet, judge, 'north', 'gamma', 6);
-    const before = named(judge).length;
+    const { fleet, checker } = await raised(33, 4, layoutOf([]));
+    await waves(fleet, checker, 'north', 'gamma', 6);
+    const before = named(checker).length;
     const put = await fleet.finish(
       fleet.onPostmaster(
         0,
@@ -91,50 +101,50 @@
       ),
     );
     expect(put.status).to.equal(200);
-    judge.weightsFrom.push({ offeredAt: 0, at: fleet.world.time, pool: 'main', weights: 'weights-2' });
+    checker.weightsChanges.push({ offeredAt: 0, at: fleet.world.time, pool: 'main', weights: 'weights-2' });
     await fleet.world.run(2_000);
-    await waves(fleet, judge, 'north', 'gamma', 8);
-    await waves(fleet, judge, 'north', 'gamma', 8);
-    expect(named(judge).length).to.equal(before);
+    await waves(fleet, checker, 'north', 'gamma', 8);
+    await waves(fleet, checker, 'north', 'gamma', 8);
+    expect(named(checker).length).to.equal(before);
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4']) {
       fleet.killReplica(name);
       fleet.bootReplica(name);
       await fleet.finish(fleet.announce(name));
     }
     await fleet.world.run(8_000);
-    await waves(fleet, judge, 'north', 'gamma', 1);
-    await waves(fleet, judge, 'north', 'gamma', 8);
-    expect(named(judge).length).to.be.greaterThan(before);
-    expect(judge.complaints()).to.deep.equal([]);
+    await waves(fleet, checker, 'north', 'gamma', 1);
+    await waves(fleet, checker, 'north', 'gamma', 8);
+    expect(named(checker).length).to.be.greaterThan(before);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given pulls that take longer than a prefill would, when that was seen, then that holder is named no more; and again when it has passed', async () => {
-    const { fleet, judge } = await raised(34, 4, layoutOf([]));
-    for (const standIn of fleet.current.values()) standIn.faults.slowPullMs = 1_500;
+    const { fleet, checker } = await raised(34, 4, layoutOf([]));
+    for (const standIn of fleet.runningReplicas.values()) standIn.faults.pullDelayMs = 1_500;
     let afterLearning = 0;
     for (let round = 0; round < 8; round += 1) {
-      await waves(fleet, judge, 'north', `delta-${round}`, 1);
-      const before = named(judge).length;
-      await waves(fleet, judge, 'south', `delta-${round}`, 5);
-      if (round >= 4) afterLearning += named(judge).length - before;
+      await waves(fleet, checker, 'north', `delta-${round}`, 1);
+      const before = named(checker).length;
+      await waves(fleet, checker, 'south', `delta-${round}`, 5);
+      if (round >= 4) afterLearning += named(checker).length - before;
     }
-    expect(named(judge).length).to.be.greaterThan(0);
+    expect(named(checker).length).to.be.greaterThan(0);
     expect(afterLearning).to.equal(0);
-    for (const standIn of fleet.current.values()) standIn.faults.slowPullMs = 0;
+    for (const standIn of fleet.runningReplicas.values()) standIn.faults.pullDelayMs = 0;
     await fleet.world.run(120_000);
-    const before = named(judge).length;
-    await waves(fleet, judge, 'north', 'delta-last', 1);
-    await waves(fleet, judge, 'south', 'delta-last', 5);
-    expect(named(judge).length).to.be.greaterThan(before);
-    expect(judge.complaints()).to.deep.equal([]);
+    const before = named(checker).length;
+    await waves(fleet, checker, 'north', 'delta-last', 1);
+    await waves(fleet, checker, 'south', 'delta-last', 5);
+    expect(named(checker).length).to.be.greaterThan(before);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given a cache store, when it goes down and returns empty, then it is named while it keeps parts, and every call is still answered whole', async () => {
     const storeHost = '10.4.0.1';
-    const { fleet, judge } = await raised(35, 3, layoutOf([], { store: 'store-1' }), {
-      standIn: { decodeMs: 20, store: `${storeHost}:8000`, keptBlocks: 60 },
+    const { fleet, checker } = await raised(35, 3, layoutOf([], { store: 'store-1' }), {
+      replicaSettings: { decodeMs: 20, store: `${storeHost}:8000`, capacityBlocks: 60 },
     });
-    fleet.startStandIn('store-1', storeHost, { store: null, keptBlocks: 5_000 });
+    fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000 });
     const announce = (incarnation: number): Promise<{ status: number }> =>
       fleet.finish(
         fleet.onPostmaster(0, 'POST', '/platform/replicas', [
@@ -144,40 +154,40 @@
     expect((await announce(1)).status).to.equal(200);
     const rounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
-        for (const name of ['e-1', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, judge, 'north', name, 1);
+        for (const name of ['e-1', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, checker, 'north', name, 1);
     };
     await rounds();
     const fromStore = (): number =>
-      named(judge).filter((run) => run.cacheFrom === `${storeHost}:8000` && run.pulledTokens > 1_000).length;
+      named(checker).filter((run) => run.cacheFrom === `${storeHost}:8000` && run.pulledTokens > 1_000).length;
     expect(fromStore()).to.be.greaterThan(0);
     fleet.world.machine(storeHost).kill();
     await rounds();
     fleet.world.machine(storeHost).boot();
-    fleet.startStandIn('store-1', storeHost, { store: null, keptBlocks: 5_000, incarnation: 1 });
+    fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 1 });
     await fleet.world.run(5_000);
     expect(fleet.counters[0]?.book.index.sizes().find((shelf) => shelf.replica === 'store-1')?.blocks).to.equal(0);
     await announce(2);
     const back = fromStore();
     fleet.world.machine(storeHost).kill();
     fleet.world.machine(storeHost).boot();
-    fleet.startStandIn('store-1', storeHost, { store: null, keptBlocks: 5_000, incarnation: 2 });
+    fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 2 });
     await fleet.world.run(5_000);
     await rounds();
     expect(fromStore()).to.be.greaterThan(back);
-    expect(judge.complaints()).to.deep.equal([]);
-    expect(judge.tally()).to.deep.equal({ whole: judge.calls.length });
+    expect(checker.violations()).to.deep.equal([]);
+    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it('given a replica that served an isolated tenant and told nothing of it, when its quarter becomes shared and every counter starts anew, then it is named to nobody', async () => {
-    const { fleet, judge } = await raised(36, 4, layoutOf(['depot']));
+    const { fleet, checker } = await raised(36, 4, layoutOf(['depot']));
     const own = fleet.counters[0]?.book.quarters.roles().find(({ role }) => role === 'depot')?.replica ?? '';
-    const hide = (hidesNews: boolean): void => {
-      for (const standIn of fleet.current.values()) standIn.faults.hidesNews = hidesNews;
+    const hide = (hidesEvents: boolean): void => {
+      for (const standIn of fleet.runningReplicas.values()) standIn.faults.hidesEvents = hidesEvents;
     };
     hide(true);
-    await waves(fleet, judge, 'depot', 'zeta', 2);
+    await waves(fleet, checker, 'depot', 'zeta', 2);
     hide(false);
-    expect(judge.runs().some((run) => run.replica === own && run.isIsolated)).to.equal(true);
+    expect(checker.allRuns().some((run) => run.replica === own && run.isIsolated)).to.equal(true);
     const put = await fleet.finish(
       fleet.onPostmaster(
         0,
@@ -189,8 +199,8 @@
     );
     expect(put.status).to.equal(200);
     await fleet.world.run(20_000);
-    await waves(fleet, judge, 'north', 'zeta', 10);
-    expect(judge.runs().some((run) => run.replica === own && !run.isIsolated)).to.equal(true);
+    await waves(fleet, checker, 'north', 'zeta', 10);
+    expect(checker.allRuns().some((run) => run.replica === own && !run.isIsolated)).to.equal(true);
     for (const at of [0, 1]) {
       fleet.killCounter(at);
       await fleet.bootCounter(at);
@@ -201,26 +211,26 @@
       await fleet.finish(fleet.announce(name));
     }
     await fleet.world.run(6_000);
-    await waves(fleet, judge, 'south', 'zeta', 10);
-    expect(judge.runs().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(own)}:8000`).length).to.equal(0);
-    expect(judge.complaints()).to.deep.equal([]);
-    expect(judge.tally()).to.deep.equal({ whole: judge.calls.length });
+    await waves(fleet, checker, 'south', 'zeta', 10);
+    expect(checker.allRuns().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(own)}:8000`).length).to.equal(0);
+    expect(checker.violations()).to.deep.equal([]);
+    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it("given a store that keeps an isolated tenant's parts and told nothing of them, when others ask for the same prefix, then it is named to nobody until it is announced anew without isolated tenants", async () => {
-    const { fleet, judge } = await raised(37, 3, layoutOf(['depot'], { store: 'store-1' }), {
+    const { fleet, checker } = await raised(37, 3, layoutOf(['depot'], { store: 'store-1' }), {
       hasStore: true,
-      standIn: { decodeMs: 20, keptBlocks: 60 },
+      replicaSettings: { decodeMs: 20, capacityBlocks: 60 },
     });
-    const store = (): void => void Object.assign(fleet.current.get('store-1')?.faults ?? {}, { hidesNews: true });
+    const store = (): void => fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: true });
     store();
-    await waves(fleet, judge, 'depot', 'eta', 1);
-    Object.assign(fleet.current.get('store-1')?.faults ?? {}, { hidesNews: false });
+    await waves(fleet, checker, 'depot', 'eta', 1);
+    fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: false });
     const rounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
-        for (const name of ['eta', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, judge, 'north', name, 1);
+        for (const name of ['eta', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, checker, 'north', name, 1);
     };
-    const fromStore = (): number => named(judge).filter((run) => run.cacheFrom === `${fleet.storeHost}:8000`).length;
+    const fromStore = (): number => named(checker).filter((run) => run.cacheFrom === `${fleet.storeHost}:8000`).length;
     await rounds();
     expect(fromStore()).to.equal(0);
     const put = await fleet.finish(
@@ -242,7 +252,7 @@
     await fleet.world.run(2_000);
     await rounds();
     expect(fromStore()).to.be.greaterThan(0);
-    expect(judge.complaints()).to.deep.equal([]);
+    expect(checker.violations()).to.deep.equal([]);
   });
 
   it('given notices with a gap, when the replica tells that its cache is cleared, then it may be named again', () => {
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -4,7 +4,7 @@
 import type { Pigeonhole } from '@martenworks/prefix-index';
 import { PushDesk, acceptors } from '@martenworks/control-plane';
 import type { Acceptor } from '@martenworks/control-plane';
-import { HollowPeers, Meter, rig } from './rig.js';
+import { PeerProcess, Meter, rig } from './rig.js';
 
 export interface Core {
   readonly address: string;
@@ -63,8 +63,8 @@
   return { address, meter, acceptor, push, close };
 };
 
-export const withPeers = async <T>(work: (peers: HollowPeers) => Promise<T>): Promise<T> => {
-  const peers = new HollowPeers();
+export const withPeers = async <T>(work: (peers: PeerProcess) => Promise<T>): Promise<T> => {
+  const peers = new PeerProcess();
   try {
     return await work(peers);
   } finally {
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -1,8 +1,8 @@
 import { frameLimit } from '@martenworks/peer-transport';
 import { fits } from './curveFit.js';
-import { runningPerFront, size } from './fleetSize.js';
+import { runningPerFront, fleetSize } from './fleetSize.js';
 import { tables } from './table.js';
-import type { Measured } from './table.js';
+import type { Measurement } from './table.js';
 
 const budget = {
   cpuMs: 30,
@@ -14,9 +14,9 @@
 } as const;
 
 type BudgetLine = keyof typeof budget;
-type Of = (run: string, at?: number) => number;
+type CostOf = (run: string, at?: number) => number;
 
-export interface Line {
+export interface CapacityEstimate {
   readonly id: string;
   readonly role: string;
   readonly what: string;
@@ -24,33 +24,33 @@
   readonly from: string;
   readonly line: BudgetLine | null;
   readonly isScaled?: true;
-  readonly value: (of: Of) => number;
+  readonly value: (costOf: CostOf) => number;
 }
 
 const traffic = {
   longShare: 0.09,
-  corePings: size.voters * 4,
-  wayPings: size.voters * 2,
-  claimsKept: size.requests * 600,
-  changesASecond: size.changesADay / 86_400,
+  corePings: fleetSize.voters * 4,
+  wayPings: fleetSize.voters * 2,
+  claimsKept: fleetSize.requests * 600,
+  changesASecond: fleetSize.changesADay / 86_400,
   rosterShareToCores: 0.5,
   blocksInAChain: 208,
   zones: 13,
   regions: 6,
 };
 
-const heavyNotices = size.requests * traffic.longShare * 2;
-const requestsPerFront = size.requests / size.nodes;
-const chainEvents = size.events / traffic.blocksInAChain;
-const asksPerNode = requestsPerFront + (3 * size.requests * traffic.longShare) / size.nodes;
+const heavyNotices = fleetSize.requests * traffic.longShare * 2;
+const requestsPerFront = fleetSize.requests / fleetSize.nodes;
+const chainEvents = fleetSize.events / traffic.blocksInAChain;
+const asksPerNode = requestsPerFront + (3 * fleetSize.requests * traffic.longShare) / fleetSize.nodes;
 const askBytes = 300;
 const patchBytes = 1_000;
 const digestBytes = 2 * (13 * 16 + 60);
 
-const ownerBytes = (of: Of): number =>
-  ((2 * chainEvents) / size.nodes) * of('way-index/bytes') + 2 * asksPerNode * askBytes;
+const ownerBytes = (costOf: CostOf): number =>
+  ((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/bytes') + 2 * asksPerNode * askBytes;
 
-export const lines: readonly Line[] = [
+export const capacityEstimates: readonly CapacityEstimate[] = [
   {
     id: 'F1',
     role: 'front',
@@ -58,7 +58,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '12 a second x (`pings/ask-bytes` + `pings/pong-bytes`)',
-    value: (of) => traffic.corePings * (of('pings/ask-bytes') + of('pings/pong-bytes')),
+    value: (costOf) => traffic.corePings * (costOf('pings/ask-bytes') + costOf('pings/pong-bytes')),
   },
   {
     id: 'F2',
@@ -67,7 +67,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '12 a second x `pings/front-cpu`',
-    value: (of) => (traffic.corePings * of('pings/front-cpu')) / 1_000,
+    value: (costOf) => (traffic.corePings * costOf('pings/front-cpu')) / 1_000,
   },
   {
     id: 'F3',
@@ -76,7 +76,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: `3 x ${heavyNotices} a second x \`heavy/bytes\` / 400`,
-    value: (of) => (size.voters * heavyNotices * of('heavy/bytes')) / size.nodes,
+    value: (costOf) => (fleetSize.voters * heavyNotices * costOf('heavy/bytes')) / fleetSize.nodes,
   },
   {
     id: 'F4',
@@ -86,7 +86,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '3 x 280,000 a second x `relays/bytes`',
-    value: (of) => size.voters * size.events * of('relays/bytes'),
+    value: (costOf) => fleetSize.voters * fleetSize.events * costOf('relays/bytes'),
   },
   {
     id: 'F5',
@@ -95,7 +95,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '3 x `relays/front-busy`',
-    value: (of) => size.voters * of('relays/front-busy') * 1_000,
+    value: (costOf) => fleetSize.voters * costOf('relays/front-busy') * 1_000,
   },
   {
     id: 'F6',
@@ -104,7 +104,7 @@
     unit: 'B',
     line: 'memoryBytes',
     from: '`index/memory-from-frames`',
-    value: (of) => of('index/memory-from-frames'),
+    value: (costOf) => costOf('index/memory-from-frames'),
   },
   {
     id: 'F7',
@@ -113,7 +113,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '3 x 1,700 a day x `pushes/bytes`',
-    value: (of) => size.voters * traffic.changesASecond * of('pushes/bytes'),
+    value: (costOf) => fleetSize.voters * traffic.changesASecond * costOf('pushes/bytes'),
   },
   {
     id: 'F8',
@@ -122,7 +122,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '1,700 a day x `layout/view-isolated`',
-    value: (of) => traffic.changesASecond * of('layout/view-isolated'),
+    value: (costOf) => traffic.changesASecond * costOf('layout/view-isolated'),
   },
   {
     id: 'F9',
@@ -131,7 +131,7 @@
     unit: 'ms',
     line: null,
     from: '3 x `layout/replica-news`',
-    value: (of) => size.voters * of('layout/replica-news'),
+    value: (costOf) => fleetSize.voters * costOf('layout/replica-news'),
   },
   {
     id: 'F10',
@@ -140,7 +140,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '3.75 a second x `index/place`',
-    value: (of) => (requestsPerFront * of('index/place')) / 1_000,
+    value: (costOf) => (requestsPerFront * costOf('index/place')) / 1_000,
   },
   {
     id: 'N1',
@@ -149,7 +149,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '2 x `gossip/bytes`',
-    value: (of) => 2 * of('gossip/bytes'),
+    value: (costOf) => 2 * costOf('gossip/bytes'),
   },
   {
     id: 'N2',
@@ -158,7 +158,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '2 a second x `watch/beat-cpu`',
-    value: (of) => 2 * of('watch/beat-cpu'),
+    value: (costOf) => 2 * costOf('watch/beat-cpu'),
   },
   {
     id: 'C1',
@@ -167,7 +167,7 @@
     unit: 'cores',
     line: null,
     from: '1,600 a second x `pings/core-cpu`',
-    value: (of) => (size.nodes * 4 * of('pings/core-cpu')) / 1e6,
+    value: (costOf) => (fleetSize.nodes * 4 * costOf('pings/core-cpu')) / 1e6,
   },
   {
     id: 'C2',
@@ -176,7 +176,7 @@
     unit: 'cores',
     line: null,
     from: `${heavyNotices} a second x \`heavy/core-cpu\``,
-    value: (of) => (heavyNotices * of('heavy/core-cpu')) / 1_000,
+    value: (costOf) => (heavyNotices * costOf('heavy/core-cpu')) / 1_000,
   },
   {
     id: 'C3',
@@ -185,7 +185,7 @@
     unit: 'cores',
     line: null,
     from: '`relays/follower-busy`',
-    value: (of) => of('relays/follower-busy'),
+    value: (costOf) => costOf('relays/follower-busy'),
   },
   {
     id: 'C4',
@@ -194,7 +194,7 @@
     unit: 'cores',
     line: null,
     from: '280,000 a second x `relays/core-cpu-full`',
-    value: (of) => (size.events * of('relays/core-cpu-full')) / 1e6,
+    value: (costOf) => (fleetSize.events * costOf('relays/core-cpu-full')) / 1e6,
   },
   {
     id: 'C5',
@@ -204,7 +204,7 @@
     unit: 'ms',
     line: 'inForceMs',
     from: '4 x `pushes/core-cpu-by-tenants`',
-    value: (of) => 4 * of('pushes/core-cpu-by-tenants'),
+    value: (costOf) => 4 * costOf('pushes/core-cpu-by-tenants'),
   },
   {
     id: 'C6',
@@ -213,7 +213,7 @@
     unit: 'ms',
     line: 'inForceMs',
     from: '`ballots/wall`',
-    value: (of) => of('ballots/wall'),
+    value: (costOf) => costOf('ballots/wall'),
   },
   {
     id: 'C7',
@@ -222,7 +222,7 @@
     unit: 'ms',
     line: 'freshMs',
     from: '`index/shelf-cpu`',
-    value: (of) => of('index/shelf-cpu'),
+    value: (costOf) => costOf('index/shelf-cpu'),
   },
   {
     id: 'C8',
@@ -231,7 +231,8 @@
     unit: 'B',
     line: null,
     from: '3 x (`index/shelf-bytes` + `pushes/checkpoint-bytes` + `replicas/bytes`)',
-    value: (of) => size.voters * (of('index/shelf-bytes') + of('pushes/checkpoint-bytes') + of('replicas/bytes')),
+    value: (costOf) =>
+      fleetSize.voters * (costOf('index/shelf-bytes') + costOf('pushes/checkpoint-bytes') + costOf('replicas/bytes')),
   },
   {
     id: 'C9',
@@ -240,7 +241,8 @@
     unit: 'cores',
     line: null,
     from: '67 a second x `gossip/core-cpu`',
-    value: (of) => (((size.nodes * traffic.rosterShareToCores) / size.voters) * of('gossip/core-cpu')) / 1e6,
+    value: (costOf) =>
+      (((fleetSize.nodes * traffic.rosterShareToCores) / fleetSize.voters) * costOf('gossip/core-cpu')) / 1e6,
   },
   {
     id: 'C10',
@@ -249,7 +251,7 @@
     unit: 'cores',
     line: null,
     from: '2.5 a second x `leases/cpu` / 3',
-    value: (of) => (2.5 * of('leases/cpu')) / size.voters / 1_000,
+    value: (costOf) => (2.5 * costOf('leases/cpu')) / fleetSize.voters / 1_000,
   },
   {
     id: 'C11',
@@ -258,7 +260,7 @@
     unit: 'B/s',
     line: null,
     from: '2.5 a second x `leases/bytes` / 3',
-    value: (of) => (2.5 * of('leases/bytes')) / size.voters,
+    value: (costOf) => (2.5 * costOf('leases/bytes')) / fleetSize.voters,
   },
   {
     id: 'C12',
@@ -267,7 +269,7 @@
     unit: 'cores',
     line: null,
     from: '1,500 a second x `claims/core-cpu`',
-    value: (of) => (size.requests * of('claims/core-cpu')) / 1e6,
+    value: (costOf) => (fleetSize.requests * costOf('claims/core-cpu')) / 1e6,
   },
   {
     id: 'C13',
@@ -276,7 +278,7 @@
     unit: 'B',
     line: null,
     from: '`claims/memory`',
-    value: (of) => of('claims/memory'),
+    value: (costOf) => costOf('claims/memory'),
   },
   {
     id: 'C16',
@@ -285,7 +287,7 @@
     unit: 'B',
     line: 'frameBytes',
     from: '71 changes by `pushes/since-bytes`',
-    value: (of) => of('pushes/since-bytes'),
+    value: (costOf) => costOf('pushes/since-bytes'),
   },
   {
     id: 'C14',
@@ -294,7 +296,7 @@
     unit: 'ms',
     line: null,
     from: '`replicas/first-list`',
-    value: (of) => of('replicas/first-list'),
+    value: (costOf) => costOf('replicas/first-list'),
   },
   {
     id: 'C15',
@@ -303,7 +305,7 @@
     unit: 'ms',
     line: null,
     from: '`replicas/news-cpu`',
-    value: (of) => of('replicas/news-cpu') / 1_000,
+    value: (costOf) => costOf('replicas/news-cpu') / 1_000,
   },
   {
     id: 'W1',
@@ -312,7 +314,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '6 a second x `way-push/ping-bytes`',
-    value: (of) => traffic.wayPings * of('way-push/ping-bytes'),
+    value: (costOf) => traffic.wayPings * costOf('way-push/ping-bytes'),
   },
   {
     id: 'W2',
@@ -321,7 +323,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '1,700 a day x `way-push/content-bytes`',
-    value: (of) => traffic.changesASecond * of('way-push/content-bytes'),
+    value: (costOf) => traffic.changesASecond * costOf('way-push/content-bytes'),
   },
   {
     id: 'W3',
@@ -330,7 +332,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: `${heavyNotices} a second x \`way-push/reading-bytes\``,
-    value: (of) => heavyNotices * of('way-push/reading-bytes'),
+    value: (costOf) => heavyNotices * costOf('way-push/reading-bytes'),
   },
   {
     id: 'W4',
@@ -340,7 +342,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '280,000 a second x `way-index/bytes`',
-    value: (of) => size.events * of('way-index/bytes'),
+    value: (costOf) => fleetSize.events * costOf('way-index/bytes'),
   },
   {
     id: 'W5',
@@ -350,7 +352,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '1,346 a second x `way-index/bytes`',
-    value: (of) => chainEvents * of('way-index/bytes'),
+    value: (costOf) => chainEvents * costOf('way-index/bytes'),
   },
   {
     id: 'W6',
@@ -360,7 +362,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '1,346 a second x `way-index/front-cpu`',
-    value: (of) => (chainEvents * of('way-index/front-cpu')) / 1_000,
+    value: (costOf) => (chainEvents * costOf('way-index/front-cpu')) / 1_000,
   },
   {
     id: 'W7',
@@ -370,7 +372,8 @@
     unit: 'B',
     line: 'memoryBytes',
     from: '135,000 parts x slope of `way-index/front-memory`',
-    value: (of) => (size.blocks / traffic.blocksInAChain) * (of('way-index/front-memory', 200_000) / 200_000),
+    value: (costOf) =>
+      (fleetSize.blocks / traffic.blocksInAChain) * (costOf('way-index/front-memory', 200_000) / 200_000),
   },
   {
     id: 'W16',
@@ -380,7 +383,7 @@
     unit: 'B',
     line: 'frameBytes',
     from: '135,000 parts x `way-index/bytes`',
-    value: (of) => (size.blocks / traffic.blocksInAChain) * of('way-index/bytes'),
+    value: (costOf) => (fleetSize.blocks / traffic.blocksInAChain) * costOf('way-index/bytes'),
   },
   {
     id: 'W8',
@@ -389,7 +392,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '3.75 a second x `way-place/cpu`',
-    value: (of) => (requestsPerFront * of('way-place/cpu')) / 1_000,
+    value: (costOf) => (requestsPerFront * costOf('way-place/cpu')) / 1_000,
   },
   {
     id: 'W9',
@@ -398,7 +401,7 @@
     unit: 'cores',
     line: null,
     from: '800 a second x `way-push/ping-cpu`',
-    value: (of) => (size.nodes * 2 * of('way-push/ping-cpu')) / 1e6,
+    value: (costOf) => (fleetSize.nodes * 2 * costOf('way-push/ping-cpu')) / 1e6,
   },
   {
     id: 'W10',
@@ -408,7 +411,8 @@
     unit: 'ms',
     line: 'inForceMs',
     from: '`way-push/content-cpu` x `way-push/content-bytes` at 3,100 / at 1,000',
-    value: (of) => (of('way-push/content-cpu') * of('way-push/content-bytes')) / of('way-push/content-bytes', 1_000),
+    value: (costOf) =>
+      (costOf('way-push/content-cpu') * costOf('way-push/content-bytes')) / costOf('way-push/content-bytes', 1_000),
   },
   {
     id: 'W11',
@@ -417,7 +421,7 @@
     unit: 'cores',
     line: null,
     from: `${heavyNotices} a second x \`way-push/reading-cpu\``,
-    value: (of) => (heavyNotices * of('way-push/reading-cpu')) / 1e6,
+    value: (costOf) => (heavyNotices * costOf('way-push/reading-cpu')) / 1e6,
   },
   {
     id: 'W12',
@@ -426,7 +430,7 @@
     unit: 'cores',
     line: null,
     from: '`way-index/follow-cpu` at 333',
-    value: (of) => of('way-index/follow-cpu', size.replicas / size.voters) / 1_000,
+    value: (costOf) => costOf('way-index/follow-cpu', fleetSize.replicas / fleetSize.voters) / 1_000,
   },
   {
     id: 'W13',
@@ -435,7 +439,7 @@
     unit: 'cores',
     line: null,
     from: '17 a second x `way-weights/step-cpu`',
-    value: (of) => of('way-weights/step-cpu') / 60,
+    value: (costOf) => costOf('way-weights/step-cpu') / 60,
   },
   {
     id: 'W14',
@@ -445,7 +449,7 @@
     unit: 'ms',
     line: null,
     from: '2,000 x `replicas/news-cpu`',
-    value: (of) => 2 * of('replicas/news-cpu'),
+    value: (costOf) => 2 * costOf('replicas/news-cpu'),
   },
   {
     id: 'W15',
@@ -454,7 +458,7 @@
     unit: 'cores',
     line: null,
     from: '1.25 a second x `way-list/reading-cpu`',
-    value: (of) => (1.25 * of('way-list/reading-cpu')) / 1_000,
+    value: (costOf) => (1.25 * costOf('way-list/reading-cpu')) / 1_000,
   },
   {
     id: 'D1',
@@ -463,7 +467,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '2 x 1,346 / 400 x `way-index/bytes` + 2 x 4.76 asks x 300',
-    value: (of) => ownerBytes(of),
+    value: (costOf) => ownerBytes(costOf),
   },
   {
     id: 'D2',
@@ -472,8 +476,9 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '6.7 x `way-index/front-cpu` + 2 x 4.76 x `way-push/ping-cpu`',
-    value: (of) =>
-      (((2 * chainEvents) / size.nodes) * of('way-index/front-cpu') + 2 * asksPerNode * of('way-push/ping-cpu')) /
+    value: (costOf) =>
+      (((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/front-cpu') +
+        2 * asksPerNode * costOf('way-push/ping-cpu')) /
       1_000,
   },
   {
@@ -483,7 +488,7 @@
     unit: 'cores',
     line: null,
     from: '`relays/follower-busy` at 46,667 a second',
-    value: (of) => of('relays/follower-busy', size.events / size.controlMachines),
+    value: (costOf) => costOf('relays/follower-busy', fleetSize.events / fleetSize.controlMachines),
   },
   {
     id: 'D4',
@@ -492,7 +497,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '(2 x 31 + 4 x 3) x `way-push/ping-bytes` + 31 x 1,700 a day x 1 KB',
-    value: (of) => (2 * 31 + 12) * of('way-push/ping-bytes') + 31 * traffic.changesASecond * patchBytes,
+    value: (costOf) => (2 * 31 + 12) * costOf('way-push/ping-bytes') + 31 * traffic.changesASecond * patchBytes,
   },
   {
     id: 'D5',
@@ -501,7 +506,8 @@
     unit: 'cores',
     line: null,
     from: '134 a second x `way-push/ping-cpu` + 67 x 31 tells a second x slope of `replicas/news-cpu`',
-    value: (of) => (134 * of('way-push/ping-cpu') + (67 * 31 * of('replicas/news-cpu')) / size.nodes) / 1e6,
+    value: (costOf) =>
+      (134 * costOf('way-push/ping-cpu') + (67 * 31 * costOf('replicas/news-cpu')) / fleetSize.nodes) / 1e6,
   },
   {
     id: 'D6',
@@ -510,7 +516,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '2 a second x `watch/beat-cpu` at 31',
-    value: (of) => 2 * of('watch/beat-cpu', 31),
+    value: (costOf) => 2 * costOf('watch/beat-cpu', 31),
   },
   {
     id: 'D7',
@@ -528,8 +534,13 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: 'D1 + 700 + 2 x `way-push/ping-bytes` + 1,700 a day x 1 KB + D7 + 840',
-    value: (of) =>
-      ownerBytes(of) + 700 + 2 * of('way-push/ping-bytes') + traffic.changesASecond * patchBytes + digestBytes + 840,
+    value: (costOf) =>
+      ownerBytes(costOf) +
+      700 +
+      2 * costOf('way-push/ping-bytes') +
+      traffic.changesASecond * patchBytes +
+      digestBytes +
+      840,
   },
   {
     id: 'D9',
@@ -538,18 +549,18 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: 'D8 + 30 x `way-index/bytes`',
-    value: (of) =>
-      ownerBytes(of) +
+    value: (costOf) =>
+      ownerBytes(costOf) +
       700 +
-      2 * of('way-push/ping-bytes') +
+      2 * costOf('way-push/ping-bytes') +
       traffic.changesASecond * patchBytes +
       digestBytes +
       840 +
-      30 * of('way-index/bytes'),
+      30 * costOf('way-index/bytes'),
   },
 ];
 
-const verdictOf = (line: Line, value: number): string => {
+const verdictOf = (line: CapacityEstimate, value: number): string => {
   if (line.line === null) return '';
   const limit = budget[line.line];
   return value <= limit
@@ -559,21 +570,21 @@
 
 type Status = 'runs today and measured' | 'modelled from a slope' | 'not built';
 
-interface Worked {
+interface EvaluatedEstimate {
   readonly id: string;
   readonly value: number;
   readonly verdict: string;
   readonly status: Status;
 }
 
-const runsIn = ({ from }: Line): string[] =>
+const runsIn = ({ from }: CapacityEstimate): string[] =>
   [...from.matchAll(/`([a-z-]+\/[a-z-]+)`/g)].map((found) => found[1] as string);
 
-const isDesigned = ({ id }: Line): boolean => id.startsWith('D');
+const isDesigned = ({ id }: CapacityEstimate): boolean => id.startsWith('D');
 
-const work = (measured: readonly Measured[]): Worked[] => {
+const evaluate = (measured: readonly Measurement[]): EvaluatedEstimate[] => {
   const held = new Map(measured.map((one) => [one.run, one]));
-  const of: Of = (run, at) => {
+  const costOf: CostOf = (run, at) => {
     const one = held.get(run);
     return one === undefined ? Number.NaN : fits.forecast(one.points, fits.fit(one.points), at ?? one.target).value;
   };
@@ -581,27 +592,27 @@
     const one = held.get(run);
     return one !== undefined && fits.forecast(one.points, fits.fit(one.points), one.target).how !== 'extrapolated';
   };
-  const statusOf = (line: Line): Status =>
+  const statusOf = (line: CapacityEstimate): Status =>
     isDesigned(line)
       ? 'not built'
       : runsIn(line).every(isMeasured) && !line.isScaled
         ? 'runs today and measured'
         : 'modelled from a slope';
-  return lines.map((line) => {
-    const value = line.value(of);
+  return capacityEstimates.map((line) => {
+    const value = line.value(costOf);
     return { id: line.id, value, verdict: verdictOf(line, value), status: statusOf(line) };
   });
 };
 
-const markdown = (measured: readonly Measured[]): string => {
-  const worked = new Map(work(measured).map((one) => [one.id, one]));
-  const row = (line: Line): string =>
+const markdown = (measured: readonly Measurement[]): string => {
+  const worked = new Map(evaluate(measured).map((one) => [one.id, one]));
+  const row = (line: CapacityEstimate): string =>
     `| ${line.id} | ${line.role} | ${line.what} | ${tables.figure(worked.get(line.id)?.value ?? Number.NaN)} ${line.unit} | ${line.from} | ${worked.get(line.id)?.verdict ?? ''} | ${worked.get(line.id)?.status ?? ''} |`;
   return [
     '| line | role | what | at the size | from | budget | status |',
     '|---|---|---|---|---|---|---|',
-    ...lines.map(row),
+    ...capacityEstimates.map(row),
   ].join('\n');
 };
 
-export const models = { work, runsIn, markdown, runningPerFront };
+export const capacityModel = { work: evaluate, runsIn, markdown, runningPerFront };
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -5,7 +5,7 @@
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { ShelfCheckpoint } from '@martenworks/prefix-index';
 import { Meter, rig } from './rig.js';
-import type { Order } from './rig.js';
+import type { PeerCommand } from './rig.js';
 
 const meter = new Meter();
 const net = rig.metered(machine.net(null), meter);
@@ -79,7 +79,7 @@
   );
 };
 
-const obey = async (order: Order): Promise<Record<string, number>> => {
+const obey = async (order: PeerCommand): Promise<Record<string, number>> => {
   const number = (name: string): number => Number(order[name] ?? 0);
   if (order.verb === 'dial') {
     isReal = order.real === true;
@@ -141,5 +141,5 @@
   return {};
 };
 
-process.on('message', (order: Order) => void obey(order).then((answer) => process.send?.(answer)));
+process.on('message', (order: PeerCommand) => void obey(order).then((answer) => process.send?.(answer)));
 process.on('disconnect', () => process.exit(0));
--- a/packages/test-fleet/src/capacity/plot.ts
+++ b/packages/test-fleet/src/capacity/plot.ts
@@ -1,6 +1,6 @@
 import { fits } from './curveFit.js';
 import { tables } from './table.js';
-import type { Measured } from './table.js';
+import type { Measurement } from './table.js';
 
 const width = 300;
 const height = 190;
@@ -10,7 +10,7 @@
 const escaped = (text: string): string =>
   text.replace(/[&<>]/g, (sign) => (sign === '&' ? '&amp;' : sign === '<' ? '&lt;' : '&gt;'));
 
-const panel = (one: Measured, at: number): string => {
+const panel = (one: Measurement, at: number): string => {
   const [left, top] = [(at % columns) * width, Math.floor(at / columns) * height];
   const found = fits.fit(one.points);
   const xs = one.points.map(({ x }) => x);
@@ -39,7 +39,7 @@
   ].join('');
 };
 
-const svg = (all: readonly Measured[]): string => {
+const svg = (all: readonly Measurement[]): string => {
   const rows = Math.ceil(all.length / columns);
   const style =
     'text{font:9px sans-serif;fill:#222}.axis{fill:none;stroke:#888}.range{stroke:#222;stroke-opacity:.4}.fit{stroke:#27c;stroke-width:1.2}.bent{stroke:#c42;stroke-dasharray:4 3}circle{fill:#222}';
--- a/packages/test-fleet/src/capacity/probes.ts
+++ b/packages/test-fleet/src/capacity/probes.ts
@@ -26,44 +26,44 @@
   replicaCounts,
   runningPerFront,
   series,
-  size,
+  fleetSize,
   tenantCounts,
 } from './fleetSize.js';
-import type { Measured } from './table.js';
+import type { Measurement } from './table.js';
 import { wayProbes } from './wayProbes.js';
 
-const pings = (): Promise<Measured[]> =>
+const pings = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
-    const coreUs = series('pings/core-cpu', 'core node: processor time a ping', 'us', 'fronts', size.nodes);
-    const pongBytes = series('pings/pong-bytes', 'reply to a ping', 'bytes', 'fronts', size.nodes);
-    const askBytes = series('pings/ask-bytes', 'a ping', 'bytes', 'fronts', size.nodes);
+    const coreUs = series('pings/core-cpu', 'core node: processor time a ping', 'us', 'fronts', fleetSize.nodes);
+    const pongBytes = series('pings/pong-bytes', 'reply to a ping', 'bytes', 'fronts', fleetSize.nodes);
+    const askBytes = series('pings/ask-bytes', 'a ping', 'bytes', 'fronts', fleetSize.nodes);
     const frontUs = series(
       'pings/front-cpu',
       'front: processor time a ping, its report and loads',
       'us',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const heavyMs = series(
       'heavy/core-cpu',
       'core node: processor time for one heavy-prefill notice',
       'ms',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const heavyBytes = series(
       'heavy/bytes',
       'sent by a core node for one heavy-prefill notice',
       'bytes',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const byReplicas = series(
       'pings/pong-bytes-by-replicas',
       'reply to a ping, 100 fronts',
       'bytes',
       'replicas',
-      size.replicas,
+      fleetSize.replicas,
     );
     const measure = async (fronts: number, replicas: number, isHeavy: boolean): Promise<void> => {
       const core = await openCore(10, []);
@@ -93,9 +93,9 @@
       await peers.ask({ verb: 'hangUp' });
       await core.close();
     };
-    for (const fronts of nodeCounts) await measure(fronts, size.replicas, true);
+    for (const fronts of nodeCounts) await measure(fronts, fleetSize.replicas, true);
     for (const replicas of replicaCounts) await measure(100, replicas, false);
-    return [coreUs, frontUs, askBytes, pongBytes, byReplicas, heavyMs, heavyBytes].map((one) => one.told());
+    return [coreUs, frontUs, askBytes, pongBytes, byReplicas, heavyMs, heavyBytes].map((one) => one.measurement());
   });
 
 const layoutChange = (tenantCount: number, at: number, base: number): Change => ({
@@ -104,42 +104,42 @@
   body: { kind: 'layout', layout: rig.layoutOf(tenantCount, 0, at), base },
 });
 
-const pushes = (): Promise<Measured[]> =>
+const pushes = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const byFronts = series(
       'pushes/core-cpu',
       'core node: processor time to push one change, 1,000 tenants',
       'ms',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const lateness = series(
       'pushes/all-acked',
       'one change until every front acked, 1,000 tenants, loopback',
       'ms',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const byTenants = series(
       'pushes/core-cpu-by-tenants',
       'core node: processor time to push one change, 100 fronts',
       'ms',
       'tenants',
-      size.tenants,
+      fleetSize.tenants,
     );
     const bytes = series(
       'pushes/bytes',
       'one change to one front from one core node',
       'bytes',
       'tenants',
-      size.tenants,
+      fleetSize.tenants,
     );
     const checkpoint = series(
       'pushes/checkpoint-bytes',
       'whole agreed state to a front that starts, 4,096 change ids kept',
       'bytes',
       'tenants',
-      size.tenants,
+      fleetSize.tenants,
     );
     const since = series(
       'pushes/since-bytes',
@@ -158,7 +158,7 @@
             k: 'changes',
             settled: Array.from({ length: behind }, (_, at) => ({
               generation: at,
-              change: layoutChange(size.tenants, at, at),
+              change: layoutChange(fleetSize.tenants, at, at),
             })),
           },
         }).length,
@@ -208,18 +208,24 @@
         }).length,
       );
     }
-    return [byFronts, lateness, byTenants, bytes, checkpoint, since].map((one) => one.told());
+    return [byFronts, lateness, byTenants, bytes, checkpoint, since].map((one) => one.measurement());
   });
 
-const ballots = async (): Promise<Measured[]> => {
-  const wall = series('ballots/wall', 'one change decided by three members on disk', 'ms', 'tenants', size.tenants);
-  const cpu = series('ballots/cpu', 'processor time of one member a change', 'ms', 'tenants', size.tenants);
+const ballots = async (): Promise<Measurement[]> => {
+  const wall = series(
+    'ballots/wall',
+    'one change decided by three members on disk',
+    'ms',
+    'tenants',
+    fleetSize.tenants,
+  );
+  const cpu = series('ballots/cpu', 'processor time of one member a change', 'ms', 'tenants', fleetSize.tenants);
   const wire = series(
     'ballots/bytes',
     'sent between the three members for one change',
     'bytes',
     'tenants',
-    size.tenants,
+    fleetSize.tenants,
   );
   for (const tenants of tenantCounts) {
     const meter = new Meter();
@@ -227,7 +233,7 @@
     const addresses: string[] = [];
     const closers: (() => Promise<void>)[] = [];
     const members: Member[] = [];
-    for (let at = 0; at < size.voters; at += 1) {
+    for (let at = 0; at < fleetSize.voters; at += 1) {
       const ports = rig.ports(meter);
       const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
       const address = await rig.freeAddress();
@@ -325,39 +331,45 @@
       if (repeat === 0) continue;
       wall.add(tenants, (performance.now() - at) / changes);
       await rig.until(() => books.every((book) => book.agreed()?.generation === own.agreed()?.generation), 5_000);
-      cpu.add(tenants, (rig.cpuUs() - began) / 1_000 / changes / size.voters);
+      cpu.add(tenants, (rig.cpuUs() - began) / 1_000 / changes / fleetSize.voters);
       wire.add(tenants, (meter.sent - sent) / changes);
     }
     for (const connection of lines.values()) connection.close();
     for (const close of closers) await close();
   }
-  return [wall, cpu, wire].map((one) => one.told());
+  return [wall, cpu, wire].map((one) => one.measurement());
 };
 
-const claims = (): Promise<Measured[]> =>
+const claims = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const cpu = series(
       'claims/core-cpu',
       'core node: processor time a claim (two rounds, kept on disk)',
       'us',
       'claims at once',
-      size.requests,
+      fleetSize.requests,
     );
     const wall = series(
       'claims/rate',
       'claims a second that one core node takes',
       'a second',
       'claims at once',
-      size.requests,
+      fleetSize.requests,
     );
     const bytes = series(
       'claims/bytes',
       'one claim between a front and a core node, both ways',
       'bytes',
       'claims at once',
-      size.requests,
+      fleetSize.requests,
+    );
+    const memory = series(
+      'claims/memory',
+      'core node: memory of claims',
+      'bytes',
+      'claims kept',
+      fleetSize.requests * 600,
     );
-    const memory = series('claims/memory', 'core node: memory of claims', 'bytes', 'claims kept', size.requests * 600);
     let from = 0;
     for (const width of [10, 50, 200, 500, 1_500]) {
       const meter = new Meter();
@@ -416,32 +428,32 @@
       memory.add(target, rig.heap() - empty);
     }
     await table.close();
-    return [cpu, wall, bytes, memory].map((one) => one.told());
+    return [cpu, wall, bytes, memory].map((one) => one.measurement());
   });
 
-const layout = async (): Promise<Measured[]> => {
+const layout = async (): Promise<Measurement[]> => {
   const view = series(
     'layout/view',
     'front: apply one change and build its view, 1,000 replicas, none isolated',
     'ms',
     'tenants',
-    size.tenants,
+    fleetSize.tenants,
   );
   const viewIsolated = series(
     'layout/view-isolated',
     'the same with 1 in 100 tenants isolated',
     'ms',
     'tenants',
-    size.tenants,
+    fleetSize.tenants,
   );
   const align = series(
     'layout/replica-news',
     'front: take one replica record, 3,100 tenants, 31 isolated',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
-  const memory = series('layout/memory', 'front: memory of state and view', 'bytes', 'tenants', size.tenants);
+  const memory = series('layout/memory', 'front: memory of state and view', 'bytes', 'tenants', fleetSize.tenants);
   const kept: Book[] = [];
   for (const tenants of tenantCounts) {
     for (const isolated of [0, Math.round(tenants * isolatedShare)]) {
@@ -452,7 +464,7 @@
         book.takeCheckpoint(state);
         kept.push(book);
         if (isolated === 0) memory.add(tenants, rig.heap() - empty);
-        book.takeReplicas(rig.records(size.replicas));
+        book.takeReplicas(rig.records(fleetSize.replicas));
         const changes = Array.from(
           { length: 3 },
           (_, at): Change => ({
@@ -468,7 +480,7 @@
   }
   for (const replicas of replicaCounts) {
     const book = new Book(machine.clock, () => {});
-    book.takeCheckpoint(rig.stateOf(size.tenants, 31, []));
+    book.takeCheckpoint(rig.stateOf(fleetSize.tenants, 31, []));
     const records = rig.records(replicas);
     book.takeReplicas(records);
     for (let repeat = 0; repeat < 4; repeat += 1) {
@@ -478,33 +490,39 @@
       if (repeat > 0) align.add(replicas, ms);
     }
   }
-  return [view, viewIsolated, align, memory].map((one) => one.told());
+  return [view, viewIsolated, align, memory].map((one) => one.measurement());
 };
 
-const index = async (): Promise<Measured[]> => {
-  const memory = series('index/memory', 'one whole index: memory', 'bytes', 'blocks', size.blocks);
-  const take = series('index/take', 'processor time of one event of one block', 'us', 'blocks', size.blocks);
+const index = async (): Promise<Measurement[]> => {
+  const memory = series('index/memory', 'one whole index: memory', 'bytes', 'blocks', fleetSize.blocks);
+  const take = series('index/take', 'processor time of one event of one block', 'us', 'blocks', fleetSize.blocks);
   const overWire = series(
     'index/memory-from-frames',
     'one whole index filled from frames of 20 events: memory',
     'bytes',
     'blocks',
-    size.blocks,
+    fleetSize.blocks,
+  );
+  const shelf = series(
+    'index/shelf-bytes',
+    'shelves of a whole index on the wire',
+    'bytes',
+    'blocks',
+    fleetSize.blocks,
   );
-  const shelf = series('index/shelf-bytes', 'shelves of a whole index on the wire', 'bytes', 'blocks', size.blocks);
   const shelfMs = series(
     'index/shelf-cpu',
     'core node: processor time to pack the shelves of a whole index, in one turn of its event loop',
     'ms',
     'blocks',
-    size.blocks,
+    fleetSize.blocks,
   );
   const placing = series(
     'index/place',
     'placing one prompt of 266 blocks in one pool',
     'us',
     'replicas in the pool',
-    size.replicas / poolCount,
+    fleetSize.replicas / poolCount,
   );
   const beforeFrames = rig.heap();
   const framed = new Pigeonhole(3_600_000);
@@ -601,10 +619,10 @@
       if (repeat > 0) placing.add(replicas, us);
     }
   }
-  return [memory, overWire, take, shelf, shelfMs, placing].map((one) => one.told());
+  return [memory, overWire, take, shelf, shelfMs, placing].map((one) => one.measurement());
 };
 
-const joins = (): Promise<Measured[]> =>
+const joins = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const got = series(
       'joins/arrived',
@@ -658,7 +676,7 @@
         await core.close();
       }
     }
-    return [got, stays].map((one) => one.told());
+    return [got, stays].map((one) => one.measurement());
   });
 
 const sse = (news: KvNews): string =>
@@ -676,7 +694,7 @@
     queues.set(host, held);
     return held;
   };
-  const records = rig.records(size.replicas);
+  const records = rig.records(fleetSize.replicas);
   return {
     give: (replica, bytes) => {
       const queue = queueOf((records[replica] as ReplicaRecord).address);
@@ -700,44 +718,50 @@
   };
 };
 
-const relays = (): Promise<Measured[]> =>
+const relays = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const perFront = series(
       'relays/core-cpu',
       'core node: processor time an event, read, kept and told to all fronts',
       'us',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     const bytes = series('relays/bytes', 'one event to one front', 'bytes', 'blocks an event', 1);
-    const bulk = series('relays/core-cpu-full', 'the same with 400 events in each bundle', 'us', 'fronts', size.nodes);
+    const bulk = series(
+      'relays/core-cpu-full',
+      'the same with 400 events in each bundle',
+      'us',
+      'fronts',
+      fleetSize.nodes,
+    );
     const front = series(
       'relays/front-busy',
       'front: cores busy with events (decode and take)',
       'cores',
       'events a second',
-      size.events,
+      fleetSize.events,
     );
     const followerBusy = series(
       'relays/follower-busy',
       'follower that tells nobody: cores busy (read, parse, keep)',
       'cores',
       'events a second',
-      size.events,
+      fleetSize.events,
     );
     const share = series(
       'relays/core-busy',
       'core node with 3 fronts: share of its thread while it lasts',
       'share',
       'events a second',
-      size.events,
+      fleetSize.events,
     );
     const delivered = series(
       'relays/delivered',
       'events told within the window, of those offered',
       'share',
       'events a second',
-      size.events,
+      fleetSize.events,
     );
     const replicas = 50;
     const records = rig.records(replicas);
@@ -820,35 +844,41 @@
         front.add(rate, ((await play(1, rate, 300, 1, true)).frontUs * rate) / 1e6);
       }
     }
-    return [perFront, bulk, bytes, followerBusy, share, delivered, front].map((one) => one.told());
+    return [perFront, bulk, bytes, followerBusy, share, delivered, front].map((one) => one.measurement());
   });
 
-const gossip = (): Promise<Measured[]> =>
+const gossip = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const beat = series(
       'watch/beat-cpu',
       'any node: processor time of one beat (twice a second)',
       'ms',
       'nodes',
-      size.nodes,
+      fleetSize.nodes,
     );
     const lines = series(
       'watch/lines-cpu',
       'any node: processor time of one look at its lines (once a second, and at each change)',
       'ms',
       'nodes',
-      size.nodes,
+      fleetSize.nodes,
+    );
+    const bytes = series('gossip/bytes', 'one roster exchange, both ways', 'bytes', 'nodes', fleetSize.nodes);
+    const cpu = series(
+      'gossip/core-cpu',
+      'core node: processor time a roster exchange',
+      'us',
+      'nodes',
+      fleetSize.nodes,
     );
-    const bytes = series('gossip/bytes', 'one roster exchange, both ways', 'bytes', 'nodes', size.nodes);
-    const cpu = series('gossip/core-cpu', 'core node: processor time a roster exchange', 'us', 'nodes', size.nodes);
     const known = series(
       'gossip/known',
       'nodes that a newcomer knows after one exchange',
       'nodes',
       'nodes',
-      size.nodes,
+      fleetSize.nodes,
     );
-    const memory = series('gossip/memory', 'any node: memory of its roster', 'bytes', 'nodes', size.nodes);
+    const memory = series('gossip/memory', 'any node: memory of its roster', 'bytes', 'nodes', fleetSize.nodes);
     const clock = machine.clock;
     const kept: Roster[] = [];
     for (const nodes of nodeCounts) {
@@ -895,28 +925,34 @@
       await peers.ask({ verb: 'hangUp' });
       await core.close();
     }
-    return [beat, lines, bytes, cpu, known, memory].map((one) => one.told());
+    return [beat, lines, bytes, cpu, known, memory].map((one) => one.measurement());
   });
 
-const leases = async (): Promise<Measured[]> => {
+const leases = async (): Promise<Measurement[]> => {
   const cpu = series(
     'leases/cpu',
     'three core nodes together: processor time of a round of renewals (each 0.4 s)',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
   const bytes = series(
     'leases/bytes',
     'three core nodes together: bytes of a round of renewals',
     'bytes',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
+  );
+  const settle = series(
+    'leases/settle',
+    'all duties taken up after a cold start',
+    'ms',
+    'replicas',
+    fleetSize.replicas,
   );
-  const settle = series('leases/settle', 'all duties taken up after a cold start', 'ms', 'replicas', size.replicas);
   for (const replicas of replicaCounts) {
     const meter = new Meter();
-    const names = Array.from({ length: size.voters }, (_, at) => rig.helloOf('postmaster', at, '').incarnation);
+    const names = Array.from({ length: fleetSize.voters }, (_, at) => rig.helloOf('postmaster', at, '').incarnation);
     const books = await Promise.all(
       names.map(async () => (await leaseBooks.open(rig.disk(), machine.clock, logs.silent()))._unsafeUnwrap()),
     );
@@ -994,32 +1030,38 @@
     for (const listener of listeners) await listener.close();
     for (const book of books) await book.close();
   }
-  return [cpu, bytes, settle].map((one) => one.told());
+  return [cpu, bytes, settle].map((one) => one.measurement());
 };
 
-const replicaLists = (): Promise<Measured[]> =>
+const replicaLists = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
     const wall = series(
       'replicas/first-list',
       'core node: a first list of replicas kept on disk',
       'ms',
       'replicas',
-      size.replicas,
+      fleetSize.replicas,
     );
     const cpu = series(
       'replicas/list-cpu',
       'core node: processor time of a list without news',
       'ms',
       'replicas',
-      size.replicas,
+      fleetSize.replicas,
+    );
+    const bytes = series(
+      'replicas/bytes',
+      'the list of replicas to one front',
+      'bytes',
+      'replicas',
+      fleetSize.replicas,
     );
-    const bytes = series('replicas/bytes', 'the list of replicas to one front', 'bytes', 'replicas', size.replicas);
     const news = series(
       'replicas/news-cpu',
       'core node: processor time to tell all fronts one record',
       'us',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
     );
     for (const replicas of replicaCounts) {
       for (let repeat = 0; repeat < 3; repeat += 1) {
@@ -1050,10 +1092,10 @@
       await peers.ask({ verb: 'hangUp' });
       await core.close();
     }
-    return [wall, cpu, bytes, news].map((one) => one.told());
+    return [wall, cpu, bytes, news].map((one) => one.measurement());
   });
 
-export const probes: Record<string, () => Promise<Measured[]>> = {
+export const probes: Record<string, () => Promise<Measurement[]>> = {
   ...wayProbes,
   pings,
   pushes,
--- a/packages/test-fleet/src/capacity/rig.ts
+++ b/packages/test-fleet/src/capacity/rig.ts
@@ -192,12 +192,12 @@
   return true;
 };
 
-export interface Order {
+export interface PeerCommand {
   readonly verb: string;
   readonly [more: string]: unknown;
 }
 
-export class HollowPeers {
+export class PeerProcess {
   private readonly waiting: ((told: Record<string, number>) => void)[] = [];
   private readonly child: ChildProcess;
 
@@ -208,7 +208,7 @@
     this.child.on('message', (told) => this.waiting.shift()?.(told as Record<string, number>));
   }
 
-  readonly ask = (order: Order): Promise<Record<string, number>> =>
+  readonly ask = (order: PeerCommand): Promise<Record<string, number>> =>
     new Promise((settle) => {
       this.waiting.push(settle);
       this.child.send(order);
--- a/packages/test-fleet/src/capacity/table.ts
+++ b/packages/test-fleet/src/capacity/table.ts
@@ -1,7 +1,7 @@
 import { fits } from './curveFit.js';
 import type { Point } from './curveFit.js';
 
-export interface Measured {
+export interface Measurement {
   readonly run: string;
   readonly what: string;
   readonly unit: string;
@@ -22,7 +22,7 @@
   return String(Number(value.toPrecision(3)));
 };
 
-const row = (one: Measured): string => {
+const row = (one: Measurement): string => {
   const found = fits.fit(one.points);
   const told = fits.forecast(one.points, found, one.target);
   const shape = found.shape === 'not a line' ? `not a line, x^${found.exponent.toFixed(2)} at the top` : found.shape;
@@ -55,10 +55,10 @@
   'at the size',
 ];
 
-const markdown = (all: readonly Measured[]): string =>
+const markdown = (all: readonly Measurement[]): string =>
   [`| ${head.join(' | ')} |`, `|${'---|'.repeat(head.length)}`, ...all.map(row)].join('\n');
 
-const asJson = (all: readonly Measured[]): unknown =>
+const asJson = (all: readonly Measurement[]): unknown =>
   all.map((one) => {
     const found = fits.fit(one.points);
     return { ...one, fit: found, forecast: fits.forecast(one.points, found, one.target) };
--- a/packages/test-fleet/src/capacity/wayProbes.ts
+++ b/packages/test-fleet/src/capacity/wayProbes.ts
@@ -18,8 +18,8 @@
 import { BookDoor, salts } from '@martenworks/route-table';
 import { openCore, withPeers } from './measuredControlNode.js';
 import { poolCount, rig } from './rig.js';
-import { nodeCounts, replicaCounts, series, size, tenantCounts } from './fleetSize.js';
-import type { Measured } from './table.js';
+import { nodeCounts, replicaCounts, series, fleetSize, tenantCounts } from './fleetSize.js';
+import type { Measurement } from './table.js';
 
 const modelOf = (at: number): string => `model-${at % poolCount}`;
 
@@ -87,45 +87,51 @@
   tokens: isKept ? 512 : 0,
 });
 
-const wayPush = (): Promise<Measured[]> =>
+const wayPush = (): Promise<Measurement[]> =>
   withPeers(async (peers) => {
-    const pingUs = series('way-push/ping-cpu', 'core node: processor time a ping', 'us', 'fronts', size.nodes);
-    const pingBytes = series('way-push/ping-bytes', 'a ping and its reply', 'bytes', 'fronts', size.nodes);
+    const pingUs = series('way-push/ping-cpu', 'core node: processor time a ping', 'us', 'fronts', fleetSize.nodes);
+    const pingBytes = series('way-push/ping-bytes', 'a ping and its reply', 'bytes', 'fronts', fleetSize.nodes);
     const content = series(
       'way-push/content-cpu',
       'core node: processor time to push a book of 1,000 customers to all it serves',
       'ms',
       'fronts it serves',
-      size.nodes / size.voters,
+      fleetSize.nodes / fleetSize.voters,
     );
     const bytes = series(
       'way-push/content-bytes',
       'one change to one front that it serves',
       'bytes',
       'customers',
-      size.tenants,
+      fleetSize.tenants,
     );
     const bare = series(
       'way-push/bare-cpu',
       'core node: processor time to tell the bare generation to all others',
       'ms',
       'fronts',
-      size.nodes,
+      fleetSize.nodes,
+    );
+    const bareBytes = series(
+      'way-push/bare-bytes',
+      'a bare generation to one front',
+      'bytes',
+      'fronts',
+      fleetSize.nodes,
     );
-    const bareBytes = series('way-push/bare-bytes', 'a bare generation to one front', 'bytes', 'fronts', size.nodes);
     const reading = series(
       'way-push/reading-cpu',
       'core node: processor time to tell all it serves of one long prompt being read',
       'us',
       'fronts it serves',
-      size.nodes / size.voters,
+      fleetSize.nodes / fleetSize.voters,
     );
     const readingBytes = series(
       'way-push/reading-bytes',
       'one such notice to one front',
       'bytes',
       'fronts it serves',
-      size.nodes / size.voters,
+      fleetSize.nodes / fleetSize.voters,
     );
     const holder: { push: StatePublisher | null } = { push: null };
     const measure = async (
@@ -216,16 +222,16 @@
     for (const fronts of [10, 34, 67, 134]) await measure(fronts, 1_000, true, (ms) => content.add(fronts, ms), quiet);
     for (const customers of tenantCounts)
       await measure(10, customers, true, (_ms, bytesEach) => bytes.add(customers, bytesEach), quiet);
-    return [pingUs, pingBytes, content, bytes, bare, bareBytes, reading, readingBytes].map((one) => one.told());
+    return [pingUs, pingBytes, content, bytes, bare, bareBytes, reading, readingBytes].map((one) => one.measurement());
   });
 
-const wayIndex = async (): Promise<Measured[]> => {
+const wayIndex = async (): Promise<Measurement[]> => {
   const follow = series(
     'way-index/follow-cpu',
     'core node: processor time of a second of asking each replica for its events, none coming',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
   const event = series(
     'way-index/event-cpu',
@@ -361,38 +367,44 @@
         ],
       }).length / count,
     );
-  return [follow, event, deskMemory, bookMemory, frontUs, bytes].map((one) => one.told());
+  return [follow, event, deskMemory, bookMemory, frontUs, bytes].map((one) => one.measurement());
 };
 
-const wayList = async (): Promise<Measured[]> => {
+const wayList = async (): Promise<Measurement[]> => {
   const reading = series(
     'way-list/reading-cpu',
     'core node: processor time of one reading of the list, nothing new (the call itself left out)',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
+  );
+  const bytes = series(
+    'way-list/bytes',
+    'the whole list to one front that starts',
+    'bytes',
+    'replicas',
+    fleetSize.replicas,
   );
-  const bytes = series('way-list/bytes', 'the whole list to one front that starts', 'bytes', 'replicas', size.replicas);
   const step = series(
     'way-weights/step-cpu',
     'holder of the rollout: processor time of one step (each 60 ms), all replicas behind',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
   const idle = series(
     'way-weights/idle-cpu',
     'holder of the rollout: processor time of one step, none behind',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
   const front = series(
     'way-list/front-cpu',
     'front: processor time to take one changed replica',
     'ms',
     'replicas',
-    size.replicas,
+    fleetSize.replicas,
   );
   for (const replicas of replicaCounts) {
     const list = cards(replicas);
@@ -459,23 +471,23 @@
       front.add(replicas, frontMs);
     }
   }
-  return [reading, bytes, front, step, idle].map((one) => one.told());
+  return [reading, bytes, front, step, idle].map((one) => one.measurement());
 };
 
-const wayPlace = async (): Promise<Measured[]> => {
+const wayPlace = async (): Promise<Measurement[]> => {
   const placing = series(
     'way-place/cpu',
     'front: processor time to place one prompt',
     'us',
     'replicas in the pool',
-    size.replicas / poolCount,
+    fleetSize.replicas / poolCount,
   );
   const view = series(
     'way-place/view',
     'front: processor time to build the view of a new edition',
     'ms',
     'customers',
-    size.tenants,
+    fleetSize.tenants,
   );
   for (const replicas of [10, 25, 50, 100, 250]) {
     const list = cards(replicas * poolCount);
@@ -518,10 +530,10 @@
       if (repeat > 0) view.add(customers, ms);
     }
   }
-  return [placing, view].map((one) => one.told());
+  return [placing, view].map((one) => one.measurement());
 };
 
-export const wayProbes: Record<string, () => Promise<Measured[]>> = {
+export const wayProbes: Record<string, () => Promise<Measurement[]>> = {
   'way-push': wayPush,
   'way-index': wayIndex,
   'way-list': wayList,
--- a/packages/test-fleet/src/commands/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -4,11 +4,11 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
-import { models } from '../capacity/model.js';
+import { capacityModel } from '../capacity/model.js';
 import { plots } from '../capacity/plot.js';
 import { probes } from '../capacity/probes.js';
 import { tables } from '../capacity/table.js';
-import type { Measured } from '../capacity/table.js';
+import type { Measurement } from '../capacity/table.js';
 
 const { values } = parseArgs({
   options: {
@@ -25,18 +25,18 @@
   );
   process.exit(0);
 }
-const sizePage = (held: readonly Measured[]): string =>
+const sizePage = (held: readonly Measurement[]): string =>
   [
     '# Worked out at the size',
     '',
     'Each line is a product of the runs in [`slopes.md`](slopes.md), each taken at the size (measured there, on its line, or by its exponent at the top; that table tells which).',
     '',
-    models.markdown(held),
+    capacityModel.markdown(held),
     '',
   ].join('\n');
 
 if (values.from !== undefined) {
-  const held = JSON.parse(readFileSync(values.from, 'utf8')) as Measured[];
+  const held = JSON.parse(readFileSync(values.from, 'utf8')) as Measurement[];
   writeFileSync(join(values.out, 'size.md'), sizePage(held));
   writeFileSync(join(values.out, 'slopes.svg'), plots.svg(held));
   process.exit(0);
@@ -53,40 +53,40 @@
 const wholeMs = 350_000;
 const heapMegabytes = 4_500;
 
-interface Told {
-  readonly measured: readonly Measured[];
+interface ProbeOutcome {
+  readonly measured: readonly Measurement[];
   readonly peakBytes: number;
 }
 
-const run = (name: string, limitMs: number): Promise<Told | null> =>
+const run = (name: string, limitMs: number): Promise<ProbeOutcome | null> =>
   new Promise((settle) => {
     const child = fork(fileURLToPath(new URL('../capacity/probeProcess.js', import.meta.url)), [name], {
       execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`],
     });
-    let told: Told | null = null;
+    let outcome: ProbeOutcome | null = null;
     const late = setTimeout(() => child.kill('SIGKILL'), limitMs);
-    child.on('message', (message) => (told = message as Told));
+    child.on('message', (message) => (outcome = message as ProbeOutcome));
     child.on('exit', () => {
       clearTimeout(late);
-      settle(told);
+      settle(outcome);
     });
   });
 
 const began = performance.now();
-const measured: Measured[] = [];
+const measured: Measurement[] = [];
 const took: string[] = [];
 const missing: string[] = [];
 for (const name of names) {
   const at = performance.now();
   const left = wholeMs - (at - began);
-  const told = left <= 0 ? null : await run(name, Math.min(patienceMs, left));
-  if (told === null) missing.push(name);
-  else measured.push(...told.measured);
+  const outcome = left <= 0 ? null : await run(name, Math.min(patienceMs, left));
+  if (outcome === null) missing.push(name);
+  else measured.push(...outcome.measured);
   took.push(
-    `${name} ${((performance.now() - at) / 1_000).toFixed(0)} s${told === null ? '' : `, ${Math.round(told.peakBytes / 2 ** 20)} MB at its peak`}`,
+    `${name} ${((performance.now() - at) / 1_000).toFixed(0)} s${outcome === null ? '' : `, ${Math.round(outcome.peakBytes / 2 ** 20)} MB at its peak`}`,
   );
   process.stdout.write(
-    `${told === null ? 'FAILED ' : ''}${took[took.length - 1]}\n${(told?.measured ?? []).map((one) => `${tables.row(one)}\n`).join('')}`,
+    `${outcome === null ? 'FAILED ' : ''}${took[took.length - 1]}\n${(outcome?.measured ?? []).map((one) => `${tables.row(one)}\n`).join('')}`,
   );
 }
 const machineLine = `${cpus().length} cores of ${cpus()[0]?.model ?? 'unknown make'}, ${Math.round(totalmem() / 2 ** 30)} GB, Node ${process.versions.node}`;
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -3,7 +3,7 @@
 const kills = Number(process.argv[2] ?? '30');
 const noiseRounds = Number(process.argv[3] ?? '200');
 
-const raised = async (seed: number): Promise<SimFleet> => {
+const startedFleet = async (seed: number): Promise<SimFleet> => {
   const fleet = new SimFleet({ seed, fronts: 9, replicas: 4 });
   await fleet.up();
   await fleet.world.run(6_000);
@@ -13,45 +13,45 @@
 const isDown = (fleet: SimFleet, node: string, least: number): boolean =>
   fleet.postmasters.filter((postmaster) => postmaster?.verdicts.isDown(node) === true).length >= least;
 
-const fleet = await raised(1);
-const waits: number[] = [];
+const fleet = await startedFleet(1);
+const detectionTimesMs: number[] = [];
 for (let at = 0; at < kills; at += 1) {
   const counter = at % 9;
   fleet.killCounter(counter);
-  waits.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${counter + 1}`, 2)));
+  detectionTimesMs.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${counter + 1}`, 2)));
   await fleet.bootCounter(counter);
   await fleet.world.run(5_000);
 }
-waits.sort((a, b) => a - b);
+detectionTimesMs.sort((a, b) => a - b);
 const at = (share: number): number =>
-  Math.round(waits[Math.min(waits.length - 1, Math.floor(waits.length * share))] ?? 0);
+  Math.round(detectionTimesMs[Math.min(detectionTimesMs.length - 1, Math.floor(detectionTimesMs.length * share))] ?? 0);
 process.stdout.write(`kills ${kills}: told after ms least ${at(0)} median ${at(0.5)} p90 ${at(0.9)} most ${at(1)}\n`);
 
 for (const freezeMs of [300, 600, 1_000, 1_400, 1_800, 2_400]) {
-  const noisy = await raised(2);
+  const noisyFleet = await startedFleet(2);
   let alarms = 0;
   let single = 0;
   for (let round = 0; round < noiseRounds; round += 1) {
-    const hosts = [...noisy.counterHosts, ...noisy.postmasterHosts];
-    const pick = (): string => hosts[Math.floor(noisy.world.random() * hosts.length)] as string;
-    noisy.world.cut(pick(), pick());
-    noisy.world.slow(pick(), pick(), freezeMs);
-    const frozen = noisy.world.machine(pick());
+    const hosts = [...noisyFleet.counterHosts, ...noisyFleet.postmasterHosts];
+    const pick = (): string => hosts[Math.floor(noisyFleet.world.random() * hosts.length)] as string;
+    noisyFleet.world.blockLink(pick(), pick());
+    noisyFleet.world.delayLink(pick(), pick(), freezeMs);
+    const frozen = noisyFleet.world.machine(pick());
     frozen.freeze();
-    await noisy.world.run(freezeMs);
-    for (const postmaster of noisy.postmasters)
+    await noisyFleet.world.run(freezeMs);
+    for (const postmaster of noisyFleet.postmasters)
       for (const line of postmaster?.verdicts.lines() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
     frozen.thaw();
-    await noisy.world.run(1_500);
-    for (const postmaster of noisy.postmasters)
+    await noisyFleet.world.run(1_500);
+    for (const postmaster of noisyFleet.postmasters)
       for (const line of postmaster?.verdicts.lines() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
-    noisy.world.healAll();
+    noisyFleet.world.healAll();
   }
   process.stdout.write(
     `noise ${noiseRounds} rounds of a ${freezeMs} ms freeze, a slow link and a one-way cut: held to be down ${alarms}, missed by one watcher only ${single}\n`,
--- a/packages/test-fleet/src/commands/faultInjectionCommand.ts
+++ b/packages/test-fleet/src/commands/faultInjectionCommand.ts
@@ -1,10 +1,10 @@
 import { availableParallelism } from 'node:os';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
-import { Storm } from '../faults/faultInjectionRun.js';
-import type { StormReport } from '../faults/faultInjectionRun.js';
-import { faultKinds, finalKinds, sizes } from '../faults/faultSchedule.js';
-import type { FaultKind, FinalKind, StormPlan } from '../faults/faultSchedule.js';
+import { FaultInjectionRun } from '../faults/faultInjectionRun.js';
+import type { FaultInjectionReport } from '../faults/faultInjectionRun.js';
+import { faultKinds, permanentLossKinds, deploymentSizes } from '../faults/faultSchedule.js';
+import type { FaultKind, PermanentLossKind, FaultSchedule } from '../faults/faultSchedule.js';
 
 const usage = `seeded storms over the in-memory fleet; every line of the never list is judged
 
@@ -19,31 +19,31 @@
   --verbose      the log of each failing seed
 
 kinds: ${faultKinds.join(', ')}
-finals: ${finalKinds.join(', ')}
+finals: ${permanentLossKinds.join(', ')}
 `;
 
 interface Result {
-  readonly plan: StormPlan;
-  readonly report: StormReport | null;
-  readonly brought: Record<string, number>;
+  readonly plan: FaultSchedule;
+  readonly report: FaultInjectionReport | null;
+  readonly injected: Record<string, number>;
   readonly fault: string;
   readonly lines: readonly string[];
 }
 
-const trial = async (plan: StormPlan): Promise<Result> => {
-  const storm = new Storm(plan);
+const runSchedule = async (plan: FaultSchedule): Promise<Result> => {
+  const run = new FaultInjectionRun(plan);
   const lines = (): string[] =>
-    storm.fleet.world.lines.map(
+    run.fleet.world.logLines.map(
       (line) => `    ${Math.round(line.at)} ${line.machine} ${line.message} ${JSON.stringify(line.context)}`,
     );
   try {
-    const report = await storm.run();
-    return { plan, report, brought: report.brought, fault: '', lines: report.complaints.length > 0 ? lines() : [] };
+    const report = await run.run();
+    return { plan, report, injected: report.injected, fault: '', lines: report.violations.length > 0 ? lines() : [] };
   } catch (cause) {
     return {
       plan,
       report: null,
-      brought: storm.brought,
+      injected: run.injected,
       fault: String((cause as Error).stack ?? cause),
       lines: lines(),
     };
@@ -53,7 +53,7 @@
 const quantile = (sorted: readonly number[], share: number): number =>
   Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
 
-const plainly = (text: string): never => {
+const exitWithUsageError = (text: string): never => {
   process.stderr.write(`${text}\n`);
   process.exit(2);
 };
@@ -61,7 +61,7 @@
 const count = (name: string, raw: string, least: number): number =>
   /^\d+$/.test(raw) && Number(raw) >= least
     ? Number(raw)
-    : plainly(`--${name}: must be a whole number of ${least} or more`);
+    : exitWithUsageError(`--${name}: must be a whole number of ${least} or more`);
 
 const readFlags = () =>
   parseArgs({
@@ -84,7 +84,7 @@
   try {
     parsed = readFlags();
   } catch (cause) {
-    return plainly(String((cause as Error).message));
+    return exitWithUsageError(String((cause as Error).message));
   }
   const { values } = parsed;
   if (values.help === true) {
@@ -94,45 +94,47 @@
   const kinds =
     values.only === undefined ? [...faultKinds] : values.only.split(',').map((kind) => kind.trim() as FaultKind);
   for (const kind of kinds)
-    if (!faultKinds.includes(kind)) plainly(`--only: no such fault: ${kind}\nknown: ${faultKinds.join(', ')}`);
-  if (values.final !== undefined && !finalKinds.includes(values.final as FinalKind))
-    plainly(`--final: no such fault: ${values.final}\nknown: ${finalKinds.join(', ')}`);
+    if (!faultKinds.includes(kind))
+      exitWithUsageError(`--only: no such fault: ${kind}\nknown: ${faultKinds.join(', ')}`);
+  if (values.final !== undefined && !permanentLossKinds.includes(values.final as PermanentLossKind))
+    exitWithUsageError(`--final: no such fault: ${values.final}\nknown: ${permanentLossKinds.join(', ')}`);
   const size =
-    (sizes as Record<string, Partial<StormPlan>>)[values.size] ??
-    plainly(`--size: no such size: ${values.size}\nknown: ${Object.keys(sizes).join(', ')}`);
+    (deploymentSizes as Record<string, Partial<FaultSchedule>>)[values.size] ??
+    exitWithUsageError(`--size: no such size: ${values.size}\nknown: ${Object.keys(deploymentSizes).join(', ')}`);
   const from = count('from', values.from, 0);
   const seeds = Array.from({ length: count('seeds', values.seeds, 1) }, (_, at) => from + at);
-  const more = { ...size, ...(values.final === undefined ? {} : { final: values.final as FinalKind }) };
-  const waiting: StormPlan[] = values.each
+  const more = { ...size, ...(values.final === undefined ? {} : { final: values.final as PermanentLossKind }) };
+  const waiting: FaultSchedule[] = values.each
     ? seeds.flatMap((seed) => kinds.map((kind) => ({ seed, kinds: [kind], faults: 1, spanMs: 14_000, ...more })))
     : seeds.map((seed) => ({ seed, kinds, faults: count('faults', values.faults, 0), ...more }));
-  const storms = waiting.length;
-  const brought: Record<string, number> = {};
+  const total = waiting.length;
+  const injected: Record<string, number> = {};
   const rules: Record<string, number> = {};
-  const finals: Record<string, number> = {};
+  const permanentLosses: Record<string, number> = {};
   const recoveries = new Map<string, (number | null)[]>();
   const shares = new Map<string, [number, number, number, number]>();
   let failing = 0;
   let calls = 0;
-  const note = ({ plan, report, brought: had, fault, lines }: Result): void => {
-    for (const [kind, times] of Object.entries(had)) brought[kind] = (brought[kind] ?? 0) + times;
+  const record = ({ plan, report, injected: injectedHere, fault, lines }: Result): void => {
+    for (const [kind, times] of Object.entries(injectedHere)) injected[kind] = (injected[kind] ?? 0) + times;
     if (report !== null) {
       calls += report.calls;
-      finals[report.final] = (finals[report.final] ?? 0) + 1;
-      for (const told of report.complaints) rules[told.rule] = (rules[told.rule] ?? 0) + 1;
-      for (const span of report.spans)
+      permanentLosses[report.permanentLoss] = (permanentLosses[report.permanentLoss] ?? 0) + 1;
+      for (const violation of report.violations) rules[violation.rule] = (rules[violation.rule] ?? 0) + 1;
+      for (const span of report.intervals)
         recoveries.set(span.kind, [...(recoveries.get(span.kind) ?? []), span.recoveryMs]);
       for (const { tier, during, after } of report.shares) {
         const held = shares.get(tier) ?? [0, 0, 0, 0];
         shares.set(tier, [held[0] + during[0], held[1] + during[1], held[2] + after[0], held[3] + after[1]]);
       }
-      if (report.complaints.length === 0) return;
+      if (report.violations.length === 0) return;
     } else rules['the storm did not end'] = (rules['the storm did not end'] ?? 0) + 1;
     failing += 1;
     process.stdout.write(
-      `seed ${plan.seed}: ${JSON.stringify(had)} ${report === null ? fault : `${report.final} ${JSON.stringify(report.tally)}`}\n`,
+      `seed ${plan.seed}: ${JSON.stringify(injectedHere)} ${report === null ? fault : `${report.permanentLoss} ${JSON.stringify(report.tally)}`}\n`,
     );
-    for (const told of report?.complaints.slice(0, 5) ?? []) process.stdout.write(`  ${told.rule}: ${told.detail}\n`);
+    for (const violation of report?.violations.slice(0, 5) ?? [])
+      process.stdout.write(`  ${violation.rule}: ${violation.detail}\n`);
     if (values.verbose) process.stdout.write(`${lines.join('\n')}\n`);
   };
   const work = (): Promise<void> =>
@@ -144,15 +146,15 @@
         else worker.postMessage(plan);
       };
       worker.on('message', (result: Result) => {
-        note(result);
+        record(result);
         next();
       });
       worker.on('error', fail);
       next();
     });
-  await Promise.all(Array.from({ length: Math.min(storms, count('jobs', values.jobs, 1)) }, work));
+  await Promise.all(Array.from({ length: Math.min(total, count('jobs', values.jobs, 1)) }, work));
   process.stdout.write(
-    `seeds ${from}..${from + seeds.length - 1}, ${values.size}: ${storms} storms, ${calls} calls, ${failing} failing\nbrought: ${JSON.stringify(brought)}\nlost for good: ${JSON.stringify(finals)}\nrules: ${JSON.stringify(rules)}\n`,
+    `seeds ${from}..${from + seeds.length - 1}, ${values.size}: ${total} storms, ${calls} calls, ${failing} failing\nbrought: ${JSON.stringify(injected)}\nlost for good: ${JSON.stringify(permanentLosses)}\nrules: ${JSON.stringify(rules)}\n`,
   );
   for (const [kind, all] of [...recoveries].sort()) {
     const times = all.filter((one) => one !== null).sort((a, b) => a - b);
@@ -169,4 +171,7 @@
 
 if (isMainThread) await run();
 else if (workerData === 'trial')
-  parentPort?.on('message', (plan: StormPlan) => void trial(plan).then((result) => parentPort?.postMessage(result)));
+  parentPort?.on(
+    'message',
+    (plan: FaultSchedule) => void runSchedule(plan).then((result) => parentPort?.postMessage(result)),
+  );
--- a/packages/test-fleet/src/commands/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -1,6 +1,6 @@
 import { parseArgs } from 'node:util';
-import { firms } from '../workload/sampleDeployments.js';
-import { load, summaries } from '../workload/loadGenerator.js';
+import { sampleDeployments } from '../workload/sampleDeployments.js';
+import { generateLoad, summaries } from '../workload/loadGenerator.js';
 import { LocalFleet } from '../processes/localFleet.js';
 
 const { values } = parseArgs({
@@ -34,13 +34,13 @@
   process.exit(0);
 }
 
-const firm = firms[values.firm];
-if (firm === undefined) {
+const deployment = sampleDeployments[values.firm];
+if (deployment === undefined) {
   process.stderr.write(`no such firm: ${values.firm}\n`);
   process.exit(2);
 }
 const fleet = new LocalFleet(
-  firm,
+  deployment,
   values.folder,
   Number(values.net),
   9,
@@ -66,18 +66,18 @@
 }
 const seconds = Number(values.seconds);
 if (seconds > 0) {
-  const outcomes = await load({
+  const outcomes = await generateLoad({
     hosts: fleet.counterHosts,
-    ratePerSecond: values.rate === undefined ? firm.ratePerSecond : Number(values.rate),
+    ratePerSecond: values.rate === undefined ? deployment.ratePerSecond : Number(values.rate),
     seconds,
     seed: Number(values.seed),
     weights: () => ['weights-1'],
     longShare: Number(values.long),
   });
   process.stdout.write(
-    `${JSON.stringify(summaries.verdicts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nstand-ins: ${JSON.stringify(await fleet.totals())}\n`,
+    `${JSON.stringify(summaries.verdicts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nstand-ins: ${JSON.stringify(await fleet.replicaTotals())}\n`,
   );
-  process.stdout.write(`${(await fleet.vitals()).join('\n')}\n`);
+  process.stdout.write(`${(await fleet.processMetrics()).join('\n')}\n`);
   if (values.profile !== undefined) await fleet.signal(values.profile, 'SIGTERM');
   await quit(0);
 }
--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -1,11 +1,11 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
 import { carriages } from '@martenworks/upstream';
-import { firms, keyOf, plans, seeded } from '../workload/sampleDeployments.js';
+import { sampleDeployments, keyOf, sampleWorkload, seeded } from '../workload/sampleDeployments.js';
 import { LocalFleet } from '../processes/localFleet.js';
 import type { Reply } from '../processes/localFleet.js';
-import { Judge } from '../invariants/invariantChecker.js';
-import type { Life, Scene, Told } from '../invariants/invariantChecker.js';
+import { InvariantChecker } from '../invariants/invariantChecker.js';
+import type { ReplicaIncarnation, ObservedFleet, Violation } from '../invariants/invariantChecker.js';
 
 const faultKinds = [
   'counter killed',
@@ -30,7 +30,7 @@
   'key revoked from held streams',
 ] as const;
 type FaultKind = (typeof faultKinds)[number];
-const finals = ['counter lost', 'front of a zone lost', 'postmaster lost', 'replica lost'] as const;
+const permanentLossKinds = ['counter lost', 'front of a zone lost', 'postmaster lost', 'replica lost'] as const;
 
 const usage = `faults on a real local fleet under load: kills, freezes, wiped disks, roll-outs, and cuts through relays of ours;
 judged by the simulator's rules from the callers' side and the stand-ins' records
@@ -53,7 +53,7 @@
   },
 });
 
-const plainly = (text: string): never => {
+const exitWithUsageError = (text: string): never => {
   process.stderr.write(`${text}\n`);
   process.exit(2);
 };
@@ -63,8 +63,9 @@
   process.exit(0);
 }
 
-const firm =
-  firms[values.firm] ?? plainly(`--firm: no such firm: ${values.firm}\nknown: ${Object.keys(firms).join(', ')}`);
+const deployment =
+  sampleDeployments[values.firm] ??
+  exitWithUsageError(`--firm: no such firm: ${values.firm}\nknown: ${Object.keys(sampleDeployments).join(', ')}`);
 const kinds: readonly FaultKind[] =
   values.only === undefined
     ? faultKinds
@@ -73,41 +74,41 @@
         .map(
           (one) =>
             faultKinds.find((kind) => kind === one.trim()) ??
-            plainly(`--only: no such fault: ${one}\nknown: ${faultKinds.join(', ')}`),
+            exitWithUsageError(`--only: no such fault: ${one}\nknown: ${faultKinds.join(', ')}`),
         );
 const numbers = {
   seconds: Number(values.seconds),
-  rate: Number(values.rate ?? firm.ratePerSecond),
+  rate: Number(values.rate ?? deployment.ratePerSecond),
   seed: Number(values.seed),
   net: Number(values.net),
 };
 for (const [name, value] of Object.entries(numbers))
-  if (!Number.isInteger(value) || value < 1) plainly(`--${name}: must be a whole number of 1 or more`);
+  if (!Number.isInteger(value) || value < 1) exitWithUsageError(`--${name}: must be a whole number of 1 or more`);
 
-const inForceMs = 2_000;
+const propagationMs = 2_000;
 const settleMs = 12_000;
 const random = seeded(numbers.seed * 7919);
 const pick = (count: number): number => Math.floor(random() * count);
-const span = (low: number, high: number): number => low + random() * (high - low);
+const randomBetween = (low: number, high: number): number => low + random() * (high - low);
 const now = (): number => performance.timeOrigin + performance.now();
 
-const fleet = new LocalFleet(firm, values.folder, numbers.net, 9, [], null, true);
+const fleet = new LocalFleet(deployment, values.folder, numbers.net, 9, [], null, true);
 const outside = carriages.real(null);
-let lives: readonly Life[] = [];
-const scene: Scene = {
+let replicaIncarnations: readonly ReplicaIncarnation[] = [];
+const observed: ObservedFleet = {
   counterHosts: fleet.counterHosts,
   now,
   random,
   after: (delayMs, ring) => void setTimeout(ring, delayMs),
   outside: () => outside,
-  lives: () => lives,
+  replicaIncarnations: () => replicaIncarnations,
 };
-const judge = new Judge(scene, `${numbers.seed}-`);
-const brought: Record<string, number> = {};
-const late: Told[] = [];
+const checker = new InvariantChecker(observed, `${numbers.seed}-`);
+const injected: Record<string, number> = {};
+const violations: Violation[] = [];
 let changes = 0;
 
-const ask = (
+const callControlNode = (
   at: number,
   method: 'GET' | 'POST' | 'PATCH' | 'DELETE',
   path: string,
@@ -118,7 +119,7 @@
     .call(`${fleet.postmasterHosts[at]}:7101`, method, path, body, headers)
     .catch((): Reply => ({ status: 0, body: {} }));
 
-const untilTaken = async (tell: (at: number) => Promise<Reply>): Promise<void> => {
+const retryUntilAccepted = async (tell: (at: number) => Promise<Reply>): Promise<void> => {
   for (let shot = 0; shot < 300; shot += 1) {
     if ((await tell(pick(3))).status === 200) return;
     await sleep(200);
@@ -129,7 +130,7 @@
 const baseAt = async (): Promise<{ at: number; base: number }> => {
   for (;;) {
     const at = pick(3);
-    const held = await ask(at, 'GET', '/operator/layout');
+    const held = await callControlNode(at, 'GET', '/operator/layout');
     if (held.status === 200) return { at, base: Number(held.body.generation) };
     await sleep(100);
   }
@@ -139,17 +140,17 @@
   const { at, base } = await baseAt();
   const id = `real-${++changes}`;
   for (let shot = 0; ; shot += 1) {
-    const told = await ask(shot === 0 ? at : pick(3), 'PATCH', '/operator/layout', part, {
+    const violations = await callControlNode(shot === 0 ? at : pick(3), 'PATCH', '/operator/layout', part, {
       'if-match': `"${base}"`,
       'change-id': id,
     });
-    if (told.status === 200) {
-      judge.acceptedIds.set(id, Number(told.body.generation));
+    if (violations.status === 200) {
+      checker.acceptedIds.set(id, Number(violations.body.generation));
       if (isLastWord && shot === 0) await restartPostmaster(at, false);
       return true;
     }
-    if (told.status === 409 || told.status === 422) {
-      judge.refusedIds.add(id);
+    if (violations.status === 409 || violations.status === 422) {
+      checker.refusedIds.add(id);
       return false;
     }
     await sleep(150);
@@ -159,65 +160,69 @@
 const restartPostmaster = async (at: number, isWiped: boolean): Promise<void> => {
   await fleet.signal(`postmaster-${at + 1}`, 'SIGKILL');
   if (isWiped) fleet.wipePostmaster(at);
-  await sleep(span(300, 2_000));
+  await sleep(randomBetween(300, 2_000));
   fleet.startPostmaster(at);
   await fleet.until(
     `postmaster ${at + 1} votes`,
-    async () => (await ask(at, 'GET', '/operator/status')).body.voter === true,
+    async () => (await callControlNode(at, 'GET', '/operator/status')).body.voter === true,
     40_000,
   );
 };
 
 const freeze = async (name: string, longest: number): Promise<void> => {
   await fleet.signal(name, 'SIGSTOP');
-  await sleep(span(500, longest));
+  await sleep(randomBetween(500, longest));
   await fleet.signal(name, 'SIGCONT');
 };
 
 const replaceReplica = async (name: string): Promise<void> => {
-  await fleet.riseReplica(name);
-  await untilTaken((at) => ask(at, 'POST', '/platform/replicas', [fleet.announcement(name)]));
+  await fleet.restartReplica(name);
+  await retryUntilAccepted((at) => callControlNode(at, 'POST', '/platform/replicas', [fleet.announcement(name)]));
 };
 
 const grantAndRevoke = async (): Promise<void> => {
-  const tenant = plans.tenantNames[pick(8)] as string;
+  const tenant = sampleWorkload.tenantNames[pick(8)] as string;
   const key = `held-key-${++changes}`;
-  const grant = judge.grant(key, tenant);
-  await untilTaken((at) => ask(at, 'POST', '/platform/clients', { tenant, key }, { 'change-id': `grant-${key}` }));
+  const grant = checker.grant(key, tenant);
+  await retryUntilAccepted((at) =>
+    callControlNode(at, 'POST', '/platform/clients', { tenant, key }, { 'change-id': `grant-${key}` }),
+  );
   const stopAt = now() + 9_000;
-  const talk = (): void => {
+  const sendNext = (): void => {
     if (now() >= stopAt) return;
-    judge.send({ ...plans.ask(random, judge.calls.length, 0), key, tenant, maxTokens: 300 }, pick(9));
-    setTimeout(talk, 200);
+    checker.send({ ...sampleWorkload.request(random, checker.calls.length, 0), key, tenant, maxTokens: 300 }, pick(9));
+    setTimeout(sendNext, 200);
   };
-  talk();
+  sendNext();
   await sleep(3_000);
-  await untilTaken((at) => ask(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` }));
+  await retryUntilAccepted((at) =>
+    callControlNode(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` }),
+  );
   grant.to = now();
-  const held = judge.calls.filter((call) => call.ask.key === key && call.verdict === 'open');
-  await sleep(inForceMs);
+  const held = checker.calls.filter((call) => call.request.key === key && call.outcome === 'open');
+  await sleep(propagationMs);
   for (const call of held)
-    if (call.verdict === 'open' || call.verdict === 'whole')
-      late.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.verdict}` });
+    if (call.outcome === 'open' || call.outcome === 'whole')
+      violations.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.outcome}` });
 };
 
 const probe = async (): Promise<void> => {
   const name = `probe-${++changes}`;
-  const tier = Object.keys(plans.tiers)[pick(3)] as string;
+  const tier = Object.keys(sampleWorkload.tiers)[pick(3)] as string;
   const repeat = random() < 0.5 ? 'once' : 'freely';
-  const isTaken = await change(judge.probed(name, tier, repeat));
+  const isTaken = await change(checker.probeChange(name, tier, repeat));
   for (let round = 0; round < 2; round += 1) {
-    await sleep(inForceMs);
-    judge.probeAll(name, name, isTaken, tier, repeat);
+    await sleep(propagationMs);
+    checker.probeEveryGateway(name, name, isTaken, tier, repeat);
   }
 };
 
 const newWeights = async (): Promise<void> => {
-  const weights = `weights-${judge.weightsFrom.length}`;
+  const weights = `weights-${checker.weightsChanges.length}`;
   const marker = { offeredAt: now(), at: Number.POSITIVE_INFINITY, pool: 'main', weights };
-  judge.weightsFrom.push(marker);
+  checker.weightsChanges.push(marker);
   if (await change({ pools: { main: { weights } } })) marker.at = now();
-  else judge.weightsFrom.splice(judge.weightsFrom.indexOf(marker), 1);
+  else checker.weightsChanges.splice(checker.weightsChanges.indexOf(marker), 1);
 };
 
 const rollEach = async (
@@ -228,8 +233,8 @@
   for (const [at, host] of hosts.entries()) {
     const name = `${role}-${at + 1}`;
     await fleet.until(`${name} is up`, () => fleet.isReady(host));
-    const code = await fleet.signal(name, 'SIGTERM');
-    if (code !== 0) late.push({ rule: 'a roll-out was not clean', detail: `${name} ended with ${code}` });
+    const exitCode = await fleet.signal(name, 'SIGTERM');
+    if (exitCode !== 0) violations.push({ rule: 'a roll-out was not clean', detail: `${name} ended with ${exitCode}` });
     start(at);
     await fleet.until(`${name} is back`, () => fleet.isReady(host));
   }
@@ -240,19 +245,19 @@
   await rollEach('postmaster', fleet.postmasterHosts, fleet.startPostmaster);
 };
 
-const bring = async (kind: FaultKind): Promise<void> => {
+const inject = async (kind: FaultKind): Promise<void> => {
   const counter = pick(9);
   const postmaster = pick(3);
-  const name = `replica-${pick(firm.replicaCount) + 1}`;
-  const [connection, replica] = [fleet.coachRelays[postmaster], fleet.replicaRelays.get(name)];
+  const name = `replica-${pick(deployment.replicaCount) + 1}`;
+  const [connection, replica] = [fleet.peerProxies[postmaster], fleet.replicaProxies.get(name)];
   switch (kind) {
     case 'counter killed':
       await fleet.signal(`counter-${counter + 1}`, 'SIGKILL');
-      await sleep(span(300, 2_000));
+      await sleep(randomBetween(300, 2_000));
       return void fleet.startCounter(counter);
     case 'counters killed in a herd':
       await Promise.all(fleet.counterHosts.map((_, at) => fleet.signal(`counter-${at + 1}`, 'SIGKILL')));
-      await sleep(span(300, 1_500));
+      await sleep(randomBetween(300, 1_500));
       return fleet.counterHosts.forEach((_, at) => void fleet.startCounter(at));
     case 'counter frozen':
       return freeze(`counter-${counter + 1}`, 6_000);
@@ -262,7 +267,7 @@
       return restartPostmaster(postmaster, true);
     case 'postmasters killed in a herd':
       await Promise.all([0, 1, 2].map((at) => fleet.signal(`postmaster-${at + 1}`, 'SIGKILL')));
-      await sleep(span(300, 1_500));
+      await sleep(randomBetween(300, 1_500));
       return [0, 1, 2].forEach((at) => void fleet.startPostmaster(at));
     case 'postmaster frozen':
       return freeze(`postmaster-${postmaster + 1}`, 4_000);
@@ -270,36 +275,37 @@
       return void (await change({ tiers: { steady: { rank: 1, horizonMs: 20_000 + pick(1_000) } } }, true));
     case 'replica killed and replaced':
       await fleet.killReplica(name);
-      await sleep(span(300, 2_500));
+      await sleep(randomBetween(300, 2_500));
       return replaceReplica(name);
     case 'replica leaves and is replaced': {
       const incarnation = fleet.incarnationOf(name);
-      await untilTaken((at) => ask(at, 'POST', `/platform/replicas/${name}/leaving`));
-      judge.leftAt.push({ name, incarnation, at: now() });
+      await retryUntilAccepted((at) => callControlNode(at, 'POST', `/platform/replicas/${name}/leaving`));
+      checker.drainingSince.push({ name, incarnation, at: now() });
       await sleep(4_000);
       await fleet.killReplica(name);
       return replaceReplica(name);
     }
     case 'replica silent':
-      replica?.cut('*');
-      await sleep(span(500, 5_000));
+      replica?.block('*');
+      await sleep(randomBetween(500, 5_000));
       return replica?.heal();
     case 'replica slow to reach':
-      if (replica !== undefined) replica.slowMs = span(100, 600);
-      await sleep(span(500, 5_000));
+      if (replica !== undefined) replica.delayMs = randomBetween(100, 600);
+      await sleep(randomBetween(500, 5_000));
       return replica?.heal();
     case 'postmaster link cut':
-      connection?.cut('*');
-      await sleep(span(500, 5_000));
+      connection?.block('*');
+      await sleep(randomBetween(500, 5_000));
       return connection?.heal();
     case 'postmaster link slow':
-      if (connection !== undefined) connection.slowMs = span(50, 400);
-      await sleep(span(1_000, 5_000));
+      if (connection !== undefined) connection.delayMs = randomBetween(50, 400);
+      await sleep(randomBetween(1_000, 5_000));
       return connection?.heal();
     case 'counter cut from two postmasters':
-      for (const relay of fleet.coachRelays) if (relay !== connection) relay.cut(fleet.counterHosts[counter] as string);
-      await sleep(span(1_000, 5_000));
-      return fleet.coachRelays.forEach((relay) => {
+      for (const relay of fleet.peerProxies)
+        if (relay !== connection) relay.block(fleet.counterHosts[counter] as string);
+      await sleep(randomBetween(1_000, 5_000));
+      return fleet.peerProxies.forEach((relay) => {
         relay.heal();
       });
     case 'whole fleet rolled out':
@@ -319,90 +325,95 @@
   }
 };
 
-const bringFinal = async (): Promise<string> => {
-  const final = finals[pick(finals.length)] as (typeof finals)[number];
+const injectPermanentLoss = async (): Promise<string> => {
+  const final = permanentLossKinds[pick(permanentLossKinds.length)] as (typeof permanentLossKinds)[number];
   const zone = pick(3);
   const lose = async (at: number): Promise<void> => {
     await fleet.signal(`counter-${at + 1}`, 'SIGKILL');
-    judge.gone.add(at);
+    checker.lostGateways.add(at);
   };
   if (final === 'counter lost') await lose(pick(9));
   else if (final === 'front of a zone lost') await Promise.all([0, 3, 6].map((at) => lose(at + zone)));
   else if (final === 'postmaster lost') await fleet.signal(`postmaster-${zone + 1}`, 'SIGKILL');
   else {
-    const name = `replica-${pick(firm.replicaCount) + 1}`;
+    const name = `replica-${pick(deployment.replicaCount) + 1}`;
     await fleet.killReplica(name);
-    await untilTaken((at) => ask(at, 'DELETE', `/platform/replicas/${name}`));
+    await retryUntilAccepted((at) => callControlNode(at, 'DELETE', `/platform/replicas/${name}`));
   }
   return final;
 };
 
-const lostChanges = async (): Promise<Told[]> => {
-  const told: Told[] = [];
+const lostChanges = async (): Promise<Violation[]> => {
+  const violations: Violation[] = [];
   for (const at of [0, 1, 2]) {
-    if ((await ask(at, 'GET', '/healthz')).status !== 200) continue;
-    for (const [id, generation] of judge.acceptedIds) {
-      const known = await ask(at, 'GET', `/operator/changes/${id}`);
+    if ((await callControlNode(at, 'GET', '/healthz')).status !== 200) continue;
+    for (const [id, generation] of checker.acceptedIds) {
+      const known = await callControlNode(at, 'GET', `/operator/changes/${id}`);
       if (known.status !== 200 || known.body.generation !== generation)
-        told.push({ rule: 'an accepted change is lost', detail: `${id} at postmaster ${at + 1}: ${known.status}` });
+        violations.push({
+          rule: 'an accepted change is lost',
+          detail: `${id} at postmaster ${at + 1}: ${known.status}`,
+        });
     }
-    for (const id of judge.refusedIds)
-      if ((await ask(at, 'GET', `/operator/changes/${id}`)).status === 200)
-        told.push({ rule: 'a losing change took effect', detail: id });
+    for (const id of checker.refusedIds)
+      if ((await callControlNode(at, 'GET', `/operator/changes/${id}`)).status === 200)
+        violations.push({ rule: 'a losing change took effect', detail: id });
   }
-  return told;
+  return violations;
 };
 
-let code = 1;
+let exitCode = 1;
 try {
-  const layout = plans.layout('weights-1');
+  const layout = sampleWorkload.layout('weights-1');
   const tenants = {
     ...(layout.tenants as Record<string, unknown>),
-    [plans.prober]: { tier: 'patient', lanes: ['query'] },
+    [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
   };
-  await fleet.up({ ...layout, tenants }, [...plans.tenantNames, plans.prober]);
-  for (const tenant of [...plans.tenantNames, plans.prober]) judge.grant(keyOf(tenant), tenant);
-  judge.traffic(numbers.rate, numbers.seconds * 1_000, undefined, true);
-  judge.keyedTraffic(4, numbers.seconds * 1_000);
+  await fleet.up({ ...layout, tenants }, [...sampleWorkload.tenantNames, sampleWorkload.prober]);
+  for (const tenant of [...sampleWorkload.tenantNames, sampleWorkload.prober]) checker.grant(keyOf(tenant), tenant);
+  checker.traffic(numbers.rate, numbers.seconds * 1_000, undefined, true);
+  checker.keyedTraffic(4, numbers.seconds * 1_000);
   const endAt = now() + numbers.seconds * 1_000 - settleMs - 4_000;
   while (now() < endAt) {
     const kind = kinds[pick(kinds.length)] as FaultKind;
-    brought[kind] = (brought[kind] ?? 0) + 1;
-    await bring(kind);
-    await sleep(span(100, 800));
+    injected[kind] = (injected[kind] ?? 0) + 1;
+    await inject(kind);
+    await sleep(randomBetween(100, 800));
   }
-  const final = await bringFinal();
+  const final = await injectPermanentLoss();
   const begin = now();
   await fleet.until('every counter ready', async () =>
-    (await Promise.all(judge.living().map((at) => fleet.isReady(fleet.counterHosts[at] as string)))).every(Boolean),
+    (await Promise.all(checker.liveGateways().map((at) => fleet.isReady(fleet.counterHosts[at] as string)))).every(
+      Boolean,
+    ),
   );
   const backMs = now() - begin;
   await sleep(Math.max(0, settleMs - backMs));
   const probesFrom = now();
-  judge.traffic(50, 3_000);
+  checker.traffic(50, 3_000);
   await fleet
     .until(
       'all calls ended',
       async () =>
-        now() - probesFrom > 4_000 && judge.calls.every((call) => call.verdict !== 'open' && call.endedAt > 0),
+        now() - probesFrom > 4_000 && checker.calls.every((call) => call.outcome !== 'open' && call.endedAt > 0),
       90_000,
     )
     .catch(() => 0);
-  lives = await fleet.lives();
-  const after = judge.calls.filter((call) => call.sentAt >= probesFrom);
-  const whole = after.filter((call) => call.verdict === 'whole').length;
+  replicaIncarnations = await fleet.replicaIncarnations();
+  const after = checker.calls.filter((call) => call.sentAt >= probesFrom);
+  const whole = after.filter((call) => call.outcome === 'whole').length;
   if (whole < after.length * 0.95)
-    late.push({ rule: 'service still mostly absent', detail: `${whole} of ${after.length}` });
-  for (const call of judge.calls)
-    if (call.verdict === 'open') late.push({ rule: 'a call never ended', detail: call.requestId });
-  const told = [...judge.complaints(), ...late, ...(await lostChanges())];
+    violations.push({ rule: 'service still mostly absent', detail: `${whole} of ${after.length}` });
+  for (const call of checker.calls)
+    if (call.outcome === 'open') violations.push({ rule: 'a call never ended', detail: call.requestId });
+  const allViolations = [...checker.violations(), ...violations, ...(await lostChanges())];
   process.stdout.write(
-    `seed ${numbers.seed}, ${values.firm}: ${judge.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(brought)}\nlost for good: ${final}\ncalls: ${JSON.stringify(judge.tally())}\nready again ${Math.round(backMs)} ms after the last fault; 12 s after it ${whole} of ${after.length} whole\n`,
+    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${final}\ncalls: ${JSON.stringify(checker.tally())}\nready again ${Math.round(backMs)} ms after the last fault; 12 s after it ${whole} of ${after.length} whole\n`,
   );
-  for (const { rule, detail } of told.slice(0, 20)) process.stdout.write(`${rule}: ${detail}\n`);
-  process.stdout.write(told.length === 0 ? 'no rule broken\n' : `${told.length} breaches\n`);
-  code = told.length === 0 ? 0 : 1;
+  for (const { rule, detail } of allViolations.slice(0, 20)) process.stdout.write(`${rule}: ${detail}\n`);
+  process.stdout.write(allViolations.length === 0 ? 'no rule broken\n' : `${allViolations.length} breaches\n`);
+  exitCode = allViolations.length === 0 ? 0 : 1;
 } finally {
   await fleet.down();
 }
-process.exit(code);
+process.exit(exitCode);
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -1,46 +1,46 @@
-import { keyOf, plans } from '../workload/sampleDeployments.js';
-import { Judge } from '../invariants/invariantChecker.js';
-import type { Call, Told } from '../invariants/invariantChecker.js';
+import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
+import { InvariantChecker } from '../invariants/invariantChecker.js';
+import type { Call, Violation } from '../invariants/invariantChecker.js';
 import { SimFleet } from '../simulator/simFleet.js';
-import { statePlaints } from '../invariants/stateInvariants.js';
-import { bringFinal } from './permanentLosses.js';
-import { caches } from './cacheFaults.js';
-import { clients } from './tenantChanges.js';
-import { clocks } from './clockFaults.js';
-import { confirmations } from './crashesAfterAcknowledgement.js';
-import { cuts } from './networkPartitions.js';
-import { disks } from './diskFaults.js';
+import { stateViolations } from '../invariants/stateInvariants.js';
+import { injectPermanentLoss } from './permanentLosses.js';
+import { cacheFaults } from './cacheFaults.js';
+import { tenantChanges } from './tenantChanges.js';
+import { clockFaults } from './clockFaults.js';
+import { crashesAfterAcknowledgement } from './crashesAfterAcknowledgement.js';
+import { networkPartitions } from './networkPartitions.js';
+import { diskFaults } from './diskFaults.js';
 import { FaultContext } from './faultContext.js';
-import { freezes } from './processPauses.js';
-import { kills } from './crashes.js';
-import { members } from './memberReplacements.js';
-import { operators } from './configurationChanges.js';
-import { replies } from './responseFaults.js';
-import { stops } from './gracefulShutdowns.js';
+import { processPauses } from './processPauses.js';
+import { crashes } from './crashes.js';
+import { memberReplacements } from './memberReplacements.js';
+import { configurationChanges } from './configurationChanges.js';
+import { responseFaults } from './responseFaults.js';
+import { gracefulShutdowns } from './gracefulShutdowns.js';
 import type { Injections } from './faultContext.js';
-import { faultKinds, finalKinds, stormLayout } from './faultSchedule.js';
-import type { FaultKind, FinalKind, StormPlan } from './faultSchedule.js';
+import { faultKinds, permanentLossKinds, initialLayout } from './faultSchedule.js';
+import type { FaultKind, PermanentLossKind, FaultSchedule } from './faultSchedule.js';
 
-export interface StormReport {
+export interface FaultInjectionReport {
   readonly seed: number;
   readonly digest: number;
-  readonly brought: Record<string, number>;
-  readonly complaints: Told[];
+  readonly injected: Record<string, number>;
+  readonly violations: Violation[];
   readonly tally: Record<string, number>;
   readonly calls: number;
-  readonly final: FinalKind;
-  readonly spans: readonly Span[];
-  readonly shares: readonly Share[];
+  readonly permanentLoss: PermanentLossKind;
+  readonly intervals: readonly FaultInterval[];
+  readonly shares: readonly ServedShare[];
 }
 
-interface Span {
+interface FaultInterval {
   readonly kind: FaultKind;
   readonly from: number;
   readonly to: number;
   readonly recoveryMs: number | null;
 }
 
-export interface Share {
+export interface ServedShare {
   readonly tier: string;
   readonly during: readonly [whole: number, all: number];
   readonly after: readonly [whole: number, all: number];
@@ -51,100 +51,101 @@
 const serviceWindowMs = 1_000;
 
 const injectionsOf = (context: FaultContext): Required<Injections> => ({
-  ...caches(context),
-  ...clients(context),
-  ...clocks(context),
-  ...confirmations(context),
-  ...cuts(context),
-  ...disks(context),
-  ...freezes(context),
-  ...kills(context),
-  ...members(context),
-  ...operators(context),
-  ...replies(context),
-  ...stops(context),
+  ...cacheFaults(context),
+  ...tenantChanges(context),
+  ...clockFaults(context),
+  ...crashesAfterAcknowledgement(context),
+  ...networkPartitions(context),
+  ...diskFaults(context),
+  ...processPauses(context),
+  ...crashes(context),
+  ...memberReplacements(context),
+  ...configurationChanges(context),
+  ...responseFaults(context),
+  ...gracefulShutdowns(context),
 });
 
-export class Storm {
+export class FaultInjectionRun {
   readonly fleet: SimFleet;
-  readonly judge: Judge;
-  readonly brought: Record<string, number> = {};
-  private readonly open = new Set<Promise<void>>();
+  readonly checker: InvariantChecker;
+  readonly injected: Record<string, number> = {};
+  private readonly activeFaults = new Set<Promise<void>>();
   private readonly context: FaultContext;
   private readonly injections: Required<Injections>;
-  private readonly spans: { kind: FaultKind; from: number; to: number }[] = [];
+  private readonly intervals: { kind: FaultKind; from: number; to: number }[] = [];
 
-  constructor(private readonly plan: StormPlan) {
+  constructor(private readonly schedule: FaultSchedule) {
     this.fleet = new SimFleet({
-      seed: plan.seed,
-      fronts: plan.fronts ?? 4,
-      replicas: plan.replicas ?? 6,
+      seed: schedule.seed,
+      fronts: schedule.fronts ?? 4,
+      replicas: schedule.replicas ?? 6,
       hasStore: true,
-      layout: stormLayout(plan.seed),
-      tenants: [...plans.tenantNames, plans.prober],
-      ...plan.breakage,
+      layout: initialLayout(schedule.seed),
+      tenants: [...sampleWorkload.tenantNames, sampleWorkload.prober],
+      ...schedule.overrides,
     });
-    this.judge = new Judge(this.fleet);
-    this.context = new FaultContext(this.fleet, this.judge);
+    this.checker = new InvariantChecker(this.fleet);
+    this.context = new FaultContext(this.fleet, this.checker);
     this.injections = injectionsOf(this.context);
   }
 
-  readonly run = async (): Promise<StormReport> => {
-    const { fleet, judge, plan } = this;
+  readonly run = async (): Promise<FaultInjectionReport> => {
+    const { fleet, checker, schedule } = this;
     const { world } = fleet;
     await fleet.up();
-    for (const tenant of [...plans.tenantNames, plans.prober]) judge.grant(keyOf(tenant), tenant);
-    const spanMs = plan.spanMs ?? 20_000;
-    const kinds = plan.kinds ?? faultKinds;
-    const count = plan.faults ?? 6;
-    const final = plan.final ?? (finalKinds[this.context.pick(finalKinds.length)] as FinalKind);
-    judge.traffic(plan.ratePerSecond ?? 25, spanMs + settleMs + 3_000, plan.longShare ?? 0.1, true);
-    judge.keyedTraffic(4, spanMs + settleMs);
+    for (const tenant of [...sampleWorkload.tenantNames, sampleWorkload.prober]) checker.grant(keyOf(tenant), tenant);
+    const spanMs = schedule.spanMs ?? 20_000;
+    const kinds = schedule.kinds ?? faultKinds;
+    const count = schedule.faults ?? 6;
+    const permanentLoss =
+      schedule.permanentLoss ?? (permanentLossKinds[this.context.pick(permanentLossKinds.length)] as PermanentLossKind);
+    checker.traffic(schedule.ratePerSecond ?? 25, spanMs + settleMs + 3_000, schedule.longShare ?? 0.1, true);
+    checker.keyedTraffic(4, spanMs + settleMs);
     for (let at = 0; at < count; at += 1) {
       const kind = kinds[this.context.pick(kinds.length)] as FaultKind;
-      world.plan(null, this.context.span(500, spanMs * 0.7), () => this.bring(kind));
+      world.schedule(null, this.context.randomBetween(500, spanMs * 0.7), () => this.inject(kind));
     }
     await world.run(spanMs);
-    await world.until('the faults to pass', () => this.open.size === 0, 90_000);
+    await world.until('the faults to pass', () => this.activeFaults.size === 0, 90_000);
     world.healAll();
-    await fleet.finish(bringFinal(this.context, final), 60_000);
+    await fleet.finish(injectPermanentLoss(this.context, permanentLoss), 60_000);
     const healedAt = world.time;
     await world.run(settleMs);
-    const probesFrom = world.time;
-    judge.traffic(20, 2_000);
+    const probesStartedAt = world.time;
+    checker.traffic(20, 2_000);
     await world.run(45_000);
-    const complaints = [
-      ...judge.complaints(),
-      ...statePlaints(this.fleet, this.judge),
-      ...this.context.late,
-      ...this.recoveryPlaints(healedAt, probesFrom),
+    const violations = [
+      ...checker.violations(),
+      ...stateViolations(this.fleet, this.checker),
+      ...this.context.violations,
+      ...this.recoveryViolations(healedAt, probesStartedAt),
     ];
-    const spans = this.spans.map((span) => ({ ...span, recoveryMs: this.recoveryOf(span.to) }));
+    const intervals = this.intervals.map((span) => ({ ...span, recoveryMs: this.recoveryTime(span.to) }));
     return {
-      seed: plan.seed,
+      seed: schedule.seed,
       digest: world.digest,
-      brought: this.brought,
-      complaints,
-      tally: judge.tally(),
-      calls: judge.calls.length,
-      final,
-      spans,
+      injected: this.injected,
+      violations,
+      tally: checker.tally(),
+      calls: checker.calls.length,
+      permanentLoss,
+      intervals,
       shares: this.shares(),
     };
   };
 
-  private readonly isServed = (call: Call): boolean => call.verdict === 'whole';
+  private readonly isServed = (call: Call): boolean => call.outcome === 'whole';
 
   private readonly counted = (): Call[] =>
-    this.judge.calls.filter(
+    this.checker.calls.filter(
       (call) =>
         call.idempotencyKey === null &&
-        call.ask.key === keyOf(call.ask.tenant) &&
-        call.ask.tenant !== plans.prober &&
-        !call.isLeft,
+        call.request.key === keyOf(call.request.tenant) &&
+        call.request.tenant !== sampleWorkload.prober &&
+        !call.isAborted,
     );
 
-  private readonly recoveryOf = (to: number): number | null => {
+  private readonly recoveryTime = (to: number): number | null => {
     const calls = this.counted();
     for (let at = to; at < to + settleMs; at += 100) {
       const some = calls.filter((call) => call.sentAt >= at && call.sentAt < at + serviceWindowMs);
@@ -153,13 +154,13 @@
     return null;
   };
 
-  private readonly shares = (): Share[] => {
+  private readonly shares = (): ServedShare[] => {
     const calls = this.counted();
     const isDuring = (call: Call): boolean =>
-      this.spans.some(({ from, to }) => call.sentAt >= from && call.sentAt <= to);
-    const isAfter = (call: Call): boolean => !isDuring(call) && this.spans.some(({ to }) => call.sentAt > to);
-    return Object.keys(plans.tiers).flatMap((tier) => {
-      const some = calls.filter((call) => call.ask.tier === tier);
+      this.intervals.some(({ from, to }) => call.sentAt >= from && call.sentAt <= to);
+    const isAfter = (call: Call): boolean => !isDuring(call) && this.intervals.some(({ to }) => call.sentAt > to);
+    return Object.keys(sampleWorkload.tiers).flatMap((tier) => {
+      const some = calls.filter((call) => call.request.tier === tier);
       const count = (is: (call: Call) => boolean): [number, number] => [
         some.filter((call) => is(call) && this.isServed(call)).length,
         some.filter(is).length,
@@ -168,38 +169,40 @@
     });
   };
 
-  private readonly recoveryPlaints = (healedAt: number, probesFrom: number): Told[] => {
-    const probes = this.judge.calls.filter((call) => call.sentAt >= probesFrom && call.sentAt < probesFrom + 2_000);
-    const whole = probes.filter((call) => call.verdict === 'whole').length;
-    const told: Told[] =
+  private readonly recoveryViolations = (healedAt: number, probesStartedAt: number): Violation[] => {
+    const probes = this.checker.calls.filter(
+      (call) => call.sentAt >= probesStartedAt && call.sentAt < probesStartedAt + 2_000,
+    );
+    const whole = probes.filter((call) => call.outcome === 'whole').length;
+    const violations: Violation[] =
       whole < probes.length * 0.8
         ? [
             {
               rule: 'service still mostly absent',
-              detail: `${whole} of ${probes.length} whole ${Math.round(probesFrom - healedAt)} ms after healing`,
+              detail: `${whole} of ${probes.length} whole ${Math.round(probesStartedAt - healedAt)} ms after healing`,
             },
           ]
         : [];
-    for (const call of this.judge.calls)
-      if (call.verdict === 'open') told.push({ rule: 'a call never ended', detail: call.requestId });
-    const generations = new Set(this.judge.living().map((at) => this.fleet.counters[at]?.book.generation()));
+    for (const call of this.checker.calls)
+      if (call.outcome === 'open') violations.push({ rule: 'a call never ended', detail: call.requestId });
+    const generations = new Set(this.checker.liveGateways().map((at) => this.fleet.counters[at]?.book.generation()));
     if (generations.size !== 1)
-      told.push({
+      violations.push({
         rule: 'an accepted change is not in force',
         detail: `counters hold generations ${[...generations].join(', ')}`,
       });
-    return told;
+    return violations;
   };
 
-  private readonly bring = (kind: FaultKind): void => {
+  private readonly inject = (kind: FaultKind): void => {
     const work = this.injections[kind]();
     if (work === null) return;
-    this.brought[kind] = (this.brought[kind] ?? 0) + 1;
+    this.injected[kind] = (this.injected[kind] ?? 0) + 1;
     const from = this.fleet.world.time;
     const tracked = work.finally(() => {
-      this.spans.push({ kind, from, to: this.fleet.world.time });
-      this.open.delete(tracked);
+      this.intervals.push({ kind, from, to: this.fleet.world.time });
+      this.activeFaults.delete(tracked);
     });
-    this.open.add(tracked);
+    this.activeFaults.add(tracked);
   };
 }
--- a/packages/test-fleet/src/faults/faultSchedule.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -1,5 +1,5 @@
-import { plans } from '../workload/sampleDeployments.js';
-import type { SimPlan } from '../simulator/simFleet.js';
+import { sampleWorkload } from '../workload/sampleDeployments.js';
+import type { SimFleetOptions } from '../simulator/simFleet.js';
 
 export const faultKinds = [
   'replica crashes',
@@ -52,7 +52,7 @@
   'layout is probed',
 ] as const;
 
-export const finalKinds = [
+export const permanentLossKinds = [
   'counter lost for good',
   'front of a zone lost for good',
   'postmaster lost for good',
@@ -60,10 +60,10 @@
   'replica silent for good',
   'none',
 ] as const;
-export type FinalKind = (typeof finalKinds)[number];
+export type PermanentLossKind = (typeof permanentLossKinds)[number];
 export type FaultKind = (typeof faultKinds)[number];
 
-export interface StormPlan {
+export interface FaultSchedule {
   readonly seed: number;
   readonly kinds?: readonly FaultKind[];
   readonly faults?: number;
@@ -72,20 +72,20 @@
   readonly fronts?: number;
   readonly replicas?: number;
   readonly longShare?: number;
-  readonly final?: FinalKind;
-  readonly breakage?: Partial<SimPlan>;
+  readonly permanentLoss?: PermanentLossKind;
+  readonly overrides?: Partial<SimFleetOptions>;
 }
 
-export const sizes = {
+export const deploymentSizes = {
   small: {},
   stations: { fronts: 9, replicas: 13, ratePerSecond: 190, longShare: 0.06 },
   sawmill: { fronts: 9, replicas: 8, ratePerSecond: 180, longShare: 0.06 },
-} as const satisfies Record<string, Partial<StormPlan>>;
+} as const satisfies Record<string, Partial<FaultSchedule>>;
 
 const isolationEvery = 3;
 
-export const stormLayout = (seed: number): Record<string, unknown> => {
-  const layout = plans.layout('weights-1');
+export const initialLayout = (seed: number): Record<string, unknown> => {
+  const layout = sampleWorkload.layout('weights-1');
   const tenants = layout.tenants as Record<string, Record<string, unknown>>;
   const isApart = seed % isolationEvery !== 0;
   return {
@@ -98,7 +98,7 @@
           { ...tenant, isolated: isApart && tenant.isolated === true },
         ]),
       ),
-      [plans.prober]: { tier: 'patient', lanes: ['query'] },
+      [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
     },
   };
 };
--- a/packages/test-fleet/src/faults/memberReplacements.ts
+++ b/packages/test-fleet/src/faults/memberReplacements.ts
@@ -1,17 +1,17 @@
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const members = (storm: FaultContext) => {
-  const { fleet } = storm;
+export const memberReplacements = (context: FaultContext) => {
+  const { fleet } = context;
 
   const move = (isStranger: boolean): Promise<void> | null =>
-    storm.onPostmaster(async (at) => {
-      const count = ++storm.state.moves;
+    context.onPostmaster(async (at) => {
+      const count = ++context.state.moves;
       await fleet.movePostmaster(
         at,
         `10.0.7.${count}`,
         isStranger ? `postmaster-new-${count}` : (fleet.postmasterNames[at] as string),
       );
-      await storm.untilVoter(at, 600);
+      await context.untilVoter(at, 600);
     }, true);
 
   return {
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -2,13 +2,13 @@
 import type { Server, Socket } from 'node:net';
 import { addresses } from '@martenworks/core-types';
 
-const lookMs = 20;
+const blockedPollMs = 20;
 
-export class Relay {
-  private readonly cuts = new Set<string>();
+export class FaultProxy {
+  private readonly blockedSources = new Set<string>();
   private readonly sockets = new Set<Socket>();
   private server: Server | null = null;
-  slowMs = 0;
+  delayMs = 0;
 
   constructor(
     readonly at: string,
@@ -24,13 +24,13 @@
       this.server = server;
     });
 
-  private readonly join = (near: Socket): void => {
-    const from = near.remoteAddress ?? '';
+  private readonly join = (inbound: Socket): void => {
+    const from = inbound.remoteAddress ?? '';
     const { host, port } = addresses.split(this.target);
-    const far = createConnection({ host, port });
+    const outbound = createConnection({ host, port });
     for (const [one, other] of [
-      [near, far],
-      [far, near],
+      [inbound, outbound],
+      [outbound, inbound],
     ] as const) {
       one.setNoDelay(true);
       this.sockets.add(one);
@@ -40,9 +40,9 @@
         other.destroy();
       });
       one.on('data', (bytes) => {
-        if (this.slowMs === 0 && !this.isCut(from)) return void other.write(bytes);
+        if (this.delayMs === 0 && !this.isBlocked(from)) return void other.write(bytes);
         one.pause();
-        this.pass(from, this.slowMs, () => {
+        this.forwardAfter(from, this.delayMs, () => {
           if (!other.destroyed) other.write(bytes);
           one.resume();
         });
@@ -50,20 +50,20 @@
     }
   };
 
-  private readonly pass = (from: string, delayMs: number, act: () => void): void => {
-    setTimeout(() => (this.isCut(from) ? this.pass(from, lookMs, act) : act()), delayMs);
+  private readonly forwardAfter = (from: string, delayMs: number, act: () => void): void => {
+    setTimeout(() => (this.isBlocked(from) ? this.forwardAfter(from, blockedPollMs, act) : act()), delayMs);
   };
 
-  private readonly isCut = (from: string): boolean => this.cuts.has(from) || this.cuts.has('*');
+  private readonly isBlocked = (from: string): boolean => this.blockedSources.has(from) || this.blockedSources.has('*');
 
-  readonly cut = (from: string): void => void this.cuts.add(from);
+  readonly block = (from: string): void => void this.blockedSources.add(from);
 
   readonly heal = (): void => {
-    this.cuts.clear();
-    this.slowMs = 0;
+    this.blockedSources.clear();
+    this.delayMs = 0;
   };
 
-  readonly shut = async (): Promise<void> => {
+  readonly close = async (): Promise<void> => {
     const { server } = this;
     this.server = null;
     const closed = new Promise<void>((done) => (server === null ? done() : server.close(() => done())));
