--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -6,12 +6,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { keyOf, plans } from '../workload/sampleDeployments.js';
-import type { Firm } from '../workload/sampleDeployments.js';
-import { Relay } from './faultProxy.js';
-import type { Life } from '../invariants/invariantChecker.js';
-import type { StandInEnv } from '../replica/emulatedReplica.js';
-import type { StandInSeat } from './emulatedReplicasProcess.js';
+import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
+import type { SampleDeployment } from '../workload/sampleDeployments.js';
+import { FaultProxy } from './faultProxy.js';
+import type { ReplicaIncarnation } from '../invariants/invariantChecker.js';
+import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
+import type { EmulatedReplicaSpec } from './emulatedReplicasProcess.js';
 import { addresses } from '@martenworks/core-types';
 
 const here = dirname(fileURLToPath(import.meta.url));
@@ -29,39 +29,39 @@
   readonly counterHosts: string[];
   readonly replicaHosts: string[];
   readonly appHost: string;
-  readonly coachRelays: Relay[] = [];
-  readonly replicaRelays = new Map<string, Relay>();
+  readonly peerProxies: FaultProxy[] = [];
+  readonly replicaProxies = new Map<string, FaultProxy>();
   readonly controls: string[];
   private readonly incarnations = new Map<string, number>();
-  private risen = 0;
+  private restarted = 0;
 
   constructor(
-    readonly firm: Firm,
+    readonly deployment: SampleDeployment,
     readonly folder: string,
     readonly net: number,
     readonly frontCount = 9,
     readonly extraFlags: readonly string[] = [],
     private readonly profiled: string | null = null,
-    hasRelays = false,
+    hasProxies = false,
   ) {
     const host = (group: number, at: number): string => `127.${net}.${group}.${at}`;
     this.postmasterHosts = [1, 2, 3].map((at) => host(0, at));
     this.counterHosts = Array.from({ length: frontCount }, (_, at) => host(1, at + 1));
-    this.replicaHosts = Array.from({ length: firm.replicaCount }, (_, at) => host(2, at + 1));
+    this.replicaHosts = Array.from({ length: deployment.replicaCount }, (_, at) => host(2, at + 1));
     this.appHost = host(3, 1);
     this.controls = [host(9, 1), host(9, 2)].map((one) => `${one}:9000`);
-    if (!hasRelays) return;
-    this.coachRelays = this.postmasterHosts.map((one, at) => new Relay(`${host(5, at + 1)}:7100`, `${one}:7100`));
+    if (!hasProxies) return;
+    this.peerProxies = this.postmasterHosts.map((one, at) => new FaultProxy(`${host(5, at + 1)}:7100`, `${one}:7100`));
     for (const [at, name] of this.replicaNames().entries())
-      this.replicaRelays.set(name, new Relay(`${host(6, at + 1)}:8000`, this.directOf(name)));
+      this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.directOf(name)));
   }
 
   readonly replicaNames = (): string[] => [...this.replicaHosts.map((_, at) => `replica-${at + 1}`), 'app-1'];
   readonly directOf = (name: string): string =>
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
-  readonly addressOf = (name: string): string => this.replicaRelays.get(name)?.at ?? this.directOf(name);
+  readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.at ?? this.directOf(name);
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 1;
-  private readonly coachOf = (at: number): string => this.coachRelays[at]?.at ?? `${this.postmasterHosts[at]}:7100`;
+  private readonly coachOf = (at: number): string => this.peerProxies[at]?.at ?? `${this.postmasterHosts[at]}:7100`;
 
   private readonly nodeFlags = (name: string): string[] =>
     name === this.profiled ? ['--cpu-prof', `--cpu-prof-dir=${this.folder}`] : [];
@@ -78,7 +78,7 @@
     return child;
   };
 
-  private readonly common = (name: string, host: string, at: number, coach: string): string[] => [
+  private readonly commonFlags = (name: string, host: string, at: number, coach: string): string[] => [
     ...[
       '--name',
       name,
@@ -98,7 +98,7 @@
     const name = `postmaster-${at + 1}`;
     return this.start(name, [
       'postmaster',
-      ...this.common(name, this.postmasterHosts[at] as string, at, this.coachOf(at)),
+      ...this.commonFlags(name, this.postmasterHosts[at] as string, at, this.coachOf(at)),
       '--data',
       join(this.folder, name),
     ]);
@@ -108,7 +108,7 @@
     const name = `counter-${at + 1}`;
     return this.start(name, [
       'counter',
-      ...this.common(name, this.counterHosts[at] as string, at, `${this.counterHosts[at]}:7100`),
+      ...this.commonFlags(name, this.counterHosts[at] as string, at, `${this.counterHosts[at]}:7100`),
       '--operators',
       `${this.counterHosts[at]}:7102`,
       '--fronts',
@@ -117,21 +117,21 @@
     ]);
   };
 
-  readonly standInEnv = (name: string): StandInEnv => ({
+  readonly replicaSettings = (name: string): EmulatedReplicaSettings => ({
     name,
     address: this.addressOf(name),
     incarnation: this.incarnationOf(name),
     slots: name === 'app-1' ? 32 : 8,
-    keptBlocks: 2_000,
+    capacityBlocks: 2_000,
     prefillTokensPerMs: 8,
     pullTokensPerMs: 80,
     decodeMs: 5,
     store: null,
   });
 
-  readonly startStandIns = async (): Promise<void> => {
+  readonly startReplicas = async (): Promise<void> => {
     const seats = this.replicaNames().map(
-      (name): StandInSeat => ({ env: this.standInEnv(name), listen: this.directOf(name) }),
+      (name): EmulatedReplicaSpec => ({ env: this.replicaSettings(name), listen: this.directOf(name) }),
     );
     const half = Math.ceil(seats.length / 2);
     await Promise.all(
@@ -155,15 +155,15 @@
     body?: unknown,
     headers: Record<string, string> = {},
   ): Promise<Reply> => {
-    const receipt = await request(`http://${host}${path}`, {
+    const response = await request(`http://${host}${path}`, {
       method,
       headers: { 'content-type': 'application/json', ...headers },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
       headersTimeout: 10_000,
     });
-    const text = await receipt.body.text();
+    const text = await response.body.text();
     return {
-      status: receipt.statusCode,
+      status: response.statusCode,
       body: text.startsWith('{') ? (JSON.parse(text) as Record<string, unknown>) : { text },
     };
   };
@@ -181,12 +181,12 @@
     (await this.call(`${host}:7101`, 'GET', '/readyz')).status === 200;
 
   readonly up = async (
-    layout: Record<string, unknown> = plans.layout('weights-1'),
-    tenants: readonly string[] = plans.tenantNames,
+    layout: Record<string, unknown> = sampleWorkload.layout('weights-1'),
+    tenants: readonly string[] = sampleWorkload.tenantNames,
   ): Promise<void> => {
     rmSync(this.folder, { recursive: true, force: true });
-    await this.startStandIns();
-    await Promise.all([...this.coachRelays, ...this.replicaRelays.values()].map((relay) => relay.open()));
+    await this.startReplicas();
+    await Promise.all([...this.peerProxies, ...this.replicaProxies.values()].map((proxy) => proxy.open()));
     this.postmasterHosts.forEach((_, at) => {
       this.startPostmaster(at);
     });
@@ -196,8 +196,8 @@
     await this.until('the founding', async () =>
       (await Promise.all(this.postmasterHosts.map(this.isReady))).every(Boolean),
     );
-    await this.platformAnnounces();
-    await this.operatorPuts(layout);
+    await this.registerReplicas();
+    await this.putLayout(layout);
     for (const tenant of tenants) {
       const granted = await this.call(`${this.postmasterHosts[0]}:7101`, 'POST', '/platform/clients', {
         tenant,
@@ -217,37 +217,37 @@
     incarnation: this.incarnationOf(name),
   });
 
-  readonly killReplica = async (name: string): Promise<void> => this.replicaRelays.get(name)?.shut();
+  readonly killReplica = async (name: string): Promise<void> => this.replicaProxies.get(name)?.close();
 
-  readonly riseReplica = async (name: string): Promise<void> => {
-    const relay = this.replicaRelays.get(name);
-    if (relay === undefined) return;
+  readonly restartReplica = async (name: string): Promise<void> => {
+    const proxy = this.replicaProxies.get(name);
+    if (proxy === undefined) return;
     this.incarnations.set(name, this.incarnationOf(name) + 1);
-    const listen = `${addresses.split(this.directOf(name)).host}:${10_000 + ++this.risen}`;
-    const risen = await this.call(this.controls[0] as string, 'POST', '/rise', {
-      env: this.standInEnv(name),
+    const listen = `${addresses.split(this.directOf(name)).host}:${10_000 + ++this.restarted}`;
+    const restarted = await this.call(this.controls[0] as string, 'POST', '/start', {
+      env: this.replicaSettings(name),
       listen,
-    } satisfies StandInSeat);
-    if (risen.status !== 200) throw new Error(`${name} did not rise`);
-    relay.target = listen;
-    await relay.open();
+    } satisfies EmulatedReplicaSpec);
+    if (restarted.status !== 200) throw new Error(`${name} did not start`);
+    proxy.target = listen;
+    await proxy.open();
   };
 
-  readonly lives = async (): Promise<Life[]> =>
-    (await Promise.all(this.controls.map((control) => this.call(control, 'GET', '/lives')))).flatMap(
-      ({ body }) => body.lives as Life[],
+  readonly replicaIncarnations = async (): Promise<ReplicaIncarnation[]> =>
+    (await Promise.all(this.controls.map((control) => this.call(control, 'GET', '/replicas')))).flatMap(
+      ({ body }) => body.replicas as ReplicaIncarnation[],
     );
 
   readonly wipePostmaster = (at: number): void =>
     rmSync(join(this.folder, `postmaster-${at + 1}`), { recursive: true, force: true });
 
-  private readonly platformAnnounces = async (): Promise<void> => {
+  private readonly registerReplicas = async (): Promise<void> => {
     const replicas = this.replicaNames().map(this.announcement);
     const announced = await this.call(`${this.postmasterHosts[1]}:7101`, 'POST', '/platform/replicas', replicas);
     if (announced.status !== 200) throw new Error(`announce: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
-  readonly operatorPuts = async (layout: Record<string, unknown>, at = 0): Promise<Reply> => {
+  readonly putLayout = async (layout: Record<string, unknown>, at = 0): Promise<Reply> => {
     const held = await this.call(`${this.postmasterHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.postmasterHosts[at]}:7101`, 'PUT', '/operator/layout', layout, {
       'if-match': `"${String(held.body.generation)}"`,
@@ -268,7 +268,7 @@
     return signal === 'SIGSTOP' || signal === 'SIGCONT' ? Promise.resolve(null) : ended;
   };
 
-  readonly totals = async (): Promise<Record<string, number>> => {
+  readonly replicaTotals = async (): Promise<Record<string, number>> => {
     const sums: Record<string, number> = {};
     for (const host of [...this.replicaHosts, this.appHost]) {
       const { body } = await this.call(`${host}:8000`, 'GET', '/standin/totals');
@@ -277,7 +277,7 @@
     return sums;
   };
 
-  readonly vitals = async (): Promise<string[]> => {
+  readonly processMetrics = async (): Promise<string[]> => {
     const rows: string[] = [];
     for (const address of [
       ...this.postmasterHosts.map((host) => `${host}:7101`),
@@ -294,6 +294,6 @@
 
   readonly down = async (): Promise<void> => {
     await Promise.all([...this.children.keys()].map((name) => this.signal(name, 'SIGKILL')));
-    await Promise.all([...this.coachRelays, ...this.replicaRelays.values()].map((relay) => relay.shut()));
+    await Promise.all([...this.peerProxies, ...this.replicaProxies.values()].map((proxy) => proxy.close()));
   };
 }
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -3,32 +3,32 @@
 import { pause, prompts } from '@martenworks/core-types';
 import type { Carriage, Clock } from '@martenworks/core-types';
 
-export interface StandInEnv {
+export interface EmulatedReplicaSettings {
   readonly name: string;
   readonly address: string;
   readonly incarnation: number;
   readonly slots: number;
-  readonly keptBlocks: number;
+  readonly capacityBlocks: number;
   readonly prefillTokensPerMs: number;
   readonly pullTokensPerMs: number;
   readonly decodeMs: number;
   readonly store: string | null;
 }
 
-export interface Faults {
+export interface ReplicaFaults {
   failStatus: number | null;
   failRetryAfter: number | null;
-  cutAfterPieces: number | null;
+  truncateAfterPieces: number | null;
   stallMs: number;
   omitsEnd: boolean;
   claimedWeights: string | null;
-  dropNews: boolean;
-  hidesNews: boolean;
-  delayNewsMs: number;
-  slowPullMs: number;
+  dropsEvents: boolean;
+  hidesEvents: boolean;
+  eventDelayMs: number;
+  pullDelayMs: number;
 }
 
-export interface Behind {
+export interface BlockingPrefill {
   readonly requestId: string;
   readonly tokens: number;
   readonly beganAt: number;
@@ -48,12 +48,12 @@
   pulledTokens: number;
   localTokens: number;
   waitedMs: number;
-  behind: Behind | null;
+  blockedBy: BlockingPrefill | null;
   isFinished: boolean;
   idempotencyKey: string | null;
 }
 
-export interface Visit {
+export interface Arrival {
   readonly requestId: string;
   readonly at: number;
 }
@@ -65,12 +65,12 @@
   readonly block: string;
 }
 
-interface Copy {
+interface CachedCopy {
   readonly weights: string;
   readonly scope: string | null;
 }
 
-interface NewsLine {
+interface CacheEvent {
   readonly incarnation: number;
   readonly seq: number;
   readonly kind: 'stored' | 'removed' | 'cleared';
@@ -86,15 +86,15 @@
 
 const encoder = new TextEncoder();
 const runLimit = 200_000;
-const newsLimit = 50_000;
+const eventLimit = 50_000;
 
-export const speech = {
+export const generatedText = {
   digest: (prompt: string): string => createHash('sha256').update(prompt).digest('hex'),
   piece: (digest: string, weights: string, runId: string, at: number): string =>
     `${createHash('sha256').update(`${weights}|${runId}|${at}|${digest}`).digest('hex').slice(0, 6)} `,
   whole: (prompt: string, weights: string, runId: string, count: number): string => {
-    const digest = speech.digest(prompt);
-    return Array.from({ length: count }, (_, at) => speech.piece(digest, weights, runId, at)).join('');
+    const digest = generatedText.digest(prompt);
+    return Array.from({ length: count }, (_, at) => generatedText.piece(digest, weights, runId, at)).join('');
   },
 };
 
@@ -104,66 +104,60 @@
   return messages.map(({ role, content }) => `<${role}>\n${content}\n`).join('');
 };
 
-export class StandIn {
+export class EmulatedReplica {
   readonly app = new Hono();
   readonly runs: Run[] = [];
   readonly breaches: Breach[] = [];
-  readonly visits: Visit[] = [];
+  readonly arrivals: Arrival[] = [];
   private runCount = 0;
   piecesSaid = 0;
-  readonly faults: Faults = {
+  readonly faults: ReplicaFaults = {
     failStatus: null,
     failRetryAfter: null,
-    cutAfterPieces: null,
+    truncateAfterPieces: null,
     stallMs: 0,
     omitsEnd: false,
     claimedWeights: null,
-    dropNews: false,
-    hidesNews: false,
-    delayNewsMs: 0,
-    slowPullMs: 0,
+    dropsEvents: false,
+    hidesEvents: false,
+    eventDelayMs: 0,
+    pullDelayMs: 0,
   };
-  private readonly copies = new Map<string, Copy[]>();
-  private readonly newsLines: NewsLine[] = [];
-  private readonly listeners = new Set<(line: NewsLine) => void>();
+  private readonly copies = new Map<string, CachedCopy[]>();
+  private readonly events: CacheEvent[] = [];
+  private readonly listeners = new Set<(line: CacheEvent) => void>();
   private readonly waiting: Waiting[] = [];
   private running = 0;
   private seq = 0;
   private order = 0;
   private readonly prefills: Waiting[] = [];
   private isPrefilling = false;
-  private prefilling: Behind | null = null;
+  private prefilling: BlockingPrefill | null = null;
 
   constructor(
-    readonly env: StandInEnv,
+    readonly env: EmulatedReplicaSettings,
     private readonly clock: Clock,
     private readonly carriage: Carriage,
   ) {
     this.app.post('/v1/completions', (c) => this.complete(c.req.raw, '/v1/completions'));
     this.app.post('/v1/chat/completions', (c) => this.complete(c.req.raw, '/v1/chat/completions'));
-    this.app.get('/kv-events', (c) => this.newsStream(Number(c.req.query('after') ?? '0'), c.req.raw.signal));
+    this.app.get('/kv-events', (c) => this.eventStream(Number(c.req.query('after') ?? '0'), c.req.raw.signal));
     this.app.post('/kv-keep', async (c) => {
-      const { blocks, copy } = (await c.req.json()) as { blocks: string[]; copy: Copy };
+      const { blocks, copy } = (await c.req.json()) as { blocks: string[]; copy: CachedCopy };
       this.store(blocks, copy);
       return c.json({ kept: blocks.length });
     });
     this.app.post('/kv-parts', async (c) =>
-      c.json(this.keptParts(((await c.req.json()) as { blocks: string[] }).blocks)),
+      c.json(this.cachedPrefix(((await c.req.json()) as { blocks: string[] }).blocks)),
     );
-    this.app.get('/standin/report', (c) => c.json({ runs: this.runs, breaches: this.breaches, visits: this.visits }));
     this.app.get('/standin/totals', (c) => c.json(this.totals()));
-    this.app.post('/standin/faults', async (c) => {
-      Object.assign(this.faults, await c.req.json());
-      return c.json(this.faults);
-    });
-    this.app.post('/standin/clear', (c) => {
-      this.clear();
-      return c.json({ cleared: true });
-    });
     this.app.get('/healthz', (c) => c.json({ status: 'ok' }));
   }
 
-  readonly newsCount = (): number => this.seq;
+  /** Sets or clears some faults; those not named stay as they are. */
+  readonly setFaults = (faults: Partial<ReplicaFaults>): void => void Object.assign(this.faults, faults);
+
+  readonly eventCount = (): number => this.seq;
 
   readonly totals = (): Record<string, number> => ({
     runs: this.runs.length,
@@ -176,25 +170,20 @@
     breaches: this.breaches.length,
   });
 
-  readonly clear = (): void => {
-    this.copies.clear();
-    this.tell('cleared', null, []);
-  };
-
-  private readonly tell = (kind: NewsLine['kind'], tenant: string | null, blocks: readonly string[]): void => {
-    if (this.faults.hidesNews) return;
-    const line: NewsLine = { incarnation: this.env.incarnation, seq: ++this.seq, kind, tenant, blocks };
-    this.newsLines.push(line);
-    if (this.newsLines.length > newsLimit) this.newsLines.shift();
-    if (this.faults.dropNews) return;
+  private readonly publish = (kind: CacheEvent['kind'], tenant: string | null, blocks: readonly string[]): void => {
+    if (this.faults.hidesEvents) return;
+    const line: CacheEvent = { incarnation: this.env.incarnation, seq: ++this.seq, kind, tenant, blocks };
+    this.events.push(line);
+    if (this.events.length > eventLimit) this.events.shift();
+    if (this.faults.dropsEvents) return;
     for (const listener of this.listeners) {
-      if (this.faults.delayNewsMs === 0) listener(line);
-      else this.clock.after(this.faults.delayNewsMs, () => listener(line));
+      if (this.faults.eventDelayMs === 0) listener(line);
+      else this.clock.after(this.faults.eventDelayMs, () => listener(line));
     }
   };
 
-  private readonly newsStream = (after: number, signal: AbortSignal): Response => {
-    let listener: ((line: NewsLine) => void) | null = null;
+  private readonly eventStream = (after: number, signal: AbortSignal): Response => {
+    let listener: ((line: CacheEvent) => void) | null = null;
     const leave = (): void => {
       if (listener !== null) this.listeners.delete(listener);
     };
@@ -209,7 +198,7 @@
         };
         const hello = { incarnation: this.env.incarnation, seq: this.seq, kind: 'hello' };
         controller.enqueue(encoder.encode(`data: ${JSON.stringify(hello)}\n\n`));
-        for (const line of this.newsLines) if (line.seq > after) listener(line);
+        for (const line of this.events) if (line.seq > after) listener(line);
         this.listeners.add(listener);
         signal.addEventListener('abort', leave, { once: true });
       },
@@ -218,17 +207,17 @@
     return new Response(body, { headers: { 'content-type': 'text/event-stream' } });
   };
 
-  private readonly keptParts = (blocks: readonly string[]): { parts: Copy[]; slowMs: number } => {
-    const parts: Copy[] = [];
+  private readonly cachedPrefix = (blocks: readonly string[]): { parts: CachedCopy[]; slowMs: number } => {
+    const parts: CachedCopy[] = [];
     for (const block of blocks) {
       const copy = this.copies.get(block)?.[0];
       if (copy === undefined) break;
       parts.push(copy);
     }
-    return { parts, slowMs: this.faults.slowPullMs };
+    return { parts, slowMs: this.faults.pullDelayMs };
   };
 
-  private readonly localBlocks = (blocks: readonly string[], wanted: Copy): number => {
+  private readonly localBlocks = (blocks: readonly string[], wanted: CachedCopy): number => {
     let count = 0;
     for (const block of blocks) {
       const held = this.copies.get(block);
@@ -241,7 +230,7 @@
     return count;
   };
 
-  private readonly store = (blocks: readonly string[], copy: Copy): void => {
+  private readonly store = (blocks: readonly string[], copy: CachedCopy): void => {
     const fresh: string[] = [];
     for (const block of blocks) {
       const held = this.copies.get(block) ?? [];
@@ -249,17 +238,17 @@
       this.copies.set(block, [...held, copy]);
       fresh.push(block);
     }
-    if (fresh.length > 0) this.tell('stored', copy.scope, fresh);
+    if (fresh.length > 0) this.publish('stored', copy.scope, fresh);
     const evicted: string[] = [];
     for (const block of this.copies.keys()) {
-      if (this.copies.size <= this.env.keptBlocks) break;
+      if (this.copies.size <= this.env.capacityBlocks) break;
       this.copies.delete(block);
       evicted.push(block);
     }
-    if (evicted.length > 0) this.tell('removed', null, evicted);
+    if (evicted.length > 0) this.publish('removed', null, evicted);
   };
 
-  private readonly offload = async (store: string, blocks: readonly string[], copy: Copy): Promise<void> => {
+  private readonly offload = async (store: string, blocks: readonly string[], copy: CachedCopy): Promise<void> => {
     await this.carriage.carry({
       method: 'POST',
       url: `http://${store}/kv-keep`,
@@ -293,7 +282,10 @@
     } catch {
       return 0;
     }
-    const { parts, slowMs } = JSON.parse(Buffer.concat(bytes).toString('utf8')) as { parts: Copy[]; slowMs: number };
+    const { parts, slowMs } = JSON.parse(Buffer.concat(bytes).toString('utf8')) as {
+      parts: CachedCopy[];
+      slowMs: number;
+    };
     const taken = parts.slice(have);
     taken.forEach((part, at) => {
       const block = blocks[have + at] ?? '';
@@ -306,7 +298,7 @@
     return taken.length;
   };
 
-  private readonly turn = (priority: number): Promise<void> => {
+  private readonly acquireSlot = (priority: number): Promise<void> => {
     if (this.running < this.env.slots) {
       this.running += 1;
       return Promise.resolve();
@@ -317,7 +309,7 @@
     });
   };
 
-  private readonly prefillTurn = (priority: number): Promise<void> => {
+  private readonly acquirePrefill = (priority: number): Promise<void> => {
     if (!this.isPrefilling) {
       this.isPrefilling = true;
       return Promise.resolve();
@@ -328,21 +320,21 @@
     });
   };
 
-  private readonly prefillDone = (): void => {
+  private readonly releasePrefill = (): void => {
     const next = this.prefills.shift();
     if (next === undefined) this.isPrefilling = false;
     else next.wake();
   };
 
-  private readonly done = (): void => {
+  private readonly releaseSlot = (): void => {
     const next = this.waiting.shift();
     if (next === undefined) this.running -= 1;
     else next.wake();
   };
 
   private readonly complete = async (request: Request, path: string): Promise<Response> => {
-    this.visits.push({ requestId: request.headers.get('x-request-id') ?? '', at: this.clock.now() });
-    if (this.visits.length > runLimit) this.visits.shift();
+    this.arrivals.push({ requestId: request.headers.get('x-request-id') ?? '', at: this.clock.now() });
+    if (this.arrivals.length > runLimit) this.arrivals.shift();
     if (this.faults.failStatus !== null)
       return new Response('{"error":"fault"}', {
         status: this.faults.failStatus,
@@ -375,7 +367,7 @@
       pulledTokens: 0,
       localTokens: 0,
       waitedMs: 0,
-      behind: null,
+      blockedBy: null,
       isFinished: false,
       idempotencyKey: request.headers.get('idempotency-key'),
     };
@@ -402,27 +394,27 @@
   };
 
   private readonly pieces = async function* (
-    this: StandIn,
+    this: EmulatedReplica,
     run: Run,
     prompt: string,
     count: number,
     signal: AbortSignal,
   ): AsyncGenerator<string> {
-    await this.turn(run.priority);
+    await this.acquireSlot(run.priority);
     try {
       const blocks = prompts.blocks(prompt);
-      const copy: Copy = { weights: run.weights, scope: run.isIsolated ? run.tenant : null };
-      const before = this.localBlocks(blocks, copy);
+      const copy: CachedCopy = { weights: run.weights, scope: run.isIsolated ? run.tenant : null };
+      const localBefore = this.localBlocks(blocks, copy);
       const pulled =
         run.cacheFrom === null || run.cacheFrom === this.env.address
           ? 0
-          : await this.pull(run, run.cacheFrom, blocks, before);
-      run.behind = this.isPrefilling ? this.prefilling : null;
+          : await this.pull(run, run.cacheFrom, blocks, localBefore);
+      run.blockedBy = this.isPrefilling ? this.prefilling : null;
       const cameAt = this.clock.now();
-      await this.prefillTurn(run.priority);
+      await this.acquirePrefill(run.priority);
       run.waitedMs = this.clock.now() - cameAt;
       try {
-        const local = Math.max(before, this.localBlocks(blocks, copy) - pulled);
+        const local = Math.max(localBefore, this.localBlocks(blocks, copy) - pulled);
         run.localTokens = local * prompts.blockTokens;
         run.pulledTokens = pulled * prompts.blockTokens;
         run.prefilledTokens = Math.max(0, prompts.tokens(prompt) - run.localTokens - run.pulledTokens);
@@ -431,19 +423,19 @@
         this.store(blocks, copy);
         if (this.env.store !== null) void this.offload(this.env.store, blocks, copy);
       } finally {
-        this.prefillDone();
+        this.releasePrefill();
       }
       const isChat = run.path.startsWith('/v1/chat');
-      const digest = speech.digest(prompt);
+      const digest = generatedText.digest(prompt);
       for (let at = 0; at < count; at += 1) {
         if (signal.aborted) return;
         if (this.faults.stallMs > 0) await pause.for(this.clock, this.faults.stallMs);
-        if (this.faults.cutAfterPieces !== null && at >= this.faults.cutAfterPieces) {
+        if (this.faults.truncateAfterPieces !== null && at >= this.faults.truncateAfterPieces) {
           if (this.faults.omitsEnd) return;
           throw new Error('cut by a fault');
         }
         await pause.for(this.clock, this.env.decodeMs);
-        const text = speech.piece(digest, run.weights, run.runId, at);
+        const text = generatedText.piece(digest, run.weights, run.runId, at);
         this.piecesSaid += 1;
         const chunk = {
           id: run.runId,
@@ -465,7 +457,7 @@
       if (this.faults.omitsEnd) return;
       yield 'data: [DONE]\n\n';
     } finally {
-      this.done();
+      this.releaseSlot();
     }
   };
 }
--- a/packages/test-fleet/src/runner/knownRed.ts
+++ b/packages/test-fleet/src/runner/knownRed.ts
@@ -30,7 +30,7 @@
   readonly passed: number;
   readonly failures: readonly Failure[];
   readonly knownReds: readonly KnownRed[];
-  readonly isGreen: boolean;
+  readonly isPassing: boolean;
 }
 
 const listName = 'KNOWN-RED.txt';
@@ -58,7 +58,7 @@
   return own.some((result) => result.fault === null) ? 'listed, but it passes' : null;
 };
 
-const judge = (listing: Listing, run: Run): Verdict => {
+const evaluate = (listing: Listing, run: Run): Verdict => {
   const stale = listing.entries.flatMap((entry) => {
     const fault = staleness(entry, run);
     return fault === null ? [] : [{ title: entry.title, fault: `${listName}: ${fault}` }];
@@ -77,7 +77,7 @@
   const knownReds = listing.entries.filter((entry) =>
     run.results.some((result) => isExcused(result) && result.title === entry.title),
   );
-  return { passed, failures, knownReds, isGreen: passed > 0 && failures.length === 0 };
+  return { passed, failures, knownReds, isPassing: passed > 0 && failures.length === 0 };
 };
 
 const lines = ({ passed, failures, knownReds }: Verdict): string[] => [
@@ -88,4 +88,4 @@
   `${passed} passed, ${failures.length} failed`,
 ];
 
-export const knownRed = { parse, judge, lines };
+export const knownRed = { parse, judge: evaluate, lines };
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -90,7 +90,7 @@
     });
   await Promise.all(Array.from({ length: count }, (_, at) => work(at)));
   const verdict = knownRed.judge(listing, { results, declared, selected });
-  process.stdout.write(`${knownRed.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isGreen ? 0 : 1));
+  process.stdout.write(`${knownRed.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isPassing ? 0 : 1));
 };
 
 if (isMainThread) await launch();
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -2,12 +2,12 @@
 import type { Result } from 'neverthrow';
 import type { Disk, DiskFault, DiskFile } from '@martenworks/core-types';
 
-interface Held {
-  safe: Uint8Array;
-  loose: Uint8Array;
+interface FileBytes {
+  synced: Uint8Array;
+  unsynced: Uint8Array;
 }
 
-export interface DiskMood {
+export interface DiskFaults {
   isFull: boolean;
   failsSync: boolean;
   delayMs: number;
@@ -33,40 +33,43 @@
 export class SimDisk {
   /** Called before each operation that changes the disk, so that a test may copy it as a loss of power would leave it. */
   beforeStep: (step: DiskStep) => void = () => {};
-  readonly files = new Map<string, Held>();
-  readonly mood: DiskMood = { isFull: false, failsSync: false, delayMs: 0, isStalled: false };
+  readonly files = new Map<string, FileBytes>();
+  readonly faults: DiskFaults = { isFull: false, failsSync: false, delayMs: 0, isStalled: false };
   syncs = 0;
   private stalled: (() => void)[] = [];
 
   constructor(private readonly wait: (delayMs: number) => Promise<void> = () => Promise.resolve()) {}
 
-  readonly crash = (keptShareOfLoose: number): void => {
+  readonly crash = (unsyncedShareKept: number): void => {
     for (const held of this.files.values()) {
-      held.safe = joined(held.safe, held.loose.subarray(0, Math.floor(held.loose.length * keptShareOfLoose)));
-      held.loose = new Uint8Array();
+      held.synced = joined(
+        held.synced,
+        held.unsynced.subarray(0, Math.floor(held.unsynced.length * unsyncedShareKept)),
+      );
+      held.unsynced = new Uint8Array();
     }
   };
 
   /** This disk as it is now, written and unsynced bytes apart. */
   readonly copy = (): SimDisk => {
     const copy = new SimDisk();
-    for (const [name, { safe, loose }] of this.files)
-      copy.files.set(name, { safe: safe.slice(), loose: loose.slice() });
+    for (const [name, { synced, unsynced }] of this.files)
+      copy.files.set(name, { synced: synced.slice(), unsynced: unsynced.slice() });
     return copy;
   };
 
   readonly lose = (): void => this.files.clear();
 
   readonly unstall = (): void => {
-    this.mood.isStalled = false;
+    this.faults.isStalled = false;
     const waiting = this.stalled;
     this.stalled = [];
     for (const wake of waiting) wake();
   };
 
   private readonly hold = async (): Promise<void> => {
-    if (this.mood.isStalled) await new Promise<void>((wake) => this.stalled.push(wake));
-    if (this.mood.delayMs > 0) await this.wait(this.mood.delayMs);
+    if (this.faults.isStalled) await new Promise<void>((wake) => this.stalled.push(wake));
+    if (this.faults.delayMs > 0) await this.wait(this.faults.delayMs);
   };
 
   readonly view = (isLive: () => boolean): Disk => {
@@ -85,20 +88,20 @@
         change('append', name, () => {
           const held = this.files.get(name);
           if (held === undefined) return err(fault('ENOENT'));
-          if (this.mood.isFull) {
-            held.loose = joined(held.loose, bytes.slice(0, Math.floor(bytes.length / 2)));
+          if (this.faults.isFull) {
+            held.unsynced = joined(held.unsynced, bytes.slice(0, Math.floor(bytes.length / 2)));
             return err(fault('ENOSPC'));
           }
-          held.loose = joined(held.loose, bytes);
+          held.unsynced = joined(held.unsynced, bytes);
           return ok(undefined);
         }),
       sync: () =>
         change('sync', name, () => {
-          if (this.mood.failsSync) return err(fault('EIO'));
+          if (this.faults.failsSync) return err(fault('EIO'));
           const held = this.files.get(name);
           if (held === undefined) return err(fault('ENOENT'));
-          held.safe = joined(held.safe, held.loose);
-          held.loose = new Uint8Array();
+          held.synced = joined(held.synced, held.unsynced);
+          held.unsynced = new Uint8Array();
           this.syncs += 1;
           return ok(undefined);
         }),
@@ -109,26 +112,26 @@
       read: (name) =>
         step(() => {
           const held = this.files.get(name);
-          return ok(held === undefined ? null : joined(held.safe, held.loose));
+          return ok(held === undefined ? null : joined(held.synced, held.unsynced));
         }),
       open: (name) =>
         change('open', name, () => {
-          if (this.mood.isFull && !this.files.has(name)) return err(fault('ENOSPC'));
-          if (!this.files.has(name)) this.files.set(name, { safe: new Uint8Array(), loose: new Uint8Array() });
+          if (this.faults.isFull && !this.files.has(name)) return err(fault('ENOSPC'));
+          if (!this.files.has(name)) this.files.set(name, { synced: new Uint8Array(), unsynced: new Uint8Array() });
           return ok(file(name));
         }),
       replace: (name, bytes) =>
         change('replace', name, () => {
-          if (this.mood.isFull) return err(fault('ENOSPC'));
-          this.files.set(name, { safe: bytes.slice(), loose: new Uint8Array() });
+          if (this.faults.isFull) return err(fault('ENOSPC'));
+          this.files.set(name, { synced: bytes.slice(), unsynced: new Uint8Array() });
           return ok(undefined);
         }),
       truncate: (name, size) =>
         change('truncate', name, () => {
           const held = this.files.get(name);
           if (held === undefined) return ok(undefined);
-          const whole = joined(held.safe, held.loose);
-          this.files.set(name, { safe: whole.slice(0, size), loose: new Uint8Array() });
+          const whole = joined(held.synced, held.unsynced);
+          this.files.set(name, { synced: whole.slice(0, size), unsynced: new Uint8Array() });
           return ok(undefined);
         }),
       remove: (name) =>
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -5,19 +5,19 @@
 import type { Carriage, Ports } from '@martenworks/core-types';
 import type { Env, Role } from '@martenworks/settings';
 import { envs } from '@martenworks/settings';
-import { keyOf, plans } from '../workload/sampleDeployments.js';
-import { StandIn } from '../replica/emulatedReplica.js';
-import type { StandInEnv } from '../replica/emulatedReplica.js';
-import type { Life, Scene } from '../invariants/invariantChecker.js';
+import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
+import { EmulatedReplica } from '../replica/emulatedReplica.js';
+import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
+import type { ReplicaIncarnation, ObservedFleet } from '../invariants/invariantChecker.js';
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simWorld.js';
 
-export interface SimPlan {
+export interface SimFleetOptions {
   readonly seed: number;
   readonly fronts: number;
   readonly replicas: number;
   readonly layout?: Record<string, unknown>;
-  readonly standIn?: Partial<StandInEnv>;
+  readonly replicaSettings?: Partial<EmulatedReplicaSettings>;
   readonly counterEnv?: Record<string, unknown>;
   readonly postmasterEnv?: Record<string, unknown>;
   readonly tenants?: readonly string[];
@@ -27,22 +27,22 @@
   readonly portsFor?: (role: Role, ports: Ports) => Ports;
 }
 
-export interface Told {
+export interface HttpReply {
   readonly status: number;
   readonly body: Record<string, unknown>;
   readonly retryAfter: string | null;
 }
 
-export interface Stay {
-  readonly standIn: StandIn;
+export interface StartedReplica {
+  readonly replica: EmulatedReplica;
   readonly host: string;
   readonly name: string;
 }
 
-const zones = ['a', 'b', 'c'];
+const zoneNames = ['a', 'b', 'c'];
 const outsideHost = '10.9.0.1';
 
-export class SimFleet implements Scene {
+export class SimFleet implements ObservedFleet {
   readonly world: SimWorld;
   readonly postmasters: (Postmaster | null)[] = [null, null, null];
   readonly postmasterHosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3'];
@@ -52,29 +52,29 @@
   readonly replicaHosts: string[];
   readonly appHost = '10.3.0.1';
   readonly storeHost = '10.4.0.1';
-  readonly stays: Stay[] = [];
-  readonly current = new Map<string, StandIn>();
+  readonly startedReplicas: StartedReplica[] = [];
+  readonly runningReplicas = new Map<string, EmulatedReplica>();
   private readonly incarnations = new Map<string, number>();
 
-  constructor(readonly plan: SimPlan) {
-    this.world = new SimWorld(plan.seed);
-    this.counters = Array.from({ length: plan.fronts }, () => null);
-    this.counterHosts = Array.from({ length: plan.fronts }, (_, at) => `10.1.0.${at + 1}`);
-    this.replicaHosts = Array.from({ length: plan.replicas }, (_, at) => `10.2.0.${at + 1}`);
+  constructor(readonly options: SimFleetOptions) {
+    this.world = new SimWorld(options.seed);
+    this.counters = Array.from({ length: options.fronts }, () => null);
+    this.counterHosts = Array.from({ length: options.fronts }, (_, at) => `10.1.0.${at + 1}`);
+    this.replicaHosts = Array.from({ length: options.replicas }, (_, at) => `10.2.0.${at + 1}`);
     this.world.machine(outsideHost);
   }
 
   readonly now = (): number => this.world.time;
   readonly random = (): number => this.world.random();
-  readonly after = (delayMs: number, ring: () => void): void => void this.world.plan(null, delayMs, ring);
+  readonly after = (delayMs: number, callback: () => void): void => void this.world.schedule(null, delayMs, callback);
   readonly outside = (): Carriage => this.world.machine(outsideHost).carriage();
-  readonly lives = (): Life[] =>
-    this.stays.map(({ standIn, name }) => ({
+  readonly replicaIncarnations = (): ReplicaIncarnation[] =>
+    this.startedReplicas.map(({ replica, name }) => ({
       name,
-      incarnation: standIn.env.incarnation,
-      runs: standIn.runs,
-      visits: standIn.visits,
-      breaches: standIn.breaches,
+      incarnation: replica.env.incarnation,
+      runs: replica.runs,
+      arrivals: replica.arrivals,
+      breaches: replica.breaches,
     }));
 
   private readonly env = (role: Role, name: string, host: string, at: number, more: Record<string, unknown>): Env => {
@@ -82,11 +82,11 @@
       role,
       {
         name,
-        zone: zones[at % 3],
+        zone: zoneNames[at % 3],
         coach: `${host}:7100`,
         http: `${host}:7101`,
         seeds: this.postmasterHosts.slice(0, 3).map((one) => `${one}:7100`),
-        fronts: this.plan.fronts,
+        fronts: this.options.fronts,
         ...more,
       },
       {},
@@ -96,19 +96,22 @@
 
   private readonly portsOf = (role: Role, machine: SimMachine): Ports => {
     const ports = machine.ports();
-    return this.plan.portsFor?.(role, ports) ?? ports;
+    return this.options.portsFor?.(role, ports) ?? ports;
   };
 
   readonly startPostmaster = async (at: number): Promise<void> => {
     const host = this.postmasterHosts[at] as string;
     const machine = this.world.machine(host);
     const started = await postmasters.start(
-      this.env('postmaster', this.postmasterNames[at] as string, host, at, { data: 'sim', ...this.plan.postmasterEnv }),
+      this.env('postmaster', this.postmasterNames[at] as string, host, at, {
+        data: 'sim',
+        ...this.options.postmasterEnv,
+      }),
       this.portsOf('postmaster', machine),
     );
     if (started.isErr()) throw new Error(`postmaster ${at}: ${JSON.stringify(started.error)}`);
     this.postmasters[at] = started.value;
-    this.plan.onPostmaster?.(started.value);
+    this.options.onPostmaster?.(started.value);
     const app = operatorWire(started.value).route('/', platformWire(started.value));
     machine.openDoor(`${host}:7101`, app.fetch);
   };
@@ -117,47 +120,50 @@
     const host = this.counterHosts[at] as string;
     const machine = this.world.machine(host);
     const started = await counters.start(
-      this.env('counter', `counter-${at + 1}`, host, at, { operators: `${host}:7102`, ...this.plan.counterEnv }),
+      this.env('counter', `counter-${at + 1}`, host, at, { operators: `${host}:7102`, ...this.options.counterEnv }),
       this.portsOf('counter', machine),
     );
     if (started.isErr()) throw new Error(`counter ${at}: ${JSON.stringify(started.error)}`);
     this.counters[at] = started.value;
-    this.plan.onCounter?.(started.value);
+    this.options.onCounter?.(started.value);
     machine.openDoor(`${host}:7101`, callerWire(started.value).fetch);
     machine.openDoor(`${host}:7102`, operatorPages(started.value).fetch);
   };
 
-  readonly startStandIn = (name: string, host: string, more: Partial<StandInEnv> = {}): void => {
+  readonly startReplica = (name: string, host: string, more: Partial<EmulatedReplicaSettings> = {}): void => {
     const machine = this.world.machine(host);
     const incarnation = (this.incarnations.get(name) ?? 0) + 1;
     this.incarnations.set(name, incarnation);
-    const standIn = new StandIn(
+    const replica = new EmulatedReplica(
       {
         name,
         address: `${host}:8000`,
         incarnation,
         slots: 8,
-        keptBlocks: 2_000,
+        capacityBlocks: 2_000,
         prefillTokensPerMs: 8,
         pullTokensPerMs: 80,
         decodeMs: 5,
-        store: this.plan.hasStore === true && name.startsWith('replica-') ? `${this.storeHost}:8000` : null,
-        ...this.plan.standIn,
-        ...(name === 'store-1' ? { store: null, keptBlocks: 20_000 } : {}),
+        store: this.options.hasStore === true && name.startsWith('replica-') ? `${this.storeHost}:8000` : null,
+        ...this.options.replicaSettings,
+        ...(name === 'store-1' ? { store: null, capacityBlocks: 20_000 } : {}),
         ...more,
       },
       machine.clock(),
       machine.carriage(),
     );
-    machine.openDoor(`${host}:8000`, standIn.app.fetch);
-    this.current.set(name, standIn);
-    this.stays.push({ standIn, host, name });
+    machine.openDoor(`${host}:8000`, replica.app.fetch);
+    this.runningReplicas.set(name, replica);
+    this.startedReplicas.push({ replica, host, name });
   };
 
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 0;
 
   readonly replicaName = (at: number): string => `replica-${at + 1}`;
 
+  /** The replicas of the main pool, running or not. */
+  readonly replicaNames = (): string[] => this.replicaHosts.map((_, at) => this.replicaName(at));
+
   readonly hostOfReplica = (name: string): string =>
     name === 'app-1'
       ? this.appHost
@@ -171,8 +177,8 @@
     body?: unknown,
     headers: Record<string, string> = {},
     signal: AbortSignal = new AbortController().signal,
-  ): Promise<Told> => {
-    const receipt = await this.world
+  ): Promise<HttpReply> => {
+    const response = await this.world
       .machine(outsideHost)
       .carriage()
       .carry({
@@ -183,19 +189,19 @@
         signal,
         gate: () => true,
       });
-    if (receipt.isErr())
-      return { status: 0, body: { code: receipt.error.code, isUnsent: receipt.error.isUnsent }, retryAfter: null };
+    if (response.isErr())
+      return { status: 0, body: { code: response.error.code, isUnsent: response.error.isUnsent }, retryAfter: null };
     const parts: Uint8Array[] = [];
     try {
-      for await (const part of receipt.value.body) parts.push(part);
+      for await (const part of response.value.body) parts.push(part);
     } catch {
       return { status: 0, body: { code: 'broken' }, retryAfter: null };
     }
     const text = Buffer.concat(parts).toString('utf8');
     return {
-      status: receipt.value.status,
+      status: response.value.status,
       body: text.startsWith('{') ? (JSON.parse(text) as Record<string, unknown>) : { text },
-      retryAfter: receipt.value.header('retry-after'),
+      retryAfter: response.value.header('retry-after'),
     };
   };
 
@@ -205,7 +211,7 @@
     path: string,
     body?: unknown,
     headers?: Record<string, string>,
-  ): Promise<Told> => this.call(`http://${this.postmasterHosts[at]}:7101${path}`, method, body, headers);
+  ): Promise<HttpReply> => this.call(`http://${this.postmasterHosts[at]}:7101${path}`, method, body, headers);
 
   readonly finish = async <T>(work: Promise<T>, patienceMs = 30_000): Promise<T> => {
     let outcome: { value: T } | null = null;
@@ -219,7 +225,7 @@
     return (outcome as unknown as { value: T }).value;
   };
 
-  readonly announceAll = (at = 0): Promise<Told> =>
+  readonly announceAll = (at = 0): Promise<HttpReply> =>
     this.onPostmaster(at, 'POST', '/platform/replicas', [
       ...this.replicaHosts.map((host, index) => ({
         name: this.replicaName(index),
@@ -228,7 +234,7 @@
         incarnation: this.incarnationOf(this.replicaName(index)),
       })),
       { name: 'app-1', address: `${this.appHost}:8000`, pool: 'app', incarnation: this.incarnationOf('app-1') },
-      ...(this.plan.hasStore === true
+      ...(this.options.hasStore === true
         ? [
             {
               name: 'store-1',
@@ -241,7 +247,7 @@
         : []),
     ]);
 
-  readonly announce = (name: string, at = 0): Promise<Told> =>
+  readonly announce = (name: string, at = 0): Promise<HttpReply> =>
     this.onPostmaster(at, 'POST', '/platform/replicas', [
       {
         name,
@@ -254,10 +260,10 @@
 
   readonly startAll = async (): Promise<void> => {
     this.replicaHosts.forEach((host, at) => {
-      this.startStandIn(this.replicaName(at), host);
+      this.startReplica(this.replicaName(at), host);
     });
-    this.startStandIn('app-1', this.appHost);
-    if (this.plan.hasStore === true) this.startStandIn('store-1', this.storeHost);
+    this.startReplica('app-1', this.appHost);
+    if (this.options.hasStore === true) this.startReplica('store-1', this.storeHost);
     await Promise.all(this.postmasterHosts.map((_, at) => this.startPostmaster(at)));
     await Promise.all(this.counterHosts.map((_, at) => this.startCounter(at)));
   };
@@ -266,7 +272,7 @@
     await this.startAll();
     await this.world.until('the founding', () => this.postmasters.every((one) => one?.isReady() === true));
     const put = await this.finish(
-      this.onPostmaster(0, 'PUT', '/operator/layout', this.plan.layout ?? plans.layout('weights-1'), {
+      this.onPostmaster(0, 'PUT', '/operator/layout', this.options.layout ?? sampleWorkload.layout('weights-1'), {
         'if-match': '"0"',
         'change-id': 'first-layout',
       }),
@@ -274,7 +280,7 @@
     if (put.status !== 200) throw new Error(`layout: ${JSON.stringify(put)}`);
     const announced = await this.finish(this.announceAll());
     if (announced.status !== 200) throw new Error(`announce: ${JSON.stringify(announced)}`);
-    const tenants = this.plan.tenants ?? plans.tenantNames;
+    const tenants = this.options.tenants ?? sampleWorkload.tenantNames;
     for (const tenant of tenants) {
       const granted = await this.finish(
         this.onPostmaster(
@@ -334,7 +340,7 @@
 
   readonly killReplica = (name: string): void => {
     this.world.machine(this.hostOfReplica(name)).kill();
-    this.current.delete(name);
+    this.runningReplicas.delete(name);
   };
 
   readonly movePostmaster = async (at: number, host: string, name: string): Promise<void> => {
@@ -347,6 +353,6 @@
   readonly bootReplica = (name: string): void => {
     const host = this.hostOfReplica(name);
     this.world.machine(host).boot();
-    this.startStandIn(name, host);
+    this.startReplica(name, host);
   };
 }
--- a/packages/test-fleet/src/simulator/simLink.ts
+++ b/packages/test-fleet/src/simulator/simLink.ts
@@ -6,7 +6,7 @@
 
 interface LinkWorld {
   readonly time: number;
-  readonly plan: (machine: null, delayMs: number, ring: () => void) => unknown;
+  readonly schedule: (machine: null, delayMs: number, callback: () => void) => unknown;
 }
 
 interface Transfer {
@@ -35,7 +35,7 @@
     const transfer = this.waiting.shift();
     this.isBusy = transfer !== undefined;
     if (transfer === undefined) return;
-    this.world.plan(null, (transfer.bytes * msPerSecond) / this.bytesPerSecond, () => {
+    this.world.schedule(null, (transfer.bytes * msPerSecond) / this.bytesPerSecond, () => {
       transfer.done();
       this.next();
     });
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -19,16 +19,16 @@
 import { SimDisk } from './simDisk.js';
 import { SimLink, SimSender } from './simLink.js';
 
-interface Planned {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly machine: SimMachine | null;
-  readonly life: number;
-  readonly ring: () => void;
+  readonly incarnation: number;
+  readonly callback: () => void;
   isCancelled: boolean;
 }
 
-const byTime = (a: Planned, b: Planned): number => a.at - b.at || a.order - b.order;
+const byTime = (a: ScheduledEvent, b: ScheduledEvent): number => a.at - b.at || a.order - b.order;
 const hostOf = (address: string): string => address.slice(0, address.lastIndexOf(':'));
 const settled = (): Promise<void> => new Promise((done) => setImmediate(done));
 
@@ -45,10 +45,10 @@
 export class SimWorld {
   readonly random: () => number;
   readonly machines = new Map<string, SimMachine>();
-  readonly lines: LogLine[] = [];
-  private readonly planned = new Heap<Planned>(byTime);
-  private readonly cuts = new Set<string>();
-  private readonly slowLinks = new Map<string, number>();
+  readonly logLines: LogLine[] = [];
+  private readonly scheduled = new Heap<ScheduledEvent>(byTime);
+  private readonly blockedLinks = new Set<string>();
+  private readonly linkDelays = new Map<string, number>();
   private order = 0;
   /** Called with each write on a connection between two machines, before it is under way. */
   onWrite: ((from: string, to: string, bytes: Uint8Array) => void) | null = null;
@@ -68,30 +68,30 @@
     return machine;
   };
 
-  readonly plan = (machine: SimMachine | null, delayMs: number, ring: () => void): Planned => {
-    const planned: Planned = {
+  readonly schedule = (machine: SimMachine | null, delayMs: number, callback: () => void): ScheduledEvent => {
+    const scheduled: ScheduledEvent = {
       at: this.time + Math.max(0, delayMs),
       order: ++this.order,
       machine,
-      life: machine?.life ?? 0,
-      ring,
+      incarnation: machine?.incarnation ?? 0,
+      callback,
       isCancelled: false,
     };
-    this.planned.push(planned);
-    return planned;
+    this.scheduled.push(scheduled);
+    return scheduled;
   };
 
   readonly run = async (forMs: number): Promise<void> => {
     const until = this.time + forMs;
     await settled();
     for (;;) {
-      const next = this.planned.peek();
+      const next = this.scheduled.peek();
       if (next === undefined || next.at > until) break;
-      this.planned.pop();
+      this.scheduled.pop();
       if (next.isCancelled) continue;
       this.time = Math.max(this.time, next.at);
       if (next.machine !== null) {
-        if (next.machine.life !== next.life || !next.machine.isUp) continue;
+        if (next.machine.incarnation !== next.incarnation || !next.machine.isUp) continue;
         if (next.machine.isFrozen) {
           next.machine.postponed.push(next);
           continue;
@@ -99,7 +99,7 @@
       }
       this.events += 1;
       this.digest = (Math.imul(this.digest, 31) + Math.floor(next.at * 16) + next.order) | 0;
-      next.ring();
+      next.callback();
       await settled();
     }
     this.time = until;
@@ -115,39 +115,39 @@
     return this.time - begin;
   };
 
-  readonly cut = (from: string, to: string): void => void this.cuts.add(`${from}>${to}`);
-  readonly heal = (from: string, to: string): void => void this.cuts.delete(`${from}>${to}`);
-  readonly cutBoth = (a: string, b: string): void => {
-    this.cut(a, b);
-    this.cut(b, a);
+  readonly blockLink = (from: string, to: string): void => void this.blockedLinks.add(`${from}>${to}`);
+  readonly unblockLink = (from: string, to: string): void => void this.blockedLinks.delete(`${from}>${to}`);
+  readonly partition = (a: string, b: string): void => {
+    this.blockLink(a, b);
+    this.blockLink(b, a);
   };
   readonly healAll = (): void => {
-    this.cuts.clear();
-    this.slowLinks.clear();
+    this.blockedLinks.clear();
+    this.linkDelays.clear();
   };
-  readonly slow = (from: string, to: string, delayMs: number): void =>
-    void this.slowLinks.set(`${from}>${to}`, delayMs);
+  readonly delayLink = (from: string, to: string, delayMs: number): void =>
+    void this.linkDelays.set(`${from}>${to}`, delayMs);
   readonly isolate = (host: string): void => {
-    for (const other of this.machines.keys()) if (other !== host) this.cutBoth(host, other);
+    for (const other of this.machines.keys()) if (other !== host) this.partition(host, other);
   };
   readonly reconnect = (host: string): void => {
     for (const other of this.machines.keys()) {
-      this.heal(host, other);
-      this.heal(other, host);
+      this.unblockLink(host, other);
+      this.unblockLink(other, host);
     }
   };
   /** Gives a machine's connections a shared width each way, in bytes a second; the HTTP carriage is not narrowed. */
-  readonly narrow = (host: string, bytesPerSecond: number): void => {
+  readonly limitBandwidth = (host: string, bytesPerSecond: number): void => {
     const machine = this.machine(host);
     machine.outbound = new SimLink(this, bytesPerSecond);
     machine.inbound = new SimLink(this, bytesPerSecond);
   };
-  readonly isCut = (from: string, to: string): boolean => this.cuts.has(`${from}>${to}`);
+  readonly isBlocked = (from: string, to: string): boolean => this.blockedLinks.has(`${from}>${to}`);
   readonly latency = (from: string, to: string): number =>
-    (from === to ? 0.05 : 0.2 + this.random() * 0.8) + (this.slowLinks.get(`${from}>${to}`) ?? 0);
+    (from === to ? 0.05 : 0.2 + this.random() * 0.8) + (this.linkDelays.get(`${from}>${to}`) ?? 0);
 }
 
-interface Mood {
+interface ResponseState {
   isSilent: boolean;
   readonly givenUp: AbortController;
 }
@@ -169,17 +169,17 @@
 const deliver = (world: SimWorld, pipe: Pipe, act: () => void): void => {
   const at = Math.max(pipe.lastAt, world.time + world.latency(pipe.from.host, pipe.to.host));
   pipe.lastAt = at;
-  world.plan(pipe.to, at - world.time, () => ordered(world, pipe, act));
+  world.schedule(pipe.to, at - world.time, () => ordered(world, pipe, act));
 };
 
 const ordered = (world: SimWorld, pipe: Pipe, act: () => void): void => {
   if (pipe.isShut) return;
-  if (world.isCut(pipe.from.host, pipe.to.host)) {
-    stuck.set(pipe, [...(stuck.get(pipe) ?? []), act]);
-    if (stuck.get(pipe)?.length === 1) retryStuck(world, pipe);
+  if (world.isBlocked(pipe.from.host, pipe.to.host)) {
+    blockedDeliveries.set(pipe, [...(blockedDeliveries.get(pipe) ?? []), act]);
+    if (blockedDeliveries.get(pipe)?.length === 1) retryBlocked(world, pipe);
     return;
   }
-  const waiting = stuck.get(pipe);
+  const waiting = blockedDeliveries.get(pipe);
   if (waiting !== undefined && waiting.length > 0) {
     waiting.push(act);
     return;
@@ -187,14 +187,14 @@
   act();
 };
 
-const stuck = new WeakMap<Pipe, (() => void)[]>();
+const blockedDeliveries = new WeakMap<Pipe, (() => void)[]>();
 
-const retryStuck = (world: SimWorld, pipe: Pipe): void => {
-  world.plan(pipe.to, resendMs, () => {
+const retryBlocked = (world: SimWorld, pipe: Pipe): void => {
+  world.schedule(pipe.to, resendMs, () => {
     if (pipe.isShut) return;
-    if (world.isCut(pipe.from.host, pipe.to.host)) return retryStuck(world, pipe);
-    const acts = stuck.get(pipe) ?? [];
-    stuck.delete(pipe);
+    if (world.isBlocked(pipe.from.host, pipe.to.host)) return retryBlocked(world, pipe);
+    const acts = blockedDeliveries.get(pipe) ?? [];
+    blockedDeliveries.delete(pipe);
     for (const act of acts) act();
   });
 };
@@ -202,37 +202,37 @@
 export class SimMachine {
   isUp = true;
   isFrozen = false;
-  life = 0;
-  wallJump = 0;
-  monoLost = 0;
+  incarnation = 0;
+  wallClockOffset = 0;
+  monotonicPauseMs = 0;
   outbound: SimLink | null = null;
   inbound: SimLink | null = null;
   private frozenAt: number | null = null;
-  readonly postponed: Planned[] = [];
+  readonly postponed: ScheduledEvent[] = [];
   disk: SimDisk;
   private readonly listeners = new Map<string, (wire: Wire) => void>();
   private readonly doors = new Map<string, WebHandler>();
-  private readonly shutters = new Set<(isReset: boolean) => void>();
+  private readonly crashListeners = new Set<(isReset: boolean) => void>();
   private readonly answering = new Set<() => void>();
 
   constructor(
     readonly world: SimWorld,
     readonly host: string,
   ) {
-    this.disk = new SimDisk((delayMs) => new Promise((wake) => void world.plan(this, delayMs, wake)));
+    this.disk = new SimDisk((delayMs) => new Promise((wake) => void world.schedule(this, delayMs, wake)));
   }
 
   readonly clock = (): Clock => {
-    const { life } = this;
+    const { incarnation } = this;
     return {
-      now: () => this.world.time - this.monoLost,
-      wall: () => 1_700_000_000_000 + this.world.time + this.wallJump,
-      after: (delayMs, ring) => {
-        if (this.life !== life) return { cancel: () => {} };
-        const planned = this.world.plan(this, delayMs, ring);
+      now: () => this.world.time - this.monotonicPauseMs,
+      wall: () => 1_700_000_000_000 + this.world.time + this.wallClockOffset,
+      after: (delayMs, callback) => {
+        if (this.incarnation !== incarnation) return { cancel: () => {} };
+        const scheduled = this.world.schedule(this, delayMs, callback);
         return {
           cancel: () => {
-            planned.isCancelled = true;
+            scheduled.isCancelled = true;
           },
         };
       },
@@ -253,7 +253,7 @@
     const write = (message: string, more?: Record<string, unknown>): void =>
       void (message === 'request' || message === 'denied'
         ? 0
-        : this.world.lines.push({
+        : this.world.logLines.push({
             at: this.world.time,
             machine: this.host,
             message,
@@ -263,50 +263,50 @@
   };
 
   readonly ports = (isLogging = true): Ports => {
-    const { life } = this;
+    const { incarnation } = this;
     return {
       clock: this.clock(),
       random: this.randomPort(),
-      net: this.net(life),
-      door: this.door(life),
-      carriage: this.carriage(life),
-      disk: this.disk.view(() => this.life === life && this.isUp),
+      net: this.net(incarnation),
+      door: this.door(incarnation),
+      carriage: this.carriage(incarnation),
+      disk: this.disk.view(() => this.incarnation === incarnation && this.isUp),
       log: isLogging ? this.log({}) : logs.silent(),
     };
   };
 
-  private readonly net = (life: number): Net => ({
+  private readonly net = (incarnation: number): Net => ({
     dial: (address, patienceMs) =>
       new Promise((settle) => {
-        if (this.life !== life) return;
+        if (this.incarnation !== incarnation) return;
         const fail = (code: string): void => settle(err({ kind: 'net', code, isUnsent: true }));
         const target = this.world.machine(hostOf(address));
         let isDone = false;
-        this.world.plan(this, patienceMs, () => {
+        this.world.schedule(this, patienceMs, () => {
           if (!isDone) fail('ETIMEDOUT');
           isDone = true;
         });
-        if (this.world.isCut(this.host, target.host)) return;
-        this.world.plan(target, this.world.latency(this.host, target.host), () => {
-          if (isDone || this.world.isCut(target.host, this.host)) return;
+        if (this.world.isBlocked(this.host, target.host)) return;
+        this.world.schedule(target, this.world.latency(this.host, target.host), () => {
+          if (isDone || this.world.isBlocked(target.host, this.host)) return;
           const onWire = target.listeners.get(address);
           if (onWire === undefined) {
-            this.world.plan(this, this.world.latency(target.host, this.host), () => {
+            this.world.schedule(this, this.world.latency(target.host, this.host), () => {
               if (!isDone) fail('ECONNREFUSED');
               isDone = true;
             });
             return;
           }
-          const [near, far] = this.pair(target, life);
+          const [near, far] = this.pair(target, incarnation);
           onWire(far);
-          this.world.plan(this, this.world.latency(target.host, this.host), () => {
+          this.world.schedule(this, this.world.latency(target.host, this.host), () => {
             if (isDone) return near.close();
             isDone = true;
             settle(ok(near));
           });
         });
         if (!target.isUp) {
-          this.world.plan(this, 1, () => {
+          this.world.schedule(this, 1, () => {
             if (!isDone && !target.isVanished) {
               isDone = true;
               fail('ECONNREFUSED');
@@ -322,7 +322,7 @@
 
   isVanished = false;
 
-  private readonly pair = (target: SimMachine, life: number): [Wire, Wire] => {
+  private readonly pair = (target: SimMachine, incarnation: number): [Wire, Wire] => {
     const out: Pipe = { from: this, to: target, lastAt: 0, isShut: false, onBytes: null, onClose: null, early: [] };
     const back: Pipe = { from: target, to: this, lastAt: 0, isShut: false, onBytes: null, onClose: null, early: [] };
     const shutEnd = (inbound: Pipe): void => {
@@ -332,7 +332,7 @@
       inbound.onClose = null;
       onClose?.();
     };
-    const wireFor = (send: Pipe, receive: Pipe, owner: SimMachine, ownerLife: number): Wire => {
+    const wireFor = (send: Pipe, receive: Pipe, owner: SimMachine, ownerIncarnation: number): Wire => {
       const arrive = (bytes: Uint8Array): void => {
         if (send.onBytes === null) send.early.push(bytes);
         else send.onBytes(bytes);
@@ -351,20 +351,20 @@
         sender.discard();
         deliver(this.world, send, () => shutEnd(send));
         shutEnd(receive);
-        owner.shutters.delete(crash);
+        owner.crashListeners.delete(crash);
       };
       const crash = (isReset: boolean): void => {
         sender.discard();
         if (isReset && !receive.isShut)
-          this.world.plan(send.to, this.world.latency(owner.host, send.to.host), () => shutEnd(send));
+          this.world.schedule(send.to, this.world.latency(owner.host, send.to.host), () => shutEnd(send));
         receive.isShut = true;
         receive.onClose = null;
       };
-      owner.shutters.add(crash);
+      owner.crashListeners.add(crash);
       return {
         remote: send.to.host,
         write: (bytes) => {
-          if (receive.isShut || owner.life !== ownerLife) return;
+          if (receive.isShut || owner.incarnation !== ownerIncarnation) return;
           this.world.onWrite?.(owner.host, send.to.host, bytes);
           sender.write(bytes.slice());
         },
@@ -377,12 +377,12 @@
         close,
       };
     };
-    return [wireFor(out, back, this, life), wireFor(back, out, target, target.life)];
+    return [wireFor(out, back, this, incarnation), wireFor(back, out, target, target.incarnation)];
   };
 
-  private readonly door = (life: number): Door => ({
+  private readonly door = (incarnation: number): Door => ({
     open: async (address, handler) => {
-      if (this.life === life) this.doors.set(address, handler);
+      if (this.incarnation === incarnation) this.doors.set(address, handler);
       return ok({ close: async () => void this.doors.delete(address) });
     },
   });
@@ -394,20 +394,20 @@
     this.doors.clear();
     const until = this.world.time + doorCloseMs;
     while (this.answering.size > 0 && this.world.time < until)
-      await new Promise<void>((wake) => void this.world.plan(this, doorCheckMs, wake));
+      await new Promise<void>((wake) => void this.world.schedule(this, doorCheckMs, wake));
   };
 
   readonly closeDoor = (address: string): void => void this.doors.delete(address);
 
-  readonly carriage = (life = this.life): Carriage => ({
+  readonly carriage = (incarnation = this.incarnation): Carriage => ({
     close: async () => {},
     carry: (request) =>
       new Promise((settle) => {
-        if (this.life !== life) return;
+        if (this.incarnation !== incarnation) return;
         const { world } = this;
         const { host, pathname, search } = new URL(request.url);
         const target = world.machine(hostOf(host));
-        const targetLife = target.life;
+        const targetIncarnation = target.incarnation;
         let isDone = false;
         const finish = (outcome: Result<CarriageReceipt, NetFault>): void => {
           if (isDone) return;
@@ -418,27 +418,27 @@
         const fail = (code: string, isUnsent: boolean): void =>
           finish(err({ kind: 'net', code, isUnsent } satisfies NetFault));
         const quit = new AbortController();
-        const mood: Mood = { isSilent: false, givenUp: new AbortController() };
+        const state: ResponseState = { isSilent: false, givenUp: new AbortController() };
         const givenUp = (): void => {
           quit.abort();
-          mood.givenUp.abort();
+          state.givenUp.abort();
           fail('ABORTED', false);
         };
         if (request.signal.aborted) return fail('ABORTED', true);
         request.signal.addEventListener('abort', givenUp, { once: true });
-        world.plan(this, 1_000, () => {
+        world.schedule(this, 1_000, () => {
           if (!isConnected) fail('ETIMEDOUT', true);
         });
         let isConnected = false;
         if (!target.isUp && !target.isVanished) {
-          world.plan(this, world.latency(this.host, target.host), () => fail('ECONNREFUSED', true));
+          world.schedule(this, world.latency(this.host, target.host), () => fail('ECONNREFUSED', true));
           return;
         }
-        if (world.isCut(this.host, target.host) || world.isCut(target.host, this.host) || !target.isUp) return;
+        if (world.isBlocked(this.host, target.host) || world.isBlocked(target.host, this.host) || !target.isUp) return;
         const connectMs = world.latency(this.host, target.host) + world.latency(target.host, this.host);
-        world.plan(this, connectMs, () => {
+        world.schedule(this, connectMs, () => {
           if (isDone) return;
-          if (target.life !== targetLife || !target.isUp) return fail('ECONNREFUSED', true);
+          if (target.incarnation !== targetIncarnation || !target.isUp) return fail('ECONNREFUSED', true);
           isConnected = true;
           if (!request.gate()) return fail('GATED', true);
           const lost = (): void => {
@@ -446,23 +446,23 @@
             fail('ECONNRESET', false);
           };
           const targetGone = (isReset: boolean): void => {
-            mood.isSilent = !isReset;
+            state.isSilent = !isReset;
             quit.abort();
-            if (isReset) world.plan(this, world.latency(target.host, this.host), lost);
+            if (isReset) world.schedule(this, world.latency(target.host, this.host), lost);
           };
-          target.shutters.add(targetGone);
+          target.crashListeners.add(targetGone);
           const ownGone = (): void => quit.abort();
-          this.shutters.add(ownGone);
+          this.crashListeners.add(ownGone);
           const ended = (): void => {
             target.answering.delete(ended);
-            target.shutters.delete(targetGone);
-            this.shutters.delete(ownGone);
+            target.crashListeners.delete(targetGone);
+            this.crashListeners.delete(ownGone);
             request.signal.removeEventListener('abort', givenUp);
           };
-          world.plan(target, world.latency(this.host, target.host), () => {
+          world.schedule(target, world.latency(this.host, target.host), () => {
             const handler = target.doors.get(host);
             if (handler === undefined) {
-              world.plan(this, world.latency(target.host, this.host), () => fail('ECONNREFUSED', true));
+              world.schedule(this, world.latency(target.host, this.host), () => fail('ECONNREFUSED', true));
               return;
             }
             target.answering.add(ended);
@@ -480,15 +480,15 @@
                   status: response.status,
                   header: (name) => response.headers.get(name),
                   headers: () => [...response.headers].flat(),
-                  body: this.bodyOf(response, target, targetLife, quit, mood, ended),
+                  body: this.bodyOf(response, target, targetIncarnation, quit, state, ended),
                 };
                 finish(ok(receipt));
               };
               const back = (): void => {
-                if (world.isCut(target.host, this.host)) world.plan(target, resendMs, back);
-                else world.plan(this, world.latency(target.host, this.host), arrive);
+                if (world.isBlocked(target.host, this.host)) world.schedule(target, resendMs, back);
+                else world.schedule(this, world.latency(target.host, this.host), arrive);
               };
-              if (target.life === targetLife && target.isUp) back();
+              if (target.incarnation === targetIncarnation && target.isUp) back();
             });
           });
         });
@@ -499,9 +499,9 @@
     this: SimMachine,
     response: Response,
     target: SimMachine,
-    targetLife: number,
+    targetIncarnation: number,
     quit: AbortController,
-    mood: Mood,
+    state: ResponseState,
     ended: () => void,
   ): AsyncGenerator<Uint8Array> {
     const { world } = this;
@@ -512,10 +512,10 @@
       new Promise((settle) => {
         const leave = (): void => {
           if (quit.signal.aborted) settle(false);
-          else if (world.isCut(target.host, this.host)) world.plan(null, resendMs, leave);
+          else if (world.isBlocked(target.host, this.host)) world.schedule(null, resendMs, leave);
           else
-            world.plan(this, world.latency(target.host, this.host), () =>
-              settle(!quit.signal.aborted || target.life === targetLife),
+            world.schedule(this, world.latency(target.host, this.host), () =>
+              settle(!quit.signal.aborted || target.incarnation === targetIncarnation),
             );
         };
         leave();
@@ -529,13 +529,13 @@
         const read = reader.read();
         read.catch(() => {});
         const next = quit.signal.aborted ? 'broken' : await Promise.race([read, broken]);
-        if (mood.isSilent)
+        if (state.isSilent)
           await new Promise<void>((wake) =>
-            mood.givenUp.signal.aborted
+            state.givenUp.signal.aborted
               ? wake()
-              : mood.givenUp.signal.addEventListener('abort', () => wake(), { once: true }),
+              : state.givenUp.signal.addEventListener('abort', () => wake(), { once: true }),
           );
-        if (next === 'broken' || target.life !== targetLife)
+        if (next === 'broken' || target.incarnation !== targetIncarnation)
           throw Object.assign(new Error('reset'), { code: 'ECONNRESET' });
         if (!(await crossing())) throw Object.assign(new Error('reset'), { code: 'ECONNRESET' });
         if (next.done) {
@@ -550,18 +550,18 @@
     }
   };
 
-  readonly kill = (looseShare = 0): void => {
+  readonly kill = (unsyncedShareKept = 0): void => {
     if (!this.isUp) return;
     this.isUp = false;
-    this.life += 1;
+    this.incarnation += 1;
     this.isFrozen = false;
     this.postponed.length = 0;
     this.listeners.clear();
     this.doors.clear();
     this.answering.clear();
-    for (const shut of [...this.shutters]) shut(!this.isVanished);
-    this.shutters.clear();
-    this.disk.crash(looseShare);
+    for (const shut of [...this.crashListeners]) shut(!this.isVanished);
+    this.crashListeners.clear();
+    this.disk.crash(unsyncedShareKept);
     this.disk.unstall();
   };
 
@@ -573,9 +573,9 @@
   readonly boot = (): void => {
     this.isUp = true;
     this.isVanished = false;
-    this.life += 1;
-    this.disk.mood.isFull = false;
-    this.disk.mood.failsSync = false;
+    this.incarnation += 1;
+    this.disk.faults.isFull = false;
+    this.disk.faults.failsSync = false;
   };
 
   readonly freeze = (): void => {
@@ -584,11 +584,11 @@
   };
 
   readonly thaw = (stopsMonotonic = false): void => {
-    if (stopsMonotonic && this.isFrozen) this.monoLost += this.world.time - (this.frozenAt ?? this.world.time);
+    if (stopsMonotonic && this.isFrozen) this.monotonicPauseMs += this.world.time - (this.frozenAt ?? this.world.time);
     this.isFrozen = false;
-    for (const planned of this.postponed.splice(0))
-      this.world.plan(this, 0, () => {
-        if (!planned.isCancelled) planned.ring();
+    for (const scheduled of this.postponed.splice(0))
+      this.world.schedule(this, 0, () => {
+        if (!scheduled.isCancelled) scheduled.callback();
       });
   };
 }
--- a/packages/test-fleet/src/workload/loadGenerator.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -1,17 +1,17 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Agent, request } from 'undici';
 import { createParser } from 'eventsource-parser';
-import { plans, seeded } from './sampleDeployments.js';
-import type { Ask } from './sampleDeployments.js';
-import { speech } from '../replica/emulatedReplica.js';
+import { sampleWorkload, seeded } from './sampleDeployments.js';
+import type { SampleRequest } from './sampleDeployments.js';
+import { generatedText } from '../replica/emulatedReplica.js';
 
 export interface Outcome {
-  readonly kind: Ask['kind'];
+  readonly kind: SampleRequest['kind'];
   readonly tier: string;
   readonly status: number;
   readonly code: string;
   readonly ran: string;
-  readonly verdict: 'whole' | 'denied' | 'cut' | 'wrong' | 'broken';
+  readonly outcome: 'whole' | 'denied' | 'cut' | 'wrong' | 'broken';
   readonly firstMs: number;
   readonly totalMs: number;
   readonly requestId: string;
@@ -28,22 +28,22 @@
   readonly longShare?: number;
 }
 
-const one = async (
+const sendOne = async (
   agent: Agent,
   host: string,
-  ask: Ask,
+  sample: SampleRequest,
   requestId: string,
   weights: () => readonly string[],
 ): Promise<Outcome> => {
   const begin = performance.now();
   let runId = '';
-  const done = (status: number, verdict: Outcome['verdict'], code = '', ran = '', firstMs = 0): Outcome => ({
-    kind: ask.kind,
-    tier: ask.tier,
+  const done = (status: number, outcome: Outcome['outcome'], code = '', ran = '', firstMs = 0): Outcome => ({
+    kind: sample.kind,
+    tier: sample.tier,
     status,
     code,
     ran,
-    verdict,
+    outcome,
     firstMs,
     totalMs: performance.now() - begin,
     requestId,
@@ -51,17 +51,17 @@
     runId,
   });
   try {
-    const receipt = await request(`http://${host}:7101/v1/completions`, {
+    const response = await request(`http://${host}:7101/v1/completions`, {
       dispatcher: agent,
       method: 'POST',
-      headers: { 'content-type': 'application/json', authorization: `Bearer ${ask.key}`, 'x-request-id': requestId },
-      body: JSON.stringify({ model: ask.kind, prompt: ask.prompt, max_tokens: ask.maxTokens, stream: true }),
+      headers: { 'content-type': 'application/json', authorization: `Bearer ${sample.key}`, 'x-request-id': requestId },
+      body: JSON.stringify({ model: sample.kind, prompt: sample.prompt, max_tokens: sample.maxTokens, stream: true }),
     });
-    if (receipt.statusCode !== 200) {
-      const body = JSON.parse(await receipt.body.text()) as { error?: { type?: string; ran?: string } };
-      return done(receipt.statusCode, 'denied', body.error?.type, body.error?.ran);
+    if (response.statusCode !== 200) {
+      const body = JSON.parse(await response.body.text()) as { error?: { type?: string; ran?: string } };
+      return done(response.statusCode, 'denied', body.error?.type, body.error?.ran);
     }
-    let said = '';
+    let text = '';
     let isEnded = false;
     let isError = false;
     let firstMs = 0;
@@ -73,40 +73,42 @@
           if (firstMs === 0) firstMs = performance.now() - begin;
           const chunk = JSON.parse(event.data) as { id: string; choices: { text: string }[] };
           if (runId === '') runId = chunk.id;
-          said += chunk.choices[0]?.text ?? '';
+          text += chunk.choices[0]?.text ?? '';
         }
       },
     });
     const decoder = new TextDecoder();
     try {
-      for await (const bytes of receipt.body) parser.feed(decoder.decode(bytes as Uint8Array, { stream: true }));
+      for await (const bytes of response.body) parser.feed(decoder.decode(bytes as Uint8Array, { stream: true }));
     } catch {
       return done(200, 'cut', 'cut', 'unknown', firstMs);
     }
     if (!isEnded || isError) return done(200, isEnded ? 'wrong' : 'cut', 'cut', 'unknown', firstMs);
-    const isRight = [...weights(), 'app-1'].some((one) => speech.whole(ask.prompt, one, runId, ask.maxTokens) === said);
+    const isRight = [...weights(), 'app-1'].some(
+      (sendOne) => generatedText.whole(sample.prompt, sendOne, runId, sample.maxTokens) === text,
+    );
     return done(200, isRight ? 'whole' : 'wrong', '', '', firstMs);
   } catch (cause) {
     return done(0, 'broken', (cause as { code?: string }).code ?? 'UNKNOWN');
   }
 };
 
-export const load = async (plan: LoadPlan): Promise<Outcome[]> => {
+export const generateLoad = async (plan: LoadPlan): Promise<Outcome[]> => {
   const agent = new Agent({ connections: 64, pipelining: 1 });
   const random = seeded(plan.seed);
   const count = Math.floor(plan.ratePerSecond * plan.seconds);
   const begin = performance.now();
-  const under: Promise<Outcome>[] = [];
+  const pending: Promise<Outcome>[] = [];
   let dueMs = 0;
   for (let at = 0; at < count; at += 1) {
     dueMs += (-Math.log(1 - random()) * 1000) / plan.ratePerSecond;
-    const ask = plans.ask(random, plan.seed * 1_000_000 + at, plan.longShare);
+    const sample = sampleWorkload.request(random, plan.seed * 1_000_000 + at, plan.longShare);
     const host = plan.hosts[Math.floor(random() * plan.hosts.length)] as string;
     const waitMs = dueMs - (performance.now() - begin);
     if (waitMs > 1) await sleep(waitMs);
-    under.push(one(agent, host, ask, `load-${plan.seed}-${at}`, plan.weights));
+    pending.push(sendOne(agent, host, sample, `load-${plan.seed}-${at}`, plan.weights));
   }
-  const outcomes = await Promise.all(under);
+  const outcomes = await Promise.all(pending);
   await agent.close();
   return outcomes;
 };
@@ -124,7 +126,7 @@
     return [...groups]
       .sort(([a], [b]) => (a < b ? -1 : 1))
       .map(([key, some]) => {
-        const whole = some.filter((outcome) => outcome.verdict === 'whole');
+        const whole = some.filter((outcome) => outcome.outcome === 'whole');
         const first = whole.map((outcome) => outcome.firstMs).sort((a, b) => a - b);
         const total = whole.map((outcome) => outcome.totalMs).sort((a, b) => a - b);
         return `${key.padEnd(18)} n=${some.length} whole=${whole.length} first p50=${quantile(first, 0.5)} p95=${quantile(first, 0.95)} p99=${quantile(first, 0.99)} total p50=${quantile(total, 0.5)} p99=${quantile(total, 0.99)}`;
@@ -134,9 +136,9 @@
     const counts: Record<string, number> = {};
     for (const outcome of outcomes) {
       const key =
-        outcome.verdict === 'denied'
+        outcome.outcome === 'denied'
           ? `denied ${outcome.status} ${outcome.code} ran=${outcome.ran}`
-          : `${outcome.verdict}${outcome.code === '' ? '' : ` ${outcome.code}`}`;
+          : `${outcome.outcome}${outcome.code === '' ? '' : ` ${outcome.code}`}`;
       counts[key] = (counts[key] ?? 0) + 1;
     }
     return counts;
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto';
 
-export interface Firm {
+export interface SampleDeployment {
   readonly name: string;
   readonly replicaCount: number;
   readonly ratePerSecond: number;
 }
 
-export const firms: Record<string, Firm> = {
+export const sampleDeployments: Record<string, SampleDeployment> = {
   stations: { name: 'stations', replicaCount: 13, ratePerSecond: 190 },
   sawmill: { name: 'sawmill', replicaCount: 8, ratePerSecond: 180 },
 };
@@ -21,7 +21,7 @@
   };
 };
 
-const text = (label: string, bytes: number): string => {
+const pseudoText = (label: string, bytes: number): string => {
   const parts: string[] = [];
   for (let at = 0, size = 0; size < bytes; at += 1) {
     const word = createHash('sha256').update(`${label}:${at}`).digest('hex');
@@ -33,14 +33,14 @@
 
 const tenantNames = ['north', 'south', 'east', 'west', 'harbor', 'depot', 'yard', 'mill'];
 const isolatedTenants = new Set(['depot', 'mill']);
-const longPrefixes = [0, 1, 2, 3, 4, 5].map((at) => text(`manual-${at}`, 24_000));
-const shortPrefix = text('assistant', 640);
+const longPrefixes = [0, 1, 2, 3, 4, 5].map((at) => pseudoText(`manual-${at}`, 24_000));
+const shortPrefix = pseudoText('assistant', 640);
 
-export const kinds = ['confirm', 'query', 'diagnose', 'book'] as const;
-export type Kind = (typeof kinds)[number];
+export const requestKinds = ['confirm', 'query', 'diagnose', 'book'] as const;
+export type RequestKind = (typeof requestKinds)[number];
 
-export interface Ask {
-  readonly kind: Kind;
+export interface SampleRequest {
+  readonly kind: RequestKind;
   readonly tenant: string;
   readonly key: string;
   readonly prompt: string;
@@ -52,7 +52,7 @@
 
 const tierOf = (tenant: string): string => (tenantNames.indexOf(tenant) < 4 ? 'prompt' : 'steady');
 
-export const plans = {
+export const sampleWorkload = {
   tenantNames,
   tiers: { prompt: 0, steady: 1, patient: 3 },
   prober: 'prober',
@@ -70,12 +70,15 @@
       book: { pool: 'app', repeat: 'once' },
     },
     tenants: Object.fromEntries(
-      tenantNames.map((name) => [name, { tier: tierOf(name), isolated: isolatedTenants.has(name), lanes: [...kinds] }]),
+      tenantNames.map((name) => [
+        name,
+        { tier: tierOf(name), isolated: isolatedTenants.has(name), lanes: [...requestKinds] },
+      ]),
     ),
   }),
-  ask: (random: () => number, at: number, longShare = 0.06): Ask => {
+  request: (random: () => number, at: number, longShare = 0.06): SampleRequest => {
     const draw = random();
-    const kind: Kind =
+    const kind: RequestKind =
       draw < longShare
         ? 'diagnose'
         : draw < longShare + 0.04
@@ -87,7 +90,7 @@
     const tenant = (
       big ? tenantNames[Math.floor(random() * 2)] : tenantNames[Math.floor(random() * tenantNames.length)]
     ) as string;
-    const tail = ` ticket ${at} ${text(`tail-${at}`, 64)}`;
+    const tail = ` ticket ${at} ${pseudoText(`tail-${at}`, 64)}`;
     const prompt =
       kind === 'diagnose'
         ? `${longPrefixes[Math.floor(random() * longPrefixes.length)]}${tail}`
--- a/packages/test-fleet/test/faultInjection.test.ts
+++ b/packages/test-fleet/test/faultInjection.test.ts
@@ -1,32 +1,32 @@
 import { expect } from 'chai';
-import { faultKinds, finalKinds, sizes, Storm } from '@martenworks/test-fleet';
-import type { FinalKind } from '@martenworks/test-fleet';
+import { faultKinds, permanentLossKinds, deploymentSizes, FaultInjectionRun } from '@martenworks/test-fleet';
+import type { PermanentLossKind } from '@martenworks/test-fleet';
 
 describe('storms', () => {
   it('given one seed, when its storm is run twice, then both runs are the same to the event', async () => {
-    const first = await new Storm({ seed: 77, faults: 8 }).run();
-    const second = await new Storm({ seed: 77, faults: 8 }).run();
+    const first = await new FaultInjectionRun({ seed: 77, faults: 8 }).run();
+    const second = await new FaultInjectionRun({ seed: 77, faults: 8 }).run();
     expect(second).to.deep.equal(first);
   });
 
   for (const [at, kind] of faultKinds.entries()) {
     it(`given this fault: ${kind}, when it is brought about, then no line of the never list is broken`, async () => {
-      const report = await new Storm({
+      const report = await new FaultInjectionRun({
         seed: 500 + at,
         kinds: [kind],
         faults: 2,
         spanMs: 8_000,
-        final: finalKinds[at % finalKinds.length] as FinalKind,
+        permanentLoss: permanentLossKinds[at % permanentLossKinds.length] as PermanentLossKind,
       }).run();
-      expect(report.brought[kind]).to.be.greaterThan(0);
-      expect(report.complaints, `seed ${report.seed}`).to.deep.equal([]);
+      expect(report.injected[kind]).to.be.greaterThan(0);
+      expect(report.violations, `seed ${report.seed}`).to.deep.equal([]);
     });
   }
 
   for (let seed = 900; seed < 908; seed += 1) {
     it(`given many faults at once, when storm ${seed} passes, then no line of the never list is broken`, async () => {
-      const report = await new Storm({ seed, faults: 12 }).run();
-      expect(report.complaints, JSON.stringify(report.brought)).to.deep.equal([]);
+      const report = await new FaultInjectionRun({ seed, faults: 12 }).run();
+      expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
     });
   }
 
@@ -35,8 +35,8 @@
     ['stations', 53_000],
   ] as const) {
     it(`given the users' full size (${size}), when storm ${seed} passes, then no line of the never list is broken`, async () => {
-      const report = await new Storm({ seed, faults: 10, ...sizes[size] }).run();
-      expect(report.complaints, JSON.stringify(report.brought)).to.deep.equal([]);
+      const report = await new FaultInjectionRun({ seed, faults: 10, ...deploymentSizes[size] }).run();
+      expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
       expect(report.calls).to.be.greaterThan(5_000);
     });
   }
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -2,8 +2,8 @@
 import { err, ok } from 'neverthrow';
 import type { Counter } from '@martenworks/counter';
 import type { Carriage, Disk, Ports } from '@martenworks/core-types';
-import { Storm } from '@martenworks/test-fleet';
-import type { FaultKind, StormPlan } from '@martenworks/test-fleet';
+import { FaultInjectionRun } from '@martenworks/test-fleet';
+import type { FaultKind, FaultSchedule } from '@martenworks/test-fleet';
 
 type Open<T> = { -readonly [K in keyof T]: T[K] };
 const loosened = <T extends object>(held: T): Open<T> & Record<string, unknown> =>
@@ -36,7 +36,7 @@
   readonly what: string;
   readonly rule: string;
   readonly kinds: readonly FaultKind[];
-  readonly plan: Omit<StormPlan, 'seed' | 'kinds'>;
+  readonly plan: Omit<FaultSchedule, 'seed' | 'kinds'>;
 }
 
 const breaks: Break[] = [
@@ -48,7 +48,7 @@
       longShare: 0.5,
       ratePerSecond: 45,
       faults: 16,
-      breakage: {
+      overrides: {
         portsFor: carriageBroken((carriage) => ({
           carry: async (request) => (await carriage.carry(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
         })),
@@ -64,7 +64,7 @@
     kinds: ['counter dies'],
     plan: {
       faults: 2,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.claims).take = async (key, digest) => ({
             k: 'claimed',
@@ -79,7 +79,7 @@
     rule: 'runs twice',
     kinds: ['counter dies', 'counters die in a herd'],
     plan: {
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.claims).inquire = async () => ({ k: 'not run' });
         },
@@ -92,7 +92,7 @@
     kinds: ['replica cuts streams', 'replica crashes', 'key is revoked'],
     plan: {
       longShare: 0.4,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           const refuse = counter.stages.denying.refuse;
           loosened(counter.stages.denying).refuse = (parcel, code, detail) => {
@@ -108,7 +108,7 @@
     rule: 'wrong or cut answer looks whole',
     kinds: ['replica cuts streams'],
     plan: {
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           const next = loosened(counter.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
           loosened(counter.stages.relaying).nextPiece = async (...args: unknown[]) => {
@@ -124,7 +124,7 @@
     rule: 'wrong or cut answer looks whole',
     kinds: ['layout changes'],
     plan: {
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           let count = 0;
           const next = loosened(counter.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
@@ -142,7 +142,7 @@
     rule: 'another tenant',
     kinds: ['layout changes'],
     plan: {
-      breakage: {
+      overrides: {
         portsFor: carriageBroken((carriage) => ({
           carry: (request) => carriage.carry({ ...request, headers: { ...request.headers, 'x-tenant': 'north' } }),
         })),
@@ -153,7 +153,7 @@
     what: 'a counter never hears of revoked keys and holds itself fresh',
     rule: 'a key not granted',
     kinds: ['key is revoked'],
-    plan: { faults: 2, breakage: { onCounter: deafTo('change', upGeneration + 1) } },
+    plan: { faults: 2, overrides: { onCounter: deafTo('change', upGeneration + 1) } },
   },
   {
     what: 'any holder is named, and isolated tenants run anywhere',
@@ -161,7 +161,7 @@
     kinds: ['kv news is late'],
     plan: {
       longShare: 0.5,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.book.quarters).mayName = () => true;
           loosened(counter.book.quarters).mayRun = () => true;
@@ -178,7 +178,7 @@
     plan: {
       longShare: 0.5,
       faults: 3,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.book).holdersIn = (poolName) => counter.book.inPool(poolName);
           loosened(counter.book.index).reconcile = (
@@ -194,7 +194,7 @@
     rule: 'an accepted change is not in force',
     kinds: ['layout changes', 'many lanes'],
     plan: {
-      breakage: {
+      overrides: {
         onCounter: (counter) =>
           counter.env.name === 'counter-2' ? deafTo('change', upGeneration)(counter) : undefined,
       },
@@ -206,7 +206,7 @@
     kinds: ['new weights'],
     plan: {
       faults: 2,
-      breakage: {
+      overrides: {
         onCounter: (counter) =>
           counter.env.name === 'counter-2' ? deafTo('change', upGeneration)(counter) : undefined,
       },
@@ -218,7 +218,7 @@
     kinds: ['postmasters die in a herd', 'layout changes', 'many lanes'],
     plan: {
       faults: 10,
-      breakage: {
+      overrides: {
         portsFor: diskBroken((disk) => ({
           open: async (name) => (await disk.open(name)).map((file) => ({ ...file, sync: async () => ok(undefined) })),
         })),
@@ -230,7 +230,7 @@
     rule: 'a losing change took effect',
     kinds: ['rival changes'],
     plan: {
-      breakage: {
+      overrides: {
         onPostmaster: (postmaster) => {
           const layout = postmaster.changes.layout;
           loosened(postmaster.changes).layout = async (id, base, edit) => {
@@ -248,7 +248,7 @@
     rule: 'an accepted change is lost',
     kinds: ['rival changes'],
     plan: {
-      breakage: {
+      overrides: {
         onPostmaster: (postmaster) => {
           const layout = postmaster.changes.layout;
           loosened(postmaster.changes).layout = async (id, base, edit) =>
@@ -264,7 +264,7 @@
     rule: 'a leaving replica got a request',
     kinds: ['replica leaves'],
     plan: {
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.book).takeReplicas = (
             (take) => (records: Parameters<typeof take>[0]) =>
@@ -281,7 +281,7 @@
     plan: {
       ratePerSecond: 60,
       faults: 3,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.stages.sending).budgetOf = () => ({
             take: () => true,
@@ -298,7 +298,7 @@
     kinds: ['all machines die', 'postmasters die in a herd'],
     plan: {
       faults: 3,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.lines).stop = () => {};
         },
@@ -358,13 +358,13 @@
     what: "an equal prompt is answered with another request's run",
     rule: 'wrong or cut answer looks whole',
     kinds: ['layout changes'],
-    plan: { faults: 1, breakage: { portsFor: carriageBroken(replaying(0)) } },
+    plan: { faults: 1, overrides: { portsFor: carriageBroken(replaying(0)) } },
   },
   {
     what: 'two runs of one prompt are spliced',
     rule: 'wrong or cut answer looks whole',
     kinds: ['layout changes'],
-    plan: { faults: 1, breakage: { portsFor: carriageBroken(replaying(2)) } },
+    plan: { faults: 1, overrides: { portsFor: carriageBroken(replaying(2)) } },
   },
   {
     what: 'tiers change on paper but not towards replicas',
@@ -372,7 +372,7 @@
     kinds: ['layout is probed'],
     plan: {
       faults: 2,
-      breakage: {
+      overrides: {
         portsFor: carriageBroken((carriage) => ({
           carry: (request) =>
             carriage.carry(
@@ -390,7 +390,7 @@
     kinds: ['rival changes', 'layout is probed'],
     plan: {
       faults: 3,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           const view = counter.book.view;
           loosened(counter.book).view = () => {
@@ -423,7 +423,7 @@
     kinds: ['key is revoked'],
     plan: {
       faults: 4,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           const first = new Map<string, string>();
           const view = counter.book.view;
@@ -448,7 +448,7 @@
     kinds: ['layout changes'],
     plan: {
       faults: 1,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           const view = counter.book.view;
           loosened(counter.book).view = () => {
@@ -480,7 +480,7 @@
       faults: 14,
       spanMs: 24_000,
       longShare: 0,
-      breakage: {
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.stages.sending).budgetOf = ((budgetOf) => (pool: string) => {
             const budget = budgetOf(pool) as { tokens: number; isFilled?: boolean };
@@ -497,8 +497,8 @@
     kinds: ['layout changes'],
     plan: {
       faults: 1,
-      final: 'postmaster lost for good',
-      breakage: {
+      permanentLoss: 'postmaster lost for good',
+      overrides: {
         onCounter: (counter) => {
           loosened(counter.freshness).isFresh = () => counter.freshness.voiceCount() === 3;
         },
@@ -512,8 +512,8 @@
     it(`given a product broken so that ${what}, when storms come, then it tells: ${rule}`, async () => {
       const heard: string[] = [];
       for (let seed = 1; seed <= 4 && !heard.includes(rule); seed += 1) {
-        const report = await new Storm({ seed, kinds, faults: 6, ...plan }).run();
-        heard.push(...report.complaints.map((told) => told.rule));
+        const report = await new FaultInjectionRun({ seed, kinds, faults: 6, ...plan }).run();
+        heard.push(...report.violations.map((told) => told.rule));
       }
       expect(heard).to.include(rule);
     });
--- a/packages/test-fleet/test/knownRed.test.ts
+++ b/packages/test-fleet/test/knownRed.test.ts
@@ -26,14 +26,14 @@
 
   it('given no list, when a test fails, then the run fails and the last line counts it', () => {
     const { verdict, lines } = judged('', [passing('a'), failing('b')]);
-    expect(verdict.isGreen).to.equal(false);
+    expect(verdict.isPassing).to.equal(false);
     expect(lines).to.include.members(['b', 'b broke']);
     expect(lines.slice(-2)).to.deep.equal(['known red: 0', '1 passed, 1 failed']);
   });
 
   it('given a listed test, when it fails, then the run does not, and it is told with its cause and issue and counted as neither', () => {
     const { verdict, lines } = judged(line('b'), [passing('a'), failing('b')]);
-    expect(verdict.isGreen).to.equal(true);
+    expect(verdict.isPassing).to.equal(true);
     expect(lines.slice(-3)).to.deep.equal(['known red b: a cause (issue 7)', 'known red: 1', '1 passed, 0 failed']);
   });
 
@@ -49,14 +49,14 @@
       passed: 1,
       failures: [{ title: 'b', fault: 'KNOWN-RED.txt: listed, but it passes' }],
       knownReds: [],
-      isGreen: false,
+      isPassing: false,
     });
     expect(lines.slice(-2)).to.deep.equal(['known red: 0', '1 passed, 1 failed']);
   });
 
   it('given a listed title that no test has, when the others pass, then the run fails and says so', () => {
     const { verdict } = judged(line('gone'), [passing('a')]);
-    expect([verdict.failures, verdict.isGreen]).to.deep.equal([
+    expect([verdict.failures, verdict.isPassing]).to.deep.equal([
       [{ title: 'gone', fault: 'KNOWN-RED.txt: listed, but no test has this title' }],
       false,
     ]);
@@ -68,7 +68,7 @@
   });
 
   it('given a run of some files, when a listed test is in another file, then the run does not fail for it; and when it was to run and did not, it does', () => {
-    expect(judged(line('b'), [passing('a')], ['a', 'b'], ['a']).verdict.isGreen).to.equal(true);
+    expect(judged(line('b'), [passing('a')], ['a', 'b'], ['a']).verdict.isPassing).to.equal(true);
     expect(judged(line('b'), [passing('a')], ['a', 'b'], ['a', 'b']).verdict.failures).to.deep.equal([
       { title: 'b', fault: 'KNOWN-RED.txt: listed, but it did not run' },
     ]);
@@ -80,7 +80,7 @@
       [passing('a'), { title: 'part 3', fault: 'a worker broke', isTest: false }],
       ['a', 'part 3'],
     );
-    expect([verdict.isGreen, verdict.failures.map((failure) => failure.fault)]).to.deep.equal([
+    expect([verdict.isPassing, verdict.failures.map((failure) => failure.fault)]).to.deep.equal([
       false,
       ['a worker broke', 'KNOWN-RED.txt: listed, but it did not run'],
     ]);
@@ -88,7 +88,7 @@
 
   it('given two tests of one title, when one fails and one passes, then the title cannot be listed', () => {
     const { verdict } = judged(line('b'), [passing('a'), failing('b'), passing('b')]);
-    expect(verdict.isGreen).to.equal(false);
+    expect(verdict.isPassing).to.equal(false);
   });
 
   it('given lines without a cause or an issue, or a title listed twice, when they are read, then the run fails and names each line', () => {
@@ -102,6 +102,6 @@
   });
 
   it('given nothing but known reds, when no test passes, then the run is not green', () => {
-    expect(judged(line('b'), [failing('b')]).verdict.isGreen).to.equal(false);
+    expect(judged(line('b'), [failing('b')]).verdict.isPassing).to.equal(false);
   });
 });
--- a/packages/write-ahead-log/test/ledger.test.ts
+++ b/packages/write-ahead-log/test/ledger.test.ts
@@ -13,7 +13,8 @@
 
 const copyOf = (disk: SimDisk): SimDisk => {
   const copy = new SimDisk();
-  for (const [name, held] of disk.files) copy.files.set(name, { safe: held.safe.slice(), loose: new Uint8Array() });
+  for (const [name, held] of disk.files)
+    copy.files.set(name, { synced: held.synced.slice(), unsynced: new Uint8Array() });
   return copy;
 };
 
@@ -27,7 +28,7 @@
     const ends: number[] = [];
     for (let at = 0; at < 6; at += 1) {
       expect((await wal.append({ at, text: 'x'.repeat(at * 7) })).isOk()).to.equal(true);
-      ends.push(disk.files.get(segmentsOf(disk)[0] as string)?.safe.length ?? 0);
+      ends.push(disk.files.get(segmentsOf(disk)[0] as string)?.synced.length ?? 0);
     }
     const name = segmentsOf(disk)[0] as string;
     const size = ends[ends.length - 1] as number;
@@ -35,7 +36,7 @@
       const copy = copyOf(disk);
       const held = copy.files.get(name);
       if (held === undefined) throw new Error('no file');
-      held.safe = held.safe.slice(0, cut);
+      held.synced = held.synced.slice(0, cut);
       const again = await opened(copy);
       const wanted = ends.filter((end) => end <= cut).length;
       expect(again.records.map((record) => (record as { at: number }).at)).to.deep.equal(
@@ -54,7 +55,7 @@
     const name = segmentsOf(disk)[0] as string;
     const held = disk.files.get(name);
     if (held === undefined) throw new Error('no file');
-    held.safe[12] = (held.safe[12] ?? 0) ^ 0xff;
+    held.synced[12] = (held.synced[12] ?? 0) ^ 0xff;
     const outcome = await writeAheadLogs.open(disk.view(live), 'book');
     expect(outcome._unsafeUnwrapErr()).to.include({ kind: 'corrupt', file: name, offset: 0 });
   });
@@ -63,9 +64,9 @@
     const disk = new SimDisk();
     const { wal } = await opened(disk);
     await wal.append({ at: 0 });
-    disk.mood.isFull = true;
+    disk.faults.isFull = true;
     expect((await wal.append({ at: 1 })).isErr()).to.equal(true);
-    disk.mood.isFull = false;
+    disk.faults.isFull = false;
     expect((await wal.append({ at: 2 })).isOk()).to.equal(true);
     disk.crash(1);
     const again = await opened(disk);
@@ -78,9 +79,9 @@
       const { wal } = await opened(disk);
       await wal.append({ at: 0 });
       await wal.append({ at: 1 });
-      disk.mood.failsSync = true;
+      disk.faults.failsSync = true;
       expect((await wal.append({ at: 2, text: 'y'.repeat(100) })).isErr()).to.equal(true);
-      disk.mood.failsSync = false;
+      disk.faults.failsSync = false;
       disk.crash(share);
       const again = await opened(disk);
       expect(again.records.slice(0, 2)).to.deep.equal([{ at: 0 }, { at: 1 }]);
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -88,7 +88,10 @@
       const copy = disk.copy();
       for (const [at, name] of stale.entries())
         if ((kept >> at) % 2 === 1)
-          copy.files.set(name, { safe: before.files.get(name)?.safe ?? new Uint8Array(), loose: new Uint8Array() });
+          copy.files.set(name, {
+            synced: before.files.get(name)?.synced ?? new Uint8Array(),
+            unsynced: new Uint8Array(),
+          });
       expect(heldBy(await opened(copy))).to.deep.equal(upTo(14));
     }
   });
@@ -108,18 +111,18 @@
     };
     const first = await opened(disk);
     await write(first, 4);
-    disk.mood.isFull = true;
+    disk.faults.isFull = true;
     expect((await first.wal.append({ at: 99, text: filler })).isErr()).to.equal(true);
-    disk.mood.isFull = false;
+    disk.faults.isFull = false;
     await write(first, 2);
     await first.wal.checkpoint(() => ({ count: acknowledged }));
     const second = await opened(disk);
     await write(second, 4);
     await second.wal.checkpoint(() => ({ count: acknowledged }));
     await write(second, 1);
-    disk.mood.failsSync = true;
+    disk.faults.failsSync = true;
     expect((await second.wal.append({ at: 98, text: 'short' })).isErr()).to.equal(true);
-    disk.mood.failsSync = false;
+    disk.faults.failsSync = false;
     await write(second, 3);
     expect(images.length).to.be.greaterThan(40);
     for (const image of images)
@@ -140,9 +143,9 @@
     const view = disk.view(live);
     const replaced: typeof view.replace = async (name, bytes) => {
       await view.replace(name, bytes);
-      disk.mood.isFull = true;
+      disk.faults.isFull = true;
       const told = await view.replace(name, bytes);
-      disk.mood.isFull = false;
+      disk.faults.isFull = false;
       return told;
     };
     const log = (await writeAheadLogs.open({ ...view, replace: replaced }, 'book'))._unsafeUnwrap();
