--- a/packages/edge-proxy/test/stateOrder.test.ts
+++ b/packages/edge-proxy/test/stateOrder.test.ts
@@ -109,7 +109,7 @@
     for (const seed of seeds) {
       const stage = await Stage.open(seed);
       const { world, source, others } = stage;
-      world.slow(source.host, edgeHost, stage.between(400, 700));
+      world.delayLink(source.host, edgeHost, stage.between(400, 700));
       source.advanceTo(2);
       await world.run(stage.between(0, 80));
       for (const node of others) node.advanceTo(3);
@@ -128,7 +128,7 @@
       await lagging.stop();
       await world.run(stage.between(50, 500));
       lagging.generation = 2;
-      world.slow(lagging.host, edgeHost, stage.between(100, 300));
+      world.delayLink(lagging.host, edgeHost, stage.between(100, 300));
       await lagging.start();
       await world.until('its state is on its way', () => lagging.statesSent > 0, settleMs);
       for (const node of stage.nodes) if (node !== lagging) node.advanceTo(3);
@@ -146,7 +146,7 @@
       await source.stop();
       await world.run(stage.between(20, 600));
       source.generation = 2;
-      world.slow(source.host, edgeHost, stage.between(100, 300));
+      world.delayLink(source.host, edgeHost, stage.between(100, 300));
       await source.start();
       await world.until('its state is on its way', () => source.statesSent > 0, settleMs);
       for (const node of others) node.advanceTo(3);
