--- a/packages/cluster-membership/src/lines.ts
+++ b/packages/cluster-membership/src/lines.ts
@@ -1,4 +1,4 @@
-import { Repeating, pause } from '@martenworks/core-types';
+import { background, Repeating, pause } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { PeerConnection, Handlers, Hello } from '@martenworks/peer-transport';
@@ -67,7 +67,7 @@
   private readonly start = (address: string): void => {
     const line: Line = { connection: null, isStopped: false };
     this.lines.set(address, line);
-    void this.hold(address, line);
+    background.run('keep a peer connection', this.hold(address, line));
   };
 
   private readonly hold = async (address: string, line: Line): Promise<void> => {
@@ -96,7 +96,7 @@
         if (line.isStopped || this.isStopped) connection.close();
         line.connection = connection;
         if (connection.neighbour !== null) this.roster.heard(connection.neighbour);
-        void this.learnFrom(connection);
+        background.run('learn the members from a peer', this.learnFrom(connection));
         const openedAt = clock.now();
         await ended;
         line.connection = null;
@@ -118,7 +118,7 @@
   private readonly refresh = (): void => {
     const live = this.open();
     const connection = live[Math.floor(this.ports.random.fraction() * live.length)];
-    if (connection !== undefined) void this.learnFrom(connection);
+    if (connection !== undefined) background.run('learn the members from a peer', this.learnFrom(connection));
     else this.align();
   };
 
--- a/packages/control-plane/src/cardReader.ts
+++ b/packages/control-plane/src/cardReader.ts
@@ -1,4 +1,4 @@
-import { pause } from '@martenworks/core-types';
+import { background, pause } from '@martenworks/core-types';
 import type { BackEnds, CardsNews, Clock, Log, Random, ReplicaCard } from '@martenworks/core-types';
 
 /** Milliseconds between two readings, and calls a second that all readers may make together. */
@@ -33,7 +33,7 @@
     private readonly pace: ReadingPace,
     private readonly tell: (news: CardsNews) => void,
   ) {
-    void this.run();
+    background.run('read the replica list', this.run());
   }
 
   private readonly waitMs = (): number => {
--- a/packages/control-plane/src/catchUp.ts
+++ b/packages/control-plane/src/catchUp.ts
@@ -1,5 +1,6 @@
 import { createHash } from 'node:crypto';
 import { Encoder } from 'cbor-x';
+import { background } from '@martenworks/core-types';
 import type { Clock, Log } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor, CompressedSettled } from './acceptor.js';
@@ -229,10 +230,13 @@
   private readonly within = (work: Promise<void>, patienceMs: number): Promise<void> =>
     new Promise((settle) => {
       const late = this.clock.after(patienceMs, settle);
-      void work.then(() => {
-        late.cancel();
-        settle();
-      });
+      background.run(
+        'wait for a catch-up',
+        work.then(() => {
+          late.cancel();
+          settle();
+        }),
+      );
     });
 
   private readonly run = async (peer: PeerConnection): Promise<void> => {
--- a/packages/control-plane/src/consensusMember.ts
+++ b/packages/control-plane/src/consensusMember.ts
@@ -1,5 +1,5 @@
 /** One member of the consensus group: agreement, membership, leases and heartbeats, for every kind of core node. */
-import { Repeating, agreed as agreedState } from '@martenworks/core-types';
+import { background, Repeating, agreed as agreedState } from '@martenworks/core-types';
 import type { Member, Ports } from '@martenworks/core-types';
 import { Duties, Lines, leaseMs } from '@martenworks/cluster-membership';
 import type { DialPace, LeaseAsk, LeaseReply, LeaseTerms, Roster, RosterEntry } from '@martenworks/cluster-membership';
@@ -147,7 +147,7 @@
       new Repeating(
         clock,
         () => pace.dutyMs * (0.9 + 0.2 * random.fraction()),
-        () => void this.duties.tick(),
+        () => background.run('renew leases', this.duties.tick()),
       ),
     );
   };
@@ -207,28 +207,38 @@
   private readonly stepFounding = (): void => {
     if (this.isFoundingStep || this.acceptor.agreed() !== null) return;
     this.isFoundingStep = true;
-    void this.founding.step().finally(() => (this.isFoundingStep = false));
+    background.run(
+      'found the cluster',
+      this.founding.step().finally(() => (this.isFoundingStep = false)),
+    );
   };
 
   private readonly upkeep = (): void => {
     if (this.isUpkeepStep) return;
     this.isUpkeepStep = true;
-    void this.role
-      .prepareUpkeep()
-      .then(() => (this.isLeaving() ? undefined : this.membership.step()))
-      .finally(() => (this.isUpkeepStep = false));
+    background.run(
+      'membership upkeep',
+      this.role
+        .prepareUpkeep()
+        .then(() => (this.isLeaving() ? undefined : this.membership.step()))
+        .finally(() => (this.isUpkeepStep = false)),
+    );
   };
 
   private readonly settleRival = (): void => {
     const age = this.acceptor.unsettledFor();
-    if (age !== null && age > settleAfterMs && this.proposer.depth() === 0) void this.proposer.finishRival();
+    if (age !== null && age > settleAfterMs && this.proposer.depth() === 0)
+      background.run('finish an unsettled proposal', this.proposer.finishRival());
   };
 
   private readonly beat = (): void => {
     for (const connection of this.lines.open()) {
-      void connection.ask('beat', null, this.pace.beatPatienceMs).then((receipt) => {
-        if (receipt.isErr() && receipt.error.code === 'late') connection.close();
-      });
+      background.run(
+        'heartbeat a peer',
+        connection.ask('beat', null, this.pace.beatPatienceMs).then((receipt) => {
+          if (receipt.isErr() && receipt.error.code === 'late') connection.close();
+        }),
+      );
     }
   };
 
@@ -369,7 +379,8 @@
   };
 
   private readonly takeSettled = (connection: PeerConnection, body: unknown): void => {
-    if (consensusMessages.isSettled(body)) void this.catchUp.settle(connection, body);
+    if (consensusMessages.isSettled(body))
+      background.run('apply a settled change', this.catchUp.settle(connection, body));
   };
 
   private readonly takeRelease = (body: unknown): void => {
--- a/packages/control-plane/src/postmaster.ts
+++ b/packages/control-plane/src/postmaster.ts
@@ -1,6 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Repeating } from '@martenworks/core-types';
+import { background, Repeating } from '@martenworks/core-types';
 import type {
   Agreed,
   Claimant,
@@ -116,7 +116,7 @@
     this.trimStep = new Repeating(
       clock,
       () => trimMs,
-      () => void claims.trim(),
+      () => background.run('trim claims', claims.trim()),
     );
   }
 
--- a/packages/control-plane/src/quorumCall.ts
+++ b/packages/control-plane/src/quorumCall.ts
@@ -1,4 +1,5 @@
 import type { Acceptor, Ballot, Settled, Since, Vote } from './acceptor.js';
+import { background } from '@martenworks/core-types';
 import type { Change, Member } from '@martenworks/core-types';
 
 /** Where one acceptor stands: the last generation it knows to be decided, and the slot of a value it accepted after that, if any. */
@@ -37,13 +38,16 @@
     const replies: (Reply | null)[] = [];
     let isDecided = false;
     for (const member of members) {
-      void ask(member).then((reply) => {
-        replies.push(reply);
-        if (isDecided) return;
-        const outcome = decide(replies, members.length - replies.length);
-        if (outcome === null) return;
-        isDecided = true;
-        settle(outcome);
-      }, fail);
+      background.run(
+        'quorum call',
+        ask(member).then((reply) => {
+          replies.push(reply);
+          if (isDecided) return;
+          const outcome = decide(replies, members.length - replies.length);
+          if (outcome === null) return;
+          isDecided = true;
+          settle(outcome);
+        }, fail),
+      );
     }
   });
--- a/packages/control-plane/src/replicaDesk.ts
+++ b/packages/control-plane/src/replicaDesk.ts
@@ -1,5 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
+import { background } from '@martenworks/core-types';
 import type { ClaimPage, ReplicaRecord } from '@martenworks/core-types';
 import type { Lines } from '@martenworks/cluster-membership';
 import type { ClaimTable } from './claims.js';
@@ -43,9 +44,12 @@
         const connection = this.lines().to(member.incarnation);
         if (connection === undefined) tally(false);
         else
-          void connection
-            .ask(topic, body, patienceMs)
-            .then(async (receipt) => tally(receipt.isOk() && (await isHeard(receipt.value))));
+          background.run(
+            'quorum call on replicas',
+            connection
+              .ask(topic, body, patienceMs)
+              .then(async (receipt) => tally(receipt.isOk() && (await isHeard(receipt.value)))),
+          );
       }
     });
   };
--- a/packages/control-plane/src/shelfDesk.ts
+++ b/packages/control-plane/src/shelfDesk.ts
@@ -1,4 +1,4 @@
-import { LifePairs, pause } from '@martenworks/core-types';
+import { background, LifePairs, pause } from '@martenworks/core-types';
 import type { BackEnds, Clock, KeptNews, Log, MissedNews, Random, ShelfNews } from '@martenworks/core-types';
 
 const leastTokens = 256;
@@ -100,7 +100,7 @@
       };
       if (held !== undefined) held.isStopped = true;
       this.shelves.set(address, shelf);
-      if (isMineNow) void this.follow(address, shelf, held !== undefined);
+      if (isMineNow) background.run('follow kept prefixes', this.follow(address, shelf, held !== undefined));
     }
   };
 
--- a/packages/control-plane/src/weightsDesk.ts
+++ b/packages/control-plane/src/weightsDesk.ts
@@ -1,4 +1,4 @@
-import { pause } from '@martenworks/core-types';
+import { background, pause } from '@martenworks/core-types';
 import type { BackEnds, Clock, Log, ReplicaCard, WeightsNews } from '@martenworks/core-types';
 
 const noticeMs = 70;
@@ -65,7 +65,10 @@
       const inPool = [...this.underWay.values()].filter((pool) => pool === one.card.pool).length;
       if (inPool >= Math.max(1, Math.floor((poolSizes.get(one.card.pool) ?? 0) * atOnceShare))) continue;
       this.underWay.set(one.card.id, one.card.pool);
-      void this.bring(one).finally(() => this.underWay.delete(one.card.id));
+      background.run(
+        'load weights',
+        this.bring(one).finally(() => this.underWay.delete(one.card.id)),
+      );
     }
   };
 
--- a/packages/core-types/src/index.ts
+++ b/packages/core-types/src/index.ts
@@ -10,5 +10,7 @@
 export * from './claim.js';
 export * from './ways.js';
 export * from './backEnds.js';
+export * from './background.js';
 export * from './wayNews.js';
 export * from './lives.js';
+export * from './uncaughtExceptions.js';
--- /dev/null
+++ b/packages/core-types/test/background.test.ts
@@ -0,0 +1,80 @@
+import { execFile } from 'node:child_process';
+import { expect } from 'chai';
+import { BackgroundTaskError, uncaughtExceptions } from '@martenworks/core-types';
+
+interface Ended {
+  readonly exitCode: number;
+  readonly stdout: string;
+}
+
+const brokenExitCode = 70;
+
+/** Runs `body` in a process of its own whose uncaught exceptions end it, as they end a role. */
+const inProcess = (body: string): Promise<Ended> => {
+  const script = `
+    import { background, uncaughtExceptions } from ${JSON.stringify(import.meta.resolve('@martenworks/core-types'))};
+    const log = { error: (message, fields) => console.log(JSON.stringify({ message, ...fields })) };
+    uncaughtExceptions.endProcess(log, ${brokenExitCode});
+    ${body}
+  `;
+  return new Promise((settle) => {
+    const child = execFile(process.execPath, ['--input-type=module', '--eval', script], (_fault, stdout) =>
+      settle({ exitCode: child.exitCode ?? -1, stdout }),
+    );
+  });
+};
+
+const reportsOf = ({ stdout }: Ended): { code: string; task: string | null; cause: string }[] =>
+  stdout
+    .split('\n')
+    .filter((line) => line.startsWith('{'))
+    .map((line) => JSON.parse(line));
+
+describe('background work', () => {
+  it('given work that is rejected, when nobody awaits it, then one report with its code, task and cause is logged and the process ends', async () => {
+    const ended = await inProcess(`
+      background.run('trim claims', Promise.reject(new Error('the disk is gone')));
+      setTimeout(() => console.log('went on'), 1_000);
+    `);
+    expect(ended.exitCode).to.equal(brokenExitCode);
+    expect(ended.stdout).not.to.include('went on');
+    const [report, ...more] = reportsOf(ended);
+    expect(more).to.deep.equal([]);
+    expect(report).to.include({ code: 'BACKGROUND_TASK_FAILED', task: 'trim claims' });
+    expect(report?.cause).to.match(/^Error: the disk is gone\n/);
+  });
+
+  it('given work rejected later and another at once, when nobody awaits them, then the first one is reported and the process ends', async () => {
+    const ended = await inProcess(`
+      background.run('later', new Promise((_, fail) => setTimeout(() => fail(new Error('later')), 200)));
+      background.run('at once', (async () => { throw new Error('at once'); })());
+    `);
+    expect(ended.exitCode).to.equal(brokenExitCode);
+    expect(reportsOf(ended).map(({ task }) => task)).to.deep.equal(['at once']);
+  });
+
+  it('given work that is fulfilled, when nobody awaits it, then nothing is logged and the process goes on', async () => {
+    const ended = await inProcess(`
+      background.run('trim claims', Promise.resolve(1));
+      setTimeout(() => console.log('went on'), 50);
+    `);
+    expect(ended).to.deep.equal({ exitCode: 0, stdout: 'went on\n' });
+  });
+
+  it('given a rejection that was not run in the background, when nobody handles it, then it ends the process alike', async () => {
+    const ended = await inProcess(`Promise.reject(new Error('forgotten'));`);
+    expect(ended.exitCode).to.equal(brokenExitCode);
+    expect(reportsOf(ended).map(({ code, task }) => ({ code, task }))).to.deep.equal([
+      { code: 'UNCAUGHT_EXCEPTION', task: null },
+    ]);
+  });
+
+  it('given a reason that is no error, when it is reported, then its text is the cause', () => {
+    expect(uncaughtExceptions.report(new BackgroundTaskError('trim claims', undefined))).to.deep.equal({
+      code: 'BACKGROUND_TASK_FAILED',
+      task: 'trim claims',
+      cause: 'undefined',
+    });
+    expect(uncaughtExceptions.report('odd').cause).to.equal('odd');
+  });
+});
--- a/packages/counter/src/claims.ts
+++ b/packages/counter/src/claims.ts
@@ -1,4 +1,4 @@
-import { claimBallots, pause } from '@martenworks/core-types';
+import { background, claimBallots, pause } from '@martenworks/core-types';
 import type { Claimant, ClaimAccepted, ClaimBallot, ClaimVote, Member, Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
@@ -98,9 +98,12 @@
         const connection = this.lines().to(member.incarnation);
         if (connection === undefined) tally(null);
         else
-          void connection
-            .ask(topic, body, votePatienceMs)
-            .then((receipt) => tally(receipt.isOk() ? (receipt.value as ClaimVote | null) : null));
+          background.run(
+            'quorum call on a claim',
+            connection
+              .ask(topic, body, votePatienceMs)
+              .then((receipt) => tally(receipt.isOk() ? (receipt.value as ClaimVote | null) : null)),
+          );
       }
     });
   };
@@ -184,6 +187,6 @@
 
   readonly ended = (claim: Claim, state: ShelfState): void => {
     this.shelf.ended(claim.claimant.id, state);
-    if (state.k === 'not run') void this.release(claim);
+    if (state.k === 'not run') background.run('release a claim', this.release(claim));
   };
 }
--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -1,6 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Repeating, pause } from '@martenworks/core-types';
+import { background, Repeating, pause } from '@martenworks/core-types';
 import type {
   Agreed,
   Change,
@@ -113,7 +113,7 @@
   private readonly changed = (): void => {
     for (const connection of this.lines?.open() ?? []) connection.tell('ack', this.book.generation());
     this.stages?.recheck();
-    if (this.lines !== undefined) void this.admitSides();
+    if (this.lines !== undefined) background.run('admit sub-agents', this.admitSides());
     this.lines?.align();
   };
 
@@ -152,9 +152,12 @@
         const connection = this.lines.to(member.incarnation);
         if (connection === undefined) tally([]);
         else
-          void connection
-            .ask('admitSides', claims, admitPatienceMs)
-            .then((receipt) => tally(receipt.isOk() ? ((receipt.value as SideStanding[] | null) ?? []) : []));
+          background.run(
+            'ask a peer to admit sub-agents',
+            connection
+              .ask('admitSides', claims, admitPatienceMs)
+              .then((receipt) => tally(receipt.isOk() ? ((receipt.value as SideStanding[] | null) ?? []) : [])),
+          );
       }
     });
   };
@@ -172,8 +175,8 @@
 
   private readonly pingAll = (): void => {
     this.stages.placing.sweep();
-    void this.admitSides();
-    for (const connection of this.lines.open()) void this.ping(connection);
+    background.run('admit sub-agents', this.admitSides());
+    for (const connection of this.lines.open()) background.run('report load to a control node', this.ping(connection));
   };
 
   private readonly ping = async (connection: PeerConnection): Promise<void> => {
@@ -196,7 +199,7 @@
   private readonly joinPostmaster = (connection: PeerConnection): void => {
     if (connection.neighbour?.role !== 'postmaster') return;
     connection.tell('subscribe', this.book.generation());
-    void this.ping(connection);
+    background.run('report load to a control node', this.ping(connection));
   };
 
   private readonly handlers = (joined: (connection: PeerConnection) => void): Handlers => ({
--- a/packages/counter/src/match.ts
+++ b/packages/counter/src/match.ts
@@ -1,4 +1,4 @@
-import { digests, prompts } from '@martenworks/core-types';
+import { background, digests, prompts } from '@martenworks/core-types';
 import { backWire } from '@martenworks/upstream';
 import type { Piece } from '@martenworks/upstream';
 import type { Bench } from './bench.js';
@@ -66,7 +66,7 @@
     );
     parcel.whenEnded(clockEvent.cancel);
     if (parcel.order.idempotencyKey === null) this.next(parcel);
-    else void this.claimThenQueue(parcel, parcel.order.idempotencyKey);
+    else background.run('claim and queue a request', this.claimThenQueue(parcel, parcel.order.idempotencyKey));
   };
 
   private readonly claimThenQueue = async (parcel: Parcel, idempotencyKey: string): Promise<void> => {
--- a/packages/counter/src/relaying.ts
+++ b/packages/counter/src/relaying.ts
@@ -1,4 +1,4 @@
-import { pause } from '@martenworks/core-types';
+import { background, pause } from '@martenworks/core-types';
 import type { Piece } from '@martenworks/upstream';
 import type { Bench } from './bench.js';
 import type { Parcel } from './parcel.js';
@@ -75,7 +75,7 @@
     } finally {
       release();
       parcel.end();
-      void rest.return(undefined);
+      background.run('close a response body', rest.return(undefined));
     }
   };
 }
--- a/packages/counter/src/stages.ts
+++ b/packages/counter/src/stages.ts
@@ -1,3 +1,4 @@
+import { background } from '@martenworks/core-types';
 import { Admit } from './admit.js';
 import type { Bench } from './bench.js';
 import { Denying } from './denying.js';
@@ -31,7 +32,9 @@
       () => this.placing,
       () => this.admit.isDraining,
     );
-    this.placing = new Placing(bench, this.denying, (parcel, placed) => void this.sending.send(parcel, placed));
+    this.placing = new Placing(bench, this.denying, (parcel, placed) =>
+      background.run('send a request', this.sending.send(parcel, placed)),
+    );
     this.match = new Match(bench, this.denying, (parcel) => this.placing.queue(parcel), this.relaying.replay);
     const matching = new Stage(bench.env.queueLimit, arrival, this.match.work, crowded);
     this.admit = new Admit(bench, this.denying, matching.enter);
--- a/packages/edge-proxy/src/attempt.ts
+++ b/packages/edge-proxy/src/attempt.ts
@@ -1,3 +1,4 @@
+import { background } from '@martenworks/core-types';
 import type { AnswerHead, CarriageReceipt, ClockEvent, NetFault, ReceiptHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
 import { headerLists } from './call.js';
@@ -78,7 +79,10 @@
       const receipt = await Promise.race([carried, this.stopped]);
       if (this.isWritten) this.request.progress.arrivals += 1;
       if (typeof receipt === 'string') {
-        void carried.then((late) => late.map(this.discard));
+        background.run(
+          'discard a late response',
+          carried.then((late) => late.map(this.discard)),
+        );
         return this.isWritten ? { kind: 'may have run', cause: `the replica was left: ${receipt}` } : notSent;
       }
       return receipt.isErr() ? this.failed(receipt.error) : await this.answered(receipt.value);
@@ -241,7 +245,7 @@
     for (const [model, version] of Object.entries(head.versions)) tracks.holds(track, model, version);
     if (head.isElsewhere) tracks.failed(track);
     else tracks.full(track, head.retryAfterMs ?? fullRestMs);
-    void this.drain(receipt);
+    background.run('drain a rejected response', this.drain(receipt));
     return { kind: 'not run', isArrival: true, retryAfterMs: head.retryAfterMs };
   };
 
--- a/packages/edge-proxy/src/coreTouch.ts
+++ b/packages/edge-proxy/src/coreTouch.ts
@@ -1,5 +1,5 @@
 /** A front's connections to the core nodes: which of them is its source, and how it learns what is in force. */
-import { Repeating } from '@martenworks/core-types';
+import { background, Repeating } from '@martenworks/core-types';
 import type {
   CardsNews,
   FrontPong,
@@ -192,12 +192,13 @@
   private readonly askState = (connection: PeerConnection, edition: number): void => {
     if (this.asked !== null || !connection.isLive()) return;
     this.asked = connection;
-    void connection
-      .ask('state', { generation: this.stateHeld().generation, edition }, askPatienceMs)
-      .then((receipt) => {
+    background.run(
+      'fetch the configuration',
+      connection.ask('state', { generation: this.stateHeld().generation, edition }, askPatienceMs).then((receipt) => {
         this.asked = null;
         if (receipt.isOk() && receipt.value !== null) this.take(connection, receipt.value as StateMessage);
-      });
+      }),
+    );
   };
 
   private readonly cores = (): PeerConnection[] =>
@@ -255,9 +256,9 @@
 
   private readonly pingOne = (connection: PeerConnection): void => {
     const askedAt = this.ports.clock.now();
-    void connection
-      .ask('ping', { ...this.stateHeld(), isReady: this.ears.isReady() }, pingPatienceMs)
-      .then((receipt) => {
+    background.run(
+      'ping a control node',
+      connection.ask('ping', { ...this.stateHeld(), isReady: this.ears.isReady() }, pingPatienceMs).then((receipt) => {
         if (receipt.isErr()) {
           if (receipt.error.code === 'late' && connection.silentMs() >= pingPatienceMs) connection.close();
           return;
@@ -269,7 +270,8 @@
         this.pongs.set(connection, pong);
         this.noteFronts(pong.fronts);
         this.hearOf(connection, pong.generation);
-      });
+      }),
+    );
   };
 
   readonly tellMissed = (news: MissedNews): void => void this.content?.tell('missed', news);
--- a/packages/edge-proxy/src/front.ts
+++ b/packages/edge-proxy/src/front.ts
@@ -1,5 +1,5 @@
 import type { Result } from 'neverthrow';
-import { Repeating, keys } from '@martenworks/core-types';
+import { background, Repeating, keys } from '@martenworks/core-types';
 import type {
   CardsNews,
   Customer,
@@ -98,7 +98,10 @@
       () => tallyMs,
       () => ports.log.info('tally', this.tally.all()),
     );
-    this.door = new CallDoor({ onCall: (call) => void this.receive(call), isClosing: () => this.isClosing });
+    this.door = new CallDoor({
+      onCall: (call) => background.run('serve a request', this.receive(call)),
+      isClosing: () => this.isClosing,
+    });
   }
 
   /** Takes what changed in the list of replicas, or the whole list. */
@@ -196,7 +199,7 @@
     const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
     if (comeBackMs !== null) headers.push('Retry-After', (comeBackMs / 1_000).toFixed(2));
     const reply = call.answer(status, headers, isLast);
-    if (call.method !== 'HEAD') void reply.write(bytes);
+    if (call.method !== 'HEAD') background.run('write a response body', reply.write(bytes));
     reply.end();
   };
 
--- a/packages/edge-proxy/src/webCall.ts
+++ b/packages/edge-proxy/src/webCall.ts
@@ -1,5 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
+import { background } from '@martenworks/core-types';
 import type { WebHandler } from '@martenworks/core-types';
 import type { BodyFault, Call, Reply } from './call.js';
 
@@ -106,7 +107,7 @@
     (request) => {
       const call = new WebCall(request);
       return new Promise((settle, fail) => {
-        void call.response.then(settle);
+        background.run('deliver a response', call.response.then(settle));
         receive(call).catch(fail);
       });
     },
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -1,6 +1,7 @@
 /** A held connection between two nodes: tells, and asks with replies. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
+import { background } from '@martenworks/core-types';
 import type { Clock, ClockEvent, Listener, Log, Net, NetFault, Wire } from '@martenworks/core-types';
 import { Assembly } from './assembly.js';
 import { Unpacker, frameLimit, frames } from './frames.js';
@@ -205,9 +206,12 @@
       return;
     }
     if (frame.f === 'ask') {
-      void this.handlers
-        .asked(this, frame.topic, frame.body)
-        .then((body) => this.send(frame.topic, { f: 'reply', id: frame.id, body }));
+      background.run(
+        'answer a peer',
+        this.handlers
+          .asked(this, frame.topic, frame.body)
+          .then((body) => this.send(frame.topic, { f: 'reply', id: frame.id, body })),
+      );
       return;
     }
     const call = this.calls.get(frame.id);
--- a/packages/postrider/src/main.ts
+++ b/packages/postrider/src/main.ts
@@ -2,7 +2,7 @@
 import { carriages } from '@martenworks/upstream';
 import { callerWire, counters, operatorPages } from '@martenworks/counter';
 import { runInspector } from '@martenworks/inspector';
-import { addresses, logs, machine } from '@martenworks/core-types';
+import { addresses, logs, machine, uncaughtExceptions } from '@martenworks/core-types';
 import type { Listener, Log, Ports, WebHandler } from '@martenworks/core-types';
 import { envs, layouts } from '@martenworks/settings';
 import type { Complaint, Env, Role } from '@martenworks/settings';
@@ -126,10 +126,7 @@
   }
   const env = asked.env.value;
   const log = env.logs ? logs.named('postrider', { role, node: env.name }) : logs.silent();
-  process.on('uncaughtException', (cause) => {
-    log.error('an invariant broke', { cause: String(cause.stack ?? cause) });
-    process.exit(exitCodes.broken);
-  });
+  uncaughtExceptions.endProcess(log, exitCodes.broken);
   return role === 'postmaster' ? runPostmaster(env, log) : runCounter(env, log);
 };
 
--- a/packages/upstream/src/kvFollow.ts
+++ b/packages/upstream/src/kvFollow.ts
@@ -1,4 +1,4 @@
-import { pause } from '@martenworks/core-types';
+import { background, pause } from '@martenworks/core-types';
 import type { Carriage, Clock, KvNews, Log, Random } from '@martenworks/core-types';
 import { backWire } from './backWire.js';
 
@@ -67,7 +67,7 @@
         waitMs = Math.min(waitMs * 2, 2_000);
       }
     };
-    void run();
+    background.run('follow cache events', run());
     return { stop: () => quit.abort() };
   },
 };
--- a/packages/write-ahead-log/src/writeAheadLog.ts
+++ b/packages/write-ahead-log/src/writeAheadLog.ts
@@ -2,7 +2,7 @@
 import { Encoder } from 'cbor-x';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Owner } from '@martenworks/core-types';
+import { background, Owner } from '@martenworks/core-types';
 import type { Disk, DiskFault, DiskFile } from '@martenworks/core-types';
 
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
@@ -129,7 +129,7 @@
   readonly append = (record: unknown): Promise<Result<void, WriteAheadLogFault>> =>
     new Promise((settle) => {
       this.waiting.push({ record, settle });
-      if (this.waiting.length === 1) void this.writer.run(this.flush);
+      if (this.waiting.length === 1) background.run('flush the write-ahead log', this.writer.run(this.flush));
     });
 
   private readonly flush = async (): Promise<void> => {
