--- a/packages/test-fleet/src/commands/priorityWaitCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -1,7 +1,7 @@
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
-import type { Call } from '../invariants/invariantChecker.js';
+import type { Call } from '../workload/callSender.js';
 import { SimFleet } from '../simulator/simFleet.js';
 
 const { values } = parseArgs({
--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -5,7 +5,8 @@
 import { LocalFleet } from '../processes/localFleet.js';
 import type { Reply } from '../processes/localFleet.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
-import type { ReplicaIncarnation, ObservedFleet, Violation } from '../invariants/invariantChecker.js';
+import type { ObservedFleet, ReplicaIncarnation } from '../invariants/observedFleet.js';
+import type { Violation } from '../invariants/violation.js';
 
 const faultKinds = [
   'counter killed',
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -1,4 +1,6 @@
-import type { Grant, InvariantChecker, Violation } from '../invariants/invariantChecker.js';
+import type { InvariantChecker } from '../invariants/invariantChecker.js';
+import type { Grant } from '../invariants/observations.js';
+import type { Violation } from '../invariants/violation.js';
 import type { SimFleet } from '../simulator/simFleet.js';
 import type { SimWorld } from '../simulator/simWorld.js';
 import type { FaultKind } from './faultSchedule.js';
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -1,6 +1,7 @@
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
-import type { Call, Violation } from '../invariants/invariantChecker.js';
+import type { Violation } from '../invariants/violation.js';
+import type { Call } from '../workload/callSender.js';
 import { SimFleet } from '../simulator/simFleet.js';
 import { stateViolations } from '../invariants/stateInvariants.js';
 import { injectPermanentLoss } from './permanentLosses.js';
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -9,7 +9,7 @@
 export { knownRed } from './runner/knownRed.js';
 export type { TestResult } from './runner/knownRed.js';
 export { InvariantChecker } from './invariants/invariantChecker.js';
-export type { Call } from './invariants/invariantChecker.js';
+export type { Call } from './workload/callSender.js';
 export { SimDisk } from './simulator/simDisk.js';
 export { SimFleet } from './simulator/simFleet.js';
 export type { HttpReply } from './simulator/simFleet.js';
--- /dev/null
+++ b/packages/test-fleet/src/invariants/configurationVisibility.ts
@@ -0,0 +1,65 @@
+/** Configuration visibility: accepted changes are in force everywhere in time, and rejected ones never are. */
+import type { Call } from '../workload/callSender.js';
+import { labelOf, propagationMs } from './observations.js';
+import type { Evidence, Probe } from './observations.js';
+import type { ObservedRun } from './observedFleet.js';
+import type { Violation } from './violation.js';
+
+/** How long replicas may start requests on weights that were replaced. */
+const oldWeightsGraceMs = 12_000;
+const notYetAppliedCodes = new Set(['unknown_lane', 'lane_not_granted', 'unknown_key']);
+
+const probeViolations = (evidence: Evidence, { call, change, isWanted, priority }: Probe): Violation[] => {
+  const runs = evidence.runsOf(call);
+  const detail = `${change}: ${call.requestId} at ${call.host}, ${Math.round(call.sentAt)}: ${call.outcome} ${call.code}`;
+  if (!isWanted)
+    return runs.length > 0 || call.outcome === 'whole' ? [{ rule: 'a losing change took effect', detail }] : [];
+  const violations: Violation[] = [];
+  if (call.outcome === 'denied' && notYetAppliedCodes.has(call.code))
+    violations.push({ rule: 'an accepted change is not in force', detail });
+  const priorities = runs.map((run) => run.priority);
+  if (priorities.some((used) => used !== priority))
+    violations.push({
+      rule: 'an accepted change is not in force',
+      detail: `${detail} ran at ${priorities.join()}, not ${priority}`,
+    });
+  return violations;
+};
+
+const staleWeightsViolations = (evidence: Evidence, call: Call, run: ObservedRun): Violation[] => {
+  const changes = evidence.weightsChangesFor(run.replica);
+  const due = changes.findLast((change) => call.sentAt >= change.at + propagationMs);
+  const used = changes.findLast((change) => change.weights === run.weights);
+  if (due === undefined || used === undefined || used.offeredAt >= due.offeredAt) return [];
+  return [
+    {
+      rule: 'an accepted change is not in force',
+      detail: `${labelOf(call)} sent at ${Math.round(call.sentAt)} ran on ${run.weights}, not ${due.weights}`,
+    },
+  ];
+};
+
+const oldWeightsViolations = (evidence: Evidence, run: ObservedRun): Violation[] => {
+  const changes = evidence.weightsChangesFor(run.replica);
+  const mayUse = changes.some((change, index) => {
+    const replacedAt = changes[index + 1]?.at ?? Number.POSITIVE_INFINITY;
+    return (
+      change.weights === run.weights &&
+      run.startedAt >= change.offeredAt &&
+      run.startedAt <= replacedAt + oldWeightsGraceMs
+    );
+  });
+  if (mayUse) return [];
+  return [
+    { rule: 'old weights started', detail: `${run.requestId} on ${run.weights} at ${Math.round(run.startedAt)}` },
+  ];
+};
+
+/** Checks the probes of changes and the weights of every run. */
+export const configurationViolations = (evidence: Evidence): Violation[] => [
+  ...evidence.observations.calls.flatMap((call) =>
+    evidence.runsOf(call).flatMap((run) => staleWeightsViolations(evidence, call, run)),
+  ),
+  ...evidence.observations.probes.flatMap((probe) => probeViolations(evidence, probe)),
+  ...evidence.runs.flatMap((run) => oldWeightsViolations(evidence, run)),
+];
--- a/packages/test-fleet/src/invariants/stateInvariants.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -1,6 +1,9 @@
-import type { InvariantChecker, Violation } from './invariantChecker.js';
+/** Invariants of the agreed state, read from the simulated control nodes themselves. */
+import type { InvariantChecker } from './invariantChecker.js';
+import type { Violation } from './violation.js';
 import type { SimFleet } from '../simulator/simFleet.js';
 
+/** Checks that every control node that runs knows each accepted change at its log position, and no rejected one. */
 export const stateViolations = (fleet: SimFleet, checker: InvariantChecker): Violation[] => {
   const violations: Violation[] = [];
   fleet.postmasters.forEach((postmaster, at) => {
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -9,7 +9,7 @@
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import type { SampleDeployment } from '../workload/sampleDeployments.js';
 import { FaultProxy } from './faultProxy.js';
-import type { ReplicaIncarnation } from '../invariants/invariantChecker.js';
+import type { ReplicaIncarnation } from '../invariants/observedFleet.js';
 import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
 import type { EmulatedReplicaSpec } from './emulatedReplicasProcess.js';
 import { addresses } from '@martenworks/core-types';
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -8,7 +8,7 @@
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
 import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
-import type { ReplicaIncarnation, ObservedFleet } from '../invariants/invariantChecker.js';
+import type { ReplicaIncarnation, ObservedFleet } from '../invariants/observedFleet.js';
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simWorld.js';
 
--- /dev/null
+++ b/packages/test-fleet/src/workload/callSender.ts
@@ -0,0 +1,149 @@
+/** Sends sample requests to gateways as an outside caller, and records what became of each. */
+import type { Carriage } from '@martenworks/core-types';
+import { CompletionStream, completionBodies } from './completionResponse.js';
+import type { SampleRequest } from './sampleDeployments.js';
+
+/** One request of a caller and its outcome so far. Times are milliseconds of the fleet's clock; 0: not yet. */
+export interface Call {
+  readonly requestId: string;
+  readonly request: SampleRequest;
+  readonly host: string;
+  readonly sentAt: number;
+  readonly idempotencyKey: string | null;
+  outcome: 'open' | 'whole' | 'denied' | 'cut' | 'lost';
+  /** The HTTP status; 0 until the head arrived. */
+  status: number;
+  /** The error code of a rejection or of the network; empty without one. */
+  code: string;
+  /** Whether the request ran, as the response says. */
+  ran: string;
+  retryAfter: string | null;
+  text: string;
+  endedAt: number;
+  firstTokenAt: number;
+  /** The caller gave up before the end. */
+  isAborted: boolean;
+}
+
+/** How a request is sent; by default without a key, streamed and with no deadline of the caller. */
+export interface SendOptions {
+  readonly idempotencyKey?: string;
+  readonly horizonMs?: number;
+  readonly signal?: AbortSignal;
+  /** Asks for one body in place of a stream. */
+  readonly whole?: boolean;
+}
+
+/** What the sender needs of the fleet. */
+export interface CallTarget {
+  readonly counterHosts: readonly string[];
+  readonly now: () => number;
+  readonly outside: () => Carriage;
+}
+
+type Request = Parameters<Carriage['carry']>[0];
+type Body = AsyncIterable<Uint8Array>;
+
+/** Keeps all calls in the order in which they were sent. */
+export class CallSender {
+  readonly calls: Call[] = [];
+  private sentCount = 0;
+
+  /** @param salt tells the request ids of several senders apart */
+  constructor(
+    private readonly target: CallTarget,
+    private readonly salt: string,
+  ) {}
+
+  /** Sends to the gateway with that index and returns at once; the call's outcome changes as the response comes. */
+  readonly send = (request: SampleRequest, gatewayIndex: number, options: SendOptions = {}): Call => {
+    const call: Call = {
+      requestId: `call-${this.salt}${++this.sentCount}`,
+      request,
+      host: this.target.counterHosts[gatewayIndex] as string,
+      sentAt: this.target.now(),
+      idempotencyKey: options.idempotencyKey ?? null,
+      outcome: 'open',
+      status: 0,
+      code: '',
+      ran: '',
+      retryAfter: null,
+      text: '',
+      endedAt: 0,
+      firstTokenAt: 0,
+      isAborted: false,
+    };
+    this.calls.push(call);
+    options.signal?.addEventListener('abort', () => (call.isAborted = call.endedAt === 0), { once: true });
+    void this.follow(call, options).then(() => (call.endedAt = this.target.now()));
+    return call;
+  };
+
+  private readonly requestOf = (call: Call, options: SendOptions): Request => ({
+    method: 'POST',
+    url: `http://${call.host}:7101/v1/completions`,
+    headers: {
+      'content-type': 'application/json',
+      authorization: `Bearer ${call.request.key}`,
+      'x-request-id': call.requestId,
+      ...(call.idempotencyKey === null ? {} : { 'idempotency-key': call.idempotencyKey }),
+      ...(options.horizonMs === undefined ? {} : { 'x-horizon-ms': String(options.horizonMs) }),
+    },
+    body: JSON.stringify({
+      model: call.request.kind,
+      prompt: call.request.prompt,
+      max_tokens: call.request.maxTokens,
+      stream: options.whole !== true,
+    }),
+    signal: options.signal ?? new AbortController().signal,
+    gate: () => true,
+  });
+
+  private readonly follow = async (call: Call, options: SendOptions): Promise<void> => {
+    const response = await this.target.outside().carry(this.requestOf(call, options));
+    if (response.isErr()) {
+      call.outcome = 'lost';
+      call.code = response.error.code;
+      return;
+    }
+    call.status = response.value.status;
+    call.retryAfter = response.value.header('retry-after');
+    const isStreamed = call.status === 200 && options.whole !== true;
+    await (isStreamed ? this.readStream(call, response.value.body) : this.readBody(call, response.value.body));
+  };
+
+  private readonly readStream = async (call: Call, body: Body): Promise<void> => {
+    const stream = new CompletionStream(() => {
+      if (call.firstTokenAt === 0) call.firstTokenAt = this.target.now();
+      call.text = stream.text;
+    });
+    let isBroken = false;
+    try {
+      for await (const bytes of body) stream.feed(bytes);
+    } catch {
+      isBroken = true;
+    }
+    if (stream.error !== null) call.ran = stream.error.ran;
+    call.outcome = stream.isEnded && stream.error === null && !isBroken ? 'whole' : 'cut';
+  };
+
+  private readonly readBody = async (call: Call, body: Body): Promise<void> => {
+    const decoder = new TextDecoder();
+    let text = '';
+    try {
+      for await (const bytes of body) text += decoder.decode(bytes, { stream: true });
+    } catch {
+      call.outcome = 'lost';
+      return;
+    }
+    if (call.status === 200) {
+      call.text = completionBodies.text(text);
+      call.outcome = 'whole';
+      return;
+    }
+    const error = completionBodies.error(text);
+    call.outcome = 'denied';
+    call.code = error.type;
+    call.ran = error.ran;
+  };
+}
--- a/packages/test-fleet/src/workload/loadGenerator.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Agent, request } from 'undici';
-import { createParser } from 'eventsource-parser';
+import { CompletionStream, completionBodies } from './completionResponse.js';
 import { sampleWorkload, seeded } from './sampleDeployments.js';
 import type { SampleRequest } from './sampleDeployments.js';
 import { generatedText } from '../replica/emulatedReplica.js';
@@ -58,34 +58,23 @@
       body: JSON.stringify({ model: sample.kind, prompt: sample.prompt, max_tokens: sample.maxTokens, stream: true }),
     });
     if (response.statusCode !== 200) {
-      const body = JSON.parse(await response.body.text()) as { error?: { type?: string; ran?: string } };
-      return done(response.statusCode, 'denied', body.error?.type, body.error?.ran);
+      const error = completionBodies.error(await response.body.text());
+      return done(response.statusCode, 'denied', error.type, error.ran);
     }
-    let text = '';
-    let isEnded = false;
-    let isError = false;
     let firstMs = 0;
-    const parser = createParser({
-      onEvent: (event) => {
-        if (event.event === 'error') isError = true;
-        else if (event.data === '[DONE]') isEnded = true;
-        else {
-          if (firstMs === 0) firstMs = performance.now() - begin;
-          const chunk = JSON.parse(event.data) as { id: string; choices: { text: string }[] };
-          if (runId === '') runId = chunk.id;
-          text += chunk.choices[0]?.text ?? '';
-        }
-      },
+    const stream = new CompletionStream(() => {
+      if (firstMs === 0) firstMs = performance.now() - begin;
+      runId = stream.runId;
     });
-    const decoder = new TextDecoder();
     try {
-      for await (const bytes of response.body) parser.feed(decoder.decode(bytes as Uint8Array, { stream: true }));
+      for await (const bytes of response.body) stream.feed(bytes as Uint8Array);
     } catch {
       return done(200, 'cut', 'cut', 'unknown', firstMs);
     }
-    if (!isEnded || isError) return done(200, isEnded ? 'wrong' : 'cut', 'cut', 'unknown', firstMs);
+    if (!stream.isEnded || stream.error !== null)
+      return done(200, stream.isEnded ? 'wrong' : 'cut', 'cut', 'unknown', firstMs);
     const isRight = [...weights(), 'app-1'].some(
-      (sendOne) => generatedText.whole(sample.prompt, sendOne, runId, sample.maxTokens) === text,
+      (name) => generatedText.whole(sample.prompt, name, stream.runId, sample.maxTokens) === stream.text,
     );
     return done(200, isRight ? 'whole' : 'wrong', '', '', firstMs);
   } catch (cause) {
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -52,9 +52,15 @@
 
 const tierOf = (tenant: string): string => (tenantNames.indexOf(tenant) < 4 ? 'prompt' : 'steady');
 
+/** The priority of each tier; lower runs first. */
+const tiers = { prompt: 0, steady: 1, patient: 3 } as const;
+
+/** A tier that tenants of the sample deployments buy. */
+export type Tier = keyof typeof tiers;
+
 export const sampleWorkload = {
   tenantNames,
-  tiers: { prompt: 0, steady: 1, patient: 3 },
+  tiers,
   prober: 'prober',
   layout: (weights: string): Record<string, unknown> => ({
     tiers: {
