--- a/packages/control-plane/src/consensusMember.ts
+++ b/packages/control-plane/src/consensusMember.ts
@@ -11,7 +11,7 @@
 import { consensusMessages } from './consensusMessages.js';
 import type { ElectorateLeaseAsk, MessageCheck } from './consensusMessages.js';
 import { Founding } from './founding.js';
-import type { Standing } from './founding.js';
+import type { Standing } from './foundingMessages.js';
 import type { KeptLeases } from './leases.js';
 import { Membership } from './membership.js';
 import { Proposer } from './proposer.js';
--- a/packages/control-plane/src/consensusMessages.ts
+++ b/packages/control-plane/src/consensusMessages.ts
@@ -2,7 +2,7 @@
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
 import type { LeaseAsk, LeaseReply, RosterEntry } from '@martenworks/cluster-membership';
 import type { Accepted, Ballot, CompressedSettled, Vote } from './acceptor.js';
-import type { Standing, VowReply } from './founding.js';
+import type { Standing, VowReply } from './foundingMessages.js';
 import type { Position } from './quorumCall.js';
 
 type Shape = Record<string, unknown>;
--- a/packages/control-plane/src/founding.ts
+++ b/packages/control-plane/src/founding.ts
@@ -4,19 +4,7 @@
 import type { Lines } from '@martenworks/cluster-membership';
 import type { Acceptor } from './acceptor.js';
 import { consensusMessages } from './consensusMessages.js';
-
-export interface Standing {
-  readonly incarnation: string;
-  readonly generation: number;
-  readonly isVoter: boolean;
-  readonly vow: readonly Member[] | null;
-  readonly syncedFrom: readonly string[];
-}
-
-export interface VowReply {
-  readonly isVowed: boolean;
-  readonly members: readonly Member[] | null;
-}
+import type { Standing } from './foundingMessages.js';
 
 const usualCoreSize = 3;
 const patienceMs = 1_000;
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -13,7 +13,7 @@
 export type { ProposeFault, Applied } from './proposer.js';
 export * from './kvDesk.js';
 export * from './claims.js';
-export type { Standing } from './founding.js';
+export type { Standing } from './foundingMessages.js';
 export * from './leases.js';
 export * from './consensusMember.js';
 export * from './membership.js';
--- a/packages/control-plane/src/membership.ts
+++ b/packages/control-plane/src/membership.ts
@@ -7,7 +7,7 @@
 import type { Lines } from '@martenworks/cluster-membership';
 import type { Acceptor } from './acceptor.js';
 import { consensusMessages } from './consensusMessages.js';
-import type { Standing } from './founding.js';
+import type { Standing } from './foundingMessages.js';
 import type { ProposeFault, Proposer } from './proposer.js';
 import { majorityOf } from './quorumCall.js';
 
--- a/packages/model-check/src/fairEnd.ts
+++ b/packages/model-check/src/fairEnd.ts
@@ -1,7 +1,7 @@
 import type { Checker, Observed } from './checker.js';
+import type { FleetUnderTest } from './fleetUnderTest.js';
 import type { ModelNode } from './modelNode.js';
 import type { Operator } from './operator.js';
-import type { World } from './world.js';
 
 const roundMs = 300;
 const mostRounds = 80;
@@ -15,7 +15,7 @@
   private orderedIn = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly world: World,
+    private readonly fleet: FleetUnderTest,
     private readonly keptDown: ReadonlySet<ModelNode>,
     private readonly operator: Operator,
   ) {}
@@ -29,12 +29,12 @@
     this.checker().finish(this.observed(), this.isAcknowledged, mostRounds);
   };
 
-  private readonly checker = (): Checker => this.world.checker();
+  private readonly checker = (): Checker => this.fleet.checker();
 
-  private readonly observed = (): Observed[] => this.world.observed();
+  private readonly observed = (): Observed[] => this.fleet.observed();
 
   private readonly begin = async (round: number): Promise<void> => {
-    for (const node of this.world.nodes) {
+    for (const node of this.fleet.nodes) {
       if (!node.isAlive() && !node.isAway && !this.keptDown.has(node)) await node.start();
       node.upkeep();
       node.settleRival();
@@ -53,7 +53,7 @@
 
   private readonly order = (round: number): void => {
     const seats = this.seats();
-    const running = this.world.nodes.filter((node) => node.isAlive() && seats.has(node.incarnation()));
+    const running = this.fleet.nodes.filter((node) => node.isAlive() && seats.has(node.incarnation()));
     const node = running[round % Math.max(1, running.length)];
     if (node === undefined) return;
     this.orderedIn = round;
@@ -75,7 +75,7 @@
   };
 
   private readonly passRound = async (): Promise<void> => {
-    const { clock } = this.world;
+    const { clock } = this.fleet;
     const until = clock.now() + roundMs;
     do {
       await this.exchange();
@@ -85,9 +85,9 @@
 
   /** Delivers all messages in their order and completes all writes, until nothing is on the way or time must pass. */
   private readonly exchange = async (): Promise<void> => {
-    const { network, nodes } = this.world;
+    const { network, nodes } = this.fleet;
     for (let count = 0; count < exchangesAtOnce; count += 1) {
-      await this.world.drain();
+      await this.fleet.drain();
       const messages = network.inFlight.splice(0);
       for (const message of messages) network.deliver(message);
       let hasWritten = false;
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -5,6 +5,7 @@
 import type { Observed } from './checker.js';
 import type { Choice } from './choices.js';
 import { FairEnd } from './fairEnd.js';
+import type { FleetUnderTest } from './fleetUnderTest.js';
 import { LossBound } from './lossBound.js';
 import { ModelNode } from './modelNode.js';
 import { Network } from './network.js';
@@ -17,7 +18,7 @@
 const keepDownProbability = 0.3;
 
 /** One schedule's fleet: voters, spare machines and operators, moved on by one choice at a time. */
-export class World {
+export class World implements FleetUnderTest {
   readonly clock = new VirtualClock();
   readonly network = new Network(this.clock);
   readonly nodes: readonly ModelNode[];
