--- /dev/null
+++ b/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
@@ -0,0 +1,114 @@
+/** What designs that are not built would spend. */
+import { fleetSize } from '../fleetSize.js';
+import { chainEvents, traffic, requestsPerFront } from './assumptions.js';
+import type { CapacityEstimate, CostOf } from './capacityEstimate.js';
+
+const asksPerNode = requestsPerFront + (3 * fleetSize.requests * traffic.longShare) / fleetSize.nodes;
+const askBytes = 300;
+const patchBytes = 1_000;
+const digestBytes = 2 * (13 * 16 + 60);
+
+const ownerBytes = (costOf: CostOf): number =>
+  ((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/bytes') + 2 * asksPerNode * askBytes;
+
+/** In the order of the page. */
+export const plannedEstimates: readonly CapacityEstimate[] = [
+  {
+    id: 'D1',
+    role: 'designed: index owner',
+    what: 'events of chains to two owners each, and asks',
+    unit: 'B/s',
+    line: 'wireBytes',
+    from: '2 x 1,346 / 400 x `way-index/bytes` + 2 x 4.76 asks x 300',
+    value: (costOf) => ownerBytes(costOf),
+  },
+  {
+    id: 'D2',
+    role: 'designed: index owner',
+    what: 'events and asks',
+    unit: 'ms/s',
+    line: 'cpuMs',
+    from: '6.7 x `way-index/front-cpu` + 2 x 4.76 x `way-push/ping-cpu`',
+    value: (costOf) =>
+      (((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/front-cpu') +
+        2 * asksPerNode * costOf('way-push/ping-cpu')) /
+      1_000,
+  },
+  {
+    id: 'D3',
+    role: 'designed: follower',
+    what: 'a sixth of the events on one control machine',
+    unit: 'cores',
+    line: null,
+    from: '`relays/follower-busy` at 46,667 a second',
+    value: (costOf) => costOf('relays/follower-busy', fleetSize.events / fleetSize.controlMachines),
+  },
+  {
+    id: 'D4',
+    role: 'weighed: zone relay on a node',
+    what: 'freshness of 31 fronts, changes as patches of 1 KB',
+    unit: 'B/s',
+    line: 'wireBytes',
+    from: '(2 x 31 + 4 x 3) x `way-push/ping-bytes` + 31 x 1,700 a day x 1 KB',
+    value: (costOf) => (2 * 31 + 12) * costOf('way-push/ping-bytes') + 31 * traffic.changesASecond * patchBytes,
+  },
+  {
+    id: 'D5',
+    role: 'designed: region relay on a control machine',
+    what: 'pings of 67 fronts, twice a second, and their streams',
+    unit: 'cores',
+    line: null,
+    from: '134 a second x `way-push/ping-cpu` + 67 x 31 tells a second x slope of `replicas/news-cpu`',
+    value: (costOf) =>
+      (134 * costOf('way-push/ping-cpu') + (67 * 31 * costOf('replicas/news-cpu')) / fleetSize.nodes) / 1e6,
+  },
+  {
+    id: 'D6',
+    role: 'designed: watcher',
+    what: 'a ring of 31 nodes, drawn again at each change only',
+    unit: 'ms/s',
+    line: 'cpuMs',
+    from: '2 a second x `watch/beat-cpu` at 31',
+    value: (costOf) => 2 * costOf('watch/beat-cpu', 31),
+  },
+  {
+    id: 'D7',
+    role: 'designed: any node',
+    what: 'digests of 13 zones each second, both ways',
+    unit: 'B/s',
+    line: 'wireBytes',
+    from: '2 x (13 x 16 + 60)',
+    value: () => digestBytes,
+  },
+  {
+    id: 'D8',
+    role: 'designed: front, all of it',
+    what: 'owners and asks (D1), loads 700, freshness, patches, digests (D7), beats 840',
+    unit: 'B/s',
+    line: 'wireBytes',
+    from: 'D1 + 700 + 2 x `way-push/ping-bytes` + 1,700 a day x 1 KB + D7 + 840',
+    value: (costOf) =>
+      ownerBytes(costOf) +
+      700 +
+      2 * costOf('way-push/ping-bytes') +
+      traffic.changesASecond * patchBytes +
+      digestBytes +
+      840,
+  },
+  {
+    id: 'D9',
+    role: 'designed: front, all of it',
+    what: 'the same with 30 exceptions a second told',
+    unit: 'B/s',
+    line: 'wireBytes',
+    from: 'D8 + 30 x `way-index/bytes`',
+    value: (costOf) =>
+      ownerBytes(costOf) +
+      700 +
+      2 * costOf('way-push/ping-bytes') +
+      traffic.changesASecond * patchBytes +
+      digestBytes +
+      840 +
+      30 * costOf('way-index/bytes'),
+  },
+];
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -1,6 +1,7 @@
-import type { Point } from './curveFit.js';
-import type { Measurement } from './table.js';
+/** The size of the fleet that capacity is planned for, and the sizes that the probes measure at. */
+import type { Dimension } from './series.js';
 
+/** The planned fleet: nodes, replicas, prefix-cache blocks, cache events and requests a second, tenants. */
 export const fleetSize = {
   nodes: 400,
   replicas: 1_000,
@@ -12,25 +13,41 @@
   controlMachines: 6,
   changesADay: 1_700,
 };
-export const runningPerFront = Math.round((fleetSize.requests * (0.82 + 246 * 0.056)) / fleetSize.nodes);
+
+const firstTokenSeconds = 0.82;
+const tokensAfterFirst = 246;
+const secondsPerToken = 0.056;
+
+/** Requests that run at once through one gateway. */
+export const runningPerFront = Math.round(
+  (fleetSize.requests * (firstTokenSeconds + tokensAfterFirst * secondsPerToken)) / fleetSize.nodes,
+);
 
 export const nodeCounts = [10, 50, 100, 200, 400];
 export const replicaCounts = [50, 100, 250, 500, 1_000];
 export const tenantCounts = [10, 100, 1_000, 2_000, 3_100];
+export const poolSizes = [10, 25, 50, 100, 250];
 export const blocksPerReplica = fleetSize.blocks / fleetSize.replicas;
 
-export class Series {
-  private readonly points = new Map<number, number[]>();
-
-  constructor(private readonly head: Omit<Measurement, 'points'>) {}
-
-  readonly add = (x: number, value: number): void => void this.points.set(x, [...(this.points.get(x) ?? []), value]);
-
-  readonly measurement = (): Measurement => ({
-    ...this.head,
-    points: [...this.points].sort(([a], [b]) => a - b).map(([x, values]): Point => ({ x, values })),
-  });
-}
+/** How many pools, and models, the sample configurations have. */
+export const poolCount = 10;
 
-export const series = (run: string, what: string, unit: string, over: string, target: number): Series =>
-  new Series({ run, what, unit, over, target });
+/** The sizes that series run over. */
+export const dimensions = {
+  fronts: { over: 'fronts', target: fleetSize.nodes },
+  frontsServed: { over: 'fronts it serves', target: fleetSize.nodes / fleetSize.voters },
+  nodes: { over: 'nodes', target: fleetSize.nodes },
+  replicas: { over: 'replicas', target: fleetSize.replicas },
+  replicasInPool: { over: 'replicas in the pool', target: fleetSize.replicas / poolCount },
+  tenants: { over: 'tenants', target: fleetSize.tenants },
+  customers: { over: 'customers', target: fleetSize.tenants },
+  blocks: { over: 'blocks', target: fleetSize.blocks },
+  blocksSent: { over: 'blocks', target: 1_120_000 },
+  blocksAnEvent: { over: 'blocks an event', target: 1 },
+  eventsASecond: { over: 'events a second', target: fleetSize.events },
+  eventsInABundle: { over: 'events in a bundle', target: 1_000 },
+  partsHeld: { over: 'parts held', target: 1_000_000 },
+  claimsAtOnce: { over: 'claims at once', target: fleetSize.requests },
+  claimsKept: { over: 'claims kept', target: fleetSize.requests * 600 },
+  changesBehind: { over: 'changes behind', target: 71 },
+} as const satisfies Record<string, Dimension>;
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -1,12 +1,17 @@
+/** A control node's state and publisher on a real loopback address, which the probes measure. */
 import type { Member, ReplicaRecord } from '@martenworks/core-types';
+import { PushDesk, acceptors } from '@martenworks/control-plane';
+import type { Acceptor } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers } from '@martenworks/peer-transport';
 import type { Pigeonhole } from '@martenworks/prefix-index';
-import { PushDesk, acceptors } from '@martenworks/control-plane';
-import type { Acceptor } from '@martenworks/control-plane';
-import { PeerProcess, Meter, rig } from './rig.js';
+import { Meter, freeAddress } from './meteredNet.js';
+import type { PeerProcess } from './peerProcessClient.js';
+import { probePorts } from './probePorts.js';
+import { sampleData } from './sampleData.js';
 
-export interface Core {
+/** The parts of the node that probes drive and read. */
+export interface MeasuredControlNode {
   readonly address: string;
   readonly meter: Meter;
   readonly acceptor: Acceptor;
@@ -14,47 +19,52 @@
   readonly close: () => Promise<void>;
 }
 
-export const asMember = (at: number): Member => ({
+/** What the node holds, and handlers in place of its own. */
+export interface ControlNodeOptions {
+  readonly tenants?: number;
+  readonly records?: readonly ReplicaRecord[];
+  readonly handlers?: Partial<Handlers>;
+  readonly shelves?: () => ReturnType<Pigeonhole['checkpoint']>;
+}
+
+const fewTenants = 10;
+
+const memberOf = (at: number): Member => ({
   name: `postmaster-${at}`,
   address: `127.0.0.${at}:1`,
   incarnation: `incarnation-${String(at).padStart(5, '0')}`,
 });
 
-export const openCore = async (
-  tenantCount: number,
-  records: readonly ReplicaRecord[],
-  more: Partial<Handlers> = {},
-  shelves: () => ReturnType<Pigeonhole['checkpoint']> = () => [],
-): Promise<Core> => {
+/** The three members that sample states name. */
+export const sampleMembers = [1, 2, 3].map(memberOf);
+
+const handlersOf = (acceptor: Acceptor, push: PushDesk): Handlers => ({
+  joined: () => {},
+  left: push.drop,
+  told: (connection, topic, body) => {
+    if (topic === 'subscribe')
+      push.subscribe(connection, body === null ? (acceptor.agreed()?.generation ?? -1) : (body as number));
+    else if (topic === 'ack') push.acked(connection, body as number);
+    else if (topic === 'heavyNews') push.heavyNews(connection, body as Parameters<PushDesk['heavyNews']>[1]);
+  },
+  asked: async (connection, topic, body) =>
+    topic === 'ping' ? push.pong(connection, body as Parameters<PushDesk['pong']>[1]) : null,
+});
+
+/** Opens a node; the caller closes it. */
+export const openControlNode = async (options: ControlNodeOptions = {}): Promise<MeasuredControlNode> => {
+  const { tenants = fewTenants, records = [], shelves = () => [] } = options;
   const meter = new Meter();
-  const ports = rig.ports(meter);
+  const ports = probePorts(meter);
   const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
-  await acceptor.adopt(rig.stateOf(tenantCount, 0, [asMember(1), asMember(2), asMember(3)]));
-  const standingClock = { ...ports.clock, now: () => 0 };
-  const push = new PushDesk(acceptor, standingClock, () => records, shelves);
-  const address = await rig.freeAddress();
-  const handlers: Handlers = {
-    joined: () => {},
-    left: push.drop,
-    told: (connection, topic, body) => {
-      if (topic === 'subscribe')
-        push.subscribe(connection, body === null ? (acceptor.agreed()?.generation ?? -1) : (body as number));
-      else if (topic === 'ack') push.acked(connection, body as number);
-      else if (topic === 'heavyNews') push.heavyNews(connection, body as Parameters<PushDesk['heavyNews']>[1]);
-    },
-    asked: async (connection, topic, body) =>
-      topic === 'ping' ? push.pong(connection, body as Parameters<PushDesk['pong']>[1]) : null,
-    ...more,
-  };
+  await acceptor.adopt(sampleData.stateOf(tenants, 0, sampleMembers));
+  const stoppedClock = { ...ports.clock, now: () => 0 };
+  const push = new PushDesk(acceptor, stoppedClock, () => records, shelves);
+  const address = await freeAddress();
+  const hello = sampleData.helloOf('postmaster', 1, address);
+  const handlers = { ...handlersOf(acceptor, push), ...options.handlers };
   const listener = (
-    await peerConnections.listen(
-      ports.net,
-      ports.clock,
-      ports.log,
-      () => rig.helloOf('postmaster', 1, address),
-      address,
-      handlers,
-    )
+    await peerConnections.listen(ports.net, ports.clock, ports.log, () => hello, address, handlers)
   )._unsafeUnwrap();
   const close = async (): Promise<void> => {
     await listener.close();
@@ -63,11 +73,19 @@
   return { address, meter, acceptor, push, close };
 };
 
-export const withPeers = async <T>(work: (peers: PeerProcess) => Promise<T>): Promise<T> => {
-  const peers = new PeerProcess();
+/** Runs `work` with a node and `count` peers connected to it, and closes both. */
+export const withConnectedNode = async <T>(
+  peers: PeerProcess,
+  connected: { readonly count: number; readonly from?: number; readonly isReal?: boolean },
+  options: ControlNodeOptions,
+  work: (node: MeasuredControlNode) => Promise<T>,
+): Promise<T> => {
+  const node = await openControlNode(options);
   try {
-    return await work(peers);
+    await peers.run({ verb: 'dial', address: node.address, from: 0, ...connected });
+    return await work(node);
   } finally {
-    peers.stop();
+    await peers.run({ verb: 'hangUp' });
+    await node.close();
   }
 };
--- /dev/null
+++ b/packages/test-fleet/src/capacity/meteredNet.ts
@@ -0,0 +1,39 @@
+/** Networks of the probes: real loopback connections whose bytes are counted. */
+import { createServer } from 'node:net';
+import type { Net, Wire } from '@martenworks/core-types';
+
+/** Bytes that crossed the metered connections of one probe. */
+export class Meter {
+  sent = 0;
+  got = 0;
+}
+
+/** A network whose connections add what they send and receive to the meter. */
+export const metered = (net: Net, meter: Meter): Net => {
+  const over = (wire: Wire): Wire => ({
+    ...wire,
+    write: (bytes) => {
+      meter.sent += bytes.length;
+      wire.write(bytes);
+    },
+    listen: (onBytes, onClose) =>
+      wire.listen((bytes) => {
+        meter.got += bytes.length;
+        onBytes(bytes);
+      }, onClose),
+  });
+  return {
+    dial: async (address, patienceMs) => (await net.dial(address, patienceMs)).map(over),
+    listen: (address, onWire) => net.listen(address, (wire) => onWire(over(wire))),
+  };
+};
+
+/** A loopback address whose port was free a moment ago. */
+export const freeAddress = (): Promise<string> =>
+  new Promise((found) => {
+    const server = createServer();
+    server.listen(0, '127.0.0.1', () => {
+      const at = server.address();
+      server.close(() => found(`127.0.0.1:${at !== null && typeof at === 'object' ? at.port : 0}`));
+    });
+  });
--- /dev/null
+++ b/packages/test-fleet/src/capacity/peerCommands.ts
@@ -0,0 +1,63 @@
+/** The messages between a probe and the process that plays the peers of the measured node. */
+
+/** The load that each ping of a gateway reports. */
+export interface ReportedLoad {
+  /** Requests that run through the gateway. */
+  readonly running: number;
+  /** Replicas that they run on. */
+  readonly replicas: number;
+}
+
+/** What the peer process is told to do, one command at a time. */
+export type PeerCommand =
+  /** Opens `count` connections; with `isReal` the first takes index and replica messages as a gateway does. */
+  | {
+      readonly verb: 'dial';
+      readonly address: string;
+      readonly from: number;
+      readonly count: number;
+      readonly isReal?: boolean;
+    }
+  /** Sends one message on every connection. */
+  | { readonly verb: 'tell'; readonly topic: string; readonly body?: unknown }
+  /** Sends pings round the connections, with the body given or else with the load as body. */
+  | { readonly verb: 'ping'; readonly count: number; readonly body: unknown }
+  | { readonly verb: 'pingWithLoad'; readonly count: number; readonly load: ReportedLoad }
+  /** Sends one heavy-prefill notice and waits until all other connections were told of it. */
+  | { readonly verb: 'heavyPrefill'; readonly load: ReportedLoad }
+  /** Claims `count` idempotency keys, `width` at once. */
+  | { readonly verb: 'claim'; readonly count: number; readonly width: number; readonly from: number }
+  /** Asks on the first connection, one after the other. */
+  | { readonly verb: 'ask'; readonly count: number; readonly topic: string; readonly body: unknown }
+  | { readonly verb: 'readCounters' }
+  | { readonly verb: 'hangUp' };
+
+/** The cost of one ping to the peer process: processor microseconds, and bytes both ways. */
+export interface PingCost {
+  readonly us: number;
+  readonly got: number;
+  readonly sent: number;
+}
+
+/** Counted since the connections were opened; bytes and processor microseconds since the process began. */
+export interface PeerCounters {
+  readonly loads: number;
+  /** Connections that the measured node closed. */
+  readonly left: number;
+  readonly got: number;
+  readonly sent: number;
+  readonly us: number;
+}
+
+/** The reply to each command. */
+export interface PeerReplies {
+  readonly dial: Record<never, never>;
+  readonly tell: Record<never, never>;
+  readonly ping: PingCost;
+  readonly pingWithLoad: PingCost;
+  readonly heavyPrefill: { readonly got: number };
+  readonly claim: Record<never, never>;
+  readonly ask: Record<never, never>;
+  readonly readCounters: PeerCounters;
+  readonly hangUp: Record<never, never>;
+}
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -1,145 +1,157 @@
+/** The child process that plays the peers of a measured node: many connections that answer and count, and do no more. */
 import { logs, machine } from '@martenworks/core-types';
 import type { KvNews, Loads, Pong, ReplicaRecord, StateMessage } from '@martenworks/core-types';
 import { Book, Tracks } from '@martenworks/counter';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { PeerConnection } from '@martenworks/peer-transport';
+import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
 import type { ShelfCheckpoint } from '@martenworks/prefix-index';
-import { Meter, rig } from './rig.js';
-import type { PeerCommand } from './rig.js';
+import { cpuUs, startWatch, until, upTo } from './measuring.js';
+import { Meter, metered } from './meteredNet.js';
+import type { PeerCommand, PeerReplies, PingCost, ReportedLoad } from './peerCommands.js';
+import { poolCount } from './fleetSize.js';
+import { sampleData } from './sampleData.js';
+
+const ownAddress = '127.0.0.1:1';
+const patienceMs = 30_000;
+const noticePatienceMs = 20_000;
+const dialsAtOnce = 40;
+const pingsAtOnce = 20;
+const tokensARequest = 512;
 
 const meter = new Meter();
-const net = rig.metered(machine.net(null), meter);
+const net = metered(machine.net(null), meter);
 const book = new Book(machine.clock, () => {});
 const tracks = new Tracks(machine.clock);
-const held: PeerConnection[] = [];
-const told: Record<string, number> = { changes: 0, loads: 0, kv: 0, kvBatches: 0, shelves: 0, left: 0, replicas: 0 };
+const connections: PeerConnection[] = [];
+const counted = { loads: 0, left: 0 };
 let isReal = false;
 
-const note = (what: string, by = 1): void => {
-  told[what] = (told[what] ?? 0) + by;
+const takeAsGateway = (topic: string, body: unknown): void => {
+  if (topic === 'replicas') book.takeReplicas(body as ReplicaRecord[]);
+  else if (topic === 'shelf') book.takeShelf(body as ShelfCheckpoint);
+  else if (topic === 'kv') book.takeKv(body as KvNews[]);
 };
 
-const dial = async (address: string, at: number, role: 'counter' | 'postmaster'): Promise<void> => {
-  const dialed = await peerConnections.dial(
-    net,
-    machine.clock,
-    logs.silent(),
-    rig.helloOf(role, at, '127.0.0.1:1'),
-    address,
-    {
-      joined: () => {},
-      left: () => note('left'),
-      asked: async () => null,
-      told: (connection, topic, body) => {
-        if (topic === 'change' || topic === 'checkpoint') {
-          note('changes');
-          connection.tell('ack', (body as { generation: number }).generation);
-        } else if (topic === 'state') {
-          const { generation, edition } = body as StateMessage;
-          note('changes');
-          connection.tell('ack', { generation, edition });
-        } else if (topic === 'loads') note('loads');
-        else if (topic === 'replicas') {
-          note('replicas');
-          if (isReal) book.takeReplicas(body as ReplicaRecord[]);
-        } else if (topic === 'shelf') {
-          note('shelves');
-          if (isReal) book.takeShelf(body as ShelfCheckpoint);
-        } else if (topic === 'kv') {
-          note('kvBatches');
-          note('kv', (body as KvNews[]).length);
-          if (isReal) book.takeKv(body as KvNews[]);
-        }
-      },
-    },
-  );
-  if (dialed.isOk()) held.push(dialed.value);
+const handlers: Handlers = {
+  joined: () => {},
+  left: () => {
+    counted.left += 1;
+  },
+  asked: async () => null,
+  told: (connection, topic, body) => {
+    if (topic === 'change' || topic === 'checkpoint')
+      connection.tell('ack', (body as { generation: number }).generation);
+    else if (topic === 'state') {
+      const { generation, edition } = body as StateMessage;
+      connection.tell('ack', { generation, edition });
+    } else if (topic === 'loads') counted.loads += 1;
+    else if (isReal) takeAsGateway(topic, body);
+  },
 };
 
-const report = (
+const dial = async (address: string, at: number): Promise<void> => {
+  const hello = sampleData.helloOf('counter', at, ownAddress);
+  const dialed = await peerConnections.dial(net, machine.clock, logs.silent(), hello, address, handlers);
+  if (dialed.isErr()) throw new Error(`peer ${at} cannot reach ${address}: ${dialed.error.code}`);
+  connections.push(dialed.value);
+};
+
+const reportOf = (
   at: number,
-  running: number,
-  replicaCount: number,
+  { running, replicas }: ReportedLoad,
 ): { replicas: Loads; pools: Record<string, [number, number]> } => ({
   replicas: Object.fromEntries(
-    Array.from({ length: running }, (_, one) => [
-      `replica-${String((at * 131 + one * 37) % replicaCount).padStart(4, '0')}`,
-      [1, 512],
+    upTo(running).map((one) => [
+      `replica-${String((at * 131 + one * 37) % replicas).padStart(4, '0')}`,
+      [1, tokensARequest],
     ]),
   ),
-  pools: Object.fromEntries(Array.from({ length: 10 }, (_, pool) => [`model-${pool}`, [0, Math.round(running / 10)]])),
+  pools: Object.fromEntries(upTo(poolCount).map((pool) => [`model-${pool}`, [0, Math.round(running / poolCount)]])),
 });
 
-const many = async (count: number, width: number, work: (at: number) => Promise<unknown>): Promise<void> => {
+const atOnce = async (count: number, width: number, work: (at: number) => Promise<unknown>): Promise<void> => {
   let next = 0;
   await Promise.all(
-    Array.from({ length: Math.min(width, count) }, async () => {
+    upTo(Math.min(width, count)).map(async () => {
       while (next < count) await work(next++);
     }),
   );
 };
 
-const obey = async (order: PeerCommand): Promise<Record<string, number>> => {
-  const number = (name: string): number => Number(order[name] ?? 0);
-  if (order.verb === 'dial') {
-    isReal = order.real === true;
-    await many(number('count'), 40, (at) =>
-      dial(String(order.address), number('from') + at, order.role === 'postmaster' ? 'postmaster' : 'counter'),
-    );
-    return { held: held.length };
-  }
-  if (order.verb === 'tell') {
-    for (const connection of held) connection.tell(String(order.topic), order.body ?? null);
-    return {};
-  }
-  if (order.verb === 'pings') {
-    const asks = held.map(
-      (connection, at) => [connection, order.body ?? report(at, number('running'), number('replicas'))] as const,
-    );
-    const [began, got, sent] = [rig.cpuUs(), meter.got, meter.sent];
-    const pings = number('count');
-    await many(pings, 20, async (at) => {
-      const [connection, body] = asks[at % asks.length] as (typeof asks)[number];
-      const pong = await connection.ask('ping', body, 30_000);
-      if (pong.isOk() && order.body === undefined) tracks.toldOthers((pong.value as Pong).loads);
-    });
-    return { us: (rig.cpuUs() - began) / pings, got: (meter.got - got) / pings, sent: (meter.sent - sent) / pings };
-  }
-  if (order.verb === 'heavy') {
-    const before = [told.loads ?? 0, meter.got] as const;
-    held[0]?.tell('heavyNews', report(0, number('running'), number('replicas')));
-    await rig.until(() => (told.loads ?? 0) - before[0] >= held.length - 1, 20_000);
-    return { got: meter.got - before[1] };
-  }
-  if (order.verb === 'claims') {
-    const claimant = (key: string) => ({
-      id: `id-${key}`,
-      counter: 'incarnation-00001',
-      address: '10.0.0.1:7100',
-      digest: key.padStart(32, '0'),
-    });
-    await many(number('count'), number('width'), async (at) => {
-      const connection = held[at % held.length] as PeerConnection;
-      const key = `tenant-0001/${number('from') + at}`;
-      await connection.ask('claimPrepare', { key, turn: 0, ballot: [1, `id-${key}`] }, 30_000);
-      await connection.ask('claimAccept', { key, turn: 0, ballot: [1, `id-${key}`], claimant: claimant(key) }, 30_000);
-    });
-    return {};
-  }
-  if (order.verb === 'asks') {
-    await many(number('count'), 1, () =>
-      (held[0] as PeerConnection).ask(String(order.topic), order.body ?? null, 30_000),
-    );
-    return {};
-  }
-  if (order.verb === 'gauge') return { ...told, got: meter.got, sent: meter.sent, us: rig.cpuUs() };
-  if (order.verb === 'hangUp') {
-    for (const connection of held.splice(0)) connection.close();
-    for (const name of Object.keys(told)) told[name] = 0;
-    return {};
+const ping = async (count: number, bodies: readonly unknown[], onPong: (pong: unknown) => void): Promise<PingCost> => {
+  const spent = startWatch(meter);
+  await atOnce(count, pingsAtOnce, async (at) => {
+    const index = at % connections.length;
+    const pong = await (connections[index] as PeerConnection).ask('ping', bodies[index], patienceMs);
+    if (pong.isOk()) onPong(pong.value);
+  });
+  const { cpuUs: us, gotBytes, sentBytes } = spent();
+  return { us: us / count, got: gotBytes / count, sent: sentBytes / count };
+};
+
+const pingWithLoad = (count: number, load: ReportedLoad): Promise<PingCost> =>
+  ping(
+    count,
+    connections.map((_, at) => reportOf(at, load)),
+    (pong) => tracks.toldOthers((pong as Pong).loads),
+  );
+
+const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
+  const [loads, got] = [counted.loads, meter.got];
+  connections[0]?.tell('heavyNews', reportOf(0, load));
+  await until(() => counted.loads - loads >= connections.length - 1, noticePatienceMs);
+  return { got: meter.got - got };
+};
+
+const claim = async (at: number, from: number): Promise<void> => {
+  const connection = connections[at % connections.length] as PeerConnection;
+  const key = `tenant-0001/${from + at}`;
+  const id = `id-${key}`;
+  const claimant = { id, counter: 'incarnation-00001', address: '10.0.0.1:7100', digest: key.padStart(32, '0') };
+  const slot = { key, turn: 0, ballot: [1, id] };
+  await connection.ask('claimPrepare', slot, patienceMs);
+  await connection.ask('claimAccept', { ...slot, claimant }, patienceMs);
+};
+
+const hangUp = (): void => {
+  for (const connection of connections.splice(0)) connection.close();
+  Object.assign(counted, { loads: 0, left: 0 });
+};
+
+const run = async (command: PeerCommand): Promise<PeerReplies[PeerCommand['verb']]> => {
+  switch (command.verb) {
+    case 'dial':
+      isReal = command.isReal === true;
+      await atOnce(command.count, dialsAtOnce, (at) => dial(command.address, command.from + at));
+      return {};
+    case 'tell':
+      for (const connection of connections) connection.tell(command.topic, command.body ?? null);
+      return {};
+    case 'ping':
+      return ping(
+        command.count,
+        connections.map(() => command.body),
+        () => {},
+      );
+    case 'pingWithLoad':
+      return pingWithLoad(command.count, command.load);
+    case 'heavyPrefill':
+      return sendHeavyPrefill(command.load);
+    case 'claim':
+      await atOnce(command.count, command.width, (at) => claim(at, command.from));
+      return {};
+    case 'ask':
+      await atOnce(command.count, 1, () =>
+        (connections[0] as PeerConnection).ask(command.topic, command.body, patienceMs),
+      );
+      return {};
+    case 'readCounters':
+      return { ...counted, got: meter.got, sent: meter.sent, us: cpuUs() };
+    case 'hangUp':
+      hangUp();
+      return {};
   }
-  return {};
 };
 
-process.on('message', (order: PeerCommand) => void obey(order).then((answer) => process.send?.(answer)));
+process.on('message', (command: PeerCommand) => void run(command).then((reply) => process.send?.(reply)));
 process.on('disconnect', () => process.exit(0));
--- /dev/null
+++ b/packages/test-fleet/src/capacity/peerProcessClient.ts
@@ -0,0 +1,39 @@
+/** Starts and commands the child process that plays the peers of the measured node; see `peerProcess.ts`. */
+import { fork } from 'node:child_process';
+import type { ChildProcess } from 'node:child_process';
+import { fileURLToPath } from 'node:url';
+import type { PeerCommand, PeerReplies } from './peerCommands.js';
+
+const heapMegabytes = 3_000;
+
+/** The peers run in a process of their own, so that their cost is not measured with the node's. */
+export class PeerProcess {
+  private readonly waiting: ((reply: never) => void)[] = [];
+  private readonly child: ChildProcess;
+
+  constructor() {
+    this.child = fork(fileURLToPath(new URL('./peerProcess.js', import.meta.url)), [], {
+      execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`],
+    });
+    this.child.on('message', (reply) => this.waiting.shift()?.(reply as never));
+  }
+
+  /** Replies come in the order of the commands. */
+  readonly run = <Command extends PeerCommand>(command: Command): Promise<PeerReplies[Command['verb']]> =>
+    new Promise((settle) => {
+      this.waiting.push(settle);
+      this.child.send(command);
+    });
+
+  readonly stop = (): void => void this.child.kill('SIGKILL');
+}
+
+/** Runs `work` with a peer process that ends with it. */
+export const withPeers = async <T>(work: (peers: PeerProcess) => Promise<T>): Promise<T> => {
+  const peers = new PeerProcess();
+  try {
+    return await work(peers);
+  } finally {
+    peers.stop();
+  }
+};
--- a/packages/test-fleet/src/capacity/probeProcess.ts
+++ b/packages/test-fleet/src/capacity/probeProcess.ts
@@ -1,6 +1,18 @@
+/** The child process of one probe: `probeProcess NAME` sends the measurements to its parent and ends. */
 import { probes } from './probes.js';
+import type { Measurement } from './table.js';
 
-const probe = probes[process.argv[2] ?? ''];
-if (probe === undefined) process.exit(2);
-const told = await probe();
-process.send?.({ measured: told, peakBytes: process.resourceUsage().maxRSS * 1_024 }, () => process.exit(0));
+/** What the probe's process sends: the measurements, and the most memory that it held. */
+export interface ProbeOutcome {
+  readonly measured: readonly Measurement[];
+  readonly peakBytes: number;
+}
+
+const usageExitCode = 2;
+const bytesPerKilobyte = 1_024;
+
+const probe = probes.find(({ name }) => name === process.argv[2]);
+if (probe === undefined) process.exit(usageExitCode);
+const measured = await probe.measure();
+const outcome: ProbeOutcome = { measured, peakBytes: process.resourceUsage().maxRSS * bytesPerKilobyte };
+process.send?.(outcome, () => process.exit(0));
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -0,0 +1,148 @@
+/** Consensus: changes decided by three members that keep their logs on disk. */
+import { ok } from 'neverthrow';
+import type { Change, Member, Ports } from '@martenworks/core-types';
+import { Proposer, acceptors } from '@martenworks/control-plane';
+import type { Acceptor, Ballot, Position, Settled, Since, Vote } from '@martenworks/control-plane';
+import { peerConnections } from '@martenworks/peer-transport';
+import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import { dimensions, fleetSize, tenantCounts } from '../fleetSize.js';
+import { repeated, startWatch, until, upTo } from '../measuring.js';
+import { Meter, freeAddress } from '../meteredNet.js';
+import { probePorts } from '../probePorts.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const changesARepeat = 4;
+const patienceMs = 5_000;
+
+const defineAll = () =>
+  defineSeries({
+    wall: ['ballots/wall', 'one change decided by three members on disk', 'ms', dimensions.tenants],
+    cpu: ['ballots/cpu', 'processor time of one member a change', 'ms', dimensions.tenants],
+    bytes: ['ballots/bytes', 'sent between the three members for one change', 'bytes', dimensions.tenants],
+  });
+
+interface MemberNode {
+  readonly acceptor: Acceptor;
+  readonly member: Member;
+  readonly close: () => Promise<void>;
+}
+
+const answerOf = (acceptor: Acceptor, topic: string, body: unknown): unknown => {
+  const { slot, ballot, change } = (body ?? {}) as { slot: number; ballot: Ballot; change: Change };
+  if (topic === 'prepare') return acceptor.prepare(slot, ballot);
+  if (topic === 'accept') return acceptor.accept(slot, ballot, change);
+  return acceptor.since(body as number);
+};
+
+const openMember = async (meter: Meter, at: number): Promise<MemberNode> => {
+  const ports = probePorts(meter);
+  const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
+  const address = await freeAddress();
+  const handlers: Handlers = {
+    joined: () => {},
+    left: () => {},
+    told: (_connection, topic, body) => void (topic === 'settled' && acceptor.settle(body as Settled)),
+    asked: async (_connection, topic, body) => answerOf(acceptor, topic, body),
+  };
+  const hello = sampleData.helloOf('postmaster', at, address);
+  const listener = (
+    await peerConnections.listen(ports.net, ports.clock, ports.log, () => hello, address, handlers)
+  )._unsafeUnwrap();
+  return {
+    acceptor,
+    member: { name: `postmaster-${at}`, address, incarnation: acceptor.incarnation },
+    close: async () => {
+      await listener.close();
+      await acceptor.close();
+    },
+  };
+};
+
+type Connections = ReadonlyMap<string, PeerConnection>;
+
+const connect = async (ports: Ports, own: MemberNode, others: readonly MemberNode[]): Promise<Connections> => {
+  const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
+  const hello = sampleData.helloOf('postmaster', 0, own.member.address);
+  const connections = new Map<string, PeerConnection>();
+  for (const { member } of others) {
+    const dialed = await peerConnections.dial(ports.net, ports.clock, ports.log, hello, member.address, quiet);
+    connections.set(member.incarnation, dialed._unsafeUnwrap());
+  }
+  return connections;
+};
+
+const proposerOf = (ports: Ports, own: Acceptor, connections: Connections): Proposer => {
+  const ask = async <T>(member: Member, topic: string, body: unknown): Promise<T | null> => {
+    const connection = connections.get(member.incarnation) as PeerConnection;
+    return (await connection.ask(topic, body, patienceMs)).unwrapOr(null) as T | null;
+  };
+  const isOwn = (member: Member): boolean => member.incarnation === own.incarnation;
+  return new Proposer(
+    own,
+    {
+      prepare: (member, slot, ballot) =>
+        isOwn(member) ? own.prepare(slot, ballot) : ask<Vote>(member, 'prepare', { slot, ballot }),
+      accept: (member, slot, ballot, change) =>
+        isOwn(member) ? own.accept(slot, ballot, change) : ask<Vote>(member, 'accept', { slot, ballot, change }),
+      position: (member) => ask<Position>(member, 'position', null),
+      settle: (settled) => {
+        for (const connection of connections.values()) connection.tell('settled', settled);
+      },
+      since: (member, generation) =>
+        isOwn(member) ? Promise.resolve(own.since(generation)) : ask<Since>(member, 'since', generation),
+      supply: async () => {},
+    },
+    ports.clock,
+    ports.random,
+    ports.log,
+  );
+};
+
+const propose = async (proposer: Proposer, tenants: number, edition: number): Promise<void> => {
+  const outcome = await proposer.propose(
+    (state) => ok(sampleData.layoutChange(tenants, edition, state.layoutGeneration)),
+    `push-${edition}`,
+    edition.toString(16).padStart(32, '0'),
+    patienceMs,
+  );
+  if (outcome.isErr()) throw new Error(`a change was not decided: ${JSON.stringify(outcome.error)}`);
+};
+
+const measureTenants = async (series: ReturnType<typeof defineAll>, tenants: number): Promise<void> => {
+  const meter = new Meter();
+  const nodes: MemberNode[] = [];
+  for (const at of upTo(fleetSize.voters)) nodes.push(await openMember(meter, at));
+  const members = nodes.map((node) => node.member);
+  for (const { acceptor } of nodes) await acceptor.adopt(sampleData.stateOf(tenants, 0, members));
+  const [own, ...others] = nodes as [MemberNode, ...MemberNode[]];
+  const ports = probePorts(meter);
+  const connections = await connect(ports, own, others);
+  const proposer = proposerOf(ports, own.acceptor, connections);
+  const isSettled = (): boolean =>
+    nodes.every(({ acceptor }) => acceptor.agreed()?.generation === own.acceptor.agreed()?.generation);
+  await repeated(repeats, 1, async (isKept, repeat) => {
+    const spent = startWatch(meter);
+    for (const at of upTo(changesARepeat)) await propose(proposer, tenants, repeat * changesARepeat + at + 1);
+    if (!isKept) return;
+    series.wall.add(tenants, spent().wallMs / changesARepeat);
+    await until(isSettled, patienceMs);
+    const { cpuMs, sentBytes } = spent();
+    series.cpu.add(tenants, cpuMs / changesARepeat / fleetSize.voters);
+    series.bytes.add(tenants, sentBytes / changesARepeat);
+  });
+  for (const connection of connections.values()) connection.close();
+  for (const node of nodes) await node.close();
+};
+
+/** Measures decisions by the tenants in the state. */
+export const ballotsProbe: Probe = {
+  name: 'ballots',
+  measure: async () => {
+    const series = defineAll();
+    for (const tenants of tenantCounts) await measureTenants(series, tenants);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -0,0 +1,124 @@
+/** Claims of idempotency keys at a control node. */
+import { logs, machine } from '@martenworks/core-types';
+import type { Claimant, ClaimBallot } from '@martenworks/core-types';
+import { claimTables } from '@martenworks/control-plane';
+import type { Handlers } from '@martenworks/peer-transport';
+import { dimensions } from '../fleetSize.js';
+import { withConnectedNode } from '../measuredControlNode.js';
+import { heapBytes, repeated, startWatch, upTo } from '../measuring.js';
+import { Meter } from '../meteredNet.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { probePorts, temporaryDisk } from '../probePorts.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const widths = [10, 50, 200, 500, 1_500];
+const heldCounts = [10_000, 30_000, 60_000, 100_000];
+const acceptedAtOnce = 5_000;
+const retentionMs = 3_600_000;
+const connectionCount = 8;
+const repeats = 3;
+const msPerSecond = 1_000;
+
+const defineAll = () =>
+  defineSeries({
+    cpu: [
+      'claims/core-cpu',
+      'core node: processor time a claim (two rounds, kept on disk)',
+      'us',
+      dimensions.claimsAtOnce,
+    ],
+    rate: ['claims/rate', 'claims a second that one core node takes', 'a second', dimensions.claimsAtOnce],
+    bytes: ['claims/bytes', 'one claim between a front and a core node, both ways', 'bytes', dimensions.claimsAtOnce],
+    memory: ['claims/memory', 'core node: memory of claims', 'bytes', dimensions.claimsKept],
+  });
+
+type ClaimSeries = ReturnType<typeof defineAll>;
+type Table = Awaited<ReturnType<typeof openTable>>;
+
+const openTable = async () => {
+  const { disk, clock, log } = probePorts(new Meter());
+  return (await claimTables.open(disk, clock, log, retentionMs))._unsafeUnwrap();
+};
+
+const answering =
+  (table: Table): Handlers['asked'] =>
+  async (_connection, topic, body) => {
+    const { key, turn, ballot, claimant } = body as {
+      key: string;
+      turn: number;
+      ballot: ClaimBallot;
+      claimant: Claimant;
+    };
+    return topic === 'claimPrepare' ? table.prepare(key, turn, ballot) : table.accept(key, turn, ballot, claimant);
+  };
+
+/** @param from the first number of keys that were not used before; the next free one is returned */
+const measureWidth = async (peers: PeerProcess, series: ClaimSeries, width: number, from: number): Promise<number> => {
+  const table = await openTable();
+  const count = Math.max(100, Math.min(3_000, width * 6));
+  let next = from;
+  const claim = (claims: number): Promise<unknown> => {
+    const first = next;
+    next += claims;
+    return peers.run({ verb: 'claim', width, count: claims, from: first });
+  };
+  const options = { handlers: { asked: answering(table) } };
+  await withConnectedNode(peers, { count: connectionCount }, options, async ({ meter }) => {
+    await claim(width * 2);
+    await repeated(repeats, 0, async () => {
+      const spent = startWatch(meter);
+      await claim(count);
+      const { cpuUs, wallMs, sentBytes, gotBytes } = spent();
+      series.cpu.add(width, cpuUs / count);
+      series.rate.add(width, (count / wallMs) * msPerSecond);
+      series.bytes.add(width, (sentBytes + gotBytes) / count);
+    });
+  });
+  await table.close();
+  return next;
+};
+
+const claimantOf = (at: number): Claimant => ({
+  id: `${at}`.padStart(32, '0'),
+  counter: `${at % 400}`.padStart(16, '0'),
+  address: `10.0.0.${at % 256}:7100`,
+  digest: `${at}`.padStart(32, 'd'),
+});
+
+const acceptClaims = async (table: Table, from: number, to: number): Promise<void> => {
+  const accept = (at: number): Promise<unknown> => {
+    const claimant = claimantOf(at);
+    const key = `tenant-${(at - from) % 3_100}/${at}-idempotency-key`;
+    return table.accept(key, 0, [1, claimant.id], claimant);
+  };
+  for (let begin = from; begin < to; begin += acceptedAtOnce)
+    await Promise.all(upTo(Math.min(acceptedAtOnce, to - begin)).map((at) => accept(begin + at)));
+};
+
+const measureMemory = async (series: ClaimSeries): Promise<void> => {
+  const opened = await claimTables.open(temporaryDisk(), machine.clock, logs.silent(), retentionMs);
+  const table = opened._unsafeUnwrap();
+  const empty = heapBytes();
+  let held = 0;
+  for (const target of heldCounts) {
+    await acceptClaims(table, held, target);
+    held = target;
+    series.memory.add(target, heapBytes() - empty);
+  }
+  await table.close();
+};
+
+/** Measures claims by how many run at once, and their memory by how many are held. */
+export const claimsProbe: Probe = {
+  name: 'claims',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      let from = 0;
+      for (const width of widths) from = await measureWidth(peers, series, width, from);
+      await measureMemory(series);
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -0,0 +1,82 @@
+/** Gateways that start: how much of the index arrives, and whether the connection survives it. */
+import type { ReplicaRecord } from '@martenworks/core-types';
+import { Pigeonhole } from '@martenworks/prefix-index';
+import { blocksPerReplica, dimensions } from '../fleetSize.js';
+import { withConnectedNode } from '../measuredControlNode.js';
+import { pauseMs, repeated, upTo } from '../measuring.js';
+import type { PeerCounters } from '../peerCommands.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import { snapshotBytes } from './prefixIndex.js';
+import type { Probe } from './probe.js';
+
+const blockCounts = [28_000, 280_000, 560_000, 840_000, 1_120_000];
+const repeats = 2;
+const pollMs = 100;
+const mostPolls = 40;
+const suspectMs = 3_600_000;
+
+const defineAll = () =>
+  defineSeries({
+    arrived: [
+      'joins/arrived',
+      'of the index that a core node sends a front that starts, what arrives',
+      'share',
+      dimensions.blocksSent,
+    ],
+    stays: [
+      'joins/stays',
+      'a front that starts and is sent the index keeps its connection (1) or is cut off (0)',
+      'share',
+      dimensions.blocksSent,
+    ],
+  });
+
+const fill = (index: Pigeonhole, records: readonly ReplicaRecord[]): void => {
+  index.reconcile(records, () => 0);
+  for (const [at, { name }] of records.entries()) {
+    if (index.seqOf(name, 1) > 0) continue;
+    const blocks = upTo(blocksPerReplica).map((block) => sampleData.blockName(at * blocksPerReplica + block));
+    index.take(sampleData.stored(name, 1, blocks), 0);
+  }
+};
+
+/** Waits until nothing more arrives; at least three readings. */
+const untilQuiet = async (peers: PeerProcess): Promise<PeerCounters> => {
+  let last = -1;
+  for (let poll = 0; poll < mostPolls; poll += 1) {
+    await pauseMs(pollMs);
+    const counters = await peers.run({ verb: 'readCounters' });
+    if (counters.got === last && poll > 1) break;
+    last = counters.got;
+  }
+  return peers.run({ verb: 'readCounters' });
+};
+
+/** Measures by the blocks of the index. */
+export const joinsProbe: Probe = {
+  name: 'joins',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      const index = new Pigeonhole(suspectMs);
+      for (const target of blockCounts) {
+        const records = sampleData.records(Math.ceil(target / blocksPerReplica));
+        fill(index, records);
+        const bytes = snapshotBytes(index);
+        const options = { records, shelves: () => index.checkpoint(1) };
+        await repeated(repeats, 0, () =>
+          withConnectedNode(peers, { count: 1 }, options, async () => {
+            const before = await peers.run({ verb: 'readCounters' });
+            await peers.run({ verb: 'tell', topic: 'subscribe' });
+            const after = await untilQuiet(peers);
+            series.arrived.add(target, (after.got - before.got) / bytes);
+            series.stays.add(target, after.left > before.left ? 0 : 1);
+          }),
+        );
+      }
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/layout.ts
@@ -0,0 +1,82 @@
+/** A gateway's view of the configuration: built anew for each change, and adjusted for each replica record. */
+import { Book } from '@martenworks/counter';
+import { machine } from '@martenworks/core-types';
+import type { Change, ReplicaRecord } from '@martenworks/core-types';
+import { dimensions, fleetSize, replicaCounts, tenantCounts } from '../fleetSize.js';
+import { heapBytes, meanCpuMs, repeated, upTo } from '../measuring.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const isolatedShare = 0.01;
+const repeats = 3;
+const changesARepeat = 3;
+const recordsARepeat = 4;
+
+const defineAll = () =>
+  defineSeries({
+    view: [
+      'layout/view',
+      'front: apply one change and build its view, 1,000 replicas, none isolated',
+      'ms',
+      dimensions.tenants,
+    ],
+    viewIsolated: ['layout/view-isolated', 'the same with 1 in 100 tenants isolated', 'ms', dimensions.tenants],
+    replicaRecord: [
+      'layout/replica-news',
+      'front: take one replica record, 3,100 tenants, 31 isolated',
+      'ms',
+      dimensions.replicas,
+    ],
+    memory: ['layout/memory', 'front: memory of state and view', 'bytes', dimensions.tenants],
+  });
+
+type LayoutSeries = ReturnType<typeof defineAll>;
+
+/** Views stay referenced in `kept`, so that their memory is not collected between readings. */
+const measureView = (series: LayoutSeries, kept: Book[], tenants: number, isolated: number): void => {
+  const empty = heapBytes();
+  const book = new Book(machine.clock, () => {});
+  const state = structuredClone(sampleData.stateOf(tenants, isolated, []));
+  book.takeCheckpoint(state);
+  kept.push(book);
+  if (isolated === 0) series.memory.add(tenants, heapBytes() - empty);
+  book.takeReplicas(sampleData.records(fleetSize.replicas));
+  const { generation } = state;
+  const changes = upTo(changesARepeat).map(
+    (at): Change => ({
+      id: `view-${at}`,
+      digest: '0',
+      body: { kind: 'layout', layout: sampleData.layoutOf(tenants, isolated, at), base: generation + at },
+    }),
+  );
+  const ms = meanCpuMs(changesARepeat, (at) => void book.takeChange(generation + 1 + at, changes[at] as Change));
+  (isolated === 0 ? series.view : series.viewIsolated).add(tenants, ms);
+};
+
+const measureRecord = async (series: LayoutSeries, replicas: number): Promise<void> => {
+  const book = new Book(machine.clock, () => {});
+  book.takeCheckpoint(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
+  const records = sampleData.records(replicas);
+  book.takeReplicas(records);
+  await repeated(repeats, 1, (isKept, repeat) => {
+    const ms = meanCpuMs(recordsARepeat, (at) =>
+      book.takeReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
+    );
+    if (isKept) series.replicaRecord.add(replicas, ms);
+  });
+};
+
+/** Measures views by tenants and replica records by replicas. */
+export const layoutProbe: Probe = {
+  name: 'layout',
+  measure: async () => {
+    const series = defineAll();
+    const kept: Book[] = [];
+    for (const tenants of tenantCounts)
+      for (const isolated of [0, Math.round(tenants * isolatedShare)])
+        await repeated(repeats, 0, () => measureView(series, kept, tenants, isolated));
+    for (const replicas of replicaCounts) await measureRecord(series, replicas);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -0,0 +1,140 @@
+/** Leases of singleton roles, one for each replica, between three control nodes. */
+import { Duties } from '@martenworks/cluster-membership';
+import type { LeaseAsk, LeaseReply } from '@martenworks/cluster-membership';
+import { leaseBooks } from '@martenworks/control-plane';
+import { logs, machine } from '@martenworks/core-types';
+import type { Net } from '@martenworks/core-types';
+import { peerConnections } from '@martenworks/peer-transport';
+import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import { dimensions, fleetSize, replicaCounts } from '../fleetSize.js';
+import { pauseMs, repeated, startWatch, upTo } from '../measuring.js';
+import { Meter, freeAddress, metered } from '../meteredNet.js';
+import { temporaryDisk } from '../probePorts.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const settlePatienceMs = 8_000;
+const settlePollMs = 50;
+const askPatienceMs = 5_000;
+
+const defineAll = () =>
+  defineSeries({
+    cpu: [
+      'leases/cpu',
+      'three core nodes together: processor time of a round of renewals (each 0.4 s)',
+      'ms',
+      dimensions.replicas,
+    ],
+    bytes: ['leases/bytes', 'three core nodes together: bytes of a round of renewals', 'bytes', dimensions.replicas],
+    settle: ['leases/settle', 'all duties taken up after a cold start', 'ms', dimensions.replicas],
+  });
+
+const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
+
+/** One control node that grants leases to the others over a metered connection. */
+interface LeaseNode {
+  readonly name: string;
+  readonly address: string;
+  readonly grant: (ask: LeaseAsk) => Promise<LeaseReply | null>;
+  readonly close: () => Promise<void>;
+}
+
+const openLeaseNode = async (net: Net, at: number): Promise<LeaseNode> => {
+  const opened = (await leaseBooks.open(temporaryDisk(), machine.clock, logs.silent()))._unsafeUnwrap();
+  const address = await freeAddress();
+  const hello = sampleData.helloOf('postmaster', at, address);
+  const grant = async (ask: LeaseAsk): Promise<LeaseReply | null> => (await opened.book.grant(ask)) ?? null;
+  const handlers: Handlers = { ...quiet, asked: (_connection, _topic, body) => grant(body as LeaseAsk) };
+  const listener = (
+    await peerConnections.listen(net, machine.clock, logs.silent(), () => hello, address, handlers)
+  )._unsafeUnwrap();
+  const close = async (): Promise<void> => {
+    await listener.close();
+    await opened.close();
+  };
+  return { name: hello.incarnation, address, grant, close };
+};
+
+const dialOthers = async (net: Net, nodes: readonly LeaseNode[], own: number): Promise<PeerConnection[]> => {
+  const hello = sampleData.helloOf('postmaster', own, '');
+  const others = nodes.filter((_, at) => at !== own);
+  const dialed: PeerConnection[] = [];
+  for (const { address } of others)
+    dialed.push((await peerConnections.dial(net, machine.clock, logs.silent(), hello, address, quiet))._unsafeUnwrap());
+  return dialed;
+};
+
+const dutiesOf = (
+  nodes: readonly LeaseNode[],
+  node: LeaseNode,
+  connections: readonly PeerConnection[],
+  wanted: readonly string[],
+): Duties => {
+  const askAll = async (ask: LeaseAsk): Promise<LeaseReply[]> => {
+    const asked = connections.map(
+      async (connection) => (await connection.ask('leaseAsk', ask, askPatienceMs)).unwrapOr(null) as LeaseReply | null,
+    );
+    const replies = await Promise.all([node.grant(ask), ...asked]);
+    return replies.filter((reply) => reply !== null);
+  };
+  const names = nodes.map(({ name }) => name);
+  return new Duties(
+    machine.clock,
+    () => node.name,
+    () => names,
+    () => wanted,
+    askAll,
+    () => {},
+    () => 2,
+    () => {},
+  );
+};
+
+const tickAll = (duties: readonly Duties[]): Promise<unknown> => Promise.all(duties.map((one) => one.tick()));
+
+const settle = async (duties: readonly Duties[], wanted: number): Promise<number> => {
+  const spent = startWatch();
+  const heldCount = (): number => duties.reduce((sum, one) => sum + one.lines().length, 0);
+  while (heldCount() < wanted && spent().wallMs < settlePatienceMs) {
+    await tickAll(duties);
+    await pauseMs(settlePollMs);
+  }
+  return spent().wallMs;
+};
+
+const measureReplicas = async (series: ReturnType<typeof defineAll>, replicas: number): Promise<void> => {
+  const meter = new Meter();
+  const net = metered(machine.net(null), meter);
+  const nodes = await Promise.all(upTo(fleetSize.voters).map((at) => openLeaseNode(net, at)));
+  const wanted = sampleData.records(replicas).map((record) => `kv/${record.name}`);
+  const dialed: PeerConnection[] = [];
+  const duties: Duties[] = [];
+  for (const [at, node] of nodes.entries()) {
+    const connections = await dialOthers(net, nodes, at);
+    dialed.push(...connections);
+    duties.push(dutiesOf(nodes, node, connections, wanted));
+  }
+  series.settle.add(replicas, await settle(duties, replicas));
+  await repeated(repeats, 1, async (isKept) => {
+    const spent = startWatch(meter);
+    await tickAll(duties);
+    if (!isKept) return;
+    const { cpuMs, sentBytes } = spent();
+    series.cpu.add(replicas, cpuMs);
+    series.bytes.add(replicas, sentBytes);
+  });
+  for (const connection of dialed) connection.close();
+  for (const node of nodes) await node.close();
+};
+
+/** Measures by the replicas, each of which has a lease. */
+export const leasesProbe: Probe = {
+  name: 'leases',
+  measure: async () => {
+    const series = defineAll();
+    for (const replicas of replicaCounts) await measureReplicas(series, replicas);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/pings.ts
@@ -0,0 +1,92 @@
+/** Pings between gateways and a control node: freshness, reports of load and notices of heavy prefills. */
+import { dimensions, fleetSize, nodeCounts, replicaCounts, runningPerFront } from '../fleetSize.js';
+import { withConnectedNode } from '../measuredControlNode.js';
+import type { MeasuredControlNode } from '../measuredControlNode.js';
+import { repeated, startWatch } from '../measuring.js';
+import type { ReportedLoad } from '../peerCommands.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const pingCount = 60;
+const repeats = 3;
+const fixedFronts = 100;
+
+const defineAll = () =>
+  defineSeries({
+    nodeUs: ['pings/core-cpu', 'core node: processor time a ping', 'us', dimensions.fronts],
+    frontUs: ['pings/front-cpu', 'front: processor time a ping, its report and loads', 'us', dimensions.fronts],
+    pingBytes: ['pings/ask-bytes', 'a ping', 'bytes', dimensions.fronts],
+    replyBytes: ['pings/pong-bytes', 'reply to a ping', 'bytes', dimensions.fronts],
+    replyBytesByReplicas: ['pings/pong-bytes-by-replicas', 'reply to a ping, 100 fronts', 'bytes', dimensions.replicas],
+    noticeMs: ['heavy/core-cpu', 'core node: processor time for one heavy-prefill notice', 'ms', dimensions.fronts],
+    noticeBytes: ['heavy/bytes', 'sent by a core node for one heavy-prefill notice', 'bytes', dimensions.fronts],
+  });
+
+type PingSeries = ReturnType<typeof defineAll>;
+
+const measureNotice = async (
+  peers: PeerProcess,
+  series: PingSeries,
+  fronts: number,
+  load: ReportedLoad,
+): Promise<void> => {
+  const spent = startWatch();
+  const heavy = await peers.run({ verb: 'heavyPrefill', load });
+  series.noticeMs.add(fronts, spent().cpuMs);
+  series.noticeBytes.add(fronts, heavy.got);
+};
+
+/** Notices to many gateways are dear, so the last repeat leaves them out there. */
+const measureFronts = async (
+  peers: PeerProcess,
+  node: MeasuredControlNode,
+  series: PingSeries,
+  fronts: number,
+): Promise<void> => {
+  const load = { running: runningPerFront, replicas: fleetSize.replicas };
+  await repeated(repeats, 0, async (_isKept, at) => {
+    const spent = startWatch(node.meter);
+    const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
+    series.nodeUs.add(fronts, spent().cpuUs / pingCount);
+    series.replyBytes.add(fronts, cost.got);
+    series.pingBytes.add(fronts, cost.sent);
+    series.frontUs.add(fronts, cost.us);
+    if (fronts <= fixedFronts || at < repeats - 1) await measureNotice(peers, series, fronts, load);
+  });
+};
+
+const measureReplicas = async (peers: PeerProcess, series: PingSeries, replicas: number): Promise<void> => {
+  const load = { running: runningPerFront, replicas };
+  await repeated(repeats, 0, async () => {
+    const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
+    series.replyBytesByReplicas.add(replicas, cost.got);
+  });
+};
+
+/** The first pings tell the node each gateway's load; they are not measured. */
+const subscribeAndWarmUp = async (peers: PeerProcess, fronts: number, replicas: number): Promise<void> => {
+  await peers.run({ verb: 'tell', topic: 'subscribe' });
+  await peers.run({ verb: 'pingWithLoad', count: fronts, load: { running: runningPerFront, replicas } });
+};
+
+/** Measures pings by gateways and by replicas. */
+export const pingsProbe: Probe = {
+  name: 'pings',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      for (const fronts of nodeCounts)
+        await withConnectedNode(peers, { count: fronts }, {}, async (node) => {
+          await subscribeAndWarmUp(peers, fronts, fleetSize.replicas);
+          await measureFronts(peers, node, series, fronts);
+        });
+      for (const replicas of replicaCounts)
+        await withConnectedNode(peers, { count: fixedFronts }, {}, async () => {
+          await subscribeAndWarmUp(peers, fixedFronts, replicas);
+          await measureReplicas(peers, series, replicas);
+        });
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -0,0 +1,178 @@
+/** The prefix-cache index of a gateway: memory, events, its snapshot on the wire, and choosing a replica. */
+import { dimensions, blocksPerReplica, poolCount, poolSizes } from '../fleetSize.js';
+import { heapBytes, meanCpuMs, meanCpuUs, repeated, upTo } from '../measuring.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { KvNews, ReplicaRecord } from '@martenworks/core-types';
+import { Unpacker, frames } from '@martenworks/peer-transport';
+import { Pigeonhole, place } from '@martenworks/prefix-index';
+import type { Probe } from './probe.js';
+
+const blockCountsFromFrames = [10_000, 50_000, 100_000, 200_000, 400_000];
+const blockCounts = [10_000, 100_000, 500_000, 1_000_000, 2_000_000, 4_000_000];
+const mostBlocksPacked = 1_000_000;
+const mostBlocksCounted = 500_000;
+const eventsInAFrame = 20;
+const eventsMeasured = 20_000;
+const repeats = 3;
+const suspectMs = 3_600_000;
+const promptBlocks = 266;
+const cachedBlocks = 208;
+const promptTokens = 17_020;
+const placementsARepeat = 100;
+/** Block numbers that no other step uses. */
+const firstNewBlock = 900_000_000;
+const firstPromptBlock = 700_000_000;
+
+const defineAll = () =>
+  defineSeries({
+    memory: ['index/memory', 'one whole index: memory', 'bytes', dimensions.blocks],
+    memoryFromFrames: [
+      'index/memory-from-frames',
+      'one whole index filled from frames of 20 events: memory',
+      'bytes',
+      dimensions.blocks,
+    ],
+    event: ['index/take', 'processor time of one event of one block', 'us', dimensions.blocks],
+    snapshotBytes: ['index/shelf-bytes', 'shelves of a whole index on the wire', 'bytes', dimensions.blocks],
+    snapshotMs: [
+      'index/shelf-cpu',
+      'core node: processor time to pack the shelves of a whole index, in one turn of its event loop',
+      'ms',
+      dimensions.blocks,
+    ],
+    placement: ['index/place', 'placing one prompt of 266 blocks in one pool', 'us', dimensions.replicasInPool],
+  });
+
+type IndexSeries = ReturnType<typeof defineAll>;
+
+const newIndex = (): Pigeonhole => new Pigeonhole(suspectMs);
+const recordsFor = (blocks: number): ReplicaRecord[] => sampleData.records(Math.ceil(blocks / blocksPerReplica));
+const packed = (index: Pigeonhole): Uint8Array[] =>
+  index.checkpoint(1).map((body) => frames.pack({ f: 'tell', topic: 'shelf', body }));
+
+/** Bytes of an index on the wire. */
+export const snapshotBytes = (index: Pigeonhole): number => packed(index).reduce((sum, frame) => sum + frame.length, 0);
+
+const frameOf = (index: Pigeonhole, record: ReplicaRecord, firstBlock: number): Uint8Array => {
+  const firstSeq = index.seqOf(record.name, 1) + 1;
+  const body = upTo(eventsInAFrame).map((at) =>
+    sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
+  );
+  return frames.pack({ f: 'tell', topic: 'kv', body });
+};
+
+/** Names that come from a frame share its buffer, so memory differs from that of names made one by one. */
+const measureFromFrames = (series: IndexSeries): void => {
+  const empty = heapBytes();
+  const index = newIndex();
+  const unpacker = new Unpacker(
+    (message) => {
+      for (const event of (message as { body: KvNews[] }).body) index.take(event, 0);
+    },
+    () => {},
+  );
+  let held = 0;
+  for (const target of blockCountsFromFrames) {
+    const records = recordsFor(target);
+    index.reconcile(records, () => 0);
+    for (; held < target; held += eventsInAFrame) {
+      const record = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
+      unpacker.take(frameOf(index, record, held));
+    }
+    series.memoryFromFrames.add(target, heapBytes() - empty);
+  }
+};
+
+const fill = (index: Pigeonhole, from: number, to: number): void => {
+  const records = recordsFor(to);
+  index.reconcile(records, () => 0);
+  for (let held = from; held < to; held += 1) {
+    const { name } = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
+    const block = Buffer.from(sampleData.blockName(held + 1)).toString('latin1');
+    index.take(sampleData.stored(name, index.seqOf(name, 1) + 1, [block]), 0);
+  }
+};
+
+/** Events that store a block and remove it again, spread over the replicas. */
+const storeAndRemoveEvents = (index: Pigeonhole, names: readonly string[]): KvNews[] => {
+  const lastSeqs = new Map<string, number>();
+  return upTo(eventsMeasured / 2).flatMap((pair) => {
+    const at = pair * 2;
+    const name = names[(at * 7) % names.length] as string;
+    const seq = lastSeqs.get(name) ?? index.seqOf(name, 1);
+    lastSeqs.set(name, seq + 2);
+    const blocks = [sampleData.blockName(firstNewBlock + at)];
+    return [
+      sampleData.stored(name, seq + 1, blocks),
+      { ...sampleData.stored(name, seq + 2, blocks), kind: 'removed' as const },
+    ];
+  });
+};
+
+const measureIndex = async (series: IndexSeries): Promise<void> => {
+  const empty = heapBytes();
+  const index = newIndex();
+  let held = 0;
+  for (const target of blockCounts) {
+    fill(index, held, target);
+    held = target;
+    series.memory.add(target, heapBytes() - empty);
+    const names = recordsFor(target).map((record) => record.name);
+    await repeated(repeats, 0, () => {
+      const events = storeAndRemoveEvents(index, names);
+      series.event.add(
+        target,
+        meanCpuUs(events.length, (at) => index.take(events[at] as KvNews, 1)),
+      );
+    });
+    if (target <= mostBlocksPacked)
+      await repeated(repeats, 0, () =>
+        series.snapshotMs.add(
+          target,
+          meanCpuMs(1, () => void packed(index)),
+        ),
+      );
+    if (target <= mostBlocksCounted) series.snapshotBytes.add(target, snapshotBytes(index));
+  }
+};
+
+const measurePlacement = async (series: IndexSeries, replicas: number): Promise<void> => {
+  const [poolName, pool] = Object.entries(sampleData.layoutOf(1, 0).pools)[0] ?? [];
+  if (pool === undefined) return;
+  const records = sampleData.records(replicas * poolCount).filter((record) => record.pool === poolName);
+  const blocks = upTo(promptBlocks).map((at) => sampleData.blockName(firstPromptBlock + at));
+  const index = newIndex();
+  index.reconcile(records, () => 0);
+  for (const [at, record] of records.entries())
+    index.take(sampleData.stored(record.name, 1, blocks.slice(0, at % 3 === 0 ? cachedBlocks : 0)), 0);
+  const question = {
+    pool,
+    blocks,
+    promptTokens,
+    isolatedTenant: null,
+    candidates: records.map((record, at) => ({ record, running: at % 20, pendingTokens: (at * 97) % 2_000 })),
+    holders: records,
+    now: 1,
+    zone: '',
+    useIndex: true,
+    tieBreak: 0.5,
+    pullExcessMs: () => 0,
+  };
+  await repeated(repeats, 1, (isKept) => {
+    const us = meanCpuUs(placementsARepeat, () => void place(index, question));
+    if (isKept) series.placement.add(replicas, us);
+  });
+};
+
+/** Measures the index by its blocks, and placement by the replicas of a pool. */
+export const indexProbe: Probe = {
+  name: 'index',
+  measure: async () => {
+    const series = defineAll();
+    measureFromFrames(series);
+    await measureIndex(series);
+    for (const replicas of poolSizes) await measurePlacement(series, replicas);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -0,0 +1,118 @@
+/** Pushes of configuration changes from a control node to gateways, and what nodes that lag are sent. */
+import { frames } from '@martenworks/peer-transport';
+import type { Settled } from '@martenworks/control-plane';
+import { dimensions, fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
+import { sampleMembers, withConnectedNode } from '../measuredControlNode.js';
+import type { MeasuredControlNode } from '../measuredControlNode.js';
+import { repeated, startWatch, until, upTo } from '../measuring.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const fixedFronts = 100;
+const fixedTenants = 1_000;
+const changesBehind = [1, 10, 30, 60];
+const subscribePatienceMs = 10_000;
+const ackPatienceMs = 30_000;
+const ackPollMs = 10;
+
+/** The cost of one change: processor time of the node, time until the last acknowledgement, bytes to each gateway. */
+interface PushCost {
+  readonly cpuMs: number;
+  readonly ackedMs: number;
+  readonly bytesEach: number;
+}
+
+const defineAll = () =>
+  defineSeries({
+    cpuMs: ['pushes/core-cpu', 'core node: processor time to push one change, 1,000 tenants', 'ms', dimensions.fronts],
+    ackedMs: [
+      'pushes/all-acked',
+      'one change until every front acked, 1,000 tenants, loopback',
+      'ms',
+      dimensions.fronts,
+    ],
+    cpuMsByTenants: [
+      'pushes/core-cpu-by-tenants',
+      'core node: processor time to push one change, 100 fronts',
+      'ms',
+      dimensions.tenants,
+    ],
+    bytes: ['pushes/bytes', 'one change to one front from one core node', 'bytes', dimensions.tenants],
+    snapshotBytes: [
+      'pushes/checkpoint-bytes',
+      'whole agreed state to a front that starts, 4,096 change ids kept',
+      'bytes',
+      dimensions.tenants,
+    ],
+    catchUpBytes: [
+      'pushes/since-bytes',
+      'changes sent at once to a core node that lags, 3,100 tenants',
+      'bytes',
+      dimensions.changesBehind,
+    ],
+  });
+
+const catchUpBytes = (behind: number): number => {
+  const settled = upTo(behind).map((at) => ({
+    generation: at,
+    change: sampleData.layoutChange(fleetSize.tenants, at, at),
+  }));
+  return frames.pack({ f: 'reply', id: 1, body: { k: 'changes', settled } }).length;
+};
+
+const snapshotBytes = (tenants: number): number =>
+  frames.pack({ f: 'tell', topic: 'checkpoint', body: sampleData.stateOf(tenants, 0, sampleMembers) }).length;
+
+const pushOne = async (node: MeasuredControlNode, change: Settled['change'], fronts: number): Promise<PushCost> => {
+  const generation = (node.acceptor.agreed()?.generation ?? 0) + 1;
+  const spent = startWatch(node.meter);
+  await node.acceptor.settle({ generation, change });
+  const isAcked = (): boolean => node.push.acks().every((ack) => ack.generation === generation);
+  await until(isAcked, ackPatienceMs, ackPollMs);
+  const { cpuMs, wallMs, sentBytes } = spent();
+  return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / fronts };
+};
+
+/** Gives each push its own version of the configuration. */
+const pusher = (peers: PeerProcess) => {
+  let edition = 0;
+  return (fronts: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
+    withConnectedNode(peers, { count: fronts }, { tenants }, async (node) => {
+      await peers.run({ verb: 'tell', topic: 'subscribe' });
+      await until(() => node.push.acks().length === fronts, subscribePatienceMs);
+      await repeated(repeats, 1, async (isKept) => {
+        edition += 1;
+        const base = node.acceptor.agreed()?.layoutGeneration ?? 0;
+        const cost = await pushOne(node, sampleData.layoutChange(tenants, edition, base), fronts);
+        if (isKept) note(cost);
+      });
+    });
+};
+
+/** Measures pushes by gateways and by tenants. */
+export const pushesProbe: Probe = {
+  name: 'pushes',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      for (const behind of changesBehind) series.catchUpBytes.add(behind, catchUpBytes(behind));
+      const push = pusher(peers);
+      for (const fronts of nodeCounts)
+        await push(fronts, fixedTenants, ({ cpuMs, ackedMs }) => {
+          series.cpuMs.add(fronts, cpuMs);
+          series.ackedMs.add(fronts, ackedMs);
+        });
+      for (const tenants of tenantCounts) {
+        await push(fixedFronts, tenants, ({ cpuMs, bytesEach }) => {
+          series.cpuMsByTenants.add(tenants, cpuMs);
+          series.bytes.add(tenants, bytesEach);
+        });
+        series.snapshotBytes.add(tenants, snapshotBytes(tenants));
+      }
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -0,0 +1,72 @@
+/** The list of replicas: kept on disk by a control node, and told to gateways. */
+import { replicaTables } from '@martenworks/control-plane';
+import { logs } from '@martenworks/core-types';
+import { frames } from '@martenworks/peer-transport';
+import { dimensions, nodeCounts, replicaCounts } from '../fleetSize.js';
+import { withConnectedNode } from '../measuredControlNode.js';
+import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { temporaryDisk } from '../probePorts.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const listsARepeat = 10;
+const recordsARepeat = 20;
+const sendMs = 30;
+const subscribePatienceMs = 10_000;
+
+const defineAll = () =>
+  defineSeries({
+    firstList: ['replicas/first-list', 'core node: a first list of replicas kept on disk', 'ms', dimensions.replicas],
+    listCpu: ['replicas/list-cpu', 'core node: processor time of a list without news', 'ms', dimensions.replicas],
+    bytes: ['replicas/bytes', 'the list of replicas to one front', 'bytes', dimensions.replicas],
+    recordCpu: [
+      'replicas/news-cpu',
+      'core node: processor time to tell all fronts one record',
+      'us',
+      dimensions.fronts,
+    ],
+  });
+
+type ListSeries = ReturnType<typeof defineAll>;
+
+const measureTable = async (series: ListSeries, replicas: number): Promise<void> => {
+  const table = (await replicaTables.open(temporaryDisk(), logs.silent()))._unsafeUnwrap();
+  const records = sampleData.records(replicas);
+  const first = startWatch();
+  await table.take(records);
+  series.firstList.add(replicas, first().wallMs);
+  const unchanged = startWatch();
+  for (let list = 0; list < listsARepeat; list += 1) await table.take(records);
+  series.listCpu.add(replicas, unchanged().cpuMs / listsARepeat);
+  series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'replicas', body: records }).length);
+  await table.close();
+};
+
+const measureRecord = (peers: PeerProcess, series: ListSeries, fronts: number): Promise<void> =>
+  withConnectedNode(peers, { count: fronts }, {}, async ({ push }) => {
+    await peers.run({ verb: 'tell', topic: 'subscribe' });
+    await until(() => push.acks().length === fronts, subscribePatienceMs);
+    const record = sampleData.records(1);
+    await repeated(repeats, 1, async (isKept) => {
+      const spent = startWatch();
+      for (const _ of upTo(recordsARepeat)) push.tellReplicas(record);
+      await pauseMs(sendMs);
+      if (isKept) series.recordCpu.add(fronts, spent().cpuUs / recordsARepeat);
+    });
+  });
+
+/** Measures lists by replicas and records by gateways. */
+export const replicaListsProbe: Probe = {
+  name: 'replicas',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      for (const replicas of replicaCounts) await repeated(repeats, 0, () => measureTable(series, replicas));
+      for (const fronts of nodeCounts) await measureRecord(peers, series, fronts);
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -0,0 +1,160 @@
+/** The prefix-cache index of the users' platform: followed by control nodes, held by edges. */
+import { ShelfDesk } from '@martenworks/control-plane';
+import { logs, machine } from '@martenworks/core-types';
+import type { BackEnds, KeptNews, ShelfNews } from '@martenworks/core-types';
+import { ShelfBook } from '@martenworks/edge-proxy';
+import { Unpacker, frames } from '@martenworks/peer-transport';
+import { ok } from 'neverthrow';
+import { dimensions, replicaCounts } from '../fleetSize.js';
+import { cpuUs, heapBytes, pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { routeSamples } from '../routeSamples.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const followMs = 500;
+const msPerSecond = 1_000;
+const replicaCount = 50;
+const partCounts = [10_000, 50_000, 100_000, 200_000];
+const partsAStep = 10_000;
+const stepPatienceMs = 5_000;
+const stepPollMs = 20;
+const lastBundleMs = 80;
+/** Bundles with fewer events are too short for the processor clock. */
+const leastEventsTimed = 1_000;
+const bundleSizes = [1, 10, 100, 1_000];
+
+const defineAll = () =>
+  defineSeries({
+    follow: [
+      'way-index/follow-cpu',
+      'core node: processor time of a second of asking each replica for its events, none coming',
+      'ms',
+      dimensions.replicas,
+    ],
+    event: [
+      'way-index/event-cpu',
+      'core node: processor time of one event of a large part, read, kept and bundled',
+      'us',
+      dimensions.partsHeld,
+    ],
+    nodeMemory: ['way-index/core-memory', 'core node: memory of the parts it keeps', 'bytes', dimensions.partsHeld],
+    frontMemory: ['way-index/front-memory', 'front: memory of the parts it was told', 'bytes', dimensions.partsHeld],
+    frontUs: [
+      'way-index/front-cpu',
+      'front: processor time of one event (decode and take)',
+      'us',
+      dimensions.partsHeld,
+    ],
+    bytes: ['way-index/bytes', 'one event of a large part to one front', 'bytes', dimensions.eventsInABundle],
+  });
+
+type IndexSeries = ReturnType<typeof defineAll>;
+
+/** A bundle of events as the edge gets it. */
+interface SentBundle {
+  readonly frame: Uint8Array;
+  readonly events: number;
+}
+
+const followerOf = (backEnds: BackEnds, onBundle: (bundle: readonly ShelfNews[]) => void): ShelfDesk =>
+  new ShelfDesk(backEnds, machine.clock, machine.random, logs.silent(), onBundle, () => {});
+
+const packed = (body: readonly ShelfNews[]): Uint8Array => frames.pack({ f: 'tell', topic: 'shelves', body });
+
+const measureFollowing = async (series: IndexSeries, replicas: number): Promise<void> => {
+  const idle = routeSamples.backEnds({ keptNews: async () => ok({ epoch: 'e', next: 0, isLost: false, news: [] }) });
+  const desk = followerOf(idle, () => {});
+  const addresses = routeSamples.endpoints(replicas).map(({ address }) => address);
+  desk.align(new Set(addresses), () => true);
+  await pauseMs(followMs);
+  await repeated(repeats, 0, async () => {
+    const spent = startWatch();
+    await pauseMs(followMs);
+    const { cpuMs, wallMs } = spent();
+    series.follow.add(replicas, (cpuMs / wallMs) * msPerSecond);
+  });
+  desk.stop();
+};
+
+/** Back ends whose replicas each hand out, once, the page of events that was put for them. */
+const pagedBackEnds = (pages: Map<string, KeptNews[]>): BackEnds => {
+  let next = 0;
+  return routeSamples.backEnds({
+    keptNews: async (address) => {
+      const news = pages.get(address) ?? [];
+      pages.delete(address);
+      next += news.length;
+      return ok({ epoch: 'e', next, isLost: false, news });
+    },
+  });
+};
+
+const measureFront = (series: IndexSeries, parts: number, sent: readonly SentBundle[]): void => {
+  const before = heapBytes();
+  const index = new ShelfBook(machine.clock);
+  const unpacker = new Unpacker(
+    (message) => index.take((message as { body: ShelfNews[] }).body),
+    () => {},
+  );
+  for (const { frame, events } of sent) {
+    const began = cpuUs();
+    unpacker.take(frame);
+    if (events > leastEventsTimed) series.frontUs.add(parts, (cpuUs() - began) / events);
+  }
+  series.frontMemory.add(parts, heapBytes() - before);
+  index.sizes();
+};
+
+/** Feeds a follower step by step, and hands the bundles that it sends to `measureFront`. */
+const measureParts = async (series: IndexSeries): Promise<void> => {
+  const addresses = routeSamples.endpoints(replicaCount).map(({ address }) => address);
+  const pages = new Map<string, KeptNews[]>();
+  const bundles: ShelfNews[][] = [];
+  const sent: SentBundle[] = [];
+  const empty = heapBytes();
+  const desk = followerOf(pagedBackEnds(pages), (bundle) => void bundles.push([...bundle]));
+  desk.align(new Set(addresses), () => true);
+  const heldParts = (): number => desk.sizes().reduce((sum, { parts }) => sum + parts, 0);
+  let held = 0;
+  const step = async (target: number): Promise<void> => {
+    const count = Math.min(partsAStep, target - held);
+    const share = count / addresses.length;
+    for (const [at, address] of addresses.entries())
+      pages.set(
+        address,
+        upTo(share).map((part) => routeSamples.cacheEvent(held + at * share + part)),
+      );
+    const spent = startWatch();
+    held += count;
+    await until(() => heldParts() >= held, stepPatienceMs, stepPollMs);
+    await pauseMs(lastBundleMs);
+    series.event.add(target, spent().cpuUs / count);
+    for (const bundle of bundles.splice(0))
+      sent.push({ frame: packed(bundle), events: bundle.reduce((sum, { news }) => sum + news.length, 0) });
+  };
+  for (const target of partCounts) {
+    while (held < target) await step(target);
+    series.nodeMemory.add(target, heapBytes() - empty);
+    measureFront(series, target, sent);
+  }
+  desk.stop();
+};
+
+const bundleBytes = (events: number): number => {
+  const [endpoint] = routeSamples.endpoints(1);
+  const news = upTo(events).map(routeSamples.cacheEvent);
+  return packed([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, news }]).length;
+};
+
+/** Measures by replicas followed and by parts held. */
+export const routeIndexProbe: Probe = {
+  name: 'way-index',
+  measure: async () => {
+    const series = defineAll();
+    for (const replicas of replicaCounts) await measureFollowing(series, replicas);
+    await measureParts(series);
+    for (const events of bundleSizes) series.bytes.add(events, bundleBytes(events) / events);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -0,0 +1,139 @@
+/** The endpoint list of the users' platform and the roll-out of weights. */
+import { CardReader, WeightsDesk } from '@martenworks/control-plane';
+import { logs, machine } from '@martenworks/core-types';
+import type { Clock, ReplicaCard } from '@martenworks/core-types';
+import { ReplicaTracks } from '@martenworks/edge-proxy';
+import { frames } from '@martenworks/peer-transport';
+import { ok } from 'neverthrow';
+import { dimensions, poolCount, replicaCounts } from '../fleetSize.js';
+import { meanCpuMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { routeSamples } from '../routeSamples.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const readingsARepeat = 10;
+const clonesTimed = 20;
+const stepsBehind = 10;
+const stepsIdle = 20;
+const changesARepeat = 10;
+const readerPatienceMs = 1_000;
+
+const defineAll = () =>
+  defineSeries({
+    reading: [
+      'way-list/reading-cpu',
+      'core node: processor time of one reading of the list, nothing new (the call itself left out)',
+      'ms',
+      dimensions.replicas,
+    ],
+    bytes: ['way-list/bytes', 'the whole list to one front that starts', 'bytes', dimensions.replicas],
+    front: ['way-list/front-cpu', 'front: processor time to take one changed replica', 'ms', dimensions.replicas],
+    step: [
+      'way-weights/step-cpu',
+      'holder of the rollout: processor time of one step (each 60 ms), all replicas behind',
+      'ms',
+      dimensions.replicas,
+    ],
+    idle: [
+      'way-weights/idle-cpu',
+      'holder of the rollout: processor time of one step, none behind',
+      'ms',
+      dimensions.replicas,
+    ],
+  });
+
+type ListSeries = ReturnType<typeof defineAll>;
+
+const immediateClock: Clock = {
+  ...machine.clock,
+  after: (_ms, ring) => {
+    setImmediate(ring);
+    return { cancel: () => {} };
+  },
+};
+
+/** A reader of the list that asks again at once, and gets each answer only when told to. */
+const steppedReader = (list: readonly ReplicaCard[]): { read: () => Promise<void>; stop: () => void } => {
+  let answer: (() => void) | null = null;
+  const reader = new CardReader(
+    routeSamples.backEnds({
+      replicas: () =>
+        new Promise((give) => {
+          answer = () => give(ok(structuredClone([...list])));
+        }),
+    }),
+    immediateClock,
+    machine.random,
+    logs.silent(),
+    { everyMs: 0, perSecond: 1e9, readers: () => 1 },
+    () => {},
+  );
+  const read = async (): Promise<void> => {
+    await until(() => answer !== null, readerPatienceMs, 0);
+    const give = answer;
+    answer = null;
+    give?.();
+    await new Promise<void>((wake) => setImmediate(wake));
+  };
+  return { read, stop: reader.stop };
+};
+
+/** The copy of the list that stands for the call's answer is taken off. */
+const measureReading = async (series: ListSeries, list: readonly ReplicaCard[]): Promise<void> => {
+  const { read, stop } = steppedReader(list);
+  await read();
+  const cloneMs = meanCpuMs(clonesTimed, () => void structuredClone(list));
+  await repeated(repeats, 1, async (isKept) => {
+    const spent = startWatch();
+    for (const _ of upTo(readingsARepeat)) await read();
+    if (isKept) series.reading.add(list.length, Math.max(0, spent().cpuMs / readingsARepeat - cloneMs));
+  });
+  stop();
+};
+
+const rolloutTo = (version: number, list: readonly ReplicaCard[]): WeightsDesk =>
+  new WeightsDesk(
+    routeSamples.backEnds({}),
+    { ...machine.clock, after: () => ({ cancel: () => {} }) },
+    logs.silent(),
+    () => list,
+    () => upTo(poolCount).map((at) => ({ pool: routeSamples.modelOf(at), model: routeSamples.modelOf(at), version })),
+    () => 1,
+    () => 'postmaster-1',
+    () => {},
+    () => {},
+  );
+
+const measureSteps = (series: ListSeries, list: readonly ReplicaCard[]): Promise<void> =>
+  repeated(repeats, 1, (isKept) => {
+    const [behind, done] = [rolloutTo(2, list), rolloutTo(1, list)];
+    behind.step();
+    const stepMs = meanCpuMs(stepsBehind, () => behind.step());
+    const idleMs = meanCpuMs(stepsIdle, () => done.step());
+    const tracks = new ReplicaTracks(machine.clock);
+    tracks.take({ isWhole: true, put: list, gone: [] });
+    const frontMs = meanCpuMs(changesARepeat, (at) =>
+      tracks.take({ isWhole: false, put: [{ ...(list[at] as ReplicaCard), isLeaving: true }], gone: [] }),
+    );
+    if (!isKept) return;
+    series.step.add(list.length, stepMs);
+    series.idle.add(list.length, idleMs);
+    series.front.add(list.length, frontMs);
+  });
+
+/** Measures by the replicas of the list. */
+export const routeListProbe: Probe = {
+  name: 'way-list',
+  measure: async () => {
+    const series = defineAll();
+    for (const replicas of replicaCounts) {
+      const list = routeSamples.endpoints(replicas);
+      const body = { isWhole: true, put: list, gone: [] };
+      series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'cards', body }).length);
+      await measureReading(series, list);
+      await measureSteps(series, list);
+    }
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -0,0 +1,86 @@
+/** Choosing a replica on an edge of the users' platform, and building the view of a new routing table. */
+import { machine } from '@martenworks/core-types';
+import type { Part } from '@martenworks/core-types';
+import { ReplicaTracks, ShelfBook, WayPlacing } from '@martenworks/edge-proxy';
+import type { WayQuestion } from '@martenworks/edge-proxy';
+import { BookDoor, salts } from '@martenworks/route-table';
+import { dimensions, poolCount, poolSizes, tenantCounts } from '../fleetSize.js';
+import { meanCpuMs, meanCpuUs, repeated } from '../measuring.js';
+import { routeSamples } from '../routeSamples.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const placementRepeats = 5;
+const placementsARepeat = 50;
+const viewRepeats = 3;
+const viewsARepeat = 5;
+const fewCustomers = 10;
+const waitMs = 50;
+const largePart: Part = { id: 'a'.repeat(24), tokens: 13_300 };
+const smallPart: Part = { id: 'b'.repeat(24), tokens: 3_720 };
+const model = routeSamples.modelOf(0);
+
+const defineAll = () =>
+  defineSeries({
+    placement: ['way-place/cpu', 'front: processor time to place one prompt', 'us', dimensions.replicasInPool],
+    view: ['way-place/view', 'front: processor time to build the view of a new edition', 'ms', dimensions.customers],
+  });
+
+type PlacementSeries = ReturnType<typeof defineAll>;
+
+/** One replica in three holds the large part of the prompt. */
+const selectorFor = (replicas: number): WayPlacing => {
+  const list = routeSamples.endpoints(replicas * poolCount);
+  const tracks = new ReplicaTracks(machine.clock);
+  tracks.take({ isWhole: true, put: list, gone: [] });
+  const shelves = new ShelfBook(machine.clock);
+  const event = { isKept: true, salt: salts.of(model, 1, null), part: largePart.id, tokens: largePart.tokens };
+  for (const [at, { address }] of list.filter(({ pool }) => pool === model).entries())
+    if (at % 3 === 0) shelves.take([{ address, isWhole: false, isHeard: true, news: [event] }]);
+  return new WayPlacing(tracks, shelves, machine.clock, () => ({ version: 1, sinceMs: 10_000 }), 8_000);
+};
+
+const question = (): WayQuestion => ({
+  pool: model,
+  order: {
+    id: 'order',
+    key: null,
+    leftMs: 6_000,
+    model,
+    tokensIn: largePart.tokens + smallPart.tokens,
+    tokensOut: 247,
+    parts: [largePart, smallPart],
+  },
+  customer: null,
+  avoided: new Set(),
+});
+
+const measurePlacement = (series: PlacementSeries, replicas: number): Promise<void> => {
+  const selector = selectorFor(replicas);
+  const view = new BookDoor().view(1, routeSamples.routingTable(fewCustomers));
+  const asked = question();
+  return repeated(placementRepeats, 1, (isKept) => {
+    const us = meanCpuUs(placementsARepeat, () => void selector.place(asked, view, waitMs));
+    if (isKept) series.placement.add(replicas, us);
+  });
+};
+
+const measureView = (series: PlacementSeries, customers: number): Promise<void> => {
+  const table = routeSamples.routingTable(customers);
+  const door = new BookDoor();
+  return repeated(viewRepeats, 1, (isKept) => {
+    const ms = meanCpuMs(viewsARepeat, (at) => void door.view(at, table));
+    if (isKept) series.view.add(customers, ms);
+  });
+};
+
+/** Measures placement by the replicas of a pool, and views by customers. */
+export const routePlacementProbe: Probe = {
+  name: 'way-place',
+  measure: async () => {
+    const series = defineAll();
+    for (const replicas of poolSizes) await measurePlacement(series, replicas);
+    for (const customers of tenantCounts) await measureView(series, customers);
+    return measurementsOf(series);
+  },
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -0,0 +1,190 @@
+/** Control node to edges of the users' platform: pings, pushes of the routing table, bare generations and notices. */
+import { StatePublisher } from '@martenworks/control-plane';
+import { machine } from '@martenworks/core-types';
+import type { Change, ReadingNews } from '@martenworks/core-types';
+import type { Handlers } from '@martenworks/peer-transport';
+import { dimensions, nodeCounts, tenantCounts } from '../fleetSize.js';
+import { withConnectedNode } from '../measuredControlNode.js';
+import type { MeasuredControlNode } from '../measuredControlNode.js';
+import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { withPeers } from '../peerProcessClient.js';
+import type { PeerProcess } from '../peerProcessClient.js';
+import { routeSamples } from '../routeSamples.js';
+import { sampleData } from '../sampleData.js';
+import { defineSeries, measurementsOf } from '../series.js';
+import type { Probe } from './probe.js';
+
+const repeats = 3;
+const pingCount = 200;
+const noticesARepeat = 20;
+const sendMs = 20;
+const fixedCustomers = 1_000;
+const fewFronts = 10;
+const servedCounts = [10, 34, 67, 134];
+const subscribePatienceMs = 10_000;
+const ackPatienceMs = 20_000;
+const ackPollMs = 10;
+
+const defineAll = () =>
+  defineSeries({
+    pingUs: ['way-push/ping-cpu', 'core node: processor time a ping', 'us', dimensions.fronts],
+    pingBytes: ['way-push/ping-bytes', 'a ping and its reply', 'bytes', dimensions.fronts],
+    contentMs: [
+      'way-push/content-cpu',
+      'core node: processor time to push a book of 1,000 customers to all it serves',
+      'ms',
+      dimensions.frontsServed,
+    ],
+    contentBytes: ['way-push/content-bytes', 'one change to one front that it serves', 'bytes', dimensions.customers],
+    bareMs: [
+      'way-push/bare-cpu',
+      'core node: processor time to tell the bare generation to all others',
+      'ms',
+      dimensions.fronts,
+    ],
+    bareBytes: ['way-push/bare-bytes', 'a bare generation to one front', 'bytes', dimensions.fronts],
+    noticeUs: [
+      'way-push/reading-cpu',
+      'core node: processor time to tell all it serves of one long prompt being read',
+      'us',
+      dimensions.frontsServed,
+    ],
+    noticeBytes: ['way-push/reading-bytes', 'one such notice to one front', 'bytes', dimensions.frontsServed],
+  });
+
+/** Connected edges, all of which want the contents of changes or only their generations. */
+interface Scenario {
+  readonly node: MeasuredControlNode;
+  readonly publisher: StatePublisher;
+  readonly fronts: number;
+  readonly wantsContent: boolean;
+}
+
+type Cost = (value: number, bytesEach: number) => void;
+type Body<Method extends keyof StatePublisher> = StatePublisher[Method] extends (
+  connection: never,
+  body: infer B,
+  ...rest: never[]
+) => unknown
+  ? B
+  : never;
+
+/** The publisher needs the node's state, and the node's listener the publisher, so the handlers look it up. */
+const handlersFor = (publisher: () => StatePublisher | null): Partial<Handlers> => ({
+  left: (connection) => publisher()?.drop(connection),
+  told: (connection, topic, body) => {
+    if (topic === 'subscribe') publisher()?.subscribe(connection, body as Body<'subscribe'>);
+    else if (topic === 'ack') publisher()?.acked(connection, body as Body<'acked'>);
+  },
+  asked: async (connection, topic, body) =>
+    topic === 'ping' ? (publisher()?.pong(connection, body as Body<'pong'>, 0) ?? null) : null,
+});
+
+const withScenario = async (
+  peers: PeerProcess,
+  fronts: number,
+  wantsContent: boolean,
+  work: (scenario: Scenario) => Promise<void>,
+): Promise<void> => {
+  let publisher: StatePublisher | null = null;
+  const options = { handlers: handlersFor(() => publisher) };
+  await withConnectedNode(peers, { count: 0 }, options, async (node) => {
+    const own = new StatePublisher(
+      node.acceptor,
+      machine.clock,
+      () => 100,
+      () => {},
+    );
+    publisher = own;
+    await peers.run({ verb: 'dial', address: node.address, from: 0, count: fronts });
+    const body = { ...heldBy(node), wantsContent };
+    await peers.run({ verb: 'tell', topic: 'subscribe', body });
+    await until(() => own.lines().length === fronts, subscribePatienceMs);
+    await work({ node, publisher: own, fronts, wantsContent });
+  });
+};
+
+const heldBy = ({ acceptor }: MeasuredControlNode): { generation: number; edition: number } => ({
+  generation: acceptor.agreed()?.generation ?? 0,
+  edition: 0,
+});
+
+const measurePings = (peers: PeerProcess, { node }: Scenario, note: Cost): Promise<void> => {
+  const body = { ...heldBy(node), isReady: true };
+  return repeated(repeats, 1, async (isKept) => {
+    const spent = startWatch(node.meter);
+    await peers.run({ verb: 'ping', count: pingCount, body });
+    const { cpuUs, sentBytes, gotBytes } = spent();
+    if (isKept) note(cpuUs / pingCount, (sentBytes + gotBytes) / pingCount);
+  });
+};
+
+const measureNotices = ({ node, publisher, fronts }: Scenario, note: Cost): Promise<void> => {
+  const notice: ReadingNews = {
+    id: 'request-0000000000000001',
+    replica: 'replica-0001-1',
+    tokens: 13_300,
+    salt: `${routeSamples.modelOf(1)}@1`,
+    part: sampleData.blockName(1),
+  };
+  return repeated(repeats, 1, async (isKept) => {
+    const spent = startWatch(node.meter);
+    for (const _ of upTo(noticesARepeat)) publisher.tellContent('reading', notice);
+    await pauseMs(sendMs);
+    const { cpuUs, sentBytes } = spent();
+    if (isKept) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / fronts);
+  });
+};
+
+const measureChanges = (scenario: Scenario, customers: number, note: Cost): Promise<void> => {
+  const { node, publisher, fronts, wantsContent } = scenario;
+  const book = routeSamples.routingTable(customers);
+  return repeated(repeats, 1, async (isKept, at) => {
+    const generation = heldBy(node).generation + 1;
+    const change: Change = {
+      id: `book-${at}`,
+      digest: '0',
+      body: { kind: 'ways', base: at, ways: { edition: at + 1, book, source: '' } },
+    };
+    const isAcked = (): boolean => publisher.lines().every((line) => line.acked >= generation);
+    const spent = startWatch(node.meter);
+    await node.acceptor.settle({ generation, change });
+    if (wantsContent) await until(isAcked, ackPatienceMs, ackPollMs);
+    else await pauseMs(sendMs);
+    const { cpuMs, sentBytes } = spent();
+    if (isKept) note(cpuMs, sentBytes / fronts);
+  });
+};
+
+/** Measures by edges and by customers. */
+export const routePushProbe: Probe = {
+  name: 'way-push',
+  measure: () =>
+    withPeers(async (peers) => {
+      const series = defineAll();
+      for (const fronts of nodeCounts)
+        await withScenario(peers, fronts, false, async (scenario) => {
+          await measurePings(peers, scenario, (us, bytes) => {
+            series.pingUs.add(fronts, us);
+            series.pingBytes.add(fronts, bytes);
+          });
+          await measureChanges(scenario, fixedCustomers, (ms, bytes) => {
+            series.bareMs.add(fronts, ms);
+            series.bareBytes.add(fronts, bytes);
+          });
+        });
+      for (const fronts of servedCounts)
+        await withScenario(peers, fronts, true, async (scenario) => {
+          await measureNotices(scenario, (us, bytes) => {
+            series.noticeUs.add(fronts, us);
+            series.noticeBytes.add(fronts, bytes);
+          });
+          await measureChanges(scenario, fixedCustomers, (ms) => series.contentMs.add(fronts, ms));
+        });
+      for (const customers of tenantCounts)
+        await withScenario(peers, fewFronts, true, (scenario) =>
+          measureChanges(scenario, customers, (_ms, bytes) => series.contentBytes.add(customers, bytes)),
+        );
+      return measurementsOf(series);
+    }),
+};
--- /dev/null
+++ b/packages/test-fleet/src/capacity/routeSamples.ts
@@ -0,0 +1,89 @@
+/** Routing tables, endpoint lists and prefix-cache events of any size, as the users' platform has them. */
+import type { BackEnds, KeptNews, ReplicaCard, WayBook } from '@martenworks/core-types';
+import { ok } from 'neverthrow';
+import { poolCount } from './fleetSize.js';
+import { upTo } from './measuring.js';
+import { sampleData } from './sampleData.js';
+
+const routeCount = 40;
+const slots = 32;
+const largePartTokens = 512;
+
+const modelOf = (at: number): string => `model-${at % poolCount}`;
+
+const routes = (): WayBook['ways'] =>
+  upTo(routeCount).map((at) => ({
+    name: `way-${at}`,
+    host: `host-${at % 8}.example`,
+    pathStart: `/v1/${at}/`,
+    kind: 'stream' as const,
+    horizonMs: 6_000,
+    targetMs: 820,
+    rank: at % 9,
+    shares: [{ pool: modelOf(at), share: 1 }],
+    shots: 3,
+    isOpen: false,
+    mayResume: true,
+    gapMs: 56,
+  }));
+
+const pools = (): WayBook['pools'] =>
+  upTo(poolCount).map((at) => ({
+    name: modelOf(at),
+    connectionLimit: 170,
+    engine: {
+      slots,
+      cacheTokens: 150_000,
+      tokenBytes: 163_840,
+      linkMbps: 1_100_000,
+      inFlight: 4,
+      models: [modelOf(at)],
+    },
+  }));
+
+const customers = (count: number): WayBook['customers'] =>
+  upTo(count).map((at) => ({
+    name: `tenant-${String(at).padStart(4, '0')}`,
+    keyHashes: [at.toString(16).padStart(64, '0')],
+    rank: at % 9,
+    isIsolated: at % 100 === 0,
+  }));
+
+const routingTable = (customerCount: number): WayBook => ({
+  ways: routes(),
+  pools: pools(),
+  stores: [],
+  customers: customers(customerCount),
+  limits: { headerBytes: 16_384, bodyBytes: 1_048_576, headerMs: 5_000, idleMs: 30_000 },
+});
+
+const endpoints = (count: number): ReplicaCard[] =>
+  upTo(count).map((at) => ({
+    id: `replica-${String(at).padStart(4, '0')}-1`,
+    pool: modelOf(at),
+    address: `10.1.${at >> 8}.${at & 255}:8000`,
+    zone: `zone-${at % 13}`,
+    slots,
+    isLeaving: false,
+    weights: { [modelOf(at)]: 1 },
+  }));
+
+/** Back ends that never answer, but for the calls given. */
+const backEnds = (answering: Partial<BackEnds>): BackEnds => ({
+  replicas: async () => ok([]),
+  order: () => new Promise(() => {}),
+  report: async () => ok({ weights: {}, isBusy: true }),
+  keptNews: () => new Promise(() => {}),
+  keptList: () => new Promise(() => {}),
+  ...answering,
+});
+
+const cacheEvent = (at: number): KeptNews => ({
+  isKept: true,
+  salt: `${modelOf(at)}@1`,
+  part: sampleData.blockName(at),
+  tokens: largePartTokens,
+});
+
+/** Each gives equal data for equal arguments. */
+export const routeSamples = { modelOf, routingTable, endpoints, backEnds, cacheEvent };
--- a/packages/test-fleet/test/capacity.test.ts
+++ b/packages/test-fleet/test/capacity.test.ts
@@ -134,13 +134,13 @@
   const all = named.map((run) => measured({ run, target: 400, points: points([100, 200, 400], (x) => x) }));
 
   it('given a run for each name that a line tells, when the lines are worked out, then none lacks a figure', () => {
-    expect(capacityModel.work(all).filter(({ value }) => !Number.isFinite(value))).to.deep.equal([]);
+    expect(capacityModel.evaluate(all).filter(({ value }) => !Number.isFinite(value))).to.deep.equal([]);
   });
 
   it('given a run that is missing, when the lines are worked out, then only the lines that name it lack a figure', () => {
     const without = all.filter(({ run }) => run !== 'watch/beat-cpu');
     const lacking = capacityModel
-      .work(without)
+      .evaluate(without)
       .filter(({ value }) => !Number.isFinite(value))
       .map(({ id }) => id);
     expect(lacking).to.deep.equal(
@@ -151,14 +151,15 @@
   it('given figures beside their budget, when the lines are worked out, then each says whether it meets or breaks it', () => {
     const told = (ms: number): string | undefined =>
       capacityModel
-        .work([measured({ run: 'watch/beat-cpu', target: 400, points: points([400], () => ms) })])
+        .evaluate([measured({ run: 'watch/beat-cpu', target: 400, points: points([400], () => ms) })])
         .find(({ id }) => id === 'N2')?.verdict;
     expect([told(15), told(60)]).to.deep.equal(['meets 30', '**breaks** 30, 4 times']);
   });
 
   it('given runs that reach the size, stop short of it or belong to a design, when the lines are worked out, then each says that it was measured, modelled or is not built', () => {
     const short = all.map((one) => (one.run === 'gossip/bytes' ? { ...one, target: 9_999 } : one));
-    const statusOf = (id: string): string | undefined => capacityModel.work(short).find((one) => one.id === id)?.status;
+    const statusOf = (id: string): string | undefined =>
+      capacityModel.evaluate(short).find((one) => one.id === id)?.status;
     expect(['N2', 'N1', 'C5', 'D1'].map(statusOf)).to.deep.equal([
       'runs today and measured',
       'modelled from a slope',
