--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -8,6 +8,8 @@
 export type { SampleRequest } from './workload/sampleDeployments.js';
 export { knownRed } from './runner/knownRed.js';
 export type { TestResult } from './runner/knownRed.js';
+export { slowestTests } from './runner/slowestTests.js';
+export { testLength } from './runner/testLength.js';
 export { InvariantChecker } from './invariants/invariantChecker.js';
 export type { Call } from './workload/callSender.js';
 export { SimDisk } from './simulator/simDisk.js';
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -1,11 +1,20 @@
+/**
+ * The test runner: `runTests [--slowest N] [PART]` runs the compiled tests whose file name contains PART, or all, in
+ * up to eight worker threads, and exits with 0 if none failed but those that KNOWN-RED.txt lists.
+ *
+ * `--slowest N` prints the N slowest tests at the end.
+ */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
+import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
 import Mocha from 'mocha';
 import { knownRed } from './knownRed.js';
 import type { TestResult } from './knownRed.js';
+import { slowestTests } from './slowestTests.js';
+import type { TimedTest } from './slowestTests.js';
 
 interface Shard {
   readonly wanted: string;
@@ -58,7 +67,16 @@
   runner.on('fail', (test, cause: Error) => tell(test, String(cause.stack ?? cause)));
 };
 
+const readArguments = (): { wanted: string; slowest: number } => {
+  const { positionals, values } = parseArgs({ allowPositionals: true, options: { slowest: { type: 'string' } } });
+  const slowest = Number(values.slowest ?? 0);
+  if (!Number.isInteger(slowest) || slowest < 0) throw new Error('--slowest: must be a whole number of 0 or more');
+  return { wanted: positionals[0] ?? '', slowest };
+};
+
 const launch = async (): Promise<void> => {
+  const { wanted, slowest } = readArguments();
+  const timed: TimedTest[] = [];
   const results: TestResult[] = [];
   const selected: string[] = [];
   let declared: readonly string[] = [];
@@ -67,13 +85,14 @@
   const listed = new Set(listing.entries.map((entry) => entry.title));
   const take = (result: TestResult, tookMs: number): void => {
     results.push(result);
+    if (result.isTest) timed.push({ title: result.title, tookMs });
     const sign = result.fault === null ? 'ok    ' : result.isTest && listed.has(result.title) ? 'known red' : 'FAILED';
     process.stdout.write(`${sign} ${result.title} (${tookMs} ms)\n`);
   };
   const work = (at: number): Promise<void> =>
     new Promise((done) => {
       const worker = new Worker(new URL(import.meta.url), {
-        workerData: { wanted: process.argv[2] ?? '', at, count } satisfies Shard,
+        workerData: { wanted, at, count } satisfies Shard,
       });
       worker.on('message', (message: Message) => {
         if (message.kind === 'done') void worker.terminate();
@@ -90,6 +109,7 @@
     });
   await Promise.all(Array.from({ length: count }, (_, at) => work(at)));
   const verdict = knownRed.judge(listing, { results, declared, selected });
+  if (slowest > 0) process.stdout.write(`\n${slowestTests.lines(timed, slowest).join('\n')}\n`);
   process.stdout.write(`${knownRed.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isPassing ? 0 : 1));
 };
 
--- /dev/null
+++ b/packages/test-fleet/src/runner/slowestTests.ts
@@ -0,0 +1,20 @@
+/** The lines of a test run that name its slowest tests. */
+
+/** A test and the wall-clock time that it took, which grows with whatever else the machine runs. */
+export interface TimedTest {
+  readonly title: string;
+  readonly tookMs: number;
+}
+
+/** The `count` slowest tests, slowest first, a line each, after a line with the sum over all tests. */
+const lines = (tests: readonly TimedTest[], count: number): string[] => {
+  const totalMs = tests.reduce((sum, { tookMs }) => sum + tookMs, 0);
+  const slowest = [...tests].sort((a, b) => b.tookMs - a.tookMs).slice(0, count);
+  return [
+    `slowest ${slowest.length} of ${tests.length} tests, which took ${totalMs} ms together`,
+    ...slowest.map(({ title, tookMs }) => `${String(tookMs).padStart(8)} ms  ${title}`),
+  ];
+};
+
+/** The report of the slowest tests. */
+export const slowestTests = { lines };
--- /dev/null
+++ b/packages/test-fleet/test/slowestTests.test.ts
@@ -0,0 +1,23 @@
+import { expect } from 'chai';
+import { slowestTests } from '@martenworks/test-fleet';
+
+const tests = [
+  { title: 'quick', tookMs: 5 },
+  { title: 'slow', tookMs: 12_000 },
+  { title: 'middling', tookMs: 800 },
+];
+
+describe('the slowest tests', () => {
+  it('given a run, when its two slowest tests are asked for, then they come slowest first under the sum of all', () => {
+    expect(slowestTests.lines(tests, 2)).to.deep.equal([
+      'slowest 2 of 3 tests, which took 12805 ms together',
+      '   12000 ms  slow',
+      '     800 ms  middling',
+    ]);
+  });
+
+  it('given fewer tests than asked for, when they are listed, then all are', () => {
+    expect(slowestTests.lines(tests, 20)).to.have.length(4);
+    expect(slowestTests.lines([], 20)).to.deep.equal(['slowest 0 of 0 tests, which took 0 ms together']);
+  });
+});
