--- a/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
@@ -11,6 +11,18 @@
 const ownerBytes = (costOf: CostOf): number =>
   ((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/bytes') + 2 * asksPerNode * askBytes;
 
+const loadBytes = 700;
+const heartbeatBytes = 840;
+const exceptionsASecond = 30;
+
+const gatewayBytes = (costOf: CostOf): number =>
+  ownerBytes(costOf) +
+  loadBytes +
+  2 * costOf('way-push/ping-bytes') +
+  traffic.changesASecond * patchBytes +
+  digestBytes +
+  heartbeatBytes;
+
 /** In the order of the page. */
 export const plannedEstimates: readonly CapacityEstimate[] = [
   {
@@ -87,13 +99,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: 'D1 + 700 + 2 x `way-push/ping-bytes` + 1,700 a day x 1 KB + D7 + 840',
-    value: (costOf) =>
-      ownerBytes(costOf) +
-      700 +
-      2 * costOf('way-push/ping-bytes') +
-      traffic.changesASecond * patchBytes +
-      digestBytes +
-      840,
+    value: gatewayBytes,
   },
   {
     id: 'D9',
@@ -102,13 +108,6 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: 'D8 + 30 x `way-index/bytes`',
-    value: (costOf) =>
-      ownerBytes(costOf) +
-      700 +
-      2 * costOf('way-push/ping-bytes') +
-      traffic.changesASecond * patchBytes +
-      digestBytes +
-      840 +
-      30 * costOf('way-index/bytes'),
+    value: (costOf) => gatewayBytes(costOf) + exceptionsASecond * costOf('way-index/bytes'),
   },
 ];
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -1,5 +1,10 @@
 /** The size of the fleet that capacity is planned for, and the sizes that the probes measure at. */
-import type { Dimension } from './series.js';
+
+/** The size that a series runs over, and its value in the fleet that is planned for. */
+export interface Dimension {
+  readonly over: string;
+  readonly target: number;
+}
 
 /** The planned fleet: nodes, replicas, prefix-cache blocks, cache events and requests a second, tenants. */
 export const fleetSize = {
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -5,7 +5,7 @@
 import type { Acceptor, Ballot, Position, Settled, Since, Vote } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
-import { dimensions, fleetSize, tenantCounts } from '../fleetSize.js';
+import { fleetSize, tenantCounts } from '../fleetSize.js';
 import { repeated, startWatch, until, upTo } from '../measuring.js';
 import { Meter, freeAddress } from '../meteredNet.js';
 import { probePorts } from '../probePorts.js';
@@ -19,9 +19,9 @@
 
 const defineAll = () =>
   defineSeries({
-    wall: ['ballots/wall', 'one change decided by three members on disk', 'ms', dimensions.tenants],
-    cpu: ['ballots/cpu', 'processor time of one member a change', 'ms', dimensions.tenants],
-    bytes: ['ballots/bytes', 'sent between the three members for one change', 'bytes', dimensions.tenants],
+    wall: 'ballots/wall',
+    cpu: 'ballots/cpu',
+    bytes: 'ballots/bytes',
   });
 
 interface MemberNode {
--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -3,7 +3,6 @@
 import type { Claimant, ClaimBallot } from '@martenworks/core-types';
 import { claimTables } from '@martenworks/control-plane';
 import type { Handlers } from '@martenworks/peer-transport';
-import { dimensions } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { heapBytes, repeated, startWatch, upTo } from '../measuring.js';
 import { Meter } from '../meteredNet.js';
@@ -23,15 +22,10 @@
 
 const defineAll = () =>
   defineSeries({
-    cpu: [
-      'claims/core-cpu',
-      'core node: processor time a claim (two rounds, kept on disk)',
-      'us',
-      dimensions.claimsAtOnce,
-    ],
-    rate: ['claims/rate', 'claims a second that one core node takes', 'a second', dimensions.claimsAtOnce],
-    bytes: ['claims/bytes', 'one claim between a front and a core node, both ways', 'bytes', dimensions.claimsAtOnce],
-    memory: ['claims/memory', 'core node: memory of claims', 'bytes', dimensions.claimsKept],
+    cpu: 'claims/core-cpu',
+    rate: 'claims/rate',
+    bytes: 'claims/bytes',
+    memory: 'claims/memory',
   });
 
 type ClaimSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -2,7 +2,7 @@
 import { Roster, Watch, ring } from '@martenworks/cluster-membership';
 import type { RosterEntry } from '@martenworks/cluster-membership';
 import { machine } from '@martenworks/core-types';
-import { dimensions, nodeCounts } from '../fleetSize.js';
+import { nodeCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { heapBytes, meanCpuMs, repeated, startWatch, upTo } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
@@ -22,17 +22,12 @@
 
 const defineAll = () =>
   defineSeries({
-    beat: ['watch/beat-cpu', 'any node: processor time of one beat (twice a second)', 'ms', dimensions.nodes],
-    watchers: [
-      'watch/lines-cpu',
-      'any node: processor time of one look at its lines (once a second, and at each change)',
-      'ms',
-      dimensions.nodes,
-    ],
-    bytes: ['gossip/bytes', 'one roster exchange, both ways', 'bytes', dimensions.nodes],
-    cpu: ['gossip/core-cpu', 'core node: processor time a roster exchange', 'us', dimensions.nodes],
-    known: ['gossip/known', 'nodes that a newcomer knows after one exchange', 'nodes', dimensions.nodes],
-    memory: ['gossip/memory', 'any node: memory of its roster', 'bytes', dimensions.nodes],
+    beat: 'watch/beat-cpu',
+    watchers: 'watch/lines-cpu',
+    bytes: 'gossip/bytes',
+    cpu: 'gossip/core-cpu',
+    known: 'gossip/known',
+    memory: 'gossip/memory',
   });
 
 type GossipSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/joins.ts
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -1,7 +1,7 @@
 /** Gateways that start: how much of the index arrives, and whether the connection survives it. */
 import type { ReplicaRecord } from '@martenworks/core-types';
 import { Pigeonhole } from '@martenworks/prefix-index';
-import { blocksPerReplica, dimensions } from '../fleetSize.js';
+import { blocksPerReplica } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { pauseMs, repeated, upTo } from '../measuring.js';
 import type { PeerCounters } from '../peerCommands.js';
@@ -20,18 +20,8 @@
 
 const defineAll = () =>
   defineSeries({
-    arrived: [
-      'joins/arrived',
-      'of the index that a core node sends a front that starts, what arrives',
-      'share',
-      dimensions.blocksSent,
-    ],
-    stays: [
-      'joins/stays',
-      'a front that starts and is sent the index keeps its connection (1) or is cut off (0)',
-      'share',
-      dimensions.blocksSent,
-    ],
+    arrived: 'joins/arrived',
+    stays: 'joins/stays',
   });
 
 const fill = (index: Pigeonhole, records: readonly ReplicaRecord[]): void => {
--- a/packages/test-fleet/src/capacity/probes/layout.ts
+++ b/packages/test-fleet/src/capacity/probes/layout.ts
@@ -2,7 +2,7 @@
 import { Book } from '@martenworks/counter';
 import { machine } from '@martenworks/core-types';
 import type { Change, ReplicaRecord } from '@martenworks/core-types';
-import { dimensions, fleetSize, replicaCounts, tenantCounts } from '../fleetSize.js';
+import { fleetSize, replicaCounts, tenantCounts } from '../fleetSize.js';
 import { heapBytes, meanCpuMs, repeated, upTo } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
@@ -15,20 +15,10 @@
 
 const defineAll = () =>
   defineSeries({
-    view: [
-      'layout/view',
-      'front: apply one change and build its view, 1,000 replicas, none isolated',
-      'ms',
-      dimensions.tenants,
-    ],
-    viewIsolated: ['layout/view-isolated', 'the same with 1 in 100 tenants isolated', 'ms', dimensions.tenants],
-    replicaRecord: [
-      'layout/replica-news',
-      'front: take one replica record, 3,100 tenants, 31 isolated',
-      'ms',
-      dimensions.replicas,
-    ],
-    memory: ['layout/memory', 'front: memory of state and view', 'bytes', dimensions.tenants],
+    view: 'layout/view',
+    viewIsolated: 'layout/view-isolated',
+    replicaRecord: 'layout/replica-news',
+    memory: 'layout/memory',
   });
 
 type LayoutSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/leases.ts
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -6,7 +6,7 @@
 import type { Net } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
-import { dimensions, fleetSize, replicaCounts } from '../fleetSize.js';
+import { fleetSize, replicaCounts } from '../fleetSize.js';
 import { pauseMs, repeated, startWatch, upTo } from '../measuring.js';
 import { Meter, freeAddress, metered } from '../meteredNet.js';
 import { temporaryDisk } from '../probePorts.js';
@@ -21,14 +21,9 @@
 
 const defineAll = () =>
   defineSeries({
-    cpu: [
-      'leases/cpu',
-      'three core nodes together: processor time of a round of renewals (each 0.4 s)',
-      'ms',
-      dimensions.replicas,
-    ],
-    bytes: ['leases/bytes', 'three core nodes together: bytes of a round of renewals', 'bytes', dimensions.replicas],
-    settle: ['leases/settle', 'all duties taken up after a cold start', 'ms', dimensions.replicas],
+    cpu: 'leases/cpu',
+    bytes: 'leases/bytes',
+    settle: 'leases/settle',
   });
 
 const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
--- a/packages/test-fleet/src/capacity/probes/pings.ts
+++ b/packages/test-fleet/src/capacity/probes/pings.ts
@@ -1,5 +1,5 @@
 /** Pings between gateways and a control node: freshness, reports of load and notices of heavy prefills. */
-import { dimensions, fleetSize, nodeCounts, replicaCounts, runningPerFront } from '../fleetSize.js';
+import { fleetSize, nodeCounts, replicaCounts, runningPerFront } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
 import { repeated, startWatch } from '../measuring.js';
@@ -15,13 +15,13 @@
 
 const defineAll = () =>
   defineSeries({
-    nodeUs: ['pings/core-cpu', 'core node: processor time a ping', 'us', dimensions.fronts],
-    frontUs: ['pings/front-cpu', 'front: processor time a ping, its report and loads', 'us', dimensions.fronts],
-    pingBytes: ['pings/ask-bytes', 'a ping', 'bytes', dimensions.fronts],
-    replyBytes: ['pings/pong-bytes', 'reply to a ping', 'bytes', dimensions.fronts],
-    replyBytesByReplicas: ['pings/pong-bytes-by-replicas', 'reply to a ping, 100 fronts', 'bytes', dimensions.replicas],
-    noticeMs: ['heavy/core-cpu', 'core node: processor time for one heavy-prefill notice', 'ms', dimensions.fronts],
-    noticeBytes: ['heavy/bytes', 'sent by a core node for one heavy-prefill notice', 'bytes', dimensions.fronts],
+    nodeUs: 'pings/core-cpu',
+    frontUs: 'pings/front-cpu',
+    pingBytes: 'pings/ask-bytes',
+    replyBytes: 'pings/pong-bytes',
+    replyBytesByReplicas: 'pings/pong-bytes-by-replicas',
+    noticeMs: 'heavy/core-cpu',
+    noticeBytes: 'heavy/bytes',
   });
 
 type PingSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -1,5 +1,5 @@
 /** The prefix-cache index of a gateway: memory, events, its snapshot on the wire, and choosing a replica. */
-import { dimensions, blocksPerReplica, poolCount, poolSizes } from '../fleetSize.js';
+import { blocksPerReplica, poolCount, poolSizes } from '../fleetSize.js';
 import { heapBytes, meanCpuMs, meanCpuUs, repeated, upTo } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
@@ -26,22 +26,12 @@
 
 const defineAll = () =>
   defineSeries({
-    memory: ['index/memory', 'one whole index: memory', 'bytes', dimensions.blocks],
-    memoryFromFrames: [
-      'index/memory-from-frames',
-      'one whole index filled from frames of 20 events: memory',
-      'bytes',
-      dimensions.blocks,
-    ],
-    event: ['index/take', 'processor time of one event of one block', 'us', dimensions.blocks],
-    snapshotBytes: ['index/shelf-bytes', 'shelves of a whole index on the wire', 'bytes', dimensions.blocks],
-    snapshotMs: [
-      'index/shelf-cpu',
-      'core node: processor time to pack the shelves of a whole index, in one turn of its event loop',
-      'ms',
-      dimensions.blocks,
-    ],
-    placement: ['index/place', 'placing one prompt of 266 blocks in one pool', 'us', dimensions.replicasInPool],
+    memory: 'index/memory',
+    memoryFromFrames: 'index/memory-from-frames',
+    event: 'index/take',
+    snapshotBytes: 'index/shelf-bytes',
+    snapshotMs: 'index/shelf-cpu',
+    placement: 'index/place',
   });
 
 type IndexSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -1,7 +1,7 @@
 /** Pushes of configuration changes from a control node to gateways, and what nodes that lag are sent. */
 import { frames } from '@martenworks/peer-transport';
 import type { Settled } from '@martenworks/control-plane';
-import { dimensions, fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
+import { fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
 import { sampleMembers, withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
 import { repeated, startWatch, until, upTo } from '../measuring.js';
@@ -28,32 +28,12 @@
 
 const defineAll = () =>
   defineSeries({
-    cpuMs: ['pushes/core-cpu', 'core node: processor time to push one change, 1,000 tenants', 'ms', dimensions.fronts],
-    ackedMs: [
-      'pushes/all-acked',
-      'one change until every front acked, 1,000 tenants, loopback',
-      'ms',
-      dimensions.fronts,
-    ],
-    cpuMsByTenants: [
-      'pushes/core-cpu-by-tenants',
-      'core node: processor time to push one change, 100 fronts',
-      'ms',
-      dimensions.tenants,
-    ],
-    bytes: ['pushes/bytes', 'one change to one front from one core node', 'bytes', dimensions.tenants],
-    snapshotBytes: [
-      'pushes/checkpoint-bytes',
-      'whole agreed state to a front that starts, 4,096 change ids kept',
-      'bytes',
-      dimensions.tenants,
-    ],
-    catchUpBytes: [
-      'pushes/since-bytes',
-      'changes sent at once to a core node that lags, 3,100 tenants',
-      'bytes',
-      dimensions.changesBehind,
-    ],
+    cpuMs: 'pushes/core-cpu',
+    ackedMs: 'pushes/all-acked',
+    cpuMsByTenants: 'pushes/core-cpu-by-tenants',
+    bytes: 'pushes/bytes',
+    snapshotBytes: 'pushes/checkpoint-bytes',
+    catchUpBytes: 'pushes/since-bytes',
   });
 
 const catchUpBytes = (behind: number): number => {
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -1,7 +1,7 @@
 /** Cache events on their way from replicas through a control node to gateways. */
 import type { Ports, ReplicaRecord } from '@martenworks/core-types';
 import { KvDesk } from '@martenworks/control-plane';
-import { dimensions, nodeCounts } from '../fleetSize.js';
+import { nodeCounts } from '../fleetSize.js';
 import { openControlNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
 import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
@@ -45,38 +45,13 @@
 
 const defineAll = () =>
   defineSeries({
-    nodeUs: [
-      'relays/core-cpu',
-      'core node: processor time an event, read, kept and told to all fronts',
-      'us',
-      dimensions.fronts,
-    ],
-    bundledUs: ['relays/core-cpu-full', 'the same with 400 events in each bundle', 'us', dimensions.fronts],
-    bytes: ['relays/bytes', 'one event to one front', 'bytes', dimensions.blocksAnEvent],
-    followerBusy: [
-      'relays/follower-busy',
-      'follower that tells nobody: cores busy (read, parse, keep)',
-      'cores',
-      dimensions.eventsASecond,
-    ],
-    nodeBusy: [
-      'relays/core-busy',
-      'core node with 3 fronts: share of its thread while it lasts',
-      'share',
-      dimensions.eventsASecond,
-    ],
-    delivered: [
-      'relays/delivered',
-      'events told within the window, of those offered',
-      'share',
-      dimensions.eventsASecond,
-    ],
-    frontBusy: [
-      'relays/front-busy',
-      'front: cores busy with events (decode and take)',
-      'cores',
-      dimensions.eventsASecond,
-    ],
+    nodeUs: 'relays/core-cpu',
+    bundledUs: 'relays/core-cpu-full',
+    bytes: 'relays/bytes',
+    followerBusy: 'relays/follower-busy',
+    nodeBusy: 'relays/core-busy',
+    delivered: 'relays/delivered',
+    frontBusy: 'relays/front-busy',
   });
 
 type EventSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -2,7 +2,7 @@
 import { replicaTables } from '@martenworks/control-plane';
 import { logs } from '@martenworks/core-types';
 import { frames } from '@martenworks/peer-transport';
-import { dimensions, nodeCounts, replicaCounts } from '../fleetSize.js';
+import { nodeCounts, replicaCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
@@ -20,15 +20,10 @@
 
 const defineAll = () =>
   defineSeries({
-    firstList: ['replicas/first-list', 'core node: a first list of replicas kept on disk', 'ms', dimensions.replicas],
-    listCpu: ['replicas/list-cpu', 'core node: processor time of a list without news', 'ms', dimensions.replicas],
-    bytes: ['replicas/bytes', 'the list of replicas to one front', 'bytes', dimensions.replicas],
-    recordCpu: [
-      'replicas/news-cpu',
-      'core node: processor time to tell all fronts one record',
-      'us',
-      dimensions.fronts,
-    ],
+    firstList: 'replicas/first-list',
+    listCpu: 'replicas/list-cpu',
+    bytes: 'replicas/bytes',
+    recordCpu: 'replicas/news-cpu',
   });
 
 type ListSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -5,7 +5,7 @@
 import { ShelfBook } from '@martenworks/edge-proxy';
 import { Unpacker, frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
-import { dimensions, replicaCounts } from '../fleetSize.js';
+import { replicaCounts } from '../fleetSize.js';
 import { cpuUs, heapBytes, pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
@@ -26,27 +26,12 @@
 
 const defineAll = () =>
   defineSeries({
-    follow: [
-      'way-index/follow-cpu',
-      'core node: processor time of a second of asking each replica for its events, none coming',
-      'ms',
-      dimensions.replicas,
-    ],
-    event: [
-      'way-index/event-cpu',
-      'core node: processor time of one event of a large part, read, kept and bundled',
-      'us',
-      dimensions.partsHeld,
-    ],
-    nodeMemory: ['way-index/core-memory', 'core node: memory of the parts it keeps', 'bytes', dimensions.partsHeld],
-    frontMemory: ['way-index/front-memory', 'front: memory of the parts it was told', 'bytes', dimensions.partsHeld],
-    frontUs: [
-      'way-index/front-cpu',
-      'front: processor time of one event (decode and take)',
-      'us',
-      dimensions.partsHeld,
-    ],
-    bytes: ['way-index/bytes', 'one event of a large part to one front', 'bytes', dimensions.eventsInABundle],
+    follow: 'way-index/follow-cpu',
+    event: 'way-index/event-cpu',
+    nodeMemory: 'way-index/core-memory',
+    frontMemory: 'way-index/front-memory',
+    frontUs: 'way-index/front-cpu',
+    bytes: 'way-index/bytes',
   });
 
 type IndexSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -5,7 +5,7 @@
 import { ReplicaTracks } from '@martenworks/edge-proxy';
 import { frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
-import { dimensions, poolCount, replicaCounts } from '../fleetSize.js';
+import { poolCount, replicaCounts } from '../fleetSize.js';
 import { meanCpuMs, repeated, startWatch, until, upTo } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
@@ -21,26 +21,11 @@
 
 const defineAll = () =>
   defineSeries({
-    reading: [
-      'way-list/reading-cpu',
-      'core node: processor time of one reading of the list, nothing new (the call itself left out)',
-      'ms',
-      dimensions.replicas,
-    ],
-    bytes: ['way-list/bytes', 'the whole list to one front that starts', 'bytes', dimensions.replicas],
-    front: ['way-list/front-cpu', 'front: processor time to take one changed replica', 'ms', dimensions.replicas],
-    step: [
-      'way-weights/step-cpu',
-      'holder of the rollout: processor time of one step (each 60 ms), all replicas behind',
-      'ms',
-      dimensions.replicas,
-    ],
-    idle: [
-      'way-weights/idle-cpu',
-      'holder of the rollout: processor time of one step, none behind',
-      'ms',
-      dimensions.replicas,
-    ],
+    reading: 'way-list/reading-cpu',
+    bytes: 'way-list/bytes',
+    front: 'way-list/front-cpu',
+    step: 'way-weights/step-cpu',
+    idle: 'way-weights/idle-cpu',
   });
 
 type ListSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -4,7 +4,7 @@
 import { ReplicaTracks, ShelfBook, WayPlacing } from '@martenworks/edge-proxy';
 import type { WayQuestion } from '@martenworks/edge-proxy';
 import { BookDoor, salts } from '@martenworks/route-table';
-import { dimensions, poolCount, poolSizes, tenantCounts } from '../fleetSize.js';
+import { poolCount, poolSizes, tenantCounts } from '../fleetSize.js';
 import { meanCpuMs, meanCpuUs, repeated } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
@@ -22,8 +22,8 @@
 
 const defineAll = () =>
   defineSeries({
-    placement: ['way-place/cpu', 'front: processor time to place one prompt', 'us', dimensions.replicasInPool],
-    view: ['way-place/view', 'front: processor time to build the view of a new edition', 'ms', dimensions.customers],
+    placement: 'way-place/cpu',
+    view: 'way-place/view',
   });
 
 type PlacementSeries = ReturnType<typeof defineAll>;
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -3,7 +3,7 @@
 import { machine } from '@martenworks/core-types';
 import type { Change, ReadingNews } from '@martenworks/core-types';
 import type { Handlers } from '@martenworks/peer-transport';
-import { dimensions, nodeCounts, tenantCounts } from '../fleetSize.js';
+import { nodeCounts, tenantCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
 import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
@@ -27,29 +27,14 @@
 
 const defineAll = () =>
   defineSeries({
-    pingUs: ['way-push/ping-cpu', 'core node: processor time a ping', 'us', dimensions.fronts],
-    pingBytes: ['way-push/ping-bytes', 'a ping and its reply', 'bytes', dimensions.fronts],
-    contentMs: [
-      'way-push/content-cpu',
-      'core node: processor time to push a book of 1,000 customers to all it serves',
-      'ms',
-      dimensions.frontsServed,
-    ],
-    contentBytes: ['way-push/content-bytes', 'one change to one front that it serves', 'bytes', dimensions.customers],
-    bareMs: [
-      'way-push/bare-cpu',
-      'core node: processor time to tell the bare generation to all others',
-      'ms',
-      dimensions.fronts,
-    ],
-    bareBytes: ['way-push/bare-bytes', 'a bare generation to one front', 'bytes', dimensions.fronts],
-    noticeUs: [
-      'way-push/reading-cpu',
-      'core node: processor time to tell all it serves of one long prompt being read',
-      'us',
-      dimensions.frontsServed,
-    ],
-    noticeBytes: ['way-push/reading-bytes', 'one such notice to one front', 'bytes', dimensions.frontsServed],
+    pingUs: 'way-push/ping-cpu',
+    pingBytes: 'way-push/ping-bytes',
+    contentMs: 'way-push/content-cpu',
+    contentBytes: 'way-push/content-bytes',
+    bareMs: 'way-push/bare-cpu',
+    bareBytes: 'way-push/bare-bytes',
+    noticeUs: 'way-push/reading-cpu',
+    noticeBytes: 'way-push/reading-bytes',
   });
 
 /** Connected edges, all of which want the contents of changes or only their generations. */
