--- a/packages/test-fleet/src/faults/networkPartitions.ts
+++ b/packages/test-fleet/src/faults/networkPartitions.ts
@@ -17,10 +17,7 @@
         const others = fleet.postmasterHosts.filter((_, index) => index !== heard);
         for (const other of others) world.partition(host, other);
         await context.wait(context.randomBetween(1_000, 6_000));
-        for (const other of others) {
-          world.unblockLink(host, other);
-          world.unblockLink(other, host);
-        }
+        for (const other of others) world.heal(host, other);
       }),
     'postmaster is isolated': () =>
       context.onPostmaster(async (at) => {
@@ -35,14 +32,9 @@
         if (context.random() < 0.5) world.partition(b, c);
         if (context.random() < 0.3) world.partition(a, c);
         await context.wait(context.randomBetween(500, 6_000));
-        for (const [one, other] of [
-          [a, b],
-          [b, c],
-          [a, c],
-        ] as const) {
-          world.unblockLink(one, other);
-          world.unblockLink(other, one);
-        }
+        world.heal(a, b);
+        world.heal(b, c);
+        world.heal(a, c);
       }, true),
     'one-way cut': () =>
       context.onPostmaster(async (at) => {
@@ -60,10 +52,7 @@
         const some = fleet.counterHosts.filter(() => context.random() < 0.5);
         for (const other of some) world.partition(host, other);
         await context.wait(context.randomBetween(500, 6_000));
-        for (const other of some) {
-          world.unblockLink(host, other);
-          world.unblockLink(other, host);
-        }
+        for (const other of some) world.heal(host, other);
       }),
     'links between replicas slow': () =>
       context.onReplica(async (name) => {
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -16,7 +16,7 @@
 export { SimFleet } from './simulator/simFleet.js';
 export type { HttpReply } from './simulator/simFleet.js';
 export { SimWorld } from './simulator/simWorld.js';
-export type { SimMachine } from './simulator/simWorld.js';
+export type { SimMachine } from './simulator/simMachine.js';
 export { stateViolations } from './invariants/stateInvariants.js';
 export { FaultInjectionRun } from './faults/faultInjectionRun.js';
 export { faultKinds, permanentLossKinds, deploymentSizes } from './faults/faultSchedule.js';
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -10,7 +10,7 @@
 import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
 import type { ReplicaIncarnation, ObservedFleet } from '../invariants/observedFleet.js';
 import { SimWorld } from './simWorld.js';
-import type { SimMachine } from './simWorld.js';
+import type { SimMachine } from './simMachine.js';
 
 export interface SimFleetOptions {
   readonly seed: number;
--- /dev/null
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -0,0 +1,179 @@
+/** A simulated machine: its process may crash, restart, pause, and see its clocks jump. */
+import type { Carriage, Clock, Door, Log, Net, Ports, Random, WebHandler, Wire } from '@martenworks/core-types';
+import { logs } from '@martenworks/core-types';
+import { ok } from 'neverthrow';
+import { connectTo } from './simConnection.js';
+import { SimDisk } from './simDisk.js';
+import { SimHttpExchange } from './simHttpExchange.js';
+import type { SimLink } from './simLink.js';
+import type { ScheduledEvent, SimulatedMachine, Simulation } from './simulation.js';
+
+const doorCloseMs = 1_000;
+const doorCheckMs = 1;
+/** The wall clock of all machines at virtual time 0, in milliseconds since 1970. */
+const epochMs = 1_700_000_000_000;
+/** Messages of which there is one a request; keeping them would fill the memory. */
+const unloggedMessages = new Set(['request', 'denied']);
+
+/** Ports of one incarnation stop working once the machine crashes or restarts. */
+export class SimMachine implements SimulatedMachine {
+  isUp = true;
+  isVanished = false;
+  isFrozen = false;
+  incarnation = 0;
+  /** Milliseconds by which the wall clock is off. */
+  wallClockOffset = 0;
+  /** Milliseconds that the monotonic clock has missed in pauses. */
+  monotonicPauseMs = 0;
+  outbound: SimLink | null = null;
+  inbound: SimLink | null = null;
+  disk: SimDisk;
+  readonly postponed: ScheduledEvent[] = [];
+  readonly crashListeners = new Set<(isReset: boolean) => void>();
+  readonly answering = new Set<() => void>();
+  private frozenAt: number | null = null;
+  private readonly listeners = new Map<string, (wire: Wire) => void>();
+  private readonly doors = new Map<string, WebHandler>();
+
+  constructor(
+    readonly world: Simulation,
+    readonly host: string,
+  ) {
+    this.disk = new SimDisk((delayMs) => world.sleep(delayMs, this));
+  }
+
+  readonly listenerAt = (address: string): ((wire: Wire) => void) | undefined => this.listeners.get(address);
+
+  readonly handlerAt = (address: string): WebHandler | undefined => this.doors.get(address);
+
+  readonly clock = (): Clock => {
+    const { incarnation } = this;
+    return {
+      now: () => this.world.time - this.monotonicPauseMs,
+      wall: () => epochMs + this.world.time + this.wallClockOffset,
+      after: (delayMs, callback) => {
+        if (this.incarnation !== incarnation) return { cancel: () => {} };
+        const event = this.world.schedule(this, delayMs, callback);
+        return {
+          cancel: () => {
+            event.isCancelled = true;
+          },
+        };
+      },
+    };
+  };
+
+  private readonly randomPort = (): Random => ({
+    fraction: this.world.random,
+    token: (byteCount) =>
+      Array.from({ length: byteCount }, () =>
+        Math.floor(this.world.random() * 256)
+          .toString(16)
+          .padStart(2, '0'),
+      ).join(''),
+  });
+
+  private readonly log = (context: Record<string, unknown>): Log => {
+    const write = (message: string, more?: Record<string, unknown>): void => {
+      if (unloggedMessages.has(message)) return;
+      const { time, logLines } = this.world;
+      logLines.push({ at: time, machine: this.host, message, context: { ...context, ...more } });
+    };
+    return { info: write, warn: write, error: write, child: (more) => this.log({ ...context, ...more }) };
+  };
+
+  /** The ports of a process that starts now. */
+  readonly ports = (isLogging = true): Ports => {
+    const { incarnation } = this;
+    return {
+      clock: this.clock(),
+      random: this.randomPort(),
+      net: this.net(incarnation),
+      door: this.door(incarnation),
+      carriage: this.carriage(incarnation),
+      disk: this.disk.view(() => this.incarnation === incarnation && this.isUp),
+      log: isLogging ? this.log({}) : logs.silent(),
+    };
+  };
+
+  private readonly net = (incarnation: number): Net => ({
+    dial: (address, patienceMs) => connectTo(this, incarnation, address, patienceMs),
+    listen: async (address, onWire) => {
+      this.listeners.set(address, onWire);
+      return ok({ close: async () => void this.listeners.delete(address) });
+    },
+  });
+
+  private readonly door = (incarnation: number): Door => ({
+    open: async (address, handler) => {
+      if (this.incarnation === incarnation) this.doors.set(address, handler);
+      return ok({ close: async () => void this.doors.delete(address) });
+    },
+  });
+
+  readonly openDoor = (address: string, handler: WebHandler): void => void this.doors.set(address, handler);
+
+  readonly closeDoor = (address: string): void => void this.doors.delete(address);
+
+  /** As the program does when it exits: nothing new is taken, and answers under way get a while to reach their callers. */
+  readonly closeDoors = async (): Promise<void> => {
+    this.doors.clear();
+    const until = this.world.time + doorCloseMs;
+    while (this.answering.size > 0 && this.world.time < until) await this.world.sleep(doorCheckMs, this);
+  };
+
+  /** The HTTP client of a process; requests of an incarnation that is gone never settle. */
+  readonly carriage = (incarnation = this.incarnation): Carriage => ({
+    close: async () => {},
+    carry: (request) =>
+      new Promise((settle) => {
+        if (this.incarnation === incarnation) new SimHttpExchange(this, request, settle).start();
+      }),
+  });
+
+  /** Ends the process; of what was written but not synced, that share stays on the disk. */
+  readonly kill = (unsyncedShareKept = 0): void => {
+    if (!this.isUp) return;
+    this.isUp = false;
+    this.incarnation += 1;
+    this.isFrozen = false;
+    this.postponed.length = 0;
+    this.listeners.clear();
+    this.doors.clear();
+    this.answering.clear();
+    for (const crashed of [...this.crashListeners]) crashed(!this.isVanished);
+    this.crashListeners.clear();
+    this.disk.crash(unsyncedShareKept);
+    this.disk.unstall();
+  };
+
+  /** Ends the machine so that the other ends of its connections do not notice. */
+  readonly vanish = (): void => {
+    this.isVanished = true;
+    this.kill();
+  };
+
+  readonly boot = (): void => {
+    this.isUp = true;
+    this.isVanished = false;
+    this.incarnation += 1;
+    this.disk.faults.isFull = false;
+    this.disk.faults.failsSync = false;
+  };
+
+  /** Pauses the process: what comes due runs when it is thawed. */
+  readonly freeze = (): void => {
+    this.isFrozen = true;
+    this.frozenAt = this.world.time;
+  };
+
+  /** @param stopsMonotonic the monotonic clock stood still in the pause, as on a suspended machine */
+  readonly thaw = (stopsMonotonic = false): void => {
+    if (stopsMonotonic && this.isFrozen) this.monotonicPauseMs += this.world.time - (this.frozenAt ?? this.world.time);
+    this.isFrozen = false;
+    for (const event of this.postponed.splice(0))
+      this.world.schedule(this, 0, () => {
+        if (!event.isCancelled) event.callback();
+      });
+  };
+}
