--- a/packages/test-fleet/src/faults/clockFaults.ts
+++ b/packages/test-fleet/src/faults/clockFaults.ts
@@ -1,28 +1,37 @@
+/** Jumps of wall clocks, and monotonic clocks that stand still in a pause. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const clockFaults = (context: FaultContext) => {
+const leastJumpMs = 2_000;
+const mostJumpMs = 4_000_000;
+
+const randomJump = (context: FaultContext): number =>
+  (context.random() < 0.5 ? -1 : 1) * context.randomBetween(leastJumpMs, mostJumpMs);
+
+const jump = (context: FaultContext): Promise<void> => {
   const { fleet, world } = context;
+  const hosts = [...fleet.postmasterHosts, ...fleet.counterHosts];
+  const machine = world.machine(hosts[context.pick(hosts.length)] as string);
+  machine.wallClockOffset += randomJump(context);
+  return context.wait(1);
+};
 
-  return {
-    'clock jumps': () => {
-      const hosts = [...fleet.postmasterHosts, ...fleet.counterHosts];
-      const machine = world.machine(hosts[context.pick(hosts.length)] as string);
-      machine.wallClockOffset += (context.random() < 0.5 ? -1 : 1) * context.randomBetween(2_000, 4_000_000);
-      return context.wait(1);
-    },
-    'clock jumps over a freeze': () => {
-      const isCounter = context.random() < 0.6;
-      const work = async (at: number): Promise<void> => {
-        const machine = fleet.machineOf(isCounter ? 'counter' : 'postmaster', at);
-        machine.freeze();
-        await context.wait(context.randomBetween(300, 8_000));
-        const keepsWall = context.random() < 0.5;
-        if (!keepsWall)
-          machine.wallClockOffset += (context.random() < 0.5 ? -1 : 1) * context.randomBetween(2_000, 4_000_000);
-        machine.thaw(keepsWall);
-        await context.wait(1_000);
-      };
-      return isCounter ? context.onCounter(work) : context.onPostmaster(work);
-    },
-  } satisfies Injections;
+/** In one half of the cases the wall clock jumps, in the other the monotonic clock stood still. */
+const jumpOverPause = (context: FaultContext): Promise<void> | null => {
+  const isGateway = context.random() < 0.6;
+  const work = async (at: number): Promise<void> => {
+    const machine = context.fleet.machineOf(isGateway ? 'counter' : 'postmaster', at);
+    machine.freeze();
+    await context.waitBetween(300, 8_000);
+    const keepsWallClock = context.random() < 0.5;
+    if (!keepsWallClock) machine.wallClockOffset += randomJump(context);
+    machine.thaw(keepsWallClock);
+    await context.wait(1_000);
+  };
+  return isGateway ? context.onCounter(work) : context.onPostmaster(work);
 };
+
+/** Wall clocks stay wrong to the end of the run. */
+export const clockFaults = {
+  'clock jumps': jump,
+  'clock jumps over a freeze': jumpOverPause,
+} satisfies Injections;
--- a/packages/test-fleet/src/faults/configurationChanges.ts
+++ b/packages/test-fleet/src/faults/configurationChanges.ts
@@ -1,90 +1,93 @@
+/** Changes of the configuration: plain, conflicting, large, of weights, and with probes at every gateway. */
+import { propagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
-import { propagationMs } from './faultContext.js';
 import type { FaultContext, Injections } from './faultContext.js';
+import type { LayoutBase } from './operatorClient.js';
 
-export const configurationChanges = (context: FaultContext) => {
-  const { checker, world } = context;
+const prober = 'prober';
+const rivalCount = 3;
+const probeRounds = 2;
+const laneCount = 200;
 
-  return {
-    'layout changes': async () => {
-      const { at, base } = await context.layoutOf();
-      await context.change({ tiers: { prompt: { rank: 0, horizonMs: 8_000 + context.pick(4_000) } } }, at, base);
-    },
-    'rival changes': () => {
-      if (!context.claim('prober')) return null;
-      return (async () => {
-        const { base } = await context.layoutOf();
-        const names = [0, 1, 2].map(() => `rival-${++context.state.probes}`);
-        const wins = await Promise.all(
-          names.map((name, at) =>
-            context.change(
-              {
-                tiers: { steady: { rank: 1, horizonMs: 20_000 + at } },
-                ...checker.probeChange(name, 'patient', 'freely'),
-              },
-              at,
-              base,
-            ),
-          ),
-        );
-        if (wins.filter(Boolean).length > 1) checker.acceptedIds.set('two rivals were both accepted', -1);
-        const won = names.findIndex((_, at) => wins[at]);
-        if (won >= 0) context.state.lastProbedLane = names[won] as string;
-        await context.wait(propagationMs);
-        names.forEach((name, at) => {
-          checker.probeEveryGateway(name, `rival ${name}`, wins[at] === true, 'patient', 'freely');
-        });
-      })().finally(() => context.release('prober'));
-    },
-    'layout is probed': () => {
-      if (!context.claim('prober')) return null;
-      return (async () => {
-        const { at, base } = await context.layoutOf();
-        const name = `probe-${++context.state.probes}`;
-        const before = context.state.lastProbedLane;
-        const tier = Object.keys(sampleWorkload.tiers)[context.pick(3)] as string;
-        const repeat = context.random() < 0.5 ? 'once' : 'freely';
-        const isInvalidAccepted = await context.change(
-          { ...checker.probeChange(`${name}-faulty`, 'absent', repeat) },
-          at,
-          base,
-        );
-        if (isInvalidAccepted) checker.refusedIds.add('a faulty change was accepted');
-        const isTaken = await context.change(checker.probeChange(name, tier, repeat), at, base);
-        if (isTaken) context.state.lastProbedLane = name;
-        for (let round = 0; round < 2; round += 1) {
-          await context.wait(propagationMs);
-          checker.probeEveryGateway(name, `probe ${name}`, isTaken, tier, repeat);
-          checker.probeEveryGateway(`${name}-faulty`, 'a faulty change', false, tier, repeat);
-          if (isTaken && before.startsWith('probe-'))
-            checker.probeEveryGateway(before, `probe ${name} took ${before} away`, false, tier, repeat);
-        }
-      })().finally(() => context.release('prober'));
-    },
-    'many lanes': async () => {
-      const { at, base } = await context.layoutOf();
-      const from = context.pick(100_000);
-      await context.change(
-        {
-          lanes: Object.fromEntries(
-            Array.from({ length: 200 }, (_, index) => [`extra-${from}-${index}`, { pool: 'main', repeat: 'freely' }]),
-          ),
-        },
-        at,
-        base,
-      );
-    },
-    'new weights': () => {
-      if (!context.claim('weights')) return null;
-      return (async () => {
-        const { at, base } = await context.layoutOf();
-        const weights = `weights-${++context.state.weights}`;
-        const marker = { offeredAt: world.time, at: Number.POSITIVE_INFINITY, pool: 'main', weights };
-        checker.weightsChanges.push(marker);
-        const isTaken = await context.change({ pools: { main: { weights } } }, at, base);
-        if (isTaken) marker.at = world.time;
-        else checker.weightsChanges.splice(checker.weightsChanges.indexOf(marker), 1);
-      })().finally(() => context.release('weights'));
-    },
-  } satisfies Injections;
+const changeTier = async ({ operator, pick }: FaultContext): Promise<void> => {
+  const base = await operator.readLayout();
+  await operator.change({ tiers: { prompt: { rank: 0, horizonMs: 8_000 + pick(4_000) } } }, base);
 };
+
+/** Sends conflicting changes on one base, each to another control node; at most one may be accepted. */
+const changeByRivals = async ({ checker, operator, state, wait }: FaultContext): Promise<void> => {
+  const { base } = await operator.readLayout();
+  const names = Array.from({ length: rivalCount }, () => `rival-${++state.probes}`);
+  const isAccepted = await Promise.all(
+    names.map((name, at) => {
+      const tiers = { steady: { rank: 1, horizonMs: 20_000 + at } };
+      return operator.change({ tiers, ...checker.probeChange(name, 'patient', 'freely') }, { at, base });
+    }),
+  );
+  if (isAccepted.filter(Boolean).length > 1) checker.acceptedIds.set('two rivals were both accepted', -1);
+  state.lastProbedLane = names.find((_, at) => isAccepted[at]) ?? state.lastProbedLane;
+  await wait(propagationMs);
+  names.forEach((name, at) => {
+    checker.probeEveryGateway(name, `rival ${name}`, isAccepted[at] === true, 'patient', 'freely');
+  });
+};
+
+const sendInvalidChange = async (
+  { checker, operator }: FaultContext,
+  lane: string,
+  repeat: 'once' | 'freely',
+  base: LayoutBase,
+): Promise<void> => {
+  const isAccepted = await operator.change(checker.probeChange(lane, 'absent', repeat), base);
+  if (isAccepted) checker.refusedIds.add('a faulty change was accepted');
+};
+
+/** Probes an accepted lane, an invalid one, and the lane that the accepted one replaced. */
+const probeChanges = async (context: FaultContext): Promise<void> => {
+  const { checker, operator, state } = context;
+  const base = await operator.readLayout();
+  const name = `probe-${++state.probes}`;
+  const invalidName = `${name}-faulty`;
+  const before = state.lastProbedLane;
+  const tier = Object.keys(sampleWorkload.tiers)[context.pick(3)] as string;
+  const repeat = context.random() < 0.5 ? 'once' : 'freely';
+  await sendInvalidChange(context, invalidName, repeat, base);
+  const isAccepted = await operator.change(checker.probeChange(name, tier, repeat), base);
+  if (isAccepted) state.lastProbedLane = name;
+  for (let round = 0; round < probeRounds; round += 1) {
+    await context.wait(propagationMs);
+    checker.probeEveryGateway(name, `probe ${name}`, isAccepted, tier, repeat);
+    checker.probeEveryGateway(invalidName, 'a faulty change', false, tier, repeat);
+    if (isAccepted && before.startsWith('probe-'))
+      checker.probeEveryGateway(before, `probe ${name} took ${before} away`, false, tier, repeat);
+  }
+};
+
+const addManyLanes = async ({ operator, pick }: FaultContext): Promise<void> => {
+  const base = await operator.readLayout();
+  const from = pick(100_000);
+  const lanes = Array.from({ length: laneCount }, (_, index) => [
+    `extra-${from}-${index}`,
+    { pool: 'main', repeat: 'freely' },
+  ]);
+  await operator.change({ lanes: Object.fromEntries(lanes) }, base);
+};
+
+const changeWeights = async ({ checker, operator, state, world }: FaultContext): Promise<void> => {
+  const base = await operator.readLayout();
+  const weights = `weights-${++state.weights}`;
+  const marker = { offeredAt: world.time, at: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  checker.weightsChanges.push(marker);
+  const isAccepted = await operator.change({ pools: { main: { weights } } }, base);
+  if (isAccepted) marker.at = world.time;
+  else checker.weightsChanges.splice(checker.weightsChanges.indexOf(marker), 1);
+};
+
+/** Accepted changes must be in force in time, and rejected ones never. */
+export const configurationChanges = {
+  'layout changes': changeTier,
+  'rival changes': (context) => context.withClaim(prober, () => changeByRivals(context)),
+  'layout is probed': (context) => context.withClaim(prober, () => probeChanges(context)),
+  'many lanes': addManyLanes,
+  'new weights': (context) => context.withClaim('weights', () => changeWeights(context)),
+} satisfies Injections;
--- a/packages/test-fleet/src/faults/crashes.ts
+++ b/packages/test-fleet/src/faults/crashes.ts
@@ -1,95 +1,109 @@
+/** Crashes of replicas, gateways and control nodes, alone, in groups and by zone. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const crashes = (context: FaultContext) => {
-  const { fleet, world } = context;
+const zoneCount = 3;
 
-  return {
-    'replica crashes': () =>
-      context.onReplica(async (name) => {
-        fleet.killReplica(name);
-        await context.wait(context.randomBetween(200, 2_000));
-        if (context.random() < 0.5)
-          await context.retryUntilAccepted((at) => fleet.onPostmaster(at, 'DELETE', `/platform/replicas/${name}`));
-        await context.wait(context.randomBetween(200, 2_000));
-        await context.restartReplica(name);
-      }),
-    'replica vanishes': () =>
-      context.onReplica(async (name) => {
-        world.machine(fleet.hostOfReplica(name)).vanish();
-        fleet.runningReplicas.delete(name);
-        await context.wait(context.randomBetween(500, 3_000));
-        await context.retryUntilAccepted((at) => fleet.onPostmaster(at, 'DELETE', `/platform/replicas/${name}`));
-        await context.wait(context.randomBetween(1_000, 4_000));
-        await context.restartReplica(name);
-      }),
-    'whole pool dies': () => {
-      const names = fleet.replicaNames().filter(context.claim);
-      for (const name of names) fleet.killReplica(name);
-      return context.wait(context.randomBetween(500, 3_000)).then(async () => {
-        for (const name of names) {
-          await context.restartReplica(name);
-          context.release(name);
-        }
-      });
-    },
-    'counter dies': () =>
-      context.onCounter(async (at) => {
-        fleet.killCounter(at);
-        await context.wait(context.randomBetween(100, 3_000));
-        await fleet.bootCounter(at);
-      }),
-    'counters die in a herd': () => {
-      const some = fleet.counterHosts.map((_, at) => at).filter((at) => context.claim(`counter ${at}`));
-      for (const at of some) fleet.killCounter(at);
-      return context.wait(context.randomBetween(100, 3_000)).then(async () => {
-        for (const at of some) {
-          await fleet.bootCounter(at);
-          context.release(`counter ${at}`);
-        }
-      });
-    },
-    'postmaster dies': () =>
-      context.onPostmaster(async (at) => {
-        fleet.killPostmaster(at);
-        await context.wait(context.randomBetween(100, 4_000));
-        await fleet.bootPostmaster(at);
-      }),
-    'postmasters die in a herd': () => {
-      const some = [0, 1, 2].filter((at) => context.claim(`postmaster ${at}`));
-      for (const at of some) fleet.killPostmaster(at);
-      return context.wait(context.randomBetween(100, 3_000)).then(async () => {
-        for (const at of some) {
-          await fleet.bootPostmaster(at);
-          context.release(`postmaster ${at}`);
-        }
-      });
-    },
-    'all machines die': () => {
-      const counterAts = fleet.counterHosts.map((_, at) => at).filter((at) => context.claim(`counter ${at}`));
-      const postmasterAts = [0, 1, 2].filter((at) => context.claim(`postmaster ${at}`));
-      for (const at of counterAts) fleet.killCounter(at);
-      for (const at of postmasterAts) fleet.killPostmaster(at);
-      return context.wait(context.randomBetween(500, 4_000)).then(async () => {
-        for (const at of postmasterAts) await fleet.bootPostmaster(at);
-        for (const at of counterAts) await fleet.bootCounter(at);
-        for (const at of postmasterAts) context.release(`postmaster ${at}`);
-        for (const at of counterAts) context.release(`counter ${at}`);
-      });
-    },
-    'a zone is lost': () => {
-      const zone = context.pick(3);
-      const counterAts = fleet.counterHosts
-        .map((_, at) => at)
-        .filter((at) => at % 3 === zone && context.claim(`counter ${at}`));
-      const hasPostmaster = context.claim(`postmaster ${zone}`);
-      for (const at of counterAts) fleet.killCounter(at);
-      if (hasPostmaster) fleet.killPostmaster(zone);
-      return context.wait(context.randomBetween(1_000, 8_000)).then(async () => {
-        if (hasPostmaster) await fleet.bootPostmaster(zone);
-        for (const at of counterAts) await fleet.bootCounter(at);
-        if (hasPostmaster) context.release(`postmaster ${zone}`);
-        for (const at of counterAts) context.release(`counter ${at}`);
-      });
-    },
-  } satisfies Injections;
+const crashReplica = (context: FaultContext): Promise<void> | null =>
+  context.onReplica(async (name) => {
+    context.fleet.killReplica(name);
+    await context.waitBetween(200, 2_000);
+    if (context.random() < 0.5) await context.operator.removeReplica(name);
+    await context.waitBetween(200, 2_000);
+    await context.restartReplica(name);
+  });
+
+const vanishReplica = (context: FaultContext): Promise<void> | null =>
+  context.onReplica(async (name) => {
+    const { fleet, world } = context;
+    world.machine(fleet.hostOfReplica(name)).vanish();
+    fleet.runningReplicas.delete(name);
+    await context.waitBetween(500, 3_000);
+    await context.operator.removeReplica(name);
+    await context.waitBetween(1_000, 4_000);
+    await context.restartReplica(name);
+  });
+
+const crashPool = async (context: FaultContext): Promise<void> => {
+  const names = context.fleet.replicaNames().filter(context.claim);
+  for (const name of names) context.fleet.killReplica(name);
+  await context.waitBetween(500, 3_000);
+  for (const name of names) {
+    await context.restartReplica(name);
+    context.release(name);
+  }
+};
+
+const crashGateway = (context: FaultContext): Promise<void> | null =>
+  context.onCounter(async (at) => {
+    context.fleet.killCounter(at);
+    await context.waitBetween(100, 3_000);
+    await context.fleet.bootCounter(at);
+  });
+
+const crashAllGateways = async (context: FaultContext): Promise<void> => {
+  const gateways = context.claimGateways(context.gateways());
+  for (const at of gateways) context.fleet.killCounter(at);
+  await context.waitBetween(100, 3_000);
+  for (const at of gateways) {
+    await context.fleet.bootCounter(at);
+    context.releaseGateway(at);
+  }
+};
+
+const crashControlNode = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster(async (at) => {
+    context.fleet.killPostmaster(at);
+    await context.waitBetween(100, 4_000);
+    await context.fleet.bootPostmaster(at);
+  });
+
+const crashAllControlNodes = async (context: FaultContext): Promise<void> => {
+  const nodes = context.claimControlNodes();
+  for (const at of nodes) context.fleet.killPostmaster(at);
+  await context.waitBetween(100, 3_000);
+  for (const at of nodes) {
+    await context.fleet.bootPostmaster(at);
+    context.releaseControlNode(at);
+  }
 };
+
+/** The machines stay down together and are free for other faults only when all of them are up again. */
+const crashTogether = async (
+  context: FaultContext,
+  gateways: readonly number[],
+  controlNodes: readonly number[],
+  outage: readonly [lowMs: number, highMs: number],
+): Promise<void> => {
+  const { fleet } = context;
+  for (const at of gateways) fleet.killCounter(at);
+  for (const at of controlNodes) fleet.killPostmaster(at);
+  await context.waitBetween(...outage);
+  for (const at of controlNodes) await fleet.bootPostmaster(at);
+  for (const at of gateways) await fleet.bootCounter(at);
+  controlNodes.forEach(context.releaseControlNode);
+  gateways.forEach(context.releaseGateway);
+};
+
+const crashAllMachines = (context: FaultContext): Promise<void> => {
+  const gateways = context.claimGateways(context.gateways());
+  return crashTogether(context, gateways, context.claimControlNodes(), [500, 4_000]);
+};
+
+const crashZone = (context: FaultContext): Promise<void> => {
+  const zone = context.pick(zoneCount);
+  const gateways = context.claimGateways(context.gateways().filter((at) => at % zoneCount === zone));
+  return crashTogether(context, gateways, context.claimControlNodes([zone]), [1_000, 8_000]);
+};
+
+/** What crashes comes back after some seconds. */
+export const crashes = {
+  'replica crashes': crashReplica,
+  'replica vanishes': vanishReplica,
+  'whole pool dies': crashPool,
+  'counter dies': crashGateway,
+  'counters die in a herd': crashAllGateways,
+  'postmaster dies': crashControlNode,
+  'postmasters die in a herd': crashAllControlNodes,
+  'all machines die': crashAllMachines,
+  'a zone is lost': crashZone,
+} satisfies Injections;
--- a/packages/test-fleet/src/faults/diskFaults.ts
+++ b/packages/test-fleet/src/faults/diskFaults.ts
@@ -1,43 +1,47 @@
+/** Faults of the disks of control nodes. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const diskFaults = (context: FaultContext) => {
-  const { fleet } = context;
+const votePolls = 300;
 
-  const spoil = (mood: 'isFull' | 'failsSync'): Promise<void> | null =>
-    context.onPostmaster(async (at) => {
-      const { disk } = fleet.machineOf('postmaster', at);
-      disk.faults[mood] = true;
-      await context.wait(context.randomBetween(500, 5_000));
-      disk.faults.isFull = false;
-      disk.faults.failsSync = false;
-    });
+const loseDisk = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster(async (at) => {
+    context.fleet.killPostmaster(at, true);
+    await context.waitBetween(100, 3_000);
+    await context.fleet.bootPostmaster(at);
+    await context.untilVoter(at, votePolls);
+  }, true);
 
-  return {
-    'postmaster loses its disk': () =>
-      context.onPostmaster(async (at) => {
-        fleet.killPostmaster(at, true);
-        await context.wait(context.randomBetween(100, 3_000));
-        await fleet.bootPostmaster(at);
-        for (let shot = 0; shot < 300 && fleet.postmasters[at]?.acceptor.isVoter() !== true; shot += 1)
-          await context.wait(100);
-        if (fleet.postmasters[at]?.acceptor.isVoter() !== true)
-          throw new Error('the empty postmaster was never swapped in');
-      }, true),
-    'disk stalls': () =>
-      context.onPostmaster(async (at) => {
-        const { disk } = fleet.machineOf('postmaster', at);
-        disk.faults.isStalled = true;
-        await context.wait(context.randomBetween(500, 5_000));
-        disk.unstall();
-      }),
-    'disk is full': () => spoil('isFull'),
-    'disk fails to sync': () => spoil('failsSync'),
-    'disk is slow': () =>
-      context.onPostmaster(async (at) => {
-        const { disk } = fleet.machineOf('postmaster', at);
-        disk.faults.delayMs = context.randomBetween(20, 400);
-        await context.wait(context.randomBetween(1_000, 8_000));
-        disk.faults.delayMs = 0;
-      }),
-  } satisfies Injections;
-};
+const stall = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster(async (at) => {
+    const { disk } = context.fleet.machineOf('postmaster', at);
+    disk.faults.isStalled = true;
+    await context.waitBetween(500, 5_000);
+    disk.unstall();
+  });
+
+/** A restart in between clears both faults as well. */
+const failWrites = (context: FaultContext, fault: 'isFull' | 'failsSync'): Promise<void> | null =>
+  context.onPostmaster(async (at) => {
+    const { disk } = context.fleet.machineOf('postmaster', at);
+    disk.faults[fault] = true;
+    await context.waitBetween(500, 5_000);
+    disk.faults.isFull = false;
+    disk.faults.failsSync = false;
+  });
+
+const slowDown = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster(async (at) => {
+    const { disk } = context.fleet.machineOf('postmaster', at);
+    disk.faults.delayMs = context.randomBetween(20, 400);
+    await context.waitBetween(1_000, 8_000);
+    disk.faults.delayMs = 0;
+  });
+
+/** A lost disk comes back empty; the others recover with what they hold. */
+export const diskFaults = {
+  'postmaster loses its disk': loseDisk,
+  'disk stalls': stall,
+  'disk is full': (context) => failWrites(context, 'isFull'),
+  'disk fails to sync': (context) => failWrites(context, 'failsSync'),
+  'disk is slow': slowDown,
+} satisfies Injections;
--- a/packages/test-fleet/src/faults/faultSchedule.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -1,6 +1,8 @@
+/** The kinds of faults, and what a fault-injection run is made of. */
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { SimFleetOptions } from '../simulator/simFleet.js';
 
+/** Every kind of fault that passes again, as the user names it in `--only`. */
 export const faultKinds = [
   'replica crashes',
   'replica vanishes',
@@ -52,6 +54,7 @@
   'layout is probed',
 ] as const;
 
+/** What may be lost for good at the end of a run, as the user names it in `--final`. */
 export const permanentLossKinds = [
   'counter lost for good',
   'front of a zone lost for good',
@@ -60,22 +63,32 @@
   'replica silent for good',
   'none',
 ] as const;
+/** See `permanentLossKinds`. */
 export type PermanentLossKind = (typeof permanentLossKinds)[number];
+
+/** See `faultKinds`. */
 export type FaultKind = (typeof faultKinds)[number];
 
+/** A run; what is left out has a default or is drawn by the seed. */
 export interface FaultSchedule {
   readonly seed: number;
+  /** The kinds that are drawn from; all by default. */
   readonly kinds?: readonly FaultKind[];
+  /** How many faults are drawn; those that another fault blocks are left out. */
   readonly faults?: number;
   readonly ratePerSecond?: number;
+  /** Virtual milliseconds in the first part of which faults begin. */
   readonly spanMs?: number;
   readonly fronts?: number;
   readonly replicas?: number;
+  /** The share of requests with long prompts. */
   readonly longShare?: number;
   readonly permanentLoss?: PermanentLossKind;
+  /** Changes the fleet, so that tests can break the product and see that it is noticed. */
   readonly overrides?: Partial<SimFleetOptions>;
 }
 
+/** A small fleet, and the users' two sites at their full size. */
 export const deploymentSizes = {
   small: {},
   stations: { fronts: 9, replicas: 13, ratePerSecond: 190, longShare: 0.06 },
@@ -84,6 +97,7 @@
 
 const isolationEvery = 3;
 
+/** The layout that runs begin with; with one seed in three no tenant is isolated. */
 export const initialLayout = (seed: number): Record<string, unknown> => {
   const layout = sampleWorkload.layout('weights-1');
   const tenants = layout.tenants as Record<string, Record<string, unknown>>;
--- a/packages/test-fleet/src/faults/gracefulShutdowns.ts
+++ b/packages/test-fleet/src/faults/gracefulShutdowns.ts
@@ -1,44 +1,52 @@
+/** Graceful shutdowns: replicas that drain, and gateways and control nodes that are told to stop. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const gracefulShutdowns = (context: FaultContext) => {
-  const { fleet, checker, world } = context;
+const drain = async (context: FaultContext, name: string): Promise<void> => {
+  const { fleet, operator } = context;
+  const incarnation = fleet.incarnationOf(name);
+  await operator.retryUntilAccepted((at) => operator.drainAt(at, name));
+  operator.noteDraining(name, incarnation);
+};
+
+const drainReplica = (context: FaultContext): Promise<void> | null =>
+  context.onReplica(async (name) => {
+    await drain(context, name);
+    await context.waitBetween(3_500, 6_000);
+    context.fleet.killReplica(name);
+    await context.wait(500);
+    await context.restartReplica(name);
+  });
 
-  return {
-    'replica leaves': () =>
-      context.onReplica(async (name) => {
-        const incarnation = fleet.incarnationOf(name);
-        await context.retryUntilAccepted((at) => fleet.onPostmaster(at, 'POST', `/platform/replicas/${name}/leaving`));
-        checker.drainingSince.push({ name, incarnation, at: world.time });
-        await context.wait(context.randomBetween(3_500, 6_000));
-        fleet.killReplica(name);
-        await context.wait(500);
-        await context.restartReplica(name);
-      }),
-    'replicas are replaced in turn': () => {
-      const names = fleet.replicaNames().filter(context.claim);
-      return (async () => {
-        for (const name of names) {
-          const incarnation = fleet.incarnationOf(name);
-          await context.retryUntilAccepted((at) =>
-            fleet.onPostmaster(at, 'POST', `/platform/replicas/${name}/leaving`),
-          );
-          checker.drainingSince.push({ name, incarnation, at: world.time });
-          await context.wait(context.randomBetween(200, 1_200));
-          fleet.killReplica(name);
-          await context.wait(context.randomBetween(100, 600));
-          await context.restartReplica(name);
-          context.release(name);
-        }
-      })();
-    },
-    'counter is told to stop': () =>
-      context.onCounter(async (at) => {
-        if (context.random() < 0.5) return fleet.rollCounter(at);
-        void fleet.counters[at]?.drain();
-        await context.wait(context.randomBetween(50, 1_500));
-        fleet.killCounter(at);
-        await fleet.bootCounter(at);
-      }),
-    'postmaster is told to stop': () => context.onPostmaster((at) => fleet.rollPostmaster(at)),
-  } satisfies Injections;
+const replaceReplicasInTurn = async (context: FaultContext): Promise<void> => {
+  const names = context.fleet.replicaNames().filter(context.claim);
+  for (const name of names) {
+    await drain(context, name);
+    await context.waitBetween(200, 1_200);
+    context.fleet.killReplica(name);
+    await context.waitBetween(100, 600);
+    await context.restartReplica(name);
+    context.release(name);
+  }
 };
+
+/** In one half of the cases the gateway is killed before it has drained. */
+const stopGateway = (context: FaultContext): Promise<void> | null =>
+  context.onCounter(async (at) => {
+    const { fleet } = context;
+    if (context.random() < 0.5) return fleet.rollCounter(at);
+    void fleet.counters[at]?.drain();
+    await context.waitBetween(50, 1_500);
+    fleet.killCounter(at);
+    await fleet.bootCounter(at);
+  });
+
+const stopControlNode = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster((at) => context.fleet.rollPostmaster(at));
+
+/** What stops is started again. */
+export const gracefulShutdowns = {
+  'replica leaves': drainReplica,
+  'replicas are replaced in turn': replaceReplicasInTurn,
+  'counter is told to stop': stopGateway,
+  'postmaster is told to stop': stopControlNode,
+} satisfies Injections;
--- /dev/null
+++ b/packages/test-fleet/src/faults/keyedTraffic.ts
@@ -0,0 +1,26 @@
+/** Steady requests under one key, which injections start before they revoke it. */
+import { sampleWorkload } from '../workload/sampleDeployments.js';
+import type { FaultContext } from './faultContext.js';
+
+/** How the requests are sent; the tenant may change while they are. */
+export interface KeyTraffic {
+  readonly key: string;
+  tenant: string;
+  readonly everyMs: number;
+  readonly durationMs: number;
+  readonly longShare: number;
+}
+
+/** Starts sending to random gateways and returns at once. */
+export const startKeyTraffic = ({ checker, world, random, pick }: FaultContext, traffic: KeyTraffic): void => {
+  const stopAt = world.time + traffic.durationMs;
+  const sendNext = (): void => {
+    if (world.time >= stopAt) return;
+    const { key, tenant, longShare, everyMs } = traffic;
+    const request = { ...sampleWorkload.request(random, checker.calls.length, longShare), key, tenant };
+    const gateways = checker.liveGateways();
+    checker.send(request, gateways[pick(gateways.length)] as number);
+    world.schedule(null, everyMs, sendNext);
+  };
+  sendNext();
+};
--- /dev/null
+++ b/packages/test-fleet/src/faults/operatorClient.ts
@@ -0,0 +1,126 @@
+/** Operator and platform of a fault-injection run: changes, grants and drain notices, retried until they are accepted. */
+import type { InvariantChecker } from '../invariants/invariantChecker.js';
+import { propagationMs } from '../invariants/observations.js';
+import type { Grant } from '../invariants/observations.js';
+import type { Violation } from '../invariants/violation.js';
+import type { SimFleet } from '../simulator/simFleet.js';
+import type { SimWorld } from '../simulator/simWorld.js';
+
+const controlNodeCount = 3;
+const mostAttempts = 200;
+const retryMs = 200;
+const changeRetryMs = 150;
+const rejectedStatuses = new Set([409, 422]);
+
+/** A version of the layout and the control node that told it. */
+export interface LayoutBase {
+  readonly at: number;
+  readonly base: number;
+}
+
+/** Notes with the checker what was accepted, rejected and granted. */
+export class OperatorClient {
+  private readonly world: SimWorld;
+  private changeCount = 0;
+
+  /** @param violations takes accepted changes that are not in force in time */
+  constructor(
+    private readonly fleet: SimFleet,
+    private readonly checker: InvariantChecker,
+    private readonly violations: Violation[],
+  ) {
+    this.world = fleet.world;
+  }
+
+  private readonly anyNode = (): number => Math.floor(this.world.random() * controlNodeCount);
+
+  /** How many changes were made, for names that no other change has. */
+  readonly changes = (): number => this.changeCount;
+
+  /** Counts a change that is made elsewhere. */
+  readonly countChange = (): number => ++this.changeCount;
+
+  /** @throws Error where no control node accepts within 200 attempts */
+  readonly retryUntilAccepted = async (send: (at: number) => Promise<{ status: number }>): Promise<void> => {
+    for (let attempt = 0; attempt < mostAttempts; attempt += 1) {
+      const response = await send(this.anyNode());
+      if (response.status === 200) return;
+      await this.world.sleep(retryMs);
+    }
+    throw new Error('no control node accepted the request');
+  };
+
+  /** Asks until a control node tells the version of the layout. */
+  readonly readLayout = async (): Promise<LayoutBase> => {
+    for (;;) {
+      const at = this.anyNode();
+      const layout = await this.fleet.onPostmaster(at, 'GET', '/operator/layout');
+      if (layout.status === 200) return { at, base: Number(layout.body.generation) };
+      await this.world.sleep(retryMs);
+    }
+  };
+
+  /** Sends a change until it is accepted (true) or rejected (false). */
+  readonly change = async (part: Record<string, unknown>, { at, base }: LayoutBase): Promise<boolean> => {
+    const id = `change-${this.countChange()}`;
+    const headers = { 'if-match': `"${base}"`, 'change-id': id };
+    for (let node = at; ; node = this.anyNode()) {
+      const response = await this.fleet.onPostmaster(node, 'PATCH', '/operator/layout', part, headers);
+      if (response.status === 200) {
+        this.noteAccepted(id, Number(response.body.generation));
+        return true;
+      }
+      if (rejectedStatuses.has(response.status)) {
+        this.checker.refusedIds.add(id);
+        return false;
+      }
+      await this.world.sleep(changeRetryMs);
+    }
+  };
+
+  /** Notes an accepted change and checks in time whether gateways serve under it. */
+  readonly noteAccepted = (id: string, generation: number): void => {
+    this.checker.acceptedIds.set(id, generation);
+    this.world.schedule(null, propagationMs, () => this.checkInForce(id, generation));
+  };
+
+  private readonly checkInForce = (id: string, generation: number): void => {
+    this.fleet.counters.forEach((counter, at) => {
+      if (counter === null || !counter.freshness.isFresh() || counter.book.generation() >= generation) return;
+      this.violations.push({
+        rule: 'an accepted change is not in force',
+        detail: `${id}: counter ${at + 1} serves under ${counter.book.generation()}, not ${generation}, after ${propagationMs} ms`,
+      });
+    });
+  };
+
+  /** Grants a key; `entry` makes a tenant of the layout for it, `prefix` tells a repeated grant apart. */
+  readonly grant = async (
+    key: string,
+    tenant: string,
+    entry: Record<string, unknown> | null,
+    prefix = '',
+  ): Promise<Grant> => {
+    const grant = this.checker.grant(key, tenant);
+    const body = { tenant, key, ...(entry === null ? {} : { grant: entry }) };
+    const headers = { 'change-id': `grant-${prefix}${key}` };
+    await this.retryUntilAccepted((at) => this.fleet.onPostmaster(at, 'POST', '/platform/clients', body, headers));
+    return grant;
+  };
+
+  /** Asks one control node to revoke a key. */
+  readonly revokeAt = (at: number, key: string): Promise<{ readonly status: number }> =>
+    this.fleet.onPostmaster(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` });
+
+  /** Asks one control node to drain a replica. */
+  readonly drainAt = (at: number, name: string): Promise<{ readonly status: number }> =>
+    this.fleet.onPostmaster(at, 'POST', `/platform/replicas/${name}/leaving`);
+
+  /** Notes that the running incarnation of a replica drains from now on. */
+  readonly noteDraining = (name: string, incarnation = this.fleet.incarnationOf(name)): void =>
+    void this.checker.drainingSince.push({ name, incarnation, at: this.world.time });
+
+  /** Takes a replica off the list. */
+  readonly removeReplica = (name: string): Promise<void> =>
+    this.retryUntilAccepted((at) => this.fleet.onPostmaster(at, 'DELETE', `/platform/replicas/${name}`));
+}
--- a/packages/test-fleet/src/faults/permanentLosses.ts
+++ b/packages/test-fleet/src/faults/permanentLosses.ts
@@ -1,32 +1,42 @@
+/** What never comes back: at the end of each run a part of the fleet may be lost for good. */
 import type { FaultContext } from './faultContext.js';
 import type { PermanentLossKind } from './faultSchedule.js';
 
-export const injectPermanentLoss = async (context: FaultContext, final: PermanentLossKind): Promise<void> => {
-  const { fleet, checker } = context;
-  switch (final) {
+const zoneCount = 3;
+
+const loseGateways = ({ fleet, checker }: FaultContext, lost: readonly number[]): void => {
+  for (const at of lost) {
+    fleet.killCounter(at);
+    checker.lostGateways.add(at);
+  }
+};
+
+const vanishReplica = ({ fleet, pick, world }: FaultContext): string => {
+  const name = fleet.replicaName(pick(fleet.options.replicas));
+  world.machine(fleet.hostOfReplica(name)).vanish();
+  return name;
+};
+
+/** Brings the loss about; the service must go on without what was lost. */
+export const injectPermanentLoss = async (context: FaultContext, kind: PermanentLossKind): Promise<void> => {
+  const { fleet, pick } = context;
+  switch (kind) {
     case 'counter lost for good':
+      return loseGateways(context, [pick(fleet.options.fronts)]);
     case 'front of a zone lost for good': {
-      const at = context.pick(fleet.options.fronts);
-      const lost =
-        final === 'counter lost for good'
-          ? [at]
-          : fleet.counterHosts.map((_, one) => one).filter((one) => one % 3 === at % 3);
-      for (const one of lost) {
-        fleet.killCounter(one);
-        checker.lostGateways.add(one);
-      }
-      return;
+      const zone = pick(fleet.options.fronts) % zoneCount;
+      return loseGateways(
+        context,
+        context.gateways().filter((at) => at % zoneCount === zone),
+      );
     }
     case 'postmaster lost for good':
-      return fleet.killPostmaster(context.pick(3), context.random() < 0.5);
+      return fleet.killPostmaster(pick(fleet.postmasterHosts.length), context.random() < 0.5);
     case 'replica lost for good':
-    case 'replica silent for good': {
-      const name = fleet.replicaName(context.pick(fleet.options.replicas));
-      fleet.world.machine(fleet.hostOfReplica(name)).vanish();
-      if (final === 'replica lost for good')
-        await context.retryUntilAccepted((at) => fleet.onPostmaster(at, 'DELETE', `/platform/replicas/${name}`));
+      return context.operator.removeReplica(vanishReplica(context));
+    case 'replica silent for good':
+      vanishReplica(context);
       return;
-    }
     case 'none':
       return;
   }
--- a/packages/test-fleet/src/faults/processPauses.ts
+++ b/packages/test-fleet/src/faults/processPauses.ts
@@ -1,29 +1,25 @@
+/** Pauses of whole processes, as by a garbage collection, a suspended machine or a debugger. */
+import type { SimMachine } from '../simulator/simMachine.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
-export const processPauses = (context: FaultContext) => {
-  const { fleet, world } = context;
-
-  return {
-    'replica freezes': () =>
-      context.onReplica(async (name) => {
-        const machine = world.machine(fleet.hostOfReplica(name));
-        machine.freeze();
-        await context.wait(context.randomBetween(500, 6_000));
-        machine.thaw();
-      }),
-    'counter freezes': () =>
-      context.onCounter(async (at) => {
-        const machine = fleet.machineOf('counter', at);
-        machine.freeze();
-        await context.wait(context.randomBetween(500, 20_000));
-        machine.thaw();
-      }),
-    'postmaster freezes': () =>
-      context.onPostmaster(async (at) => {
-        const machine = fleet.machineOf('postmaster', at);
-        machine.freeze();
-        await context.wait(context.randomBetween(500, 8_000));
-        machine.thaw();
-      }),
-  } satisfies Injections;
+const pause = async (context: FaultContext, machine: SimMachine, longestMs: number): Promise<void> => {
+  machine.freeze();
+  await context.waitBetween(500, longestMs);
+  machine.thaw();
 };
+
+const pauseReplica = (context: FaultContext): Promise<void> | null =>
+  context.onReplica((name) => pause(context, context.world.machine(context.fleet.hostOfReplica(name)), 6_000));
+
+const pauseGateway = (context: FaultContext): Promise<void> | null =>
+  context.onCounter((at) => pause(context, context.fleet.machineOf('counter', at), 20_000));
+
+const pauseControlNode = (context: FaultContext): Promise<void> | null =>
+  context.onPostmaster((at) => pause(context, context.fleet.machineOf('postmaster', at), 8_000));
+
+/** The process goes on afterwards as if no time had passed. */
+export const processPauses = {
+  'replica freezes': pauseReplica,
+  'counter freezes': pauseGateway,
+  'postmaster freezes': pauseControlNode,
+} satisfies Injections;
--- a/packages/test-fleet/src/faults/responseFaults.ts
+++ b/packages/test-fleet/src/faults/responseFaults.ts
@@ -1,5 +1,5 @@
 /** Faults in what replicas answer: error statuses, truncated streams, missing end markers, wrong weights. */
-import type { EmulatedReplica, ReplicaFaults } from '../replica/emulatedReplica.js';
+import type { ReplicaFaults } from '../replica/emulatedReplica.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
 const shortestMs = 500;
@@ -20,40 +20,41 @@
 const cleared = (faults: ResponseFaults): ResponseFaults =>
   Object.fromEntries(Object.entries(noFault).filter(([name]) => name in faults));
 
-/** Each injection sets faults on emulated replicas for a random time and then clears them. */
-export const responseFaults = (context: FaultContext) => {
+/** `draw` is called only where the replica runs, so that each seed keeps its sequence of random numbers. */
+const disturbOne = (context: FaultContext, draw: () => ResponseFaults): Promise<void> | null =>
+  context.onReplica(async (name) => {
+    const replica = context.fleet.runningReplicas.get(name);
+    const faults = replica === undefined ? {} : draw();
+    replica?.setFaults(faults);
+    await context.waitBetween(shortestMs, longestMs);
+    replica?.setFaults(cleared(faults));
+  });
+
+const disturbPool = async (context: FaultContext): Promise<void> => {
   const { fleet } = context;
-
-  /** `draw` is called only where the replica runs, so that each seed keeps its sequence of random numbers. */
-  const disturbOne = (draw: () => ResponseFaults): Promise<void> | null =>
-    context.onReplica(async (name) => {
-      const replica = fleet.runningReplicas.get(name);
-      const faults = replica === undefined ? {} : draw();
-      replica?.setFaults(faults);
-      await context.wait(context.randomBetween(shortestMs, longestMs));
-      replica?.setFaults(cleared(faults));
-    });
-
-  const disturbPool = async (): Promise<void> => {
-    const isRunning = (replica: EmulatedReplica | undefined): replica is EmulatedReplica => replica !== undefined;
-    const replicas = fleet
-      .replicaNames()
-      .map((name) => fleet.runningReplicas.get(name))
-      .filter(isRunning);
-    for (const replica of replicas) replica.setFaults({ failStatus: 500 });
-    await context.wait(context.randomBetween(2 * shortestMs, longestPoolOutageMs));
-    for (const replica of replicas) replica.setFaults({ failStatus: null });
-  };
-
-  return {
-    'replica errs': () => disturbOne(() => ({ failStatus: context.random() < 0.5 ? 500 : 503 })),
-    'whole pool errs': disturbPool,
-    'replica cuts streams': () => disturbOne(() => ({ truncateAfterPieces: context.pick(mostPiecesBeforeCut) })),
-    'replica omits the end': () =>
-      disturbOne(() => ({
-        omitsEnd: true,
-        truncateAfterPieces: context.random() < 0.5 ? context.pick(mostPiecesBeforeCut) : null,
-      })),
-    'replica claims other weights': () => disturbOne(() => ({ claimedWeights: 'stray' })),
-  } satisfies Injections;
+  const replicas = fleet.replicaNames().flatMap((name) => fleet.runningReplicas.get(name) ?? []);
+  for (const replica of replicas) replica.setFaults({ failStatus: 500 });
+  await context.waitBetween(2 * shortestMs, longestPoolOutageMs);
+  for (const replica of replicas) replica.setFaults({ failStatus: null });
 };
+
+const fail = (context: FaultContext): Promise<void> | null =>
+  disturbOne(context, () => ({ failStatus: context.random() < 0.5 ? 500 : 503 }));
+
+const truncate = (context: FaultContext): Promise<void> | null =>
+  disturbOne(context, () => ({ truncateAfterPieces: context.pick(mostPiecesBeforeCut) }));
+
+const omitEnd = (context: FaultContext): Promise<void> | null =>
+  disturbOne(context, () => ({
+    omitsEnd: true,
+    truncateAfterPieces: context.random() < 0.5 ? context.pick(mostPiecesBeforeCut) : null,
+  }));
+
+/** Replicas answer well again after some seconds. */
+export const responseFaults = {
+  'replica errs': fail,
+  'whole pool errs': disturbPool,
+  'replica cuts streams': truncate,
+  'replica omits the end': omitEnd,
+  'replica claims other weights': (context) => disturbOne(context, () => ({ claimedWeights: 'stray' })),
+} satisfies Injections;
