--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -9,6 +9,7 @@
 export { knownRed } from './runner/knownRed.js';
 export type { TestResult } from './runner/knownRed.js';
 export { slowestTests } from './runner/slowestTests.js';
+export { TestClaims } from './runner/testClaims.js';
 export { testLength } from './runner/testLength.js';
 export { InvariantChecker } from './invariants/invariantChecker.js';
 export type { Call } from './workload/callSender.js';
--- a/packages/test-fleet/src/runner/knownRed.ts
+++ b/packages/test-fleet/src/runner/knownRed.ts
@@ -58,6 +58,13 @@
   return own.some((result) => result.fault === null) ? 'listed, but it passes' : null;
 };
 
+/** Selected tests without a result, but listed ones, which are told as stale: a lost test must not pass unseen. */
+const notRun = (run: Run, listed: ReadonlySet<string>): Failure[] => {
+  const told = new Set(run.results.filter((result) => result.isTest).map((result) => result.title));
+  const lost = run.selected.filter((title) => !told.has(title) && !listed.has(title));
+  return lost.map((title) => ({ title, fault: 'selected, but it did not run' }));
+};
+
 const evaluate = (listing: Listing, run: Run): Verdict => {
   const stale = listing.entries.flatMap((entry) => {
     const fault = staleness(entry, run);
@@ -71,6 +78,7 @@
   const passed = counted.filter((result) => result.fault === null && !staleTitles.has(result.title)).length;
   const failures = [
     ...counted.flatMap(({ title, fault }) => (fault === null ? [] : [{ title, fault }])),
+    ...notRun(run, listed),
     ...stale,
     ...listing.faults.map((fault) => ({ title: listName, fault })),
   ];
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -15,11 +15,11 @@
 import type { TestResult } from './knownRed.js';
 import { slowestTests } from './slowestTests.js';
 import type { TimedTest } from './slowestTests.js';
+import { TestClaims } from './testClaims.js';
 
-interface Shard {
+interface WorkerPlan {
   readonly wanted: string;
-  readonly at: number;
-  readonly count: number;
+  readonly claims: SharedArrayBuffer;
 }
 
 type Message =
@@ -27,6 +27,7 @@
   | { readonly kind: 'result'; readonly result: TestResult; readonly tookMs: number }
   | { readonly kind: 'done' };
 
+const mostWorkers = 8;
 const root = join(dirname(fileURLToPath(import.meta.url)), '../../../..');
 const compiled = join(root, 'target/tests');
 const listFile = join(root, 'KNOWN-RED.txt');
@@ -45,17 +46,33 @@
   for (const inner of suite.suites) keep(inner, isKept);
 };
 
-const runShard = async (shard: Shard): Promise<void> => {
+/** Lets each test run in the worker that claims it first; in the others it ends at once. Returns those left to others. */
+const shareOut = (tests: readonly Mocha.Test[], claims: TestClaims): ReadonlySet<Mocha.Runnable> => {
+  const left = new Set<Mocha.Runnable>();
+  for (const [position, test] of tests.entries()) {
+    const { fn } = test;
+    if (fn === undefined) continue;
+    if (fn.length > 0) throw new Error(`a test that takes a callback cannot be shared out: ${test.fullTitle()}`);
+    test.fn = function (this: Mocha.Context) {
+      if (claims.claim(position)) return (fn as Mocha.AsyncFunc).call(this);
+      left.add(test);
+    };
+  }
+  return left;
+};
+
+const runWorker = async (plan: WorkerPlan): Promise<void> => {
   const post = (message: Message): void => parentPort?.postMessage(message);
   const mocha = new Mocha({ timeout: 900_000, forbidOnly: true, reporter: class {} as never });
   const files = testFiles();
-  const wanted = new Set(files.filter((file) => file.includes(shard.wanted)).map((file) => join(compiled, file)));
+  const wanted = new Set(files.filter((file) => file.includes(plan.wanted)).map((file) => join(compiled, file)));
   for (const file of files) mocha.addFile(join(compiled, file));
   await mocha.loadFilesAsync();
   const declared = testsIn(mocha.suite).map((test) => test.fullTitle());
-  let seen = 0;
-  keep(mocha.suite, (test) => wanted.has(test.file ?? '') && ++seen % shard.count === shard.at);
-  post({ kind: 'loaded', declared, selected: testsIn(mocha.suite).map((test) => test.fullTitle()) });
+  keep(mocha.suite, (test) => wanted.has(test.file ?? ''));
+  const tests = testsIn(mocha.suite);
+  const left = shareOut(tests, new TestClaims(plan.claims));
+  post({ kind: 'loaded', declared, selected: tests.map((test) => test.fullTitle()) });
   const runner = mocha.run(() => post({ kind: 'done' }));
   const tell = (test: Mocha.Runnable, fault: string | null): void =>
     post({
@@ -63,7 +80,9 @@
       result: { title: test.fullTitle(), fault, isTest: (test as { type?: string }).type === 'test' },
       tookMs: test.duration ?? 0,
     });
-  runner.on('pass', (test) => tell(test, null));
+  runner.on('pass', (test) => {
+    if (!left.has(test)) tell(test, null);
+  });
   runner.on('fail', (test, cause: Error) => tell(test, String(cause.stack ?? cause)));
 };
 
@@ -78,9 +97,10 @@
   const { wanted, slowest } = readArguments();
   const timed: TimedTest[] = [];
   const results: TestResult[] = [];
-  const selected: string[] = [];
+  let selected: readonly string[] = [];
   let declared: readonly string[] = [];
-  const count = Math.max(1, Math.min(8, availableParallelism()));
+  const count = Math.max(1, Math.min(mostWorkers, availableParallelism()));
+  const claims = TestClaims.shared();
   const listing = knownRed.parse(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '');
   const listed = new Set(listing.entries.map((entry) => entry.title));
   const take = (result: TestResult, tookMs: number): void => {
@@ -92,14 +112,14 @@
   const work = (at: number): Promise<void> =>
     new Promise((done) => {
       const worker = new Worker(new URL(import.meta.url), {
-        workerData: { wanted, at, count } satisfies Shard,
+        workerData: { wanted, claims } satisfies WorkerPlan,
       });
       worker.on('message', (message: Message) => {
         if (message.kind === 'done') void worker.terminate();
         else if (message.kind === 'result') take(message.result, message.tookMs);
         else {
           declared = message.declared;
-          selected.push(...message.selected);
+          selected = message.selected;
         }
       });
       worker.on('error', (cause) =>
@@ -114,4 +134,4 @@
 };
 
 if (isMainThread) await launch();
-else await runShard(workerData as Shard);
+else await runWorker(workerData as WorkerPlan);
--- a/packages/test-fleet/test/knownRed.test.ts
+++ b/packages/test-fleet/test/knownRed.test.ts
@@ -74,6 +74,14 @@
     ]);
   });
 
+  it('given a selected test, when it does not run, then the run fails and says so', () => {
+    const { verdict } = judged('', [passing('a')], ['a', 'b', 'c'], ['a', 'b']);
+    expect([verdict.failures, verdict.isPassing]).to.deep.equal([
+      [{ title: 'b', fault: 'selected, but it did not run' }],
+      false,
+    ]);
+  });
+
   it('given a hook or a worker that breaks, when its title is listed, then it is not excused', () => {
     const { verdict } = judged(
       line('part 3'),
--- /dev/null
+++ b/packages/test-fleet/test/testClaims.test.ts
@@ -0,0 +1,45 @@
+import { Worker } from 'node:worker_threads';
+import { expect } from 'chai';
+import { TestClaims } from '@martenworks/test-fleet';
+
+const testCount = 5_000;
+const workerCount = 4;
+
+const claimAll = `
+  import { parentPort, workerData } from 'node:worker_threads';
+  import { TestClaims } from ${JSON.stringify(import.meta.resolve('@martenworks/test-fleet'))};
+  const claims = new TestClaims(workerData);
+  const own = [];
+  for (let position = 0; position < ${testCount}; position += 1) if (claims.claim(position)) own.push(position);
+  parentPort.postMessage(own);
+`;
+
+const claimedBy = (memory: SharedArrayBuffer): Promise<number[]> =>
+  new Promise((settle, fail) => {
+    const code = new URL(`data:text/javascript,${encodeURIComponent(claimAll)}`);
+    const worker = new Worker(code, { workerData: memory });
+    worker.once('message', settle);
+    worker.once('error', fail);
+  });
+
+describe('tests shared out among workers', () => {
+  it('given a run, when two workers claim a test, then the first has it alone, and another run is not affected', () => {
+    const memory = TestClaims.shared();
+    const [first, second] = [new TestClaims(memory), new TestClaims(memory)];
+    expect([first.claim(3), second.claim(3), first.claim(3)]).to.deep.equal([true, false, false]);
+    expect(second.claim(4)).to.equal(true);
+    expect(new TestClaims(TestClaims.shared()).claim(3)).to.equal(true);
+  });
+
+  it('given worker threads that claim every test at once, when all are done, then each test was claimed by exactly one', async () => {
+    const memory = TestClaims.shared();
+    const claimed = await Promise.all(Array.from({ length: workerCount }, () => claimedBy(memory)));
+    const positions = claimed.flat().sort((a, b) => a - b);
+    expect(positions).to.deep.equal(Array.from({ length: testCount }, (_, position) => position));
+  });
+
+  it('given more tests than a run can share out, when the next is claimed, then that is an error and not a test left out', () => {
+    const claims = new TestClaims(TestClaims.shared());
+    expect(() => claims.claim(65_536)).to.throw(RangeError);
+  });
+});
