--- a/packages/edge-proxy/src/shelfBook.ts
+++ b/packages/edge-proxy/src/shelfBook.ts
@@ -87,10 +87,6 @@
     return false;
   };
 
-  readonly keepOnly = (addresses: ReadonlySet<string>): void => {
-    for (const address of this.shelves.keys()) if (!addresses.has(address)) this.shelves.delete(address);
-  };
-
   /** What this front saw itself: `address` was given the part just now. */
   readonly saw = (address: string, salt: string, part: string): void =>
     void this.shelf(address).own.set(labelOf(salt, part), this.clock.now());
--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -60,7 +60,6 @@
   private readonly chosen = new Map<number, string>();
   private readonly compared = new WeakSet<Agreed>();
   private readonly acknowledged = new Map<string, number>();
-  private readonly orders = new Map<string, Order>();
   private readonly orderAt = new Map<number, string>();
   private newestAcknowledged = 0;
   private newestRead = 0;
@@ -137,8 +136,6 @@
       this.newestChosenEdition = Math.max(this.newestChosenEdition, change.body.ways.edition);
   };
 
-  readonly ordered = (order: Order): void => void this.orders.set(order.id, order);
-
   /** An operator was told that its change was settled as `generation`. */
   readonly orderAcknowledged = (order: Order, generation: number): void => {
     const known = this.acknowledged.get(order.id);
