--- a/packages/postrider/src/door.ts
+++ b/packages/cli/src/httpServer.ts
@@ -2,21 +2,21 @@
 import type { Server } from 'node:http';
 import { err, ok } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
-import type { Door } from '@martenworks/core-types';
+import type { HttpServer } from '@martenworks/core-types';
 
 const keepAliveMs = 65_000;
 
-export const realDoor: Door = {
+export const realHttpServer: HttpServer = {
   open: (address, handler) =>
-    new Promise((settle) => {
+    new Promise((resolve) => {
       const { host, port } = addresses.split(address);
       const server = createAdaptorServer({ fetch: handler }) as Server;
       server.keepAliveTimeout = keepAliveMs;
       server.once('error', (cause) =>
-        settle(err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: true })),
+        resolve(err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: true })),
       );
       server.listen(port, host, 1024, () =>
-        settle(
+        resolve(
           ok({
             close: () =>
               new Promise((closed) => {
--- /dev/null
+++ b/packages/cli/src/index.ts
@@ -0,0 +1,2 @@
+export * from './httpServer.js';
+export * from './main.js';
--- /dev/null
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -0,0 +1,61 @@
+import { RepeatingTimer } from '@martenworks/core-types';
+import type { Ports } from '@martenworks/core-types';
+import type { Hello } from '@martenworks/peer-transport';
+import type { PeerPool } from './peerPool.js';
+import type { RingNode } from './ring.js';
+import type { MemberList } from './memberList.js';
+import { HeartbeatMonitor, heartbeatIntervalMs } from './heartbeatMonitor.js';
+
+const frozenMs = 1_200;
+
+export class FailureDetector {
+  readonly watch: HeartbeatMonitor;
+  private readonly timer: RepeatingTimer;
+  private tickedAt: number;
+
+  constructor(
+    ports: Ports,
+    private readonly own: () => Hello,
+    private readonly memberList: MemberList,
+    private readonly peerPool: () => PeerPool,
+    private readonly reportLocally: (suspects: readonly string[]) => void,
+  ) {
+    const { clock, random } = ports;
+    this.watch = new HeartbeatMonitor(clock, own, this.nodes);
+    this.tickedAt = clock.now();
+    this.timer = new RepeatingTimer(
+      clock,
+      () => heartbeatIntervalMs * (0.95 + 0.1 * random.fraction()),
+      () => this.tick(clock.now()),
+    );
+  }
+
+  private readonly nodes = (): RingNode[] =>
+    this.memberList
+      .entries()
+      .filter(({ hello }) => hello.role !== 'inspector')
+      .map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
+
+  readonly watcherAddresses = (): string[] => {
+    const names = new Set(this.watch.watchers());
+    return this.memberList
+      .entries()
+      .filter(({ hello }) => names.has(hello.name))
+      .map(({ hello }) => hello.address);
+  };
+
+  private readonly tick = (now: number): void => {
+    if (now - this.tickedAt > frozenMs) this.watch.clearAfterFreeze();
+    this.tickedAt = now;
+    const watchers = new Set(this.watch.watchers());
+    const suspects = this.watch.suspects();
+    for (const connection of this.peerPool().open()) {
+      if (connection.peer === null) continue;
+      if (watchers.has(connection.peer.name)) connection.tell('heartbeat', this.own().name);
+      if (connection.peer.role === 'control') connection.tell('suspects', suspects);
+    }
+    this.reportLocally(suspects);
+  };
+
+  readonly stop = (): void => this.timer.stop();
+}
--- a/packages/cluster-membership/src/watch.ts
+++ b/packages/cluster-membership/src/heartbeatMonitor.ts
@@ -2,7 +2,7 @@
 import type { RingNode } from './ring.js';
 import { ring } from './ring.js';
 
-export const heartMs = 500;
+export const heartbeatIntervalMs = 500;
 const leastSilenceMs = 1_800;
 const spreadFactor = 6;
 const reportAgeMs = 2_000;
@@ -15,9 +15,9 @@
   spreadMs: number;
 }
 
-const unheardSince = (at: number): Heard => ({ at, meanMs: heartMs, spreadMs: heartMs / 4 });
+const unheardSince = (at: number): Heard => ({ at, meanMs: heartbeatIntervalMs, spreadMs: heartbeatIntervalMs / 4 });
 
-export class Watch {
+export class HeartbeatMonitor {
   private readonly heard = new Map<string, Heard>();
 
   constructor(
@@ -34,7 +34,7 @@
     return nodes.filter((node) => node.name !== own && ring.watchersOf(node.name, nodes).includes(own));
   };
 
-  readonly heart = (name: string): void => {
+  readonly heartbeatFrom = (name: string): void => {
     const now = this.clock.now();
     const held = this.heard.get(name);
     if (held === undefined) {
@@ -64,13 +64,13 @@
   };
 }
 
-export interface VerdictLine {
+export interface FailureVerdict {
   readonly node: string;
   readonly suspectedBy: readonly string[];
   readonly isDown: boolean;
 }
 
-export class Verdicts {
+export class FailureVerdicts {
   private readonly reports = new Map<string, Map<string, number>>();
 
   constructor(private readonly clock: Clock) {}
@@ -92,7 +92,7 @@
 
   readonly isDown = (node: string): boolean => this.suspectedBy(node).length >= confirmations;
 
-  readonly lines = (): VerdictLine[] =>
+  readonly status = (): FailureVerdict[] =>
     [...this.reports.keys()]
       .map((node) => ({ node, suspectedBy: this.suspectedBy(node), isDown: this.isDown(node) }))
       .filter((line) => line.suspectedBy.length > 0);
--- a/packages/cluster-membership/src/lease.ts
+++ b/packages/cluster-membership/src/leases.ts
@@ -6,7 +6,7 @@
 const jumpMs = 500;
 const idleTicksBeforeHelp = 3;
 
-export interface LeaseAsk {
+export interface LeaseRequest {
   readonly holder: string;
   readonly duties: readonly { readonly duty: string; readonly fence: number }[];
 }
@@ -39,8 +39,8 @@
   isReleased: boolean;
 }
 
-/** One voter's part of the leases: a grant is told only once its record is on disk, and a failed write leaves the book as it was. */
-export class LeaseBook {
+/** One voter's part of the leases: a grant is told only once its record is on disk, and a failed write leaves the routing table as it was. */
+export class LeaseTable {
   private readonly grants = new Map<string, Grant>();
   private readonly pending = new Map<string, PendingGrant>();
   private readonly quietUntil: number;
@@ -57,7 +57,7 @@
       this.grants.set(duty, { holder: '', fence: Math.max(fence, this.grants.get(duty)?.fence ?? 0), endAt: 0 });
   }
 
-  readonly release = ({ holder, duties }: LeaseAsk): void => {
+  readonly release = ({ holder, duties }: LeaseRequest): void => {
     for (const { duty, fence } of duties) {
       const held = this.grants.get(duty);
       if (held !== undefined && held.holder === holder && held.fence === fence) held.endAt = 0;
@@ -68,7 +68,7 @@
 
   readonly fences = (): [string, number][] => [...this.grants].map(([duty, grant]) => [duty, grant.fence]);
 
-  readonly grant = async ({ holder, duties }: LeaseAsk): Promise<LeaseReply> => {
+  readonly grant = async ({ holder, duties }: LeaseRequest): Promise<LeaseReply> => {
     const granted: string[] = [];
     const fences: Record<string, number> = {};
     const writes: Promise<void>[] = [];
@@ -116,13 +116,13 @@
   wallGap: number;
 }
 
-export interface DutyLine {
+export interface LeaseStatus {
   readonly duty: string;
   readonly fence: number;
   readonly leftMs: number;
 }
 
-export class Duties {
+export class LeaseManager {
   private readonly held = new Map<string, Held>();
   private readonly fences = new Map<string, number>();
   private readonly idle = new Map<string, number>();
@@ -133,8 +133,8 @@
     private readonly holder: () => string,
     private readonly peers: () => readonly string[],
     private readonly wanted: () => readonly string[],
-    private readonly askAll: (ask: LeaseAsk) => Promise<readonly LeaseReply[]>,
-    private readonly releaseAll: (ask: LeaseAsk) => void,
+    private readonly askAll: (ask: LeaseRequest) => Promise<readonly LeaseReply[]>,
+    private readonly releaseAll: (ask: LeaseRequest) => void,
     private readonly majority: () => number,
     private readonly changed: () => void,
     private readonly terms: LeaseTerms = usualTerms,
@@ -209,7 +209,7 @@
     if (duties.length > 0) this.releaseAll({ holder: this.holder(), duties });
   };
 
-  readonly lines = (): DutyLine[] =>
+  readonly status = (): LeaseStatus[] =>
     [...this.held].flatMap(([duty, lease]) =>
       this.fenceOf(duty) === null
         ? []
--- a/packages/cluster-membership/src/roster.ts
+++ b/packages/cluster-membership/src/memberList.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@martenworks/core-types';
 import type { Hello } from '@martenworks/peer-transport';
 
-export interface RosterEntry {
+export interface MemberEntry {
   readonly hello: Hello;
   readonly ageMs: number;
 }
@@ -14,7 +14,7 @@
 const forgetMs = 120_000;
 const entryLimit = 256;
 
-export class Roster {
+export class MemberList {
   private readonly held = new Map<string, Held>();
 
   constructor(
@@ -24,7 +24,7 @@
 
   readonly heard = (hello: Hello): void => this.merge([{ hello, ageMs: 0 }]);
 
-  readonly merge = (entries: readonly RosterEntry[]): void => {
+  readonly merge = (entries: readonly MemberEntry[]): void => {
     const now = this.clock.now();
     for (const { hello, ageMs } of entries.slice(0, entryLimit)) {
       if (hello.name === this.own().name || ageMs > forgetMs) continue;
@@ -35,7 +35,7 @@
     for (const [name, held] of this.held) if (now - held.heardAt > forgetMs) this.held.delete(name);
   };
 
-  readonly entries = (): RosterEntry[] => {
+  readonly entries = (): MemberEntry[] => {
     const now = this.clock.now();
     return [
       { hello: this.own(), ageMs: 0 },
@@ -43,6 +43,6 @@
     ];
   };
 
-  readonly neighbours = (role: Hello['role']): Hello[] =>
+  readonly withRole = (role: Hello['role']): Hello[] =>
     [...this.held.values()].map((held) => held.hello).filter((hello) => hello.role === role);
 }
--- a/packages/cluster-membership/test/rounds.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -1,25 +1,25 @@
 import { expect } from 'chai';
-import { LeaseBook, ring } from '@martenworks/cluster-membership';
+import { LeaseTable, ring } from '@martenworks/cluster-membership';
 import { InvariantChecker, SimFleet, SimWorld } from '@martenworks/test-fleet';
 
 const kvHolders = (fleet: SimFleet, replica: string): number[] =>
-  fleet.postmasters.flatMap((postmaster, at) =>
-    postmaster !== null &&
-    !fleet.machineOf('postmaster', at).isFrozen &&
-    postmaster.duties.fenceOf(`kv/${replica}`) !== null
+  fleet.controlNodes.flatMap((controlNode, at) =>
+    controlNode !== null &&
+    !fleet.machineOf('control', at).isFrozen &&
+    controlNode.leaseManager.fenceOf(`kv/${replica}`) !== null
       ? [at]
       : [],
   );
 
-const raised = async (seed: number, fronts = 6, replicas = 4): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, fronts, replicas });
+const raised = async (seed: number, edges = 6, replicas = 4): Promise<SimFleet> => {
+  const fleet = new SimFleet({ seed, edges, replicas });
   await fleet.up();
   await fleet.world.run(6_000);
   return fleet;
 };
 
 const verdicts = (fleet: SimFleet, node: string): boolean[] =>
-  fleet.postmasters.flatMap((postmaster) => (postmaster === null ? [] : [postmaster.verdicts.isDown(node)]));
+  fleet.controlNodes.flatMap((controlNode) => (controlNode === null ? [] : [controlNode.verdicts.isDown(node)]));
 
 describe('the rounds', () => {
   it("given a ring of twelve nodes in three zones, when watchers are named, then each node has three, in other zones, and one node's loss moves few", () => {
@@ -38,7 +38,7 @@
     expect(moved).to.be.lessThan(8);
   });
 
-  it('given counters that die, when their watchers miss them, then two watchers confirm it within three seconds, and clear it when they return', async () => {
+  it('given gateways that die, when their watchers miss them, then two watchers confirm it within three seconds, and clear it when they return', async () => {
     const fleet = await raised(41);
     const waits: number[] = [];
     for (const at of [0, 2, 4]) {
@@ -62,10 +62,10 @@
 
   it('given noise (late links, one watcher cut off, short freezes), when nobody died, then nobody is held to be down', async () => {
     const fleet = await raised(42);
-    const names = fleet.counterHosts.map((_, at) => `counter-${at + 1}`);
+    const names = fleet.gatewayHosts.map((_, at) => `counter-${at + 1}`);
     let alarms = 0;
     for (let round = 0; round < 30; round += 1) {
-      const hosts = [...fleet.counterHosts, ...fleet.postmasterHosts];
+      const hosts = [...fleet.gatewayHosts, ...fleet.controlNodeHosts];
       const pick = (): string => hosts[Math.floor(fleet.world.random() * hosts.length)] as string;
       const [from, to, frozen] = [pick(), pick(), pick()];
       fleet.world.blockLink(from, to);
@@ -80,20 +80,20 @@
     expect(alarms).to.equal(0);
   });
 
-  it('given a postmaster cut off from one neighbour only, when a stranger waits to be swapped in, then the living member keeps its seat', async () => {
+  it('given a control node cut off from one peer only, when a stranger waits to be swapped in, then the living member keeps its seat', async () => {
     const fleet = await raised(43, 4, 3);
     fleet.world.partition('10.0.0.1', '10.0.0.3');
-    fleet.postmasterHosts.push('10.0.0.9');
-    fleet.postmasterNames.push('postmaster-9');
-    fleet.postmasters.push(null);
-    await fleet.startPostmaster(3);
+    fleet.controlNodeHosts.push('10.0.0.9');
+    fleet.controlNodeNames.push('postmaster-9');
+    fleet.controlNodes.push(null);
+    await fleet.startControlNode(3);
     await fleet.world.run(30_000);
-    expect(fleet.postmasters.map((one) => one?.acceptor.isVoter())).to.deep.equal([true, true, true, false]);
+    expect(fleet.controlNodes.map((one) => one?.acceptor.isVoter())).to.deep.equal([true, true, true, false]);
   });
 });
 
 describe('leases', () => {
-  it("given each replica's kv-events to follow, when the fleet runs, then one postmaster does, and another within six seconds after it is killed, frozen or cut off", async () => {
+  it("given each replica's kv-events to follow, when the fleet runs, then one control node does, and another within six seconds after it is killed, frozen or cut off", async () => {
     const fleet = await raised(51);
     const names = ['replica-1', 'replica-2', 'replica-3', 'replica-4'];
     for (const name of names) expect(kvHolders(fleet, name).length, name).to.equal(1);
@@ -105,24 +105,24 @@
       }
     };
     const holder = kvHolders(fleet, 'replica-1')[0] as number;
-    fleet.killPostmaster(holder);
+    fleet.killControlNode(holder);
     await watchFor(6_000);
     for (const name of names) expect(kvHolders(fleet, name).length, `${name} after a kill`).to.equal(1);
-    await fleet.bootPostmaster(holder);
+    await fleet.bootControlNode(holder);
     await watchFor(6_000);
     const second = kvHolders(fleet, 'replica-2')[0] as number;
-    fleet.machineOf('postmaster', second).freeze();
+    fleet.machineOf('control', second).freeze();
     await watchFor(6_000);
     for (const name of names) expect(kvHolders(fleet, name).length, `${name} during a freeze`).to.equal(1);
-    fleet.machineOf('postmaster', second).thaw();
+    fleet.machineOf('control', second).thaw();
     for (const name of names) expect(kvHolders(fleet, name).length, `${name} at the thaw`).to.equal(1);
     await watchFor(3_000);
     const third = kvHolders(fleet, 'replica-3')[0] as number;
-    fleet.world.isolate(fleet.postmasterHosts[third] as string);
+    fleet.world.isolate(fleet.controlNodeHosts[third] as string);
     await watchFor(8_000);
     for (const name of names) expect(kvHolders(fleet, name).length, `${name} during a cut`).to.equal(1);
     fleet.world.healAll();
-    fleet.machineOf('postmaster', kvHolders(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
+    fleet.machineOf('control', kvHolders(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
     await watchFor(6_000);
     expect(overlaps).to.equal(0);
   });
@@ -130,7 +130,7 @@
   it('given a holder that is stopped in order, when it resigns, then its duties are taken up within two seconds, not after the lease', async () => {
     const fleet = await raised(53);
     const holder = kvHolders(fleet, 'replica-1')[0] as number;
-    await fleet.finish(fleet.rollPostmaster(holder));
+    await fleet.finish(fleet.rollControlNode(holder));
     await fleet.world.run(1_900);
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'])
       expect(kvHolders(fleet, name).length, name).to.equal(1);
@@ -144,9 +144,9 @@
       kept.push([duty, fence]);
       return true;
     };
-    const first = new LeaseBook(clock, keep, [], true);
+    const first = new LeaseTable(clock, keep, [], true);
     expect((await first.grant({ holder: 'a', duties: [{ duty: 'x', fence: 4 }] })).granted).to.deep.equal(['x']);
-    const again = new LeaseBook(clock, keep, kept, false);
+    const again = new LeaseTable(clock, keep, kept, false);
     expect(await again.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).to.deep.equal({
       granted: [],
       fences: { x: 4 },
@@ -156,21 +156,25 @@
     expect((await again.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).granted).to.deep.equal(['x']);
   });
 
-  it('given traffic, when the follower of kv-events changes again and again, then the index misses nothing and is whole on every counter', async () => {
+  it('given traffic, when the follower of kv-events changes again and again, then the index misses nothing and is whole on every gateway', async () => {
     const fleet = await raised(52, 3, 4);
     const checker = new InvariantChecker(fleet);
     checker.traffic(40, 30_000, 0.2);
     for (let round = 0; round < 5; round += 1) {
-      fleet.killPostmaster(round % 3);
+      fleet.killControlNode(round % 3);
       await fleet.world.run(4_000);
-      await fleet.bootPostmaster(round % 3);
+      await fleet.bootControlNode(round % 3);
       await fleet.world.run(2_000);
     }
     await fleet.world.run(20_000);
-    for (const counter of fleet.counters) {
-      for (const shelf of counter?.book.index.sizes() ?? []) {
-        const standIn = fleet.runningReplicas.get(shelf.replica);
-        expect([shelf.replica, shelf.seq, shelf.isWhole]).to.deep.equal([shelf.replica, standIn?.eventCount(), true]);
+    for (const gateway of fleet.gateways) {
+      for (const stored of gateway?.stateView.index.sizes() ?? []) {
+        const standIn = fleet.runningReplicas.get(stored.replica);
+        expect([stored.replica, stored.seq, stored.isWhole]).to.deep.equal([
+          stored.replica,
+          standIn?.eventCount(),
+          true,
+        ]);
       }
     }
     expect(checker.violations()).to.deep.equal([]);
--- a/packages/cluster-membership/test/leaseTerms.test.ts
+++ b/packages/cluster-membership/test/leaseTerms.test.ts
@@ -1,36 +1,36 @@
 import { expect } from 'chai';
 import { SimWorld } from '@martenworks/test-fleet';
-import { Duties, LeaseBook } from '@martenworks/cluster-membership';
-import type { LeaseAsk, LeaseReply, LeaseTerms } from '@martenworks/cluster-membership';
+import { LeaseManager, LeaseTable } from '@martenworks/cluster-membership';
+import type { LeaseRequest, LeaseReply, LeaseTerms } from '@martenworks/cluster-membership';
 
 const office = (gapMs: number) => {
   const world = new SimWorld(11);
   const { clock } = world.machine('10.0.0.1').ports();
-  let generation = 1;
-  const terms: LeaseTerms = { leaseMs: 1_600, marginMs: 400, gapMs, floor: () => generation * 1_000 };
-  const books = Array.from({ length: 3 }, () => new LeaseBook(clock, async () => true, [], false, terms));
+  let logIndex = 1;
+  const terms: LeaseTerms = { leaseMs: 1_600, marginMs: 400, gapMs, floor: () => logIndex * 1_000 };
+  const leaseTables = Array.from({ length: 3 }, () => new LeaseTable(clock, async () => true, [], false, terms));
   const dutiesOf = (name: string, reached: () => readonly number[]) =>
-    new Duties(
+    new LeaseManager(
       clock,
       () => name,
       () => ['a', 'b'],
       () => ['weights'],
-      async (ask: LeaseAsk): Promise<LeaseReply[]> =>
-        Promise.all(reached().map((at) => (books[at] as LeaseBook).grant(ask))),
+      async (ask: LeaseRequest): Promise<LeaseReply[]> =>
+        Promise.all(reached().map((at) => (leaseTables[at] as LeaseTable).grant(ask))),
       (ask) =>
-        books.forEach((book) => {
-          book.release(ask);
+        leaseTables.forEach((leaseTable) => {
+          leaseTable.release(ask);
         }),
       () => 2,
       () => {},
       terms,
     );
-  return { world, books, terms, dutiesOf, clock, raise: () => ++generation };
+  return { world, leaseTables, terms, dutiesOf, clock, raise: () => ++logIndex };
 };
 
 const turn = async (
   world: SimWorld,
-  duties: readonly Duties[],
+  duties: readonly LeaseManager[],
   forMs: number,
   seen: (at: number) => void = () => {},
 ): Promise<void> => {
@@ -62,22 +62,22 @@
   });
 
   it('given voters that start anew and forgot a grant, when another asks at once, then it waits as long as the old one might still act', async () => {
-    const { world, books, dutiesOf } = office(3_000);
+    const { world, leaseTables, dutiesOf } = office(3_000);
     const b = dutiesOf('b', () => [0, 1, 2]);
     await turn(world, [b], 4_000);
-    expect(books.length).to.equal(3);
+    expect(leaseTables.length).to.equal(3);
     expect(b.fenceOf('weights')).to.equal(null);
     await turn(world, [b], 2_000);
     expect(b.fenceOf('weights')).to.not.equal(null);
   });
 
   it('given a voter that lost its disk and was swapped in anew, when the others raise the generation, then every later fence is above all earlier ones', async () => {
-    const { world, books, terms, clock, raise, dutiesOf } = office(0);
+    const { world, leaseTables, terms, clock, raise, dutiesOf } = office(0);
     const a = dutiesOf('a', () => [0, 1]);
     await turn(world, [a], 3_000);
     const before = a.fenceOf('weights') as number;
     raise();
-    books[0] = new LeaseBook(clock, async () => true, [], false, terms);
+    leaseTables[0] = new LeaseTable(clock, async () => true, [], false, terms);
     await world.run(5_000);
     const b = dutiesOf('b', () => [0, 2]);
     await turn(world, [b], 3_000);
--- a/packages/control-plane/src/catchUp.ts
+++ b/packages/control-plane/src/catchUp.ts
@@ -3,8 +3,8 @@
 import { background } from '@martenworks/core-types';
 import type { Clock, Log } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { Acceptor, CompressedSettled } from './acceptor.js';
-import { compressedChanges, compressedStates } from './compressed.js';
+import type { Acceptor, CompressedCommit } from './acceptor.js';
+import { compressedChanges, compressedStates } from './compression.js';
 
 /**
  * Bringing a member that is behind up to the newest agreed state.
@@ -16,8 +16,8 @@
 
 /** Bytes of a transfer in one reply. */
 export const pageBytes = 64 * 1024;
-const pagePatienceMs = 1_500;
-const heldPatienceMs = 800;
+const pageTimeoutMs = 1_500;
+const heldTimeoutMs = 800;
 const transfersKept = 8;
 const transferBytesKept = 16 * 1024 * 1024;
 const transferLimitBytes = 128 * 1024 * 1024;
@@ -37,7 +37,7 @@
 
 export interface PageAsk {
   /** The generation that the asker holds, -1 for none. */
-  readonly generation: number;
+  readonly logIndex: number;
   /** The transfer that was begun, by the SHA-256 of its bytes in hex; null to begin one. */
   readonly digest: string | null;
   /** Bytes of it that the asker has. */
@@ -58,7 +58,7 @@
 
 const isPageAsk = (value: unknown): value is PageAsk =>
   isShape(value) &&
-  Number.isInteger(value.generation) &&
+  Number.isInteger(value.logIndex) &&
   (value.digest === null || typeof value.digest === 'string') &&
   Number.isInteger(value.offset) &&
   (value.offset as number) >= 0;
@@ -73,7 +73,7 @@
 
 interface Transfer {
   readonly kind: Page['kind'];
-  readonly generation: number;
+  readonly logIndex: number;
   readonly digest: string;
   readonly bytes: Uint8Array;
 }
@@ -85,9 +85,9 @@
   constructor(private readonly acceptor: Acceptor) {}
 
   /** One page for the asker: of the transfer it has begun if that is still kept or comes out the same, else of a new one from its start. */
-  readonly page = ({ generation, digest, offset }: PageAsk): Page | null => {
+  readonly page = ({ logIndex, digest, offset }: PageAsk): Page | null => {
     const begun = digest === null ? undefined : this.kept.get(digest);
-    const transfer = begun ?? this.make(generation);
+    const transfer = begun ?? this.make(logIndex);
     if (transfer === null) return null;
     this.keep(transfer);
     const from = transfer.digest === digest && offset <= transfer.bytes.length ? offset : 0;
@@ -102,7 +102,7 @@
 
   private readonly make = (after: number): Transfer | null => {
     const state = this.acceptor.agreed();
-    if (state === null || state.generation <= after) return null;
+    if (state === null || state.logIndex <= after) return null;
     const missed = this.acceptor.changesAfter(after);
     const missedBytes = (missed ?? []).reduce((sum, { change }) => sum + change.length, 0);
     if (missed !== null && missedBytes <= pageBytes) return this.changes(missed);
@@ -110,21 +110,21 @@
     return missed !== null && missedBytes < snapshot.bytes.length ? this.changes(missed) : snapshot;
   };
 
-  private readonly changes = (missed: readonly CompressedSettled[]): Transfer =>
-    this.transfer('changes', missed.at(-1)?.generation ?? -1, coder.encode(missed));
+  private readonly changes = (missed: readonly CompressedCommit[]): Transfer =>
+    this.transfer('changes', missed.at(-1)?.logIndex ?? -1, coder.encode(missed));
 
   private readonly snapshot = (): Transfer => {
     const state = this.acceptor.agreed();
-    const generation = state?.generation ?? -1;
-    const held = [...this.kept.values()].find((one) => one.kind === 'snapshot' && one.generation === generation);
+    const logIndex = state?.logIndex ?? -1;
+    const held = [...this.kept.values()].find((one) => one.kind === 'snapshot' && one.logIndex === logIndex);
     return (
-      held ?? this.transfer('snapshot', generation, state === null ? new Uint8Array() : compressedStates.encode(state))
+      held ?? this.transfer('snapshot', logIndex, state === null ? new Uint8Array() : compressedStates.encode(state))
     );
   };
 
-  private readonly transfer = (kind: Page['kind'], generation: number, bytes: Uint8Array): Transfer => ({
+  private readonly transfer = (kind: Page['kind'], logIndex: number, bytes: Uint8Array): Transfer => ({
     kind,
-    generation,
+    logIndex,
     digest: createHash('sha256').update(bytes).digest('hex'),
     bytes: bytes.slice(),
   });
@@ -165,18 +165,18 @@
     this.source = new TransferSource(acceptor);
   }
 
-  private readonly generation = (): number => this.acceptor.agreed()?.generation ?? -1;
+  private readonly logIndex = (): number => this.acceptor.agreed()?.logIndex ?? -1;
 
   /** Asks all others how far they are and catches up from one that is ahead. */
   readonly step = async (): Promise<void> => {
     if (this.running !== null) return this.running;
     const told = await Promise.all(
-      this.peers().map(async (peer) => ({ peer, held: await this.heldBy(peer, heldPatienceMs) })),
+      this.peers().map(async (peer) => ({ peer, held: await this.heldBy(peer, heldTimeoutMs) })),
     );
     const ahead = told
-      .filter(({ held }) => held !== null && held > this.generation())
+      .filter(({ held }) => held !== null && held > this.logIndex())
       .sort((a, b) => (b.held ?? -1) - (a.held ?? -1));
-    const chosen = ahead.find(({ peer }) => peer.neighbour?.incarnation !== this.failedSource) ?? ahead[0];
+    const chosen = ahead.find(({ peer }) => peer.peer?.incarnation !== this.failedSource) ?? ahead[0];
     if (chosen !== undefined) await this.from(chosen.peer);
   };
 
@@ -189,62 +189,62 @@
   };
 
   /** Whether the peer answered and this node then holds all that it told of. False also where a transfer took longer than the patience, or this node's disk did not take it. */
-  readonly ask = async (peer: PeerConnection, patienceMs: number): Promise<boolean> => {
-    const held = await this.heldBy(peer, patienceMs);
+  readonly ask = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
+    const held = await this.heldBy(peer, timeoutMs);
     if (held === null) return false;
-    if (held > this.generation()) await this.within(this.from(peer), patienceMs);
-    return held <= this.generation();
+    if (held > this.logIndex()) await this.within(this.from(peer), timeoutMs);
+    return held <= this.logIndex();
   };
 
   /** Asks a peer that is behind to catch up from this node. */
-  readonly supply = async (peer: PeerConnection, patienceMs: number): Promise<void> =>
-    void (await peer.ask(catchUpTopics.behind, null, patienceMs));
+  readonly supply = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
+    void (await peer.ask(catchUpTopics.behind, null, timeoutMs));
 
   /** Settles a change that a peer tells of, or catches up where earlier ones are missing. */
-  readonly settle = async (peer: PeerConnection, { generation, change }: CompressedSettled): Promise<void> => {
-    if (generation <= this.generation()) return;
-    if (generation > this.generation() + 1) return this.from(peer);
-    await this.acceptor.settle({ generation, change: this.acceptor.changeOf(change) });
+  readonly commit = async (peer: PeerConnection, { logIndex, change }: CompressedCommit): Promise<void> => {
+    if (logIndex <= this.logIndex()) return;
+    if (logIndex > this.logIndex() + 1) return this.from(peer);
+    await this.acceptor.commit({ logIndex, change: this.acceptor.changeOf(change) });
   };
 
   /** The reply to a peer that catches up; undefined for topics of others. */
   readonly answer = async (peer: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case catchUpTopics.held:
-        return this.generation();
+        return this.logIndex();
       case catchUpTopics.page:
         return isPageAsk(body) ? this.source.page(body) : null;
       case catchUpTopics.behind:
         await this.from(peer);
-        return this.generation();
+        return this.logIndex();
       default:
         return undefined;
     }
   };
 
-  private readonly heldBy = async (peer: PeerConnection, patienceMs: number): Promise<number | null> => {
-    const told = await peer.ask(catchUpTopics.held, null, patienceMs);
+  private readonly heldBy = async (peer: PeerConnection, timeoutMs: number): Promise<number | null> => {
+    const told = await peer.ask(catchUpTopics.held, null, timeoutMs);
     return told.isOk() && typeof told.value === 'number' ? told.value : null;
   };
 
-  private readonly within = (work: Promise<void>, patienceMs: number): Promise<void> =>
-    new Promise((settle) => {
-      const late = this.clock.after(patienceMs, settle);
+  private readonly within = (work: Promise<void>, timeoutMs: number): Promise<void> =>
+    new Promise((resolve) => {
+      const late = this.clock.after(timeoutMs, resolve);
       background.run(
         'wait for a catch-up',
         work.then(() => {
           late.cancel();
-          settle();
+          resolve();
         }),
       );
     });
 
   private readonly run = async (peer: PeerConnection): Promise<void> => {
     for (let done = 0; done < mostTransfersInRun; done += 1) {
-      const before = this.generation();
+      const before = this.logIndex();
       const isWhole = await this.pull(peer);
-      this.failedSource = isWhole ? null : (peer.neighbour?.incarnation ?? null);
-      if (!isWhole || this.generation() === before) return;
+      this.failedSource = isWhole ? null : (peer.peer?.incarnation ?? null);
+      if (!isWhole || this.logIndex() === before) return;
     }
   };
 
@@ -253,11 +253,11 @@
     for (;;) {
       const { progress } = this;
       const ask: PageAsk = {
-        generation: this.generation(),
+        logIndex: this.logIndex(),
         digest: progress?.digest ?? null,
         offset: progress?.received ?? 0,
       };
-      const told = await peer.ask(catchUpTopics.page, ask, pagePatienceMs);
+      const told = await peer.ask(catchUpTopics.page, ask, pageTimeoutMs);
       if (told.isErr()) return false;
       if (told.value === null) {
         this.progress = null;
@@ -289,7 +289,7 @@
     const bytes = new Uint8Array(Buffer.concat(parts));
     this.progress = null;
     if (createHash('sha256').update(bytes).digest('hex') !== digest) {
-      this.log.warn('a transfer of the agreed state does not pass its check', { kind, bytes: bytes.length });
+      this.log.warn('state transfer failed its checksum', { kind, bytes: bytes.length });
       return false;
     }
     const isKept = kind === 'snapshot' ? await this.adopt(bytes) : await this.settleAll(bytes);
@@ -299,13 +299,13 @@
 
   private readonly adopt = async (bytes: Uint8Array): Promise<boolean> => {
     const state = compressedStates.decode(bytes);
-    return (await this.acceptor.adopt(state)) || this.generation() >= state.generation;
+    return (await this.acceptor.adopt(state)) || this.logIndex() >= state.logIndex;
   };
 
   private readonly settleAll = async (bytes: Uint8Array): Promise<boolean> => {
-    for (const { generation, change } of coder.decode(bytes) as CompressedSettled[]) {
-      const isKept = await this.acceptor.settle({ generation, change: compressedChanges.decode(change) });
-      if (!isKept && generation > this.generation()) return false;
+    for (const { logIndex, change } of coder.decode(bytes) as CompressedCommit[]) {
+      const isKept = await this.acceptor.commit({ logIndex, change: compressedChanges.decode(change) });
+      if (!isKept && logIndex > this.logIndex()) return false;
     }
     return true;
   };
--- a/packages/control-plane/src/desk.ts
+++ b/packages/control-plane/src/changeService.ts
@@ -1,53 +1,54 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
-import type { Agreed, Change, ChangeBody, KeyGrant, Layout, Tenant } from '@martenworks/core-types';
-import { layouts } from '@martenworks/settings';
-import { editLayout } from './plan.js';
-import type { LayoutEdit } from './plan.js';
+import type { CommittedState, Change, ChangeBody, KeyGrant, GatewayConfig, Tenant } from '@martenworks/core-types';
+import { gatewayConfigs } from '@martenworks/settings';
+import { editConfig } from './plan.js';
+import type { GatewayConfigEdit } from './plan.js';
 import type { Proposer, Applied, ProposeFault } from './proposer.js';
 
-const patienceMs = 3_000;
+const timeoutMs = 3_000;
 
-const edited = (state: Agreed, edit: LayoutEdit): Result<Layout, ProposeFault> =>
-  editLayout(state.layout, edit).mapErr((complaints) => ({ kind: 'rejected', complaints }));
+const edited = (state: CommittedState, edit: GatewayConfigEdit): Result<GatewayConfig, ProposeFault> =>
+  editConfig(state.config, edit).mapErr((complaints) => ({ kind: 'rejected', complaints }));
 
-const grantFaults = (state: Agreed, tenantName: string, tenant: Tenant | null): Result<void, ProposeFault> => {
-  const held = state.layout.tenants[tenantName];
+const grantFaults = (state: CommittedState, tenantName: string, tenant: Tenant | null): Result<void, ProposeFault> => {
+  const held = state.config.tenants[tenantName];
   if (held !== undefined) return ok(undefined);
   if (tenant === null)
     return err({
       kind: 'rejected',
       complaints: [{ path: '/tenant', message: `names the absent tenant ${tenantName}` }],
     });
-  return layouts
-    .check({ ...state.layout, tenants: { ...state.layout.tenants, [tenantName]: tenant } })
+  return gatewayConfigs
+    .check({ ...state.config, tenants: { ...state.config.tenants, [tenantName]: tenant } })
     .map(() => undefined)
     .mapErr((complaints) => ({ kind: 'rejected' as const, complaints }));
 };
 
-export class ChangeDesk {
+export class ChangeService {
   constructor(private readonly proposer: Proposer) {}
 
   private readonly put = (
     id: string,
     asked: unknown,
-    bodyFor: (state: Agreed) => Result<ChangeBody, ProposeFault>,
+    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposeFault>,
   ): Promise<Result<Applied, ProposeFault>> => {
     const digest = digests.of(asked);
-    const check = (state: Agreed): Result<Change, ProposeFault> => bodyFor(state).map((body) => ({ id, digest, body }));
-    return this.proposer.propose(check, id, digest, patienceMs);
+    const check = (state: CommittedState): Result<Change, ProposeFault> =>
+      bodyFor(state).map((body) => ({ id, digest, body }));
+    return this.proposer.propose(check, id, digest, timeoutMs);
   };
 
-  readonly layout = (id: string, base: number, edit: LayoutEdit): Promise<Result<Applied, ProposeFault>> =>
+  readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposeFault>> =>
     this.put(id, ['layout', base, edit], (state) => {
-      if (state.layoutGeneration !== base)
+      if (state.configLogIndex !== base)
         return err({
           kind: 'conflict',
-          layoutGeneration: state.layoutGeneration,
-          detail: `the layout is at generation ${state.layoutGeneration}`,
+          configLogIndex: state.configLogIndex,
+          detail: `the layout is at generation ${state.configLogIndex}`,
         });
-      return edited(state, edit).map((layout) => ({ kind: 'layout', layout, base }));
+      return edited(state, edit).map((config) => ({ kind: 'config', config, base }));
     });
 
   readonly grant = (
--- a/packages/control-plane/src/claims.ts
+++ b/packages/control-plane/src/claims.ts
@@ -12,7 +12,8 @@
   Log,
 } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { WriteAheadLog, WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
+import { earlierRecords } from './earlierRecords.js';
 import { claimLogOptions, logPrefixes } from './memberLogs.js';
 
 const pageSize = 4_000;
@@ -53,7 +54,7 @@
   ) {}
 
   readonly replay = (records: readonly ClaimRecord[]): void => {
-    for (const [key, state] of records) this.put(key, state, true);
+    for (const [key, state] of records) this.put(key, earlierRecords.claim(state), true);
     this.filledAt.set(this.wal.currentSegment() - 1, this.clock.now());
   };
 
@@ -73,7 +74,7 @@
     const entry = this.put(key, state, false);
     const written = await this.wal.append([key, state] satisfies ClaimRecord);
     if (written.isErr()) {
-      this.log.error('ledger did not take a claim', { fault: written.error });
+      this.log.error('log append failed for a claim', { fault: written.error });
       return false;
     }
     entry.isDurable = true;
@@ -89,17 +90,17 @@
   readonly prepare = async (key: string, turn: number, ballot: ClaimBallot): Promise<ClaimVote> => {
     const state = this.at(key, turn);
     if (state.turn > turn || (state.promised !== null && claimBallots.compare(ballot, state.promised) <= 0))
-      return { k: 'state', isGranted: false, state };
+      return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { ...state, promised: ballot };
-    return (await this.keep(key, next)) ? { k: 'state', isGranted: true, state: next } : { k: 'mute' };
+    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'mute' };
   };
 
   readonly accept = async (key: string, turn: number, ballot: ClaimBallot, claimant: Claimant): Promise<ClaimVote> => {
     const state = this.at(key, turn);
     if (state.turn > turn || claimBallots.isOver(state.promised, ballot))
-      return { k: 'state', isGranted: false, state };
+      return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { turn, promised: ballot, accepted: { ballot, claimant } };
-    return (await this.keep(key, next)) ? { k: 'state', isGranted: true, state: next } : { k: 'mute' };
+    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'mute' };
   };
 
   readonly release = async (key: string, turn: number): Promise<boolean> => {
@@ -152,11 +153,11 @@
     clock: Clock,
     log: Log,
     retentionMs: number,
-  ): Promise<Result<ClaimTable, WriteAheadLogFault>> => {
+  ): Promise<Result<ClaimTable, WriteAheadLogError>> => {
     const opened = await writeAheadLogs.open(disk, logPrefixes.claims, claimLogOptions);
     if (opened.isErr()) return err(opened.error);
     const { wal, records, cutBytes } = opened.value;
-    if (cutBytes > 0) log.warn('a torn tail was cut from the ledger', { wal: 'claims', cutBytes });
+    if (cutBytes > 0) log.warn('truncated a torn log tail', { wal: 'claims', cutBytes });
     const table = new ClaimTable(wal, clock, log, retentionMs);
     table.replay(records as ClaimRecord[]);
     return ok(table);
--- a/packages/control-plane/src/compressed.ts
+++ b/packages/control-plane/src/compression.ts
@@ -1,7 +1,8 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Encoder } from 'cbor-x';
-import type { Agreed, Change } from '@martenworks/core-types';
-import { agreed as agreedState } from '@martenworks/core-types';
+import type { CommittedState, Change } from '@martenworks/core-types';
+import { earlierRecords } from './earlierRecords.js';
+import { stateMachine } from '@martenworks/core-types';
 
 /**
  * Changes and agreed states as CBOR under raw deflate: the form in which they are logged and sent.
@@ -31,15 +32,17 @@
 
   /** The change in these bytes; throws on bytes that `encode` did not make. */
   decode: (bytes: Uint8Array): Change => {
-    const change = inflated(bytes) as Change;
-    changeBytes.set(change, bytes.slice());
+    const held = inflated(bytes) as Change;
+    const change = earlierRecords.change(held);
+    if (change === held) changeBytes.set(change, bytes.slice());
     return change;
   },
 };
 
 export const compressedStates = {
-  encode: (state: Agreed): Uint8Array => deflated(state),
+  encode: (state: CommittedState): Uint8Array => deflated(state),
 
   /** The state in these bytes; throws on bytes that `encode` did not make. */
-  decode: (bytes: Uint8Array): Agreed => agreedState.filled(inflated(bytes) as Agreed),
+  decode: (bytes: Uint8Array): CommittedState =>
+    stateMachine.filled(earlierRecords.state(inflated(bytes) as CommittedState)),
 };
--- a/packages/control-plane/src/confirmedRead.ts
+++ b/packages/control-plane/src/confirmedRead.ts
@@ -1,5 +1,5 @@
-import { agreed as agreedState, pause } from '@martenworks/core-types';
-import type { Agreed, Clock, Member, Random } from '@martenworks/core-types';
+import { stateMachine, pause } from '@martenworks/core-types';
+import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
 import type { Acceptor, Since } from './acceptor.js';
 import { askMembers, majorityOf, positions } from './quorumCall.js';
 import type { Position, Voters } from './quorumCall.js';
@@ -8,10 +8,10 @@
 const looksBeforeBallot = 2;
 
 type Look =
-  | { readonly k: 'newest' }
-  | { readonly k: 'ahead'; readonly member: Member }
-  | { readonly k: 'pending' }
-  | { readonly k: 'no majority' };
+  | { readonly kind: 'newest' }
+  | { readonly kind: 'ahead'; readonly member: Member }
+  | { readonly kind: 'pending' }
+  | { readonly kind: 'no majority' };
 
 interface Placed {
   readonly member: Member;
@@ -33,38 +33,38 @@
   /** The newest state, or null where no majority replied, or none agreed before `until` (on this node's clock, ms). `settlePending` runs one ballot that finishes what was accepted. */
   readonly newest = async (
     until: number,
-    settlePending: (state: Agreed) => Promise<unknown>,
-  ): Promise<Agreed | null> => {
+    settlePending: (state: CommittedState) => Promise<unknown>,
+  ): Promise<CommittedState | null> => {
     let pendingLooks = 0;
     do {
       const state = this.acceptor.agreed();
       if (state === null) return null;
       const look = await this.look(state);
-      if (look.k === 'newest') return this.acceptor.agreed();
-      if (look.k === 'no majority') return null;
-      if (look.k === 'ahead') await this.catchUpFrom(look.member, state.generation);
+      if (look.kind === 'newest') return this.acceptor.agreed();
+      if (look.kind === 'no majority') return null;
+      if (look.kind === 'ahead') await this.catchUpFrom(look.member, state.logIndex);
       else if (++pendingLooks < looksBeforeBallot)
         await pause.for(this.clock, pendingPauseMs * (0.5 + this.random.fraction()));
-      else if (this.acceptor.agreed()?.generation === state.generation) await settlePending(state);
+      else if (this.acceptor.agreed()?.logIndex === state.logIndex) await settlePending(state);
     } while (this.clock.now() < until);
     return null;
   };
 
-  private readonly look = (state: Agreed): Promise<Look> => {
+  private readonly look = (state: CommittedState): Promise<Look> => {
     const majority = majorityOf(state.members);
     const ask = async (member: Member): Promise<Placed | null> => {
       const position = await this.positionOf(member);
       return position === null ? null : { member, position };
     };
-    return askMembers<Placed, Look>(agreedState.distinctVoters(state), ask, (replies, open) => {
+    return askMembers<Placed, Look>(stateMachine.distinctVoters(state), ask, (replies, open) => {
       const placed = replies.filter((reply) => reply !== null);
-      const ahead = placed.find(({ position }) => position.generation > state.generation);
-      const pending = placed.filter(({ position }) => position.acceptedSlot === state.generation + 1);
+      const ahead = placed.find(({ position }) => position.logIndex > state.logIndex);
+      const pending = placed.filter(({ position }) => position.acceptedSlot === state.logIndex + 1);
       const clear = placed.length - pending.length;
-      if (ahead !== undefined) return { k: 'ahead', member: ahead.member };
-      if (clear >= majority) return { k: 'newest' };
-      if (placed.length >= majority) return { k: 'pending' };
-      return placed.length + open < majority ? { k: 'no majority' } : null;
+      if (ahead !== undefined) return { kind: 'ahead', member: ahead.member };
+      if (clear >= majority) return { kind: 'newest' };
+      if (placed.length >= majority) return { kind: 'pending' };
+      return placed.length + open < majority ? { kind: 'no majority' } : null;
     });
   };
 
@@ -73,8 +73,8 @@
       ? Promise.resolve(positions.of(this.acceptor))
       : this.voters.position(member);
 
-  private readonly catchUpFrom = async (member: Member, generation: number): Promise<void> => {
-    const since = await this.voters.since(member, generation);
+  private readonly catchUpFrom = async (member: Member, logIndex: number): Promise<void> => {
+    const since = await this.voters.since(member, logIndex);
     if (since !== null) await this.learn(since);
   };
 }
--- a/packages/control-plane/src/consensusMember.ts
+++ b/packages/control-plane/src/consensusMember.ts
@@ -1,36 +1,43 @@
 /** One member of the consensus group: agreement, membership, leases and heartbeats, for every kind of core node. */
-import { background, Repeating, agreed as agreedState } from '@martenworks/core-types';
+import { background, RepeatingTimer, stateMachine } from '@martenworks/core-types';
 import type { Member, Ports } from '@martenworks/core-types';
-import { Duties, Lines, leaseMs } from '@martenworks/cluster-membership';
-import type { DialPace, LeaseAsk, LeaseReply, LeaseTerms, Roster, RosterEntry } from '@martenworks/cluster-membership';
+import { LeaseManager, PeerPool, leaseMs } from '@martenworks/cluster-membership';
+import type {
+  DialPace,
+  LeaseRequest,
+  LeaseReply,
+  LeaseTerms,
+  MemberList,
+  MemberEntry,
+} from '@martenworks/cluster-membership';
 import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
-import type { CompressedSettled, Since } from './acceptor.js';
+import type { CompressedCommit, Since } from './acceptor.js';
 import { CatchUp, catchUpTopics } from './catchUp.js';
-import { compressedChanges } from './compressed.js';
+import { compressedChanges } from './compression.js';
 import { consensusMessages } from './consensusMessages.js';
-import type { ElectorateLeaseAsk, MessageCheck } from './consensusMessages.js';
+import type { ElectorateLeaseRequest, MessageCheck } from './consensusMessages.js';
 import { Founding } from './founding.js';
-import type { Standing } from './foundingMessages.js';
-import type { KeptLeases } from './leases.js';
+import type { MemberStatus } from './foundingMessages.js';
+import type { PersistedLeases } from './leaseLog.js';
 import { Membership } from './membership.js';
 import { Proposer } from './proposer.js';
 import { majorityOf, positions } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
 
-const settleAfterMs = 150;
-const settleCheckMs = 100;
+const commitPendingAfterMs = 150;
+const commitPendingCheckMs = 100;
 
 /** Milliseconds: how often each step is taken, and how long a reply is waited for. */
 export interface ConsensusPace {
-  readonly votePatienceMs: number;
+  readonly voteTimeoutMs: number;
   readonly foundingMs: number;
   readonly upkeepMs: number;
-  readonly beatMs: number;
-  readonly beatPatienceMs: number;
-  readonly dutyMs: number;
-  readonly leasePatienceMs: number;
-  readonly dial?: DialPace;
+  readonly keepaliveIntervalMs: number;
+  readonly keepaliveTimeoutMs: number;
+  readonly leaseIntervalMs: number;
+  readonly leaseTimeoutMs: number;
+  readonly dialPace?: DialPace;
   /** How long a member must be lost before a node of another name may take its seat. */
   readonly strangerWaitMs?: number;
 }
@@ -41,38 +48,38 @@
   readonly extraAddresses: () => readonly string[];
   /** Whether a lost member of this name is known to be down. */
   readonly isDown: (name: string) => boolean;
-  readonly wantedDuties: () => readonly string[];
-  readonly dutiesChanged: () => void;
+  readonly wantedLeases: () => readonly string[];
+  readonly leasesChanged: () => void;
   /** Whether a newcomer must have copied data beside the agreed state from every member before it may vote. */
   readonly needsCopies: boolean;
   /** The members, by incarnation, whose data beside the agreed state is held here. */
   readonly syncedFrom: () => readonly string[];
   /** Work to be done before each step of membership; catching up is part of it. */
   readonly prepareUpkeep: () => Promise<void>;
-  /** Entries of the roster that a neighbour is told of. */
-  readonly sharedRoster: (entries: RosterEntry[]) => RosterEntry[];
+  /** Entries of the member list that a peer is told of. */
+  readonly sharedMembers: (entries: MemberEntry[]) => MemberEntry[];
 }
 
 export interface ConsensusParts {
   readonly ports: Ports;
   readonly hello: () => Hello;
-  readonly roster: Roster;
+  readonly memberList: MemberList;
   readonly seeds: readonly string[];
   readonly acceptor: Acceptor;
-  readonly leases: KeptLeases;
+  readonly leases: PersistedLeases;
   readonly terms?: LeaseTerms;
   readonly coreSize?: number;
 }
 
 export class ConsensusMember {
-  readonly lines: Lines;
+  readonly peerPool: PeerPool;
   readonly catchUp: CatchUp;
   readonly proposer: Proposer;
-  readonly duties: Duties;
+  readonly leaseManager: LeaseManager;
   private readonly acceptor: Acceptor;
   private readonly founding: Founding;
   private readonly membership: Membership;
-  private readonly repeats: Repeating[] = [];
+  private readonly timers: RepeatingTimer[] = [];
   private isFoundingStep = false;
   private isUpkeepStep = false;
   private wasVoter = false;
@@ -83,36 +90,36 @@
     private readonly role: ConsensusRole,
     private readonly pace: ConsensusPace,
   ) {
-    const { ports, hello, roster, acceptor } = parts;
+    const { ports, hello, memberList, acceptor } = parts;
     const { clock, random, log } = ports;
     this.acceptor = acceptor;
-    this.lines = new Lines(
+    this.peerPool = new PeerPool(
       ports,
       hello,
       parts.seeds,
-      roster,
+      memberList,
       () => [...this.members().map((member) => member.address), ...role.extraAddresses()],
       this.handlers(),
-      pace.dial,
+      pace.dialPace,
     );
     this.catchUp = new CatchUp(acceptor, this.peers, clock, log);
     this.proposer = new Proposer(acceptor, this.voters(), clock, random, log);
-    this.duties = new Duties(
+    this.leaseManager = new LeaseManager(
       clock,
       () => acceptor.incarnation,
       this.reachableVoters,
-      () => (this.isLeaving() ? [] : role.wantedDuties()),
+      () => (this.isLeaving() ? [] : role.wantedLeases()),
       this.askLeases,
       this.releaseLeases,
       () => majorityOf(this.members()),
-      role.dutiesChanged,
+      role.leasesChanged,
       parts.terms,
     );
     this.founding = new Founding(
       acceptor,
       hello,
-      () => this.lines,
-      () => roster.neighbours('postmaster'),
+      () => this.peerPool,
+      () => memberList.withRole('control'),
       this.catchUp.from,
       log,
       parts.coreSize,
@@ -121,11 +128,11 @@
       acceptor,
       this.proposer,
       clock,
-      () => this.lines,
+      () => this.peerPool,
       role.isDown,
       log,
       { strangerWaitMs: pace.strangerWaitMs, needsCopies: role.needsCopies },
-      (connection) => this.catchUp.supply(connection, pace.votePatienceMs),
+      (connection) => this.catchUp.supply(connection, pace.voteTimeoutMs),
     );
   }
 
@@ -137,24 +144,24 @@
     this.wasVoter = this.acceptor.isVoter();
     this.acceptor.watch(() => {
       this.noteSeat();
-      this.lines.align();
+      this.peerPool.align();
     });
-    this.repeats.push(
-      new Repeating(clock, varied(pace.foundingMs), this.stepFounding),
-      new Repeating(clock, varied(pace.upkeepMs), this.upkeep),
-      new Repeating(clock, varied(settleCheckMs), this.settleRival),
-      new Repeating(clock, () => pace.beatMs, this.beat),
-      new Repeating(
+    this.timers.push(
+      new RepeatingTimer(clock, varied(pace.foundingMs), this.stepFounding),
+      new RepeatingTimer(clock, varied(pace.upkeepMs), this.upkeep),
+      new RepeatingTimer(clock, varied(commitPendingCheckMs), this.commitPending),
+      new RepeatingTimer(clock, () => pace.keepaliveIntervalMs, this.keepalive),
+      new RepeatingTimer(
         clock,
-        () => pace.dutyMs * (0.9 + 0.2 * random.fraction()),
-        () => background.run('renew leases', this.duties.tick()),
+        () => pace.leaseIntervalMs * (0.9 + 0.2 * random.fraction()),
+        () => background.run('renew leases', this.leaseManager.tick()),
       ),
     );
   };
 
   /** Ends the repeated steps. */
   readonly pause = (): void => {
-    for (const repeat of this.repeats) repeat.stop();
+    for (const repeat of this.timers) repeat.stop();
   };
 
   readonly isLeaving = (): boolean => this.membership.isLeaving();
@@ -168,20 +175,20 @@
   };
 
   /** Gives up the leases. */
-  readonly resign = (): void => this.duties.resign();
+  readonly resign = (): void => this.leaseManager.resign();
 
   /** Closes the held connections. */
-  readonly close = (): void => this.lines.stop();
+  readonly close = (): void => this.peerPool.stop();
 
   private readonly members = (): readonly Member[] => this.acceptor.agreed()?.members ?? [];
 
-  private readonly voterMembers = (): Member[] => agreedState.distinctVoters(this.acceptor.agreed());
+  private readonly voterMembers = (): Member[] => stateMachine.distinctVoters(this.acceptor.agreed());
 
   private readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
 
-  /** Open connections to the other core nodes, voters or not. */
+  /** Open connections to the other control nodes, voters or not. */
   readonly peers = (): PeerConnection[] =>
-    this.lines.open().filter((connection) => connection.neighbour?.role === 'postmaster');
+    this.peerPool.open().filter((connection) => connection.peer?.role === 'control');
 
   readonly tellPeers = (topic: string, body: unknown): void => {
     for (const connection of this.peers()) connection.tell(topic, body);
@@ -190,14 +197,14 @@
   /** Incarnations of the voters with an open connection, this node's own among them if it is one. */
   readonly reachableVoters = (): string[] =>
     this.voterMembers()
-      .filter((member) => this.isSelf(member) || this.lines.to(member.incarnation) !== undefined)
+      .filter((member) => this.isSelf(member) || this.peerPool.to(member.incarnation) !== undefined)
       .map((member) => member.incarnation);
 
   /** Milliseconds since this node last had bytes of each of a majority of the voters, itself counted; null where it has no connection to one. */
   readonly majorityHeardMs = (): number | null => {
     const silences = this.voterMembers().flatMap((member) => {
       if (this.isSelf(member)) return [0];
-      const connection = this.lines.to(member.incarnation);
+      const connection = this.peerPool.to(member.incarnation);
       return connection === undefined ? [] : [connection.silentMs()];
     });
     const majority = majorityOf(this.members());
@@ -225,18 +232,18 @@
     );
   };
 
-  private readonly settleRival = (): void => {
-    const age = this.acceptor.unsettledFor();
-    if (age !== null && age > settleAfterMs && this.proposer.depth() === 0)
-      background.run('finish an unsettled proposal', this.proposer.finishRival());
+  private readonly commitPending = (): void => {
+    const age = this.acceptor.pendingForMs();
+    if (age !== null && age > commitPendingAfterMs && this.proposer.depth() === 0)
+      background.run('finish an unsettled proposal', this.proposer.finishPending());
   };
 
-  private readonly beat = (): void => {
-    for (const connection of this.lines.open()) {
+  private readonly keepalive = (): void => {
+    for (const connection of this.peerPool.open()) {
       background.run(
         'heartbeat a peer',
-        connection.ask('beat', null, this.pace.beatPatienceMs).then((receipt) => {
-          if (receipt.isErr() && receipt.error.code === 'late') connection.close();
+        connection.ask('keepalive', null, this.pace.keepaliveTimeoutMs).then((reply) => {
+          if (reply.isErr() && reply.error.code === 'late') connection.close();
         }),
       );
     }
@@ -247,10 +254,10 @@
     topic: string,
     body: unknown,
     check: MessageCheck<T>,
-    patienceMs = this.pace.votePatienceMs,
+    timeoutMs = this.pace.voteTimeoutMs,
   ): Promise<T | null> => {
-    const receipt = await this.lines.to(member.incarnation)?.ask(topic, body, patienceMs);
-    return receipt?.isOk() === true && check(receipt.value) ? receipt.value : null;
+    const reply = await this.peerPool.to(member.incarnation)?.ask(topic, body, timeoutMs);
+    return reply?.isOk() === true && check(reply.value) ? reply.value : null;
   };
 
   /**
@@ -259,7 +266,7 @@
    */
   private readonly noteSeat = (): void => {
     const isVoter = this.acceptor.isVoter();
-    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.agreed()?.generation ?? 0) > 0;
+    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.agreed()?.logIndex ?? 0) > 0;
     this.wasVoter = isVoter;
     if (!isNewlySeated) return;
     const { terms, ports } = this.parts;
@@ -273,38 +280,38 @@
     const own = this.electorate();
     return (
       this.acceptor.isVoter() &&
-      !this.acceptor.hasUnsettledSwap() &&
+      !this.acceptor.hasPendingSwap() &&
       this.parts.ports.clock.now() >= this.quietUntil &&
       electorate.length === own.length &&
       electorate.every((incarnation) => own.includes(incarnation))
     );
   };
 
-  private readonly grant = async (ask: ElectorateLeaseAsk): Promise<LeaseReply | null> =>
-    this.mayGrant(ask.electorate ?? this.electorate()) ? this.parts.leases.book.grant(ask) : null;
+  private readonly grant = async (ask: ElectorateLeaseRequest): Promise<LeaseReply | null> =>
+    this.mayGrant(ask.electorate ?? this.electorate()) ? this.parts.leases.table.grant(ask) : null;
 
-  private readonly askLeases = async (leaseAsk: LeaseAsk): Promise<LeaseReply[]> => {
-    const ask: ElectorateLeaseAsk = { ...leaseAsk, electorate: this.electorate() };
+  private readonly askLeases = async (leaseAsk: LeaseRequest): Promise<LeaseReply[]> => {
+    const ask: ElectorateLeaseRequest = { ...leaseAsk, electorate: this.electorate() };
     const replies = await Promise.all(
       this.voterMembers().map((member) =>
         this.isSelf(member)
           ? this.grant(ask)
-          : this.askMember(member, 'leaseAsk', ask, consensusMessages.isLeaseReply, this.pace.leasePatienceMs),
+          : this.askMember(member, 'leaseRequest', ask, consensusMessages.isLeaseReply, this.pace.leaseTimeoutMs),
       ),
     );
     return replies.filter((reply) => reply !== null);
   };
 
-  private readonly releaseLeases = (ask: LeaseAsk): void => {
-    this.parts.leases.book.release(ask);
-    this.tellPeers('leaseDrop', ask);
+  private readonly releaseLeases = (ask: LeaseRequest): void => {
+    this.parts.leases.table.release(ask);
+    this.tellPeers('leaseRelease', ask);
   };
 
   /** Brings this node up to what the member holds; null where that wasn't done in time. */
   private readonly catchUpFrom = async (member: Member): Promise<Since | null> => {
-    const connection = this.lines.to(member.incarnation);
-    const isDone = connection !== undefined && (await this.catchUp.ask(connection, this.pace.votePatienceMs));
-    return isDone ? { k: 'nothing' } : null;
+    const connection = this.peerPool.to(member.incarnation);
+    const isDone = connection !== undefined && (await this.catchUp.ask(connection, this.pace.voteTimeoutMs));
+    return isDone ? { kind: 'nothing' } : null;
   };
 
   private readonly voters = (): Voters => ({
@@ -322,24 +329,24 @@
             consensusMessages.isVote,
           ),
     position: (member) => this.askMember(member, 'position', null, consensusMessages.isPosition),
-    settle: ({ generation, change }) =>
-      this.tellPeers('settled', {
-        generation,
+    commit: ({ logIndex, change }) =>
+      this.tellPeers('committed', {
+        logIndex,
         change: compressedChanges.encode(change),
-      } satisfies CompressedSettled),
-    since: (member, generation) =>
-      this.isSelf(member) ? Promise.resolve(this.acceptor.since(generation)) : this.catchUpFrom(member),
+      } satisfies CompressedCommit),
+    since: (member, logIndex) =>
+      this.isSelf(member) ? Promise.resolve(this.acceptor.since(logIndex)) : this.catchUpFrom(member),
     supply: async (member) => {
-      const connection = this.lines.to(member.incarnation);
-      if (connection !== undefined) await this.catchUp.supply(connection, this.pace.votePatienceMs);
+      const connection = this.peerPool.to(member.incarnation);
+      if (connection !== undefined) await this.catchUp.supply(connection, this.pace.voteTimeoutMs);
     },
   });
 
-  private readonly standing = (): Standing => ({
+  private readonly memberStatus = (): MemberStatus => ({
     incarnation: this.acceptor.incarnation,
-    generation: this.acceptor.agreed()?.generation ?? -1,
+    logIndex: this.acceptor.agreed()?.logIndex ?? -1,
     isVoter: this.acceptor.isVoter(),
-    vow: this.acceptor.vowHeld(),
+    foundingVote: this.acceptor.foundingVoteCast(),
     syncedFrom: this.role.syncedFrom(),
   });
 
@@ -351,13 +358,13 @@
     },
     left: (connection) => this.role.left(connection),
     told: (connection, topic, body) => {
-      if (topic === 'settled') this.takeSettled(connection, body);
-      else if (topic === 'leaseDrop') this.takeRelease(body);
+      if (topic === 'committed') this.takeCommitted(connection, body);
+      else if (topic === 'leaseRelease') this.takeRelease(body);
       else if (topic === 'leaving') this.takeLeaving(connection);
       else this.role.told(connection, topic, body);
     },
     asked: (connection, topic, body) => {
-      if (connection.neighbour !== null) this.parts.roster.heard(connection.neighbour);
+      if (connection.peer !== null) this.parts.memberList.heard(connection.peer);
       return this.asked(connection, topic, body);
     },
   });
@@ -366,41 +373,41 @@
     !this.members().some((member) => member.incarnation === incarnation);
 
   private readonly noteJoined = (connection: PeerConnection): void => {
-    if (connection.neighbour === null) return;
-    this.parts.roster.heard(connection.neighbour);
-    if (connection.neighbour.role !== 'postmaster') return;
-    this.membership.noteBack(connection.neighbour.incarnation);
+    if (connection.peer === null) return;
+    this.parts.memberList.heard(connection.peer);
+    if (connection.peer.role !== 'control') return;
+    this.membership.noteBack(connection.peer.incarnation);
     if (this.isLeaving()) connection.tell('leaving', null);
-    if (this.acceptor.agreed() !== null && this.isNewcomer(connection.neighbour)) this.lines.align();
+    if (this.acceptor.agreed() !== null && this.isNewcomer(connection.peer)) this.peerPool.align();
   };
 
   private readonly takeLeaving = (connection: PeerConnection): void => {
-    if (connection.neighbour !== null) this.membership.noteLeaving(connection.neighbour.incarnation);
+    if (connection.peer !== null) this.membership.noteLeaving(connection.peer.incarnation);
   };
 
-  private readonly takeSettled = (connection: PeerConnection, body: unknown): void => {
-    if (consensusMessages.isSettled(body))
-      background.run('apply a settled change', this.catchUp.settle(connection, body));
+  private readonly takeCommitted = (connection: PeerConnection, body: unknown): void => {
+    if (consensusMessages.isCommitted(body))
+      background.run('apply a settled change', this.catchUp.commit(connection, body));
   };
 
   private readonly takeRelease = (body: unknown): void => {
-    if (consensusMessages.isLeaseAsk(body)) this.parts.leases.book.release(body);
+    if (consensusMessages.isLeaseAsk(body)) this.parts.leases.table.release(body);
   };
 
   private readonly asked = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     const { acceptor } = this;
     const { isAccept, isLeaseAsk, isMembers, isPrepare } = consensusMessages;
     switch (topic) {
-      case 'beat':
+      case 'keepalive':
         return true;
-      case 'standing':
-        return this.standing();
-      case 'roster':
-        return this.exchangeRoster(body);
-      case 'leaseAsk':
+      case 'memberStatus':
+        return this.memberStatus();
+      case 'memberList':
+        return this.exchangeMemberList(body);
+      case 'leaseRequest':
         return isLeaseAsk(body) ? this.grant(body) : null;
-      case 'vow':
-        return isMembers(body) ? acceptor.vow(body) : null;
+      case 'foundingVote':
+        return isMembers(body) ? acceptor.voteFounding(body) : null;
       case 'prepare':
         return isPrepare(body) ? acceptor.prepare(body.slot, body.ballot) : null;
       case 'accept':
@@ -416,9 +423,9 @@
     }
   };
 
-  private readonly exchangeRoster = (body: unknown): RosterEntry[] => {
-    const { roster } = this.parts;
-    if (consensusMessages.isRosterEntries(body)) roster.merge(body);
-    return this.role.sharedRoster(roster.entries());
+  private readonly exchangeMemberList = (body: unknown): MemberEntry[] => {
+    const { memberList } = this.parts;
+    if (consensusMessages.isMemberEntries(body)) memberList.merge(body);
+    return this.role.sharedMembers(memberList.entries());
   };
 }
--- a/packages/control-plane/src/consensusMessages.ts
+++ b/packages/control-plane/src/consensusMessages.ts
@@ -1,8 +1,8 @@
 /** Shapes of the messages that members of the consensus group send each other, checked as they arrive. */
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
-import type { LeaseAsk, LeaseReply, RosterEntry } from '@martenworks/cluster-membership';
-import type { Accepted, Ballot, CompressedSettled, Vote } from './acceptor.js';
-import type { Standing, VowReply } from './foundingMessages.js';
+import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
+import type { Accepted, Ballot, CompressedCommit, Vote } from './acceptor.js';
+import type { MemberStatus, FoundingVoteReply } from './foundingMessages.js';
 import type { Position } from './quorumCall.js';
 
 type Shape = Record<string, unknown>;
@@ -21,16 +21,16 @@
 }
 
 /** An ask for leases with the incarnations that the asker takes for the voters; releases before had it not. */
-export interface ElectorateLeaseAsk extends LeaseAsk {
+export interface ElectorateLeaseRequest extends LeaseRequest {
   readonly electorate?: readonly string[];
 }
 
 const changeKinds: ReadonlySet<unknown> = new Set<ChangeBody['kind']>([
-  'layout',
+  'config',
   'grant',
   'revoke',
   'swap',
-  'ways',
+  'routing',
   'weights',
 ]);
 const muteCauses: ReadonlySet<unknown> = new Set(['unfounded', 'no voter', 'disk']);
@@ -58,7 +58,7 @@
 const isMembers = isListOf(isMember);
 
 const isPosition = (value: unknown): value is Position =>
-  isShape(value) && isInteger(value.generation) && (value.acceptedSlot === null || isInteger(value.acceptedSlot));
+  isShape(value) && isInteger(value.logIndex) && (value.acceptedSlot === null || isInteger(value.acceptedSlot));
 
 const isBallot = (value: unknown): value is Ballot =>
   Array.isArray(value) && value.length === 2 && isNumber(value[0]) && isText(value[1]);
@@ -76,12 +76,12 @@
 
 const isBytes = (value: unknown): value is Uint8Array => value instanceof Uint8Array;
 
-const isSettled = (value: unknown): value is CompressedSettled =>
-  isShape(value) && isInteger(value.generation) && isBytes(value.change);
+const isCommitted = (value: unknown): value is CompressedCommit =>
+  isShape(value) && isInteger(value.logIndex) && isBytes(value.change);
 
 const isVote = (value: unknown): value is Vote => {
   if (!isShape(value)) return false;
-  switch (value.k) {
+  switch (value.kind) {
     case 'promised':
       return isNullOr(isAccepted)(value.accepted);
     case 'accepted':
@@ -90,7 +90,7 @@
       return isBallot(value.promised);
     case 'ahead':
     case 'behind':
-      return isInteger(value.generation);
+      return isInteger(value.logIndex);
     case 'mute':
       return muteCauses.has(value.cause);
     default:
@@ -104,21 +104,21 @@
 const isAccept = (value: unknown): value is AcceptMessage =>
   isShape(value) && isPrepare(value) && isBytes(value.change);
 
-const isStanding = (value: unknown): value is Standing =>
+const isMemberStatus = (value: unknown): value is MemberStatus =>
   isShape(value) &&
   isText(value.incarnation) &&
-  isInteger(value.generation) &&
+  isInteger(value.logIndex) &&
   typeof value.isVoter === 'boolean' &&
-  isNullOr(isMembers)(value.vow) &&
+  isNullOr(isMembers)(value.foundingVote) &&
   isTexts(value.syncedFrom);
 
-const isVowReply = (value: unknown): value is VowReply =>
-  isShape(value) && typeof value.isVowed === 'boolean' && isNullOr(isMembers)(value.members);
+const isFoundingVoteReply = (value: unknown): value is FoundingVoteReply =>
+  isShape(value) && typeof value.isGranted === 'boolean' && isNullOr(isMembers)(value.members);
 
-const isDutyAsk = (value: unknown): value is LeaseAsk['duties'][number] =>
+const isDutyAsk = (value: unknown): value is LeaseRequest['duties'][number] =>
   isShape(value) && isText(value.duty) && isNumber(value.fence);
 
-const isLeaseAsk = (value: unknown): value is ElectorateLeaseAsk =>
+const isLeaseAsk = (value: unknown): value is ElectorateLeaseRequest =>
   isShape(value) &&
   isText(value.holder) &&
   isListOf(isDutyAsk)(value.duties) &&
@@ -127,7 +127,7 @@
 const isLeaseReply = (value: unknown): value is LeaseReply =>
   isShape(value) && isTexts(value.granted) && isShape(value.fences) && Object.values(value.fences).every(isNumber);
 
-const isRosterEntry = (value: unknown): value is RosterEntry =>
+const isMemberEntry = (value: unknown): value is MemberEntry =>
   isShape(value) &&
   isNumber(value.ageMs) &&
   isShape(value.hello) &&
@@ -145,9 +145,9 @@
   isMembers,
   isPosition,
   isPrepare,
-  isRosterEntries: isListOf(isRosterEntry),
-  isSettled,
-  isStanding,
+  isMemberEntries: isListOf(isMemberEntry),
+  isCommitted,
+  isMemberStatus,
   isVote,
-  isVowReply,
+  isFoundingVoteReply,
 };
--- a/packages/control-plane/src/controlNode.ts
+++ b/packages/control-plane/src/controlNode.ts
@@ -1,47 +1,47 @@
 import { createHash } from 'node:crypto';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Repeating } from '@martenworks/core-types';
+import { RepeatingTimer } from '@martenworks/core-types';
 import type {
-  Agreed,
-  BackEnds,
-  FrontPing,
+  CommittedState,
+  BackendClient,
+  EdgePing,
   Listener,
-  MissedNews,
-  NetFault,
+  CacheMissReport,
+  NetworkError,
   Ports,
-  ReadingNews,
-  ShelfNews,
-  StateHeld,
+  PrefillNotice,
+  PrefixCacheUpdate,
+  StatePosition,
   Subscription,
 } from '@martenworks/core-types';
-import type { WayEnv } from '@martenworks/settings';
-import type { WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { NodeSettings } from '@martenworks/settings';
+import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
-import { Roster } from '@martenworks/cluster-membership';
-import type { Duties, LeaseTerms, Lines } from '@martenworks/cluster-membership';
-import { CardReader } from './cardReader.js';
+import { MemberList } from '@martenworks/cluster-membership';
+import type { LeaseManager, LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
+import { EndpointListReader } from './endpointListReader.js';
 import { acceptors } from './acceptor.js';
 import type { Acceptor } from './acceptor.js';
 import { ConsensusMember } from './consensusMember.js';
 import type { ConsensusPace, ConsensusRole } from './consensusMember.js';
-import { leaseBooks } from './leases.js';
-import type { KeptLeases } from './leases.js';
+import { leaseTables } from './leaseLog.js';
+import type { PersistedLeases } from './leaseLog.js';
 import type { Proposer } from './proposer.js';
-import { ReadingRelay } from './readingRelay.js';
-import { ShelfDesk } from './shelfDesk.js';
+import { PrefillNoticeRelay } from './prefillNoticeRelay.js';
+import { PrefixCacheFollower } from './prefixCacheFollower.js';
 import { ConfigService } from './configService.js';
 import { StatePublisher } from './statePublisher.js';
-import { WeightsDesk } from './weightsDesk.js';
+import { WeightsRollout } from './weightsRollout.js';
 
-const confirmPatienceMs = 700;
+const confirmTimeoutMs = 700;
 const handoverShare = 0.5;
 const weightsStepMs = 60;
 const leaseMs = 1_600;
 const leaseMarginMs = 400;
 const fencesPerGeneration = 1_000;
-const weightsDuty = 'weights';
+const weightsLease = 'weights';
 
 const scores = {
   held: new Map<string, string>(),
@@ -56,113 +56,136 @@
   },
 };
 
-const wayPace = { patienceMs: 700, longestWaitMs: 400 };
+const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
 
 const consensusPace: ConsensusPace = {
-  votePatienceMs: 800,
+  voteTimeoutMs: 800,
   foundingMs: 150,
   upkeepMs: 300,
-  beatMs: 400,
-  beatPatienceMs: 900,
-  dutyMs: 300,
-  leasePatienceMs: 500,
-  dial: wayPace,
+  keepaliveIntervalMs: 400,
+  keepaliveTimeoutMs: 900,
+  leaseIntervalMs: 300,
+  leaseTimeoutMs: 500,
+  dialPace: dialPace,
   strangerWaitMs: 2_500,
 };
 
 export class ControlNode {
-  readonly roster: Roster;
-  readonly lines: Lines;
+  readonly memberList: MemberList;
+  readonly peerPool: PeerPool;
   readonly proposer: Proposer;
-  readonly changes: ConfigService;
-  readonly push: StatePublisher;
-  readonly cards: CardReader;
-  readonly shelves: ShelfDesk;
-  readonly readings: ReadingRelay;
-  readonly duties: Duties;
-  readonly weights: WeightsDesk;
+  readonly configService: ConfigService;
+  readonly statePublisher: StatePublisher;
+  readonly endpointList: EndpointListReader;
+  readonly prefixCaches: PrefixCacheFollower;
+  readonly prefillNotices: PrefillNoticeRelay;
+  readonly leaseManager: LeaseManager;
+  readonly weightsRollout: WeightsRollout;
   private readonly consensus: ConsensusMember;
-  private readonly weightsStep: Repeating;
+  private readonly weightsStep: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
-    readonly env: WayEnv,
+    readonly settings: NodeSettings,
     readonly ports: Ports,
-    readonly backEnds: BackEnds,
+    readonly backendClient: BackendClient,
     readonly acceptor: Acceptor,
-    private readonly leases: KeptLeases,
+    private readonly leases: PersistedLeases,
     terms: LeaseTerms,
     seeds: readonly string[],
   ) {
     const { clock, random, log } = ports;
-    this.roster = new Roster(clock, this.hello);
+    this.memberList = new MemberList(clock, this.hello);
     this.consensus = new ConsensusMember(
-      { ports, hello: this.hello, roster: this.roster, seeds, acceptor, leases, terms, coreSize: env.voters },
+      {
+        ports,
+        hello: this.hello,
+        memberList: this.memberList,
+        seeds,
+        acceptor,
+        leases,
+        terms,
+        coreSize: settings.voters,
+      },
       this.role(),
       consensusPace,
     );
-    this.lines = this.consensus.lines;
+    this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
-    this.duties = this.consensus.duties;
-    this.changes = new ConfigService(this.proposer);
-    this.cards = new CardReader(
-      backEnds,
+    this.leaseManager = this.consensus.leaseManager;
+    this.configService = new ConfigService(this.proposer);
+    this.endpointList = new EndpointListReader(
+      backendClient,
       clock,
       random,
       log,
       {
-        everyMs: env.listEveryMs,
-        perSecond: env.listPerSecond,
-        readers: () => acceptor.agreed()?.members.length ?? env.voters,
+        everyMs: settings.listIntervalMs,
+        perSecond: settings.listPerSecond,
+        readers: () => acceptor.agreed()?.members.length ?? settings.voters,
       },
-      (news) => {
-        this.push.tellContent('cards', news);
-        this.alignShelves();
+      (update) => {
+        this.statePublisher.tellContent('endpoints', update);
+        this.alignPrefixCaches();
       },
     );
-    this.shelves = new ShelfDesk(
-      backEnds,
+    this.prefixCaches = new PrefixCacheFollower(
+      backendClient,
       clock,
       random,
       log,
-      (news) => this.push.tellContent('shelves', news),
-      (news) => this.consensus.tellPeers('shelfRelay', news),
+      (update) => this.statePublisher.tellContent('prefixCaches', update),
+      (update) => this.consensus.tellPeers('prefixCacheRelay', update),
     );
-    this.readings = new ReadingRelay(clock, (bundle) => {
-      this.push.tellContent('reading', bundle);
-      this.consensus.tellPeers('readingRelay', bundle);
+    this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
+      this.statePublisher.tellContent('prefill', bundle);
+      this.consensus.tellPeers('prefillRelay', bundle);
     });
-    this.push = new StatePublisher(acceptor, clock, this.cards.ageMs, (connection) => {
-      if (this.cards.ageMs() !== null) connection.tell('cards', { isWhole: true, put: this.cards.all(), gone: [] });
-      connection.tell('shelves', this.shelves.whole());
+    this.statePublisher = new StatePublisher(acceptor, clock, this.endpointList.ageMs, (connection) => {
+      if (this.endpointList.ageMs() !== null)
+        connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
+      connection.tell('prefixCaches', this.prefixCaches.whole());
     });
-    this.weights = new WeightsDesk(
-      backEnds,
+    this.weightsRollout = new WeightsRollout(
+      backendClient,
       clock,
       log,
-      this.cards.all,
+      this.endpointList.all,
       this.wantedWeights,
-      () => this.duties.fenceOf(weightsDuty),
-      () => this.env.name,
-      (news) => this.push.tellAll('weights', news),
-      this.cards.holds,
+      () => this.leaseManager.fenceOf(weightsLease),
+      () => this.settings.name,
+      (update) => this.statePublisher.tellAll('weights', update),
+      this.endpointList.holds,
     );
     this.consensus.start();
-    acceptor.watch(this.alignShelves);
-    this.alignShelves();
-    this.weightsStep = new Repeating(clock, () => weightsStepMs, this.weights.step);
+    acceptor.watch(this.alignPrefixCaches);
+    this.alignPrefixCaches();
+    this.weightsStep = new RepeatingTimer(clock, () => weightsStepMs, this.weightsRollout.step);
   }
 
   readonly hello = (): Hello =>
     hellos.of(
-      'postmaster',
-      { name: this.env.name, coach: this.env.coach, http: this.env.http, operators: null, zone: this.env.zone },
+      'control',
+      {
+        name: this.settings.name,
+        peerAddress: this.settings.peerAddress,
+        http: this.settings.http,
+        operators: null,
+        zone: this.settings.zone,
+      },
       this.acceptor.incarnation,
     );
 
-  readonly open = async (): Promise<Result<void, NetFault>> => {
+  readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
-    const opened = await peerConnections.listen(net, clock, log, this.hello, this.env.coach, this.consensus.handlers());
+    const opened = await peerConnections.listen(
+      net,
+      clock,
+      log,
+      this.hello,
+      this.settings.peerAddress,
+      this.consensus.handlers(),
+    );
     if (opened.isErr()) return err(opened.error);
     this.listener = opened.value;
     return ok(undefined);
@@ -170,40 +193,41 @@
 
   private readonly wantedWeights = (): { pool: string; model: string; version: number }[] => {
     const state = this.acceptor.agreed();
-    return (state?.ways?.book.pools ?? []).flatMap(({ name, engine }) =>
+    return (state?.routing?.table.pools ?? []).flatMap(({ name, engine }) =>
       (engine?.models ?? []).flatMap((model) => {
-        const version = state?.named[model];
+        const version = state?.targetWeights[model];
         return version === undefined ? [] : [{ pool: name, model, version }];
       }),
     );
   };
 
-  private readonly alignShelves = (): void => {
-    const book = this.acceptor.agreed()?.ways?.book;
-    if (book === undefined) return;
-    const engines = new Set(book.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
+  private readonly alignPrefixCaches = (): void => {
+    const routingTable = this.acceptor.agreed()?.routing?.table;
+    if (routingTable === undefined) return;
+    const engines = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
     const voters = this.consensus.reachableVoters();
     const isMine = (address: string): boolean =>
       !voters.some((voter) => scores.of(address, voter) > scores.of(address, this.acceptor.incarnation));
-    this.shelves.align(
+    this.prefixCaches.align(
       new Set([
-        ...this.cards
+        ...this.endpointList
           .all()
-          .filter((card) => engines.has(card.pool))
-          .map((card) => card.address),
-        ...book.stores.map((store) => store.address),
+          .filter((endpoint) => engines.has(endpoint.pool))
+          .map((endpoint) => endpoint.address),
+        ...routingTable.stores.map((store) => store.address),
       ]),
       isMine,
     );
-    if (!this.env.watchesStale) return;
+    if (!this.settings.detectsStaleEntries) return;
     const lives = new Map<string, Set<string>>();
-    for (const { address, id } of this.cards.all()) lives.set(address, (lives.get(address) ?? new Set()).add(id));
-    for (const [address, ids] of lives) this.shelves.lives(address, ids);
+    for (const { address, id } of this.endpointList.all())
+      lives.set(address, (lives.get(address) ?? new Set()).add(id));
+    for (const [address, ids] of lives) this.prefixCaches.lives(address, ids);
   };
 
   private readonly prepareUpkeep = async (): Promise<void> => {
-    this.push.dropSilent();
-    this.alignShelves();
+    this.statePublisher.dropSilent();
+    this.alignPrefixCaches();
     if (this.acceptor.agreed() === null) return;
     await this.consensus.catchUp.step();
   };
@@ -211,40 +235,41 @@
   private readonly role = (): ConsensusRole => ({
     extraAddresses: () => [],
     isDown: () => true,
-    wantedDuties: () => (this.acceptor.isVoter() ? [weightsDuty] : []),
-    dutiesChanged: () => {},
+    wantedLeases: () => (this.acceptor.isVoter() ? [weightsLease] : []),
+    leasesChanged: () => {},
     needsCopies: false,
     syncedFrom: () => [],
     prepareUpkeep: this.prepareUpkeep,
-    sharedRoster: (entries) => entries.filter(({ hello }) => hello.role === 'postmaster'),
+    sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
     joined: (connection) => {
-      if (connection.neighbour?.role === 'postmaster') connection.tell('shelfRelay', this.shelves.followed());
+      if (connection.peer?.role === 'control') connection.tell('prefixCacheRelay', this.prefixCaches.followed());
     },
-    left: (connection) => this.push.drop(connection),
+    left: (connection) => this.statePublisher.drop(connection),
     told: (connection, topic, body) => {
-      if (topic === 'subscribe') this.push.subscribe(connection, body as Subscription);
-      else if (topic === 'ack') this.push.acked(connection, body as StateHeld);
-      else if (topic === 'shelfRelay') this.shelves.takeRelayed(body as ShelfNews[]);
-      else if (topic === 'reading') this.readings.take(body as ReadingNews);
-      else if (topic === 'readingRelay') this.push.tellContent('reading', body);
-      else if (topic === 'missed') {
-        this.shelves.missed(body as MissedNews);
-        this.push.tellOthers(connection, 'missed', body);
-        this.consensus.tellPeers('missedRelay', body);
-      } else if (topic === 'missedRelay') {
-        this.shelves.missed(body as MissedNews);
-        this.push.tellContent('missed', body);
+      if (topic === 'subscribe') this.statePublisher.subscribe(connection, body as Subscription);
+      else if (topic === 'ack') this.statePublisher.acked(connection, body as StatePosition);
+      else if (topic === 'prefixCacheRelay') this.prefixCaches.takeRelayed(body as PrefixCacheUpdate[]);
+      else if (topic === 'prefill') this.prefillNotices.take(body as PrefillNotice);
+      else if (topic === 'prefillRelay') this.statePublisher.tellContent('prefill', body);
+      else if (topic === 'cacheMiss') {
+        this.prefixCaches.missed(body as CacheMissReport);
+        this.statePublisher.tellOthers(connection, 'cacheMiss', body);
+        this.consensus.tellPeers('cacheMissRelay', body);
+      } else if (topic === 'cacheMissRelay') {
+        this.prefixCaches.missed(body as CacheMissReport);
+        this.statePublisher.tellContent('cacheMiss', body);
       }
     },
     asked: async (connection, topic, body) => {
-      if (topic === 'ping') return this.push.pong(connection, body as FrontPing, this.consensus.majorityHeardMs());
-      if (topic === 'state') return this.push.stateFor(body as StateHeld);
+      if (topic === 'ping')
+        return this.statePublisher.pong(connection, body as EdgePing, this.consensus.majorityHeardMs());
+      if (topic === 'state') return this.statePublisher.stateFor(body as StatePosition);
       return null;
     },
   });
 
   /** The newest agreed state, with what a majority had accepted settled before: null where no majority was heard. */
-  readonly confirmed = (): Promise<Agreed | null> => this.proposer.confirm(confirmPatienceMs);
+  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
   readonly isReady = (): boolean => {
     const state = this.acceptor.agreed();
@@ -255,33 +280,33 @@
   readonly status = (): Record<string, unknown> => {
     const state = this.acceptor.agreed();
     return {
-      name: this.env.name,
-      zone: this.env.zone,
+      name: this.settings.name,
+      zone: this.settings.zone,
       incarnation: this.acceptor.incarnation,
-      generation: state?.generation ?? null,
-      edition: state?.ways?.edition ?? null,
-      named: state?.named ?? {},
+      logIndex: state?.logIndex ?? null,
+      configVersion: state?.routing?.configVersion ?? null,
+      named: state?.targetWeights ?? {},
       members: state?.members ?? [],
       voter: this.acceptor.isVoter(),
       reachable: this.consensus.reachableVoters().length,
-      fronts: this.push.lines(),
-      leases: this.duties.lines(),
-      weights: this.weights.status(),
-      replicas: this.cards.all(),
-      listAgeMs: this.cards.ageMs(),
-      shelves: this.shelves.sizes(),
-      stale: { isOn: this.env.watchesStale, ...this.shelves.stale() },
+      edges: this.statePublisher.status(),
+      leases: this.leaseManager.status(),
+      weights: this.weightsRollout.status(),
+      replicas: this.endpointList.all(),
+      listAgeMs: this.endpointList.ageMs(),
+      prefixCaches: this.prefixCaches.sizes(),
+      stale: { isOn: this.settings.detectsStaleEntries, ...this.prefixCaches.stale() },
     };
   };
 
   /** Hands the seat over by agreement, gives up the leases and tells the others, within a share of the drain time; to be called before `stop`. */
-  readonly leave = (): Promise<void> => this.consensus.leave(this.env.drainMs * handoverShare);
+  readonly leave = (): Promise<void> => this.consensus.leave(this.settings.drainMs * handoverShare);
 
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
     this.weightsStep.stop();
-    this.cards.stop();
-    this.shelves.stop();
+    this.endpointList.stop();
+    this.prefixCaches.stop();
     this.consensus.resign();
     this.consensus.close();
     await this.listener?.close();
@@ -292,23 +317,23 @@
 
 export const controlNodes = {
   start: async (
-    env: WayEnv,
+    settings: NodeSettings,
     ports: Ports,
-    backEnds: BackEnds,
+    backendClient: BackendClient,
     seeds: readonly string[],
-  ): Promise<Result<ControlNode, NetFault | WriteAheadLogFault>> => {
-    const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log, env.isFresh);
+  ): Promise<Result<ControlNode, NetworkError | WriteAheadLogError>> => {
+    const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log, settings.isFresh);
     if (acceptor.isErr()) return err(acceptor.error);
     const terms: LeaseTerms = {
       leaseMs,
       marginMs: leaseMarginMs,
-      gapMs: env.orderGapMs,
-      floor: () => (acceptor.value.agreed()?.generation ?? 0) * fencesPerGeneration,
+      gapMs: settings.orderGapMs,
+      floor: () => (acceptor.value.agreed()?.logIndex ?? 0) * fencesPerGeneration,
     };
-    const leases = await leaseBooks.open(ports.disk, ports.clock, ports.log, terms);
+    const leases = await leaseTables.open(ports.disk, ports.clock, ports.log, terms);
     if (leases.isErr()) return err(leases.error);
-    const postmaster = new ControlNode(env, ports, backEnds, acceptor.value, leases.value, terms, seeds);
-    const opened = await postmaster.open();
-    return opened.isErr() ? err(opened.error) : ok(postmaster);
+    const controlNode = new ControlNode(settings, ports, backendClient, acceptor.value, leases.value, terms, seeds);
+    const opened = await controlNode.open();
+    return opened.isErr() ? err(opened.error) : ok(controlNode);
   },
 };
--- a/packages/control-plane/src/cardReader.ts
+++ b/packages/control-plane/src/endpointListReader.ts
@@ -1,5 +1,5 @@
 import { background, pause } from '@martenworks/core-types';
-import type { BackEnds, CardsNews, Clock, Log, Random, ReplicaCard } from '@martenworks/core-types';
+import type { BackendClient, EndpointListUpdate, Clock, Log, Random, ReplicaEndpoint } from '@martenworks/core-types';
 
 /** Milliseconds between two readings, and calls a second that all readers may make together. */
 export interface ReadingPace {
@@ -11,7 +11,7 @@
 const entriesPerCall = 50;
 const usedShare = 0.6;
 
-const newer = (told: ReplicaCard, held: ReplicaCard | undefined): ReplicaCard => {
+const newer = (told: ReplicaEndpoint, held: ReplicaEndpoint | undefined): ReplicaEndpoint => {
   if (held === undefined) return told;
   const weights = { ...told.weights };
   for (const [model, version] of Object.entries(held.weights)) weights[model] = Math.max(version, weights[model] ?? 0);
@@ -19,61 +19,63 @@
 };
 
 /** Reads the list of replicas again and again and tells what changed, the first time all of it. Pages shift while they are read, so a replica is gone once two readings in a row lack it. A replica's id is one life of it: leaving and its weights' versions never go back within it. */
-export class CardReader {
-  private cards = new Map<string, ReplicaCard>();
+export class EndpointListReader {
+  private endpoints = new Map<string, ReplicaEndpoint>();
   private missing = new Set<string>();
   private readAt: number | null = null;
   private isStopped = false;
 
   constructor(
-    private readonly backEnds: BackEnds,
+    private readonly backendClient: BackendClient,
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly log: Log,
     private readonly pace: ReadingPace,
-    private readonly tell: (news: CardsNews) => void,
+    private readonly tell: (update: EndpointListUpdate) => void,
   ) {
     background.run('read the replica list', this.run());
   }
 
   private readonly waitMs = (): number => {
-    const calls = Math.ceil((this.cards.size + 1) / entriesPerCall) * Math.max(1, this.pace.readers());
+    const calls = Math.ceil((this.endpoints.size + 1) / entriesPerCall) * Math.max(1, this.pace.readers());
     return Math.max(this.pace.everyMs, (calls / (this.pace.perSecond * usedShare)) * 1_000);
   };
 
   private readonly run = async (): Promise<void> => {
     while (!this.isStopped) {
-      const read = await this.backEnds.replicas();
+      const read = await this.backendClient.replicas();
       if (this.isStopped) return;
       if (read.isOk()) this.take(read.value);
-      else this.log.warn('the list of replicas was not read', { fault: read.error });
+      else this.log.warn('endpoint list request failed', { fault: read.error });
       await pause.for(this.clock, this.waitMs() * (0.9 + 0.2 * this.random.fraction()));
     }
   };
 
-  private readonly take = (told: readonly ReplicaCard[]): void => {
+  private readonly take = (told: readonly ReplicaEndpoint[]): void => {
     const isWhole = this.readAt === null;
     this.readAt = this.clock.now();
-    const next = new Map(told.map((card) => [card.id, newer(card, this.cards.get(card.id))]));
-    const absent = [...this.cards.values()].filter(({ id }) => !next.has(id));
+    const next = new Map(told.map((endpoint) => [endpoint.id, newer(endpoint, this.endpoints.get(endpoint.id))]));
+    const absent = [...this.endpoints.values()].filter(({ id }) => !next.has(id));
     const missed = absent.filter(({ id }) => !this.missing.has(id));
-    for (const card of missed) next.set(card.id, card);
+    for (const endpoint of missed) next.set(endpoint.id, endpoint);
     this.missing = new Set(missed.map(({ id }) => id));
-    const put = [...next.values()].filter((card) => JSON.stringify(card) !== JSON.stringify(this.cards.get(card.id)));
-    const gone = [...this.cards.keys()].filter((id) => !next.has(id));
-    this.cards = next;
+    const put = [...next.values()].filter(
+      (endpoint) => JSON.stringify(endpoint) !== JSON.stringify(this.endpoints.get(endpoint.id)),
+    );
+    const gone = [...this.endpoints.keys()].filter((id) => !next.has(id));
+    this.endpoints = next;
     if (isWhole || put.length > 0 || gone.length > 0) this.tell({ isWhole, put, gone });
   };
 
   readonly holds = (id: string, model: string, version: number): void => {
-    const card = this.cards.get(id);
-    if (card === undefined || (card.weights[model] ?? 0) >= version) return;
-    this.cards.set(id, { ...card, weights: { ...card.weights, [model]: version } });
+    const endpoint = this.endpoints.get(id);
+    if (endpoint === undefined || (endpoint.weights[model] ?? 0) >= version) return;
+    this.endpoints.set(id, { ...endpoint, weights: { ...endpoint.weights, [model]: version } });
   };
 
-  readonly all = (): ReplicaCard[] => [...this.cards.values()];
+  readonly all = (): ReplicaEndpoint[] => [...this.endpoints.values()];
 
-  readonly find = (id: string): ReplicaCard | undefined => this.cards.get(id);
+  readonly find = (id: string): ReplicaEndpoint | undefined => this.endpoints.get(id);
 
   readonly ageMs = (): number | null => (this.readAt === null ? null : Math.round(this.clock.now() - this.readAt));
 
--- a/packages/control-plane/src/postmaster.ts
+++ b/packages/control-plane/src/gatewayControlNode.ts
@@ -1,135 +1,135 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { background, Repeating } from '@martenworks/core-types';
+import { background, RepeatingTimer } from '@martenworks/core-types';
 import type {
-  Agreed,
+  CommittedState,
   Claimant,
   ClaimBallot,
   Listener,
   LoadReport,
-  NetFault,
+  NetworkError,
   Ports,
   ReplicaRecord,
-  SideClaim,
+  IsolationClaim,
 } from '@martenworks/core-types';
-import type { Env } from '@martenworks/settings';
-import type { WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { GatewaySettings } from '@martenworks/settings';
+import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
 import type { PeerConnection, Hello } from '@martenworks/peer-transport';
-import type { ShelfCheckpoint } from '@martenworks/prefix-index';
-import { Roster, Rounds, Verdicts } from '@martenworks/cluster-membership';
-import type { Duties, Lines } from '@martenworks/cluster-membership';
+import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
+import { MemberList, FailureDetector, FailureVerdicts } from '@martenworks/cluster-membership';
+import type { LeaseManager, PeerPool } from '@martenworks/cluster-membership';
 import { acceptors } from './acceptor.js';
 import type { Acceptor } from './acceptor.js';
 import { claimTables } from './claims.js';
 import type { ClaimTable } from './claims.js';
 import { ConsensusMember } from './consensusMember.js';
 import type { ConsensusPace, ConsensusRole } from './consensusMember.js';
-import { ChangeDesk } from './desk.js';
-import { KvDesk } from './kvDesk.js';
-import type { RelayedKv } from './kvDesk.js';
-import { leaseBooks } from './leases.js';
-import type { KeptLeases } from './leases.js';
+import { ChangeService } from './changeService.js';
+import { KvEventFollower } from './kvEventFollower.js';
+import type { RelayedKvEvents } from './kvEventFollower.js';
+import { leaseTables } from './leaseLog.js';
+import type { PersistedLeases } from './leaseLog.js';
 import type { Proposer } from './proposer.js';
-import { PushDesk } from './pushDesk.js';
-import { ReplicaDesk } from './replicaDesk.js';
-import { SideDesk } from './sideDesk.js';
+import { GatewayPublisher } from './gatewayPublisher.js';
+import { ReplicaRegistry } from './replicaRegistry.js';
+import { IsolationRegistry } from './isolationRegistry.js';
 import { replicaTables } from './replicaTable.js';
 import type { ReplicaTable } from './replicaTable.js';
 
-const shelvesPatienceMs = 1_000;
-const confirmPatienceMs = 700;
+const snapshotTimeoutMs = 1_000;
+const confirmTimeoutMs = 700;
 const trimMs = 5_000;
 
 const consensusPace: ConsensusPace = {
-  votePatienceMs: 1_000,
+  voteTimeoutMs: 1_000,
   foundingMs: 200,
   upkeepMs: 500,
-  beatMs: 500,
-  beatPatienceMs: 1_200,
-  dutyMs: 400,
-  leasePatienceMs: 700,
+  keepaliveIntervalMs: 500,
+  keepaliveTimeoutMs: 1_200,
+  leaseIntervalMs: 400,
+  leaseTimeoutMs: 700,
 };
 
 const kvDuty = (replica: string): string => `kv/${replica}`;
 
-export type StartFault = NetFault | WriteAheadLogFault;
+export type StartFault = NetworkError | WriteAheadLogError;
 
-export class Postmaster {
-  readonly roster: Roster;
-  readonly lines: Lines;
+export class GatewayControlNode {
+  readonly memberList: MemberList;
+  readonly peerPool: PeerPool;
   readonly proposer: Proposer;
-  readonly changes: ChangeDesk;
-  readonly push: PushDesk;
-  readonly replicas: ReplicaDesk;
-  readonly sides: SideDesk;
-  readonly kv: KvDesk;
-  readonly duties: Duties;
-  readonly rounds: Rounds;
-  readonly verdicts: Verdicts;
+  readonly changes: ChangeService;
+  readonly push: GatewayPublisher;
+  readonly replicas: ReplicaRegistry;
+  readonly sides: IsolationRegistry;
+  readonly kv: KvEventFollower;
+  readonly leaseManager: LeaseManager;
+  readonly failureDetector: FailureDetector;
+  readonly verdicts: FailureVerdicts;
   private readonly consensus: ConsensusMember;
-  private readonly trimStep: Repeating;
+  private readonly trimStep: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
-    readonly env: Env,
+    readonly settings: GatewaySettings,
     readonly ports: Ports,
     readonly acceptor: Acceptor,
     readonly table: ReplicaTable,
     readonly claims: ClaimTable,
-    private readonly leases: KeptLeases,
+    private readonly leases: PersistedLeases,
   ) {
     const { clock } = ports;
-    this.roster = new Roster(clock, this.hello);
-    this.verdicts = new Verdicts(clock);
-    this.rounds = new Rounds(
+    this.memberList = new MemberList(clock, this.hello);
+    this.verdicts = new FailureVerdicts(clock);
+    this.failureDetector = new FailureDetector(
       ports,
       this.hello,
-      this.roster,
-      () => this.lines,
-      (suspects) => this.verdicts.report(env.name, suspects),
+      this.memberList,
+      () => this.peerPool,
+      (suspects) => this.verdicts.report(settings.name, suspects),
     );
     this.consensus = new ConsensusMember(
-      { ports, hello: this.hello, roster: this.roster, seeds: env.seeds, acceptor, leases },
+      { ports, hello: this.hello, memberList: this.memberList, seeds: settings.seeds, acceptor, leases },
       this.role(),
       consensusPace,
     );
-    this.lines = this.consensus.lines;
+    this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
-    this.duties = this.consensus.duties;
-    this.changes = new ChangeDesk(this.proposer);
-    this.kv = new KvDesk(
+    this.leaseManager = this.consensus.leaseManager;
+    this.changes = new ChangeService(this.proposer);
+    this.kv = new KvEventFollower(
       ports,
-      (news) => this.push.tellKv(news),
+      (update) => this.push.tellKv(update),
       (relayed) => this.consensus.tellPeers('kvRelay', relayed),
-      (replica) => this.duties.fenceOf(kvDuty(replica)),
+      (replica) => this.leaseManager.fenceOf(kvDuty(replica)),
     );
-    this.push = new PushDesk(acceptor, clock, table.records, this.kv.shelves);
-    this.sides = new SideDesk(table, clock);
-    this.replicas = new ReplicaDesk(table, claims, acceptor, () => this.lines);
+    this.push = new GatewayPublisher(acceptor, clock, table.records, this.kv.snapshots);
+    this.sides = new IsolationRegistry(table, clock);
+    this.replicas = new ReplicaRegistry(table, claims, acceptor, () => this.peerPool);
     table.watch((records) => {
       this.push.tellReplicas(records);
       this.kv.align(table.records());
     });
     this.kv.align(table.records());
     this.consensus.start();
-    this.trimStep = new Repeating(
+    this.trimStep = new RepeatingTimer(
       clock,
       () => trimMs,
       () => background.run('trim claims', claims.trim()),
     );
   }
 
-  readonly hello = (): Hello => hellos.of('postmaster', this.env, this.acceptor.incarnation);
+  readonly hello = (): Hello => hellos.of('control', this.settings, this.acceptor.incarnation);
 
-  readonly open = async (): Promise<Result<void, NetFault>> => {
+  readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
       net,
       clock,
       log,
       this.hello,
-      this.env.coachListen,
+      this.settings.peerListenAddress,
       this.consensus.handlers(),
     );
     if (opened.isErr()) return err(opened.error);
@@ -145,12 +145,12 @@
 
   private readonly catchUp = async (): Promise<void> => {
     if (this.acceptor.agreed() === null) return;
-    for (const connection of this.lines.open()) {
-      if (connection.neighbour?.role !== 'postmaster') continue;
-      const { incarnation } = connection.neighbour;
+    for (const connection of this.peerPool.open()) {
+      if (connection.peer?.role !== 'control') continue;
+      const { incarnation } = connection.peer;
       if (!this.replicas.syncedFrom.has(incarnation)) {
-        await this.replicas.reconcile(incarnation, this.lines);
-        await this.borrowShelves(
+        await this.replicas.reconcile(incarnation, this.peerPool);
+        await this.borrowSnapshots(
           connection,
           this.table.records().map((record) => record.name),
         );
@@ -159,56 +159,56 @@
     await this.consensus.catchUp.step();
   };
 
-  private readonly borrowShelves = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
-    const told = await connection.ask('shelves', names, shelvesPatienceMs);
-    if (told.isOk()) this.push.tellShelves(this.kv.takeShelves(told.value as ShelfCheckpoint[]));
+  private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
+    const told = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
+    if (told.isOk()) this.push.tellSnapshots(this.kv.takeSnapshots(told.value as PrefixIndexSnapshot[]));
   };
 
   private readonly repairIndex = async (): Promise<void> => {
     const broken = this.kv.broken();
     if (broken.length === 0) return;
-    for (const connection of this.lines.open()) {
-      if (connection.neighbour?.role !== 'postmaster') continue;
-      await this.borrowShelves(connection, broken);
+    for (const connection of this.peerPool.open()) {
+      if (connection.peer?.role !== 'control') continue;
+      await this.borrowSnapshots(connection, broken);
     }
   };
 
   private readonly role = (): ConsensusRole => ({
-    extraAddresses: () => this.rounds.watcherAddresses(),
+    extraAddresses: () => this.failureDetector.watcherAddresses(),
     isDown: this.verdicts.isDown,
-    wantedDuties: () =>
+    wantedLeases: () =>
       this.table
         .records()
         .filter((record) => record.state !== 'gone')
         .map((record) => kvDuty(record.name)),
-    dutiesChanged: () => this.kv.align(this.table.records()),
+    leasesChanged: () => this.kv.align(this.table.records()),
     needsCopies: true,
     syncedFrom: () => [...this.replicas.syncedFrom],
     prepareUpkeep: this.prepareUpkeep,
-    sharedRoster: (entries) => entries,
+    sharedMembers: (entries) => entries,
     joined: () => {},
     left: (connection) => {
       this.push.drop(connection);
-      if (connection.neighbour !== null) this.replicas.syncedFrom.delete(connection.neighbour.incarnation);
+      if (connection.peer !== null) this.replicas.syncedFrom.delete(connection.peer.incarnation);
     },
     told: (connection, topic, body) => {
       if (topic === 'subscribe') this.push.subscribe(connection, body as number);
       else if (topic === 'ack') this.push.acked(connection, body as number);
-      else if (topic === 'heavyNews') this.push.heavyNews(connection, body as LoadReport);
-      else if (topic === 'heart') this.rounds.watch.heart(body as string);
-      else if (topic === 'suspects') this.verdicts.report(connection.neighbour?.name ?? '', body as string[]);
-      else if (topic === 'kvRelay') this.kv.takeRelayed(body as RelayedKv);
-      else if (topic === 'shelvesPlease')
-        for (const shelf of this.kv.shelves(body as string[])) connection.tell('shelf', shelf);
+      else if (topic === 'longPrompts') this.push.longPrompts(connection, body as LoadReport);
+      else if (topic === 'heartbeat') this.failureDetector.watch.heartbeatFrom(body as string);
+      else if (topic === 'suspects') this.verdicts.report(connection.peer?.name ?? '', body as string[]);
+      else if (topic === 'kvRelay') this.kv.takeRelayed(body as RelayedKvEvents);
+      else if (topic === 'indexSnapshotRequest')
+        for (const snapshot of this.kv.snapshots(body as string[])) connection.tell('indexSnapshot', snapshot);
     },
     asked: async (connection, topic, body) => {
       switch (topic) {
         case 'ping':
           return this.push.pong(connection, body as LoadReport);
-        case 'shelves':
-          return this.kv.shelves(body as string[]);
+        case 'prefixCaches':
+          return this.kv.snapshots(body as string[]);
         case 'admitSides':
-          return this.acceptor.isVoter() ? this.sides.admit(body as SideClaim[]) : null;
+          return this.acceptor.isVoter() ? this.sides.admit(body as IsolationClaim[]) : null;
         case 'replicaLook':
           return this.replicas.look(body as string[]);
         case 'replicaNews':
@@ -230,7 +230,7 @@
           const { key, turn } = body as { key: string; turn: number };
           const isKept = this.acceptor.isVoter() && (await this.claims.release(key, turn));
           return isKept
-            ? { k: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } }
+            ? { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } }
             : null;
         }
         case 'claimPage':
@@ -245,7 +245,7 @@
   });
 
   /** The newest agreed state, or null where no majority of voters confirmed it within `confirmPatienceMs`. */
-  readonly confirmed = (): Promise<Agreed | null> => this.proposer.confirm(confirmPatienceMs);
+  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
   readonly reachable = (): number => this.consensus.reachableVoters().length;
 
@@ -258,7 +258,7 @@
     this.consensus.pause();
     this.trimStep.stop();
     this.consensus.resign();
-    this.rounds.stop();
+    this.failureDetector.stop();
     this.kv.stop();
     this.consensus.close();
     await this.listener?.close();
@@ -269,18 +269,25 @@
   };
 }
 
-export const postmasters = {
-  start: async (env: Env, ports: Ports): Promise<Result<Postmaster, StartFault>> => {
+export const gatewayControlNodes = {
+  start: async (settings: GatewaySettings, ports: Ports): Promise<Result<GatewayControlNode, StartFault>> => {
     const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log);
     if (acceptor.isErr()) return err(acceptor.error);
     const table = await replicaTables.open(ports.disk, ports.log);
     if (table.isErr()) return err(table.error);
-    const claims = await claimTables.open(ports.disk, ports.clock, ports.log, env.claimRetentionMs);
+    const claims = await claimTables.open(ports.disk, ports.clock, ports.log, settings.claimRetentionMs);
     if (claims.isErr()) return err(claims.error);
-    const leases = await leaseBooks.open(ports.disk, ports.clock, ports.log);
+    const leases = await leaseTables.open(ports.disk, ports.clock, ports.log);
     if (leases.isErr()) return err(leases.error);
-    const postmaster = new Postmaster(env, ports, acceptor.value, table.value, claims.value, leases.value);
-    const opened = await postmaster.open();
-    return opened.isErr() ? err(opened.error) : ok(postmaster);
+    const controlNode = new GatewayControlNode(
+      settings,
+      ports,
+      acceptor.value,
+      table.value,
+      claims.value,
+      leases.value,
+    );
+    const opened = await controlNode.open();
+    return opened.isErr() ? err(opened.error) : ok(controlNode);
   },
 };
--- a/packages/control-plane/src/pushDesk.ts
+++ b/packages/control-plane/src/gatewayPublisher.ts
@@ -1,7 +1,7 @@
-import type { Clock, KvNews, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
+import type { Clock, KvCacheEvent, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { ShelfCheckpoint } from '@martenworks/prefix-index';
-import type { Acceptor, Settled } from './acceptor.js';
+import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
+import type { Acceptor, CommittedChange } from './acceptor.js';
 
 const reportAgeMs = 2_000;
 const silentMs = 6_000;
@@ -14,43 +14,43 @@
   report: LoadReport;
 }
 
-export interface AckLine {
-  readonly counter: string;
+export interface GatewayStatus {
+  readonly gateway: string;
   readonly http: string;
   readonly zone: string;
-  readonly generation: number;
+  readonly logIndex: number;
   readonly ackAgeMs: number;
 }
 
-export class PushDesk {
+export class GatewayPublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
 
   constructor(
     private readonly acceptor: Acceptor,
     private readonly clock: Clock,
     private readonly records: () => readonly ReplicaRecord[],
-    private readonly shelves: () => readonly ShelfCheckpoint[],
+    private readonly snapshots: () => readonly PrefixIndexSnapshot[],
   ) {
     acceptor.watch(this.bring);
   }
 
-  readonly subscribe = (connection: PeerConnection, generation: number): void => {
+  readonly subscribe = (connection: PeerConnection, logIndex: number): void => {
     this.subscribers.set(connection, {
-      sent: generation,
-      acked: generation,
+      sent: logIndex,
+      acked: logIndex,
       ackedAt: this.clock.now(),
       heardAt: this.clock.now(),
       report: { replicas: {}, pools: {} },
     });
     connection.tell('replicas', this.records());
-    for (const shelf of this.shelves()) connection.tell('shelf', shelf);
+    for (const snapshot of this.snapshots()) connection.tell('indexSnapshot', snapshot);
     this.bringTo(connection);
   };
 
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
-  private readonly bring = (settled: Settled | null): void => {
-    if (settled === null)
+  private readonly bring = (committed: CommittedChange | null): void => {
+    if (committed === null)
       for (const subscriber of this.subscribers.values()) subscriber.sent = Math.min(subscriber.sent, -1);
     for (const connection of this.subscribers.keys()) this.bringTo(connection);
   };
@@ -59,22 +59,22 @@
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     const since = this.acceptor.since(subscriber.sent);
-    if (since.k === 'nothing') return;
-    if (since.k === 'checkpoint') {
+    if (since.kind === 'nothing') return;
+    if (since.kind === 'checkpoint') {
       connection.tell('checkpoint', since.agreed);
-      subscriber.sent = since.agreed.generation;
+      subscriber.sent = since.agreed.logIndex;
       return;
     }
-    for (const settled of since.settled) {
-      connection.tell('change', settled);
-      subscriber.sent = settled.generation;
+    for (const committed of since.committed) {
+      connection.tell('change', committed);
+      subscriber.sent = committed.logIndex;
     }
   };
 
-  readonly acked = (connection: PeerConnection, generation: number): void => {
+  readonly acked = (connection: PeerConnection, logIndex: number): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    subscriber.acked = generation;
+    subscriber.acked = logIndex;
     subscriber.ackedAt = this.clock.now();
   };
 
@@ -116,7 +116,7 @@
     return contention;
   };
 
-  readonly heavyNews = (connection: PeerConnection, report: LoadReport): void => {
+  readonly longPrompts = (connection: PeerConnection, report: LoadReport): void => {
     this.report(connection, report);
     for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
   };
@@ -124,12 +124,12 @@
   readonly pong = (connection: PeerConnection, report: LoadReport): Pong => {
     this.report(connection, report);
     return {
-      generation: this.acceptor.agreed()?.generation ?? -1,
+      logIndex: this.acceptor.agreed()?.logIndex ?? -1,
       acceptedSlot: this.acceptor.acceptedSlot(),
       incarnation: this.acceptor.incarnation,
       loads: this.loadsFor(connection),
       contention: this.contentionFor(connection),
-      counters: this.subscribers.size,
+      gateways: this.subscribers.size,
     };
   };
 
@@ -137,12 +137,13 @@
     for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
   };
 
-  readonly tellShelves = (shelves: readonly ShelfCheckpoint[]): void => {
-    for (const connection of this.subscribers.keys()) for (const shelf of shelves) connection.tell('shelf', shelf);
+  readonly tellSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
+    for (const connection of this.subscribers.keys())
+      for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
   };
 
-  readonly tellKv = (news: readonly KvNews[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('kv', news);
+  readonly tellKv = (update: readonly KvCacheEvent[]): void => {
+    for (const connection of this.subscribers.keys()) connection.tell('kv', update);
   };
 
   readonly dropSilent = (): void => {
@@ -150,13 +151,13 @@
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
 
-  readonly acks = (): AckLine[] => {
+  readonly acks = (): GatewayStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
-      counter: connection.neighbour?.name ?? '',
-      http: connection.neighbour?.http ?? '',
-      zone: connection.neighbour?.zone ?? '',
-      generation: one.acked,
+      gateway: connection.peer?.name ?? '',
+      http: connection.peer?.http ?? '',
+      zone: connection.peer?.zone ?? '',
+      logIndex: one.acked,
       ackAgeMs: Math.round(now - one.ackedAt),
     }));
   };
--- a/packages/control-plane/src/sideDesk.ts
+++ b/packages/control-plane/src/isolationRegistry.ts
@@ -1,7 +1,7 @@
-import type { Clock, ReplicaRecord, SideClaim, SideStanding } from '@martenworks/core-types';
+import type { Clock, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 import type { ReplicaTable } from './replicaTable.js';
 
-export class SideDesk {
+export class IsolationRegistry {
   private readonly since = new Map<string, number>();
 
   constructor(
@@ -25,7 +25,7 @@
     }
   };
 
-  readonly admit = async (claims: readonly SideClaim[]): Promise<SideStanding[] | null> => {
+  readonly admit = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[] | null> => {
     const known = claims.filter(({ replica, incarnation }) => this.table.find(replica)?.incarnation === incarnation);
     const told = known.map(({ replica, side }) => ({ ...(this.table.find(replica) as ReplicaRecord), sides: [side] }));
     const kept = await this.table.take(told);
--- a/packages/control-plane/src/kvDesk.ts
+++ b/packages/control-plane/src/kvEventFollower.ts
@@ -1,17 +1,17 @@
-import { Repeating } from '@martenworks/core-types';
-import type { KvNews, Ports, ReplicaRecord } from '@martenworks/core-types';
+import { RepeatingTimer } from '@martenworks/core-types';
+import type { KvCacheEvent, Ports, ReplicaRecord } from '@martenworks/core-types';
 import { kvFollow } from '@martenworks/upstream';
 import type { Follower } from '@martenworks/upstream';
-import { Pigeonhole } from '@martenworks/prefix-index';
-import type { ShelfCheckpoint } from '@martenworks/prefix-index';
+import { PrefixIndex } from '@martenworks/prefix-index';
+import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { FenceGate } from '@martenworks/cluster-membership';
 
 const bundleMs = 20;
 const ageLimitMs = 3_600_000;
 
-export interface RelayedKv {
+export interface RelayedKvEvents {
   readonly fences: Record<string, number>;
-  readonly news: readonly KvNews[];
+  readonly events: readonly KvCacheEvent[];
 }
 
 interface Followed {
@@ -19,38 +19,38 @@
   readonly follower: Follower;
 }
 
-export class KvDesk {
-  private readonly index = new Pigeonhole(ageLimitMs);
+export class KvEventFollower {
+  private readonly index = new PrefixIndex(ageLimitMs);
   private readonly followed = new Map<string, Followed>();
   private readonly gate = new FenceGate();
-  private bundle: KvNews[] = [];
-  private readonly carrier: Repeating;
+  private bundle: KvCacheEvent[] = [];
+  private readonly carrier: RepeatingTimer;
 
   constructor(
     private readonly ports: Ports,
-    private readonly tell: (news: readonly KvNews[]) => void,
-    private readonly relay: (relayed: RelayedKv) => void,
+    private readonly tell: (update: readonly KvCacheEvent[]) => void,
+    private readonly relay: (relayed: RelayedKvEvents) => void,
     private readonly fenceOf: (replica: string) => number | null,
   ) {
-    this.carrier = new Repeating(ports.clock, () => bundleMs, this.carry);
+    this.carrier = new RepeatingTimer(ports.clock, () => bundleMs, this.carry);
   }
 
   private readonly carry = (): void => {
     if (this.bundle.length === 0) return;
-    const news = this.bundle;
+    const update = this.bundle;
     this.bundle = [];
-    this.tell(news);
+    this.tell(update);
     const fences: Record<string, number> = {};
-    for (const { replica } of news) {
+    for (const { replica } of update) {
       const fence = this.fenceOf(replica);
       if (fence !== null) fences[replica] = fence;
     }
-    this.relay({ fences, news });
+    this.relay({ fences, events: update });
   };
 
-  readonly takeRelayed = ({ fences, news }: RelayedKv): void => {
+  readonly takeRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
-    const admitted = news.filter(
+    const admitted = update.filter(
       ({ replica }) => fences[replica] !== undefined && this.gate.admits(replica, fences[replica]),
     );
     for (const one of admitted) this.index.take(one, now);
@@ -59,8 +59,8 @@
 
   readonly broken = (): string[] => this.index.broken();
 
-  readonly takeShelves = (shelves: readonly ShelfCheckpoint[]): ShelfCheckpoint[] =>
-    shelves.filter((shelf) => this.index.restore(shelf, this.ports.clock.now()));
+  readonly takeSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
+    snapshots.filter((snapshot) => this.index.restore(snapshot, this.ports.clock.now()));
 
   readonly align = (records: readonly ReplicaRecord[]): void => {
     this.index.reconcile(records, () => 0);
@@ -76,9 +76,9 @@
     }
     for (const record of wanted.values()) {
       if (this.followed.has(record.name)) continue;
-      const { carriage, clock, random, log } = this.ports;
+      const { httpClient, clock, random, log } = this.ports;
       const follower = kvFollow.follow(
-        carriage,
+        httpClient,
         clock,
         random,
         log,
@@ -91,20 +91,20 @@
     }
   };
 
-  private readonly take = (news: KvNews): void => {
-    if (this.fenceOf(news.replica) === null) return;
-    this.index.take(news, this.ports.clock.now());
-    this.bundle.push(news);
+  private readonly take = (update: KvCacheEvent): void => {
+    if (this.fenceOf(update.replica) === null) return;
+    this.index.take(update, this.ports.clock.now());
+    this.bundle.push(update);
   };
 
-  readonly shelves = (names: readonly string[] | null = null): ShelfCheckpoint[] =>
+  readonly snapshots = (names: readonly string[] | null = null): PrefixIndexSnapshot[] =>
     this.index
-      .checkpoint(this.ports.clock.now())
-      .filter((shelf) => (names === null ? shelf.seq > 0 : names.includes(shelf.replica) && shelf.isWhole));
+      .snapshot(this.ports.clock.now())
+      .filter((snapshot) => (names === null ? snapshot.seq > 0 : names.includes(snapshot.replica) && snapshot.isWhole));
 
   readonly followedCount = (): number => this.followed.size;
 
-  readonly sizes = (): ReturnType<Pigeonhole['sizes']> => this.index.sizes();
+  readonly sizes = (): ReturnType<PrefixIndex['sizes']> => this.index.sizes();
 
   readonly stop = (): void => {
     this.carrier.stop();
--- a/packages/control-plane/src/leases.ts
+++ b/packages/control-plane/src/leaseLog.ts
@@ -2,45 +2,45 @@
 import type { Result } from 'neverthrow';
 import type { Clock, Disk, Log } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { WriteAheadLog, WriteAheadLogFault } from '@martenworks/write-ahead-log';
-import { LeaseBook } from '@martenworks/cluster-membership';
+import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
+import { LeaseTable } from '@martenworks/cluster-membership';
 import type { LeaseTerms } from '@martenworks/cluster-membership';
 import { logPrefixes } from './memberLogs.js';
 
-const segmentsBeforeCheckpoint = 4;
+const segmentsBeforeSnapshot = 4;
 
 type FenceRecord = readonly [duty: string, fence: number];
 
-export interface KeptLeases {
-  readonly book: LeaseBook;
+export interface PersistedLeases {
+  readonly table: LeaseTable;
   readonly close: () => Promise<void>;
 }
 
-export const leaseBooks = {
+export const leaseTables = {
   open: async (
     disk: Disk,
     clock: Clock,
     log: Log,
     terms?: LeaseTerms,
-  ): Promise<Result<KeptLeases, WriteAheadLogFault>> => {
+  ): Promise<Result<PersistedLeases, WriteAheadLogError>> => {
     const opened = await writeAheadLogs.open(disk, logPrefixes.leases);
     if (opened.isErr()) return err(opened.error);
-    const { checkpoint, records } = opened.value;
+    const { snapshot, records } = opened.value;
     const wal: WriteAheadLog = opened.value.wal;
-    const kept = [...((checkpoint as FenceRecord[] | null) ?? []), ...(records as FenceRecord[])];
+    const kept = [...((snapshot as FenceRecord[] | null) ?? []), ...(records as FenceRecord[])];
     const keep = async (duty: string, fence: number): Promise<boolean> => {
       const written = await wal.append([duty, fence] satisfies FenceRecord);
-      if (written.isErr()) log.error('ledger did not take a lease', { fault: written.error });
-      if (wal.segmentCount() > segmentsBeforeCheckpoint) await wal.checkpoint(book.fences);
+      if (written.isErr()) log.error('log append failed for a lease', { fault: written.error });
+      if (wal.segmentCount() > segmentsBeforeSnapshot) await wal.snapshot(leaseTable.fences);
       return written.isOk();
     };
-    const book = new LeaseBook(
+    const leaseTable = new LeaseTable(
       clock,
       keep,
       kept,
-      terms === undefined && checkpoint === null && records.length === 0,
+      terms === undefined && snapshot === null && records.length === 0,
       terms,
     );
-    return ok({ book, close: wal.close });
+    return ok({ table: leaseTable, close: wal.close });
   },
 };
--- a/packages/control-plane/src/memberLogs.ts
+++ b/packages/control-plane/src/memberLogs.ts
@@ -2,7 +2,7 @@
 import type { Result } from 'neverthrow';
 import type { Disk, Log } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { LogOptions, WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { LogOptions, WriteAheadLogError } from '@martenworks/write-ahead-log';
 
 /** The logs of a control node by their file prefixes. */
 export const logPrefixes = { acceptor: 'decrees', leases: 'leases', replicas: 'replicas', claims: 'claims' } as const;
@@ -21,17 +21,17 @@
   [logPrefixes.claims, claimLogOptions],
 ];
 
-const removeAll = async (disk: Disk, log: Log): Promise<Result<void, WriteAheadLogFault>> => {
+const removeAll = async (disk: Disk, log: Log): Promise<Result<void, WriteAheadLogError>> => {
   for (const [prefix] of memberLogs) {
     const removed = await writeAheadLogs.discard(disk, prefix);
     if (removed.isErr()) return err(removed.error);
-    log.warn('the files of a log were removed', { wal: prefix, files: removed.value });
+    log.warn('log files removed', { wal: prefix, files: removed.value });
   }
   return ok(undefined);
 };
 
 /** Reads every log of this control node and changes nothing; the first fault, if any. */
-export const checkMemberLogs = async (disk: Disk): Promise<Result<void, WriteAheadLogFault>> => {
+export const checkMemberLogs = async (disk: Disk): Promise<Result<void, WriteAheadLogError>> => {
   for (const [prefix, options] of memberLogs) {
     const checked = await writeAheadLogs.check(disk, prefix, options);
     if (checked.isErr()) return checked;
@@ -44,11 +44,11 @@
  * not vote under an identity whose promises, leases or claims it may have forgotten. True where that was so; an error
  * where the disk itself failed.
  */
-export const removeDamagedLogs = async (disk: Disk, log: Log): Promise<Result<boolean, WriteAheadLogFault>> => {
+export const removeDamagedLogs = async (disk: Disk, log: Log): Promise<Result<boolean, WriteAheadLogError>> => {
   const checked = await checkMemberLogs(disk);
   if (checked.isOk()) return ok(false);
   if (checked.error.kind !== 'corrupt') return err(checked.error);
   const { file, offset, detail } = checked.error;
-  log.error('a log is damaged: this node counts as empty and joins anew', { file, offset, detail });
+  log.error('log is corrupt: rejoining as an empty node', { file, offset, detail });
   return (await removeAll(disk, log)).map(() => true);
 };
--- a/packages/control-plane/src/membership.ts
+++ b/packages/control-plane/src/membership.ts
@@ -1,20 +1,20 @@
 /** Who has a seat among the voters: swaps of lost and leaving members for newcomers, one at a time and by agreement. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Agreed, Change, Clock, Log, Member } from '@martenworks/core-types';
-import { agreed as agreedState, digests, pause } from '@martenworks/core-types';
+import type { CommittedState, Change, Clock, Log, Member } from '@martenworks/core-types';
+import { stateMachine, digests, pause } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { Lines } from '@martenworks/cluster-membership';
+import type { PeerPool } from '@martenworks/cluster-membership';
 import type { Acceptor } from './acceptor.js';
 import { consensusMessages } from './consensusMessages.js';
-import type { Standing } from './foundingMessages.js';
+import type { MemberStatus } from './foundingMessages.js';
 import type { ProposeFault, Proposer } from './proposer.js';
 import { majorityOf } from './quorumCall.js';
 
 const usualStrangerWaitMs = 12_000;
-const patienceMs = 1_000;
-const swapPatienceMs = 2_000;
-const confirmPatienceMs = 1_000;
+const timeoutMs = 1_000;
+const swapTimeoutMs = 2_000;
+const confirmTimeoutMs = 1_000;
 const retryMs = 50;
 
 export interface MembershipTerms {
@@ -40,11 +40,11 @@
     private readonly acceptor: Acceptor,
     private readonly proposer: Proposer,
     private readonly clock: Clock,
-    private readonly lines: () => Lines,
+    private readonly peerPool: () => PeerPool,
     private readonly isDown: (name: string) => boolean,
     private readonly log: Log,
     private readonly terms: MembershipTerms,
-    /** Has the neighbour catch up from this node. */
+    /** Has the peer catch up from this node. */
     private readonly bringUp: (connection: PeerConnection) => Promise<void>,
   ) {}
 
@@ -61,7 +61,7 @@
   private readonly noteLost = (members: readonly Member[]): void => {
     const now = this.clock.now();
     for (const member of members) {
-      if (member.incarnation === this.acceptor.incarnation || this.lines().to(member.incarnation) !== undefined)
+      if (member.incarnation === this.acceptor.incarnation || this.peerPool().to(member.incarnation) !== undefined)
         this.lostAt.delete(member.incarnation);
       else if (!this.lostAt.has(member.incarnation)) this.lostAt.set(member.incarnation, now);
     }
@@ -70,10 +70,10 @@
   };
 
   /** Forgets of leaving nodes those that are gone and have no seat. */
-  private readonly forgetGone = (state: Agreed): void => {
+  private readonly forgetGone = (state: CommittedState): void => {
     for (const incarnation of this.leaving) {
-      const isKnown = incarnation === this.acceptor.incarnation || agreedState.holdsSeat(state, incarnation);
-      if (!isKnown && this.lines().to(incarnation) === undefined) this.leaving.delete(incarnation);
+      const isKnown = incarnation === this.acceptor.incarnation || stateMachine.holdsSeat(state, incarnation);
+      if (!isKnown && this.peerPool().to(incarnation) === undefined) this.leaving.delete(incarnation);
     }
   };
 
@@ -93,28 +93,28 @@
     return members.find((member) => this.leaving.has(member.incarnation)) ?? members.find(this.isLostForLong);
   };
 
-  /** Open connections to core nodes that have no seat and stay. */
-  private readonly newcomers = (state: Agreed): { connection: PeerConnection; member: Member }[] =>
-    this.lines()
+  /** Open connections to control nodes that have no seat and stay. */
+  private readonly newcomers = (state: CommittedState): { connection: PeerConnection; member: Member }[] =>
+    this.peerPool()
       .open()
       .flatMap((connection) => {
-        const { neighbour } = connection;
-        if (neighbour === null || neighbour.role !== 'postmaster') return [];
-        const { name, address, incarnation } = neighbour;
-        if (agreedState.holdsSeat(state, incarnation) || this.leaving.has(incarnation)) return [];
+        const { peer } = connection;
+        if (peer === null || peer.role !== 'control') return [];
+        const { name, address, incarnation } = peer;
+        if (stateMachine.holdsSeat(state, incarnation) || this.leaving.has(incarnation)) return [];
         return [{ connection, member: { name, address, incarnation } }];
       });
 
-  private readonly standingOf = async (connection: PeerConnection): Promise<Standing | null> => {
-    const told = await connection.ask('standing', null, patienceMs);
-    return told.isOk() && consensusMessages.isStanding(told.value) ? told.value : null;
+  private readonly memberStatusOf = async (connection: PeerConnection): Promise<MemberStatus | null> => {
+    const told = await connection.ask('memberStatus', null, timeoutMs);
+    return told.isOk() && consensusMessages.isMemberStatus(told.value) ? told.value : null;
   };
 
-  private readonly isCaughtUp = (standing: Standing, state: Agreed, outgoing: Member): boolean => {
-    if (standing.generation < state.generation) return false;
+  private readonly isCaughtUp = (memberStatus: MemberStatus, state: CommittedState, outgoing: Member): boolean => {
+    if (memberStatus.logIndex < state.logIndex) return false;
     if (!this.terms.needsCopies) return true;
     return state.members.every(
-      (member) => member.incarnation === outgoing.incarnation || standing.syncedFrom.includes(member.incarnation),
+      (member) => member.incarnation === outgoing.incarnation || memberStatus.syncedFrom.includes(member.incarnation),
     );
   };
 
@@ -127,8 +127,9 @@
     for (const { connection, member } of this.newcomers(state)) {
       const outgoing = this.seatFor(member, state.members);
       if (outgoing === undefined) continue;
-      const standing = await this.standingOf(connection);
-      if (standing !== null && this.isCaughtUp(standing, state, outgoing)) return this.swap(outgoing, member, standing);
+      const memberStatus = await this.memberStatusOf(connection);
+      if (memberStatus !== null && this.isCaughtUp(memberStatus, state, outgoing))
+        return this.swap(outgoing, member, memberStatus);
     }
   };
 
@@ -143,11 +144,11 @@
     const untilMs = this.clock.now() + budgetMs;
     const handover = pollUntil(this.clock, untilMs, () => this.handOver(before));
     const isInTime = await Promise.race([handover, pause.for(this.clock, budgetMs).then(() => false)]);
-    this.log.info('this node leaves', { hasSeat: this.acceptor.isVoter(), isInTime });
+    this.log.info('draining: this node is leaving the cluster', { hasSeat: this.acceptor.isVoter(), isInTime });
   };
 
   /** One try at handing over this node's seat: true where nothing is left to be done. */
-  private readonly handOver = async (before: Agreed): Promise<boolean> => {
+  private readonly handOver = async (before: CommittedState): Promise<boolean> => {
     const state = this.acceptor.agreed() ?? before;
     if (!this.acceptor.isVoter()) return this.isHeldByNewMajority(before, state);
     if (this.newcomers(state).length === 0) return true;
@@ -160,54 +161,54 @@
    * `standing` was compared with before: a seat goes only to a newcomer that reported the generation it is proposed on.
    */
   private readonly swapRefusal = (
-    state: Agreed,
+    state: CommittedState,
     outgoing: Member,
     incoming: Member,
-    standing: Standing,
+    memberStatus: MemberStatus,
   ): string | null => {
-    if (!agreedState.maySwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
-    return this.isCaughtUp(standing, state, outgoing) ? null : 'the newcomer has not reported the newest state';
+    if (!stateMachine.maySwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
+    return this.isCaughtUp(memberStatus, state, outgoing) ? null : 'the newcomer has not reported the newest state';
   };
 
-  private readonly swap = async (outgoing: Member, incoming: Member, standing: Standing): Promise<void> => {
+  private readonly swap = async (outgoing: Member, incoming: Member, memberStatus: MemberStatus): Promise<void> => {
     const id = `swap-${outgoing.incarnation}-${incoming.incarnation}`;
     const body = { kind: 'swap' as const, outgoing: outgoing.incarnation, incoming };
     const digest = digests.of(body);
-    const check = (state: Agreed): Result<Change, ProposeFault> => {
-      const refusal = this.swapRefusal(state, outgoing, incoming, standing);
+    const check = (state: CommittedState): Result<Change, ProposeFault> => {
+      const refusal = this.swapRefusal(state, outgoing, incoming, memberStatus);
       if (refusal === null) return ok({ id, digest, body });
-      return err({ kind: 'conflict', layoutGeneration: state.layoutGeneration, detail: refusal });
+      return err({ kind: 'conflict', configLogIndex: state.configLogIndex, detail: refusal });
     };
-    const before = this.acceptor.agreed() as Agreed;
-    const outcome = await this.proposer.propose(check, id, digest, swapPatienceMs);
-    this.log.info('a membership swap was proposed', {
+    const before = this.acceptor.agreed() as CommittedState;
+    const outcome = await this.proposer.propose(check, id, digest, swapTimeoutMs);
+    this.log.info('membership change proposed', {
       outgoing: outgoing.name,
       incoming: incoming.name,
       outcome: outcome.isOk() ? outcome.value : outcome.error,
     });
     if (outcome.isErr()) return;
-    const untilMs = this.clock.now() + confirmPatienceMs;
+    const untilMs = this.clock.now() + confirmTimeoutMs;
     const isHeld = await pollUntil(this.clock, untilMs, () =>
       this.isHeldByNewMajority(before, this.acceptor.agreed() ?? before),
     );
-    this.log.info('a membership swap is settled', { incoming: incoming.name, isHeldByNewMajority: isHeld });
+    this.log.info('membership change committed', { incoming: incoming.name, isHeldByNewMajority: isHeld });
   };
 
   /** Whether every member that is new since `before`, and a majority of the members of `state`, hold that on disk. */
-  private readonly isHeldByNewMajority = async (before: Agreed, state: Agreed): Promise<boolean> => {
+  private readonly isHeldByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
     const held = await Promise.all(state.members.map((member) => this.isHeldBy(member, state)));
     const holders = state.members.filter((_, at) => held[at]);
-    const newMembers = state.members.filter((member) => !agreedState.holdsSeat(before, member.incarnation));
+    const newMembers = state.members.filter((member) => !stateMachine.holdsSeat(before, member.incarnation));
     return holders.length >= majorityOf(state.members) && newMembers.every((member) => holders.includes(member));
   };
 
-  private readonly isHeldBy = async (member: Member, state: Agreed): Promise<boolean> => {
+  private readonly isHeldBy = async (member: Member, state: CommittedState): Promise<boolean> => {
     if (member.incarnation === this.acceptor.incarnation) return true;
-    const connection = this.lines().to(member.incarnation);
+    const connection = this.peerPool().to(member.incarnation);
     if (connection === undefined) return false;
-    const standing = await this.standingOf(connection);
-    if (standing === null) return false;
-    if (standing.generation >= state.generation) return true;
+    const memberStatus = await this.memberStatusOf(connection);
+    if (memberStatus === null) return false;
+    if (memberStatus.logIndex >= state.logIndex) return true;
     await this.bringUp(connection);
     return false;
   };
--- a/packages/control-plane/src/operatorWire.ts
+++ b/packages/control-plane/src/operatorApi.ts
@@ -1,23 +1,23 @@
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import { drawPlan, planIds } from './plan.js';
-import type { LayoutEdit } from './plan.js';
-import type { Postmaster } from './postmaster.js';
+import type { GatewayConfigEdit } from './plan.js';
+import type { GatewayControlNode } from './gatewayControlNode.js';
 import type { Applied, ProposeFault } from './proposer.js';
 import type { Result } from 'neverthrow';
 
 export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposeFault>): Response => {
   if (outcome.isOk())
     return c.json(
-      { outcome: 'accepted', changeId, generation: outcome.value.generation, repeated: outcome.value.isRepeat },
+      { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
       200,
-      { etag: `"${outcome.value.generation}"` },
+      { etag: `"${outcome.value.logIndex}"` },
     );
   const fault = outcome.error;
   switch (fault.kind) {
     case 'conflict':
       return c.json(
-        { outcome: 'conflict', changeId, layoutGeneration: fault.layoutGeneration, detail: fault.detail },
+        { outcome: 'conflict', changeId, layoutGeneration: fault.configLogIndex, detail: fault.detail },
         409,
       );
     case 'rejected':
@@ -41,21 +41,21 @@
   }
 };
 
-export const changeIdOf = (c: Context, postmaster: Postmaster): string =>
-  c.req.header('change-id') ?? postmaster.ports.random.token(12);
+export const changeIdOf = (c: Context, controlNode: GatewayControlNode): string =>
+  c.req.header('change-id') ?? controlNode.ports.random.token(12);
 
 const baseOf = (c: Context): number | null => {
   const found = /^"?(\d+)"?$/.exec(c.req.header('if-match') ?? '');
   return found === null ? null : Number(found[1]);
 };
 
-const editOf = (c: Context, kind: 'whole' | 'part', given: unknown): LayoutEdit =>
+const editOf = (c: Context, kind: 'whole' | 'part', given: unknown): GatewayConfigEdit =>
   kind === 'part' && (c.req.header('content-type') ?? '').startsWith('application/json-patch+json')
     ? { kind: 'ops', given }
     : { kind, given };
 
-const changed = async (c: Context, postmaster: Postmaster, kind: 'whole' | 'part'): Promise<Response> => {
-  const changeId = changeIdOf(c, postmaster);
+const changed = async (c: Context, controlNode: GatewayControlNode, kind: 'whole' | 'part'): Promise<Response> => {
+  const changeId = changeIdOf(c, controlNode);
   const base = baseOf(c);
   if (base === null)
     return c.json(
@@ -71,36 +71,36 @@
       { outcome: 'conflict', changeId, detail: 'that plan was made for another base or another change' },
       409,
     );
-  return replyTo(c, changeId, await postmaster.changes.layout(changeId, base, edit));
+  return replyTo(c, changeId, await controlNode.changes.config(changeId, base, edit));
 };
 
 const noMajority = 'no majority of voters confirmed the state';
 
 const unconfirmed = (c: Context): Response => c.json({ detail: noMajority }, 503, { 'retry-after': '1' });
 
-export const operatorWire = (postmaster: Postmaster, vitals: () => string[] = () => []): Hono => {
+export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
   const app = new Hono();
   app.get('/operator/layout', async (c) => {
-    const state = await postmaster.confirmed();
+    const state = await controlNode.confirmed();
     if (state === null) return unconfirmed(c);
-    return c.json({ generation: state.layoutGeneration, confirmed: true, layout: state.layout }, 200, {
-      etag: `"${state.layoutGeneration}"`,
+    return c.json({ generation: state.configLogIndex, confirmed: true, layout: state.config }, 200, {
+      etag: `"${state.configLogIndex}"`,
     });
   });
-  app.put('/operator/layout', (c) => changed(c, postmaster, 'whole'));
-  app.patch('/operator/layout', (c) => changed(c, postmaster, 'part'));
+  app.put('/operator/layout', (c) => changed(c, controlNode, 'whole'));
+  app.patch('/operator/layout', (c) => changed(c, controlNode, 'part'));
   app.post('/operator/plans', async (c) => {
     const body = await bodyOf(c);
     if (!body.isJson) return c.json({ outcome: 'rejected', detail: 'the body is not JSON' }, 400);
-    const state = await postmaster.confirmed();
+    const state = await controlNode.confirmed();
     if (state === null) return unconfirmed(c);
-    const base = baseOf(c) ?? state.layoutGeneration;
-    if (base !== state.layoutGeneration)
+    const base = baseOf(c) ?? state.configLogIndex;
+    if (base !== state.configLogIndex)
       return c.json(
         {
           outcome: 'conflict',
-          layoutGeneration: state.layoutGeneration,
-          detail: `the layout is at generation ${state.layoutGeneration}`,
+          layoutGeneration: state.configLogIndex,
+          detail: `the layout is at generation ${state.configLogIndex}`,
         },
         409,
       );
@@ -112,30 +112,30 @@
   });
   app.get('/operator/changes/:id', async (c) => {
     const id = c.req.param('id');
-    const state = await postmaster.confirmed();
+    const state = await controlNode.confirmed();
     if (state === null)
       return c.json({ outcome: 'unknown', changeId: id, detail: noMajority }, 504, { 'retry-after': '1' });
     const known = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
-    if (known !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: known.generation });
+    if (known !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: known.logIndex });
     return c.json(
       { outcome: 'not accepted', changeId: id, detail: 'not accepted so far; a change still under way may yet be' },
       404,
     );
   });
   app.get('/operator/status', (c) => {
-    const state = postmaster.acceptor.agreed();
+    const state = controlNode.acceptor.agreed();
     return c.json({
-      name: postmaster.env.name,
-      zone: postmaster.env.zone,
-      incarnation: postmaster.acceptor.incarnation,
-      generation: state?.generation ?? null,
-      layoutGeneration: state?.layoutGeneration ?? null,
+      name: controlNode.settings.name,
+      zone: controlNode.settings.zone,
+      incarnation: controlNode.acceptor.incarnation,
+      generation: state?.logIndex ?? null,
+      layoutGeneration: state?.configLogIndex ?? null,
       members: state?.members ?? [],
-      voter: postmaster.acceptor.isVoter(),
-      reachable: postmaster.reachable(),
-      postmasters: postmaster.roster
+      voter: controlNode.acceptor.isVoter(),
+      reachable: controlNode.reachable(),
+      controlNodes: controlNode.memberList
         .entries()
-        .filter(({ hello }) => hello.role === 'postmaster')
+        .filter(({ hello }) => hello.role === 'control')
         .map(({ hello, ageMs }) => ({
           name: hello.name,
           http: hello.http,
@@ -143,33 +143,31 @@
           zone: hello.zone,
           heardMsAgo: Math.round(ageMs),
         })),
-      counters: postmaster.push.acks(),
-      claims: postmaster.claims.size(),
-      leases: postmaster.duties.lines(),
-      followed: postmaster.kv.followedCount(),
-      watch: postmaster.verdicts.lines(),
-      replicas: postmaster.table.records(),
-      index: postmaster.kv.sizes(),
-      segmentCount: postmaster.acceptor.segmentCount(),
+      counters: controlNode.push.acks(),
+      claims: controlNode.claims.size(),
+      leases: controlNode.leaseManager.status(),
+      followed: controlNode.kv.followedCount(),
+      watch: controlNode.verdicts.status(),
+      replicas: controlNode.table.records(),
+      index: controlNode.kv.sizes(),
+      segmentCount: controlNode.acceptor.segmentCount(),
     });
   });
   app.get('/healthz', (c) => c.json({ status: 'ok' }));
   app.get('/readyz', (c) =>
-    postmaster.isReady()
+    controlNode.isReady()
       ? c.json({ status: 'ready' })
-      : c.json({ status: 'not ready', detail: 'no majority of postmasters' }, 503, { 'retry-after': '1' }),
+      : c.json({ status: 'not ready', detail: 'no majority of control nodes' }, 503, { 'retry-after': '1' }),
   );
   app.get('/metrics', (c) => {
-    const state = postmaster.acceptor.agreed();
+    const state = controlNode.acceptor.agreed();
     const lines = [
-      `martenworks_generation ${state?.generation ?? -1}`,
-      `martenworks_members_reachable ${postmaster.reachable()}`,
-      `martenworks_subscribed_counters ${postmaster.push.acks().length}`,
-      `martenworks_ledger_segments ${postmaster.acceptor.segmentCount()}`,
+      `martenworks_generation ${state?.logIndex ?? -1}`,
+      `martenworks_members_reachable ${controlNode.reachable()}`,
+      `martenworks_subscribed_counters ${controlNode.push.acks().length}`,
+      `martenworks_ledger_segments ${controlNode.acceptor.segmentCount()}`,
       ...vitals(),
-      ...postmaster.push
-        .acks()
-        .map((ack) => `martenworks_acked_generation{counter="${ack.counter}"} ${ack.generation}`),
+      ...controlNode.push.acks().map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
     ];
     return c.text(`${lines.join('\n')}\n`);
   });
--- a/packages/control-plane/src/plan.ts
+++ b/packages/control-plane/src/plan.ts
@@ -3,11 +3,11 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
-import type { Agreed, Layout } from '@martenworks/core-types';
-import { layouts } from '@martenworks/settings';
-import type { Complaint } from '@martenworks/settings';
+import type { CommittedState, GatewayConfig } from '@martenworks/core-types';
+import { gatewayConfigs } from '@martenworks/settings';
+import type { ValidationIssue } from '@martenworks/settings';
 
-export type LayoutEdit = { readonly kind: 'whole' | 'part' | 'ops'; readonly given: unknown };
+export type GatewayConfigEdit = { readonly kind: 'whole' | 'part' | 'ops'; readonly given: unknown };
 
 export interface Plan {
   readonly planId: string;
@@ -27,41 +27,44 @@
   };
 }
 
-const patched = (layout: Layout, given: unknown): Result<unknown, Complaint[]> => {
+const patched = (config: GatewayConfig, given: unknown): Result<unknown, ValidationIssue[]> => {
   if (!Array.isArray(given)) return err([{ path: '/', message: 'a JSON Patch is an array of operations' }]);
-  const fault = jsonPatch.validate(given as Operation[], layout);
+  const fault = jsonPatch.validate(given as Operation[], config);
   if (fault !== undefined)
     return err([{ path: `/${String(fault.index ?? '')}`, message: fault.message.split('\n')[0] ?? fault.name }]);
-  return ok(jsonPatch.applyPatch(jsonPatch.deepClone(layout), given as Operation[], true).newDocument);
+  return ok(jsonPatch.applyPatch(jsonPatch.deepClone(config), given as Operation[], true).newDocument);
 };
 
-export const editLayout = (layout: Layout, edit: LayoutEdit): Result<Layout, Complaint[]> => {
+export const editConfig = (
+  config: GatewayConfig,
+  edit: GatewayConfigEdit,
+): Result<GatewayConfig, ValidationIssue[]> => {
   switch (edit.kind) {
     case 'whole':
-      return layouts.check(edit.given);
+      return gatewayConfigs.check(edit.given);
     case 'part':
-      return layouts.check(layouts.merge(layout, edit.given));
+      return gatewayConfigs.check(gatewayConfigs.merge(config, edit.given));
     case 'ops':
-      return patched(layout, edit.given).andThen(layouts.check);
+      return patched(config, edit.given).andThen(gatewayConfigs.check);
   }
 };
 
-export const planIds = { of: (base: number, edit: LayoutEdit): string => digests.of(['plan', base, edit]) };
+export const planIds = { of: (base: number, edit: GatewayConfigEdit): string => digests.of(['plan', base, edit]) };
 
-const valueAt = (layout: Layout, path: string): unknown => {
-  const held: unknown = path.endsWith('/-') ? undefined : jsonPatch.getValueByPointer(layout, path);
+const valueAt = (config: GatewayConfig, path: string): unknown => {
+  const held: unknown = path.endsWith('/-') ? undefined : jsonPatch.getValueByPointer(config, path);
   return held ?? null;
 };
 
-export const drawPlan = (state: Agreed, edit: LayoutEdit): Result<Plan, Complaint[]> =>
-  editLayout(state.layout, edit).map((next) => {
-    const changes = jsonPatch.compare(state.layout, next).map((op) => ({
+export const drawPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
+  editConfig(state.config, edit).map((next) => {
+    const changes = jsonPatch.compare(state.config, next).map((op) => ({
       op: op.op,
       path: op.path,
-      before: op.op === 'add' ? null : valueAt(state.layout, op.path),
+      before: op.op === 'add' ? null : valueAt(state.config, op.path),
       after: op.op === 'remove' ? null : valueAt(next, op.path),
     }));
-    const named = (table: keyof Layout): string[] => [
+    const named = (table: keyof GatewayConfig): string[] => [
       ...new Set(
         changes
           .filter((change) => change.path.startsWith(`/${table}/`))
@@ -80,8 +83,8 @@
       ),
     ]);
     return {
-      planId: planIds.of(state.layoutGeneration, edit),
-      base: state.layoutGeneration,
+      planId: planIds.of(state.configLogIndex, edit),
+      base: state.configLogIndex,
       changes,
       touches: {
         tenants: [...tenants].sort(),
@@ -89,7 +92,7 @@
         pools: [...pools].sort(),
         keys: Object.values(state.keys).filter((grant) => tenants.has(grant.tenant)).length,
         newWeights: Object.entries(next.pools).flatMap(([name, pool]) =>
-          state.layout.pools[name] !== undefined && state.layout.pools[name].weights !== pool.weights
+          state.config.pools[name] !== undefined && state.config.pools[name].weights !== pool.weights
             ? [`${name}: ${pool.weights}`]
             : [],
         ),
--- a/packages/control-plane/src/proposer.ts
+++ b/packages/control-plane/src/proposer.ts
@@ -1,35 +1,35 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Owner, agreed as agreedState, pause } from '@martenworks/core-types';
-import type { Agreed, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
-import type { Complaint } from '@martenworks/settings';
+import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
+import type { CommittedState, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
+import type { ValidationIssue } from '@martenworks/settings';
 import { ballots } from './acceptor.js';
-import type { Accepted, Ballot, Acceptor, Settled, Since, Vote } from './acceptor.js';
+import type { Accepted, Ballot, Acceptor, CommittedChange, Since, Vote } from './acceptor.js';
 import { ConfirmedRead } from './confirmedRead.js';
 import { askMembers, majorityOf } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
 
 export type ProposeFault =
-  | { readonly kind: 'conflict'; readonly layoutGeneration: number; readonly detail: string }
-  | { readonly kind: 'rejected'; readonly complaints: readonly Complaint[] }
+  | { readonly kind: 'conflict'; readonly configLogIndex: number; readonly detail: string }
+  | { readonly kind: 'rejected'; readonly complaints: readonly ValidationIssue[] }
   | { readonly kind: 'unknown'; readonly changeId: string }
   | { readonly kind: 'unavailable'; readonly detail: string };
 
 export interface Applied {
-  readonly generation: number;
+  readonly logIndex: number;
   readonly isRepeat: boolean;
 }
 
 export type { Voters } from './quorumCall.js';
 
-type Check = (state: Agreed) => Result<Change, ProposeFault>;
+type Check = (state: CommittedState) => Result<Change, ProposeFault>;
 
 type Round =
-  | { readonly k: 'settled'; readonly settled: Settled }
-  | { readonly k: 'nothing to settle' }
-  | { readonly k: 'given up' }
-  | { readonly k: 'again' }
-  | { readonly k: 'no majority' };
+  | { readonly kind: 'committed'; readonly committed: CommittedChange }
+  | { readonly kind: 'nothing to settle' }
+  | { readonly kind: 'given up' }
+  | { readonly kind: 'again' }
+  | { readonly kind: 'no majority' };
 
 const queueLimit = 64;
 const backoffMs = 40;
@@ -76,7 +76,7 @@
 
 /** Gets changes decided, one generation after another, by ballots among the voters; one order at a time, others wait in a queue. */
 export class Proposer {
-  private readonly owner = new Owner();
+  private readonly owner = new CommandQueue();
   private readonly read: ConfirmedRead;
   private seenRound = 0;
   private lastRoundMs = 0;
@@ -96,88 +96,90 @@
     check: Check,
     changeId: string,
     digest: string,
-    patienceMs: number,
+    timeoutMs: number,
   ): Promise<Result<Applied, ProposeFault>> => {
-    const attempt = new Attempt(changeId, digest, this.clock.now() + patienceMs);
+    const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
     if (this.owner.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
     const work = this.owner.run(() => this.push(check, attempt));
-    return pause.within(this.clock, patienceMs, work, () => attempt.giveUp(lateDetail));
+    return pause.within(this.clock, timeoutMs, work, () => attempt.giveUp(lateDetail));
   };
 
   /** Settles a value that was accepted here and whose proposer may be gone. */
-  readonly finishRival = (): Promise<void> =>
+  readonly finishPending = (): Promise<void> =>
     this.owner.run(async () => {
       const state = this.acceptor.agreed();
-      const heldMs = this.acceptor.unsettledFor();
+      const heldMs = this.acceptor.pendingForMs();
       if (state === null || heldMs === null || heldMs < this.rescueAfterMs()) return;
       await this.round(state, null, null);
     });
 
   /** A state as new as any that was acknowledged before the call, or null where no majority confirmed one within `patienceMs`. */
-  readonly confirm = (patienceMs: number): Promise<Agreed | null> => {
-    const settlePending = (state: Agreed): Promise<unknown> => this.owner.run(() => this.round(state, null, null));
-    const work = this.read.newest(this.clock.now() + patienceMs, settlePending);
-    return pause.within(this.clock, patienceMs, work, () => null);
+  readonly confirm = (timeoutMs: number): Promise<CommittedState | null> => {
+    const settlePending = (state: CommittedState): Promise<unknown> =>
+      this.owner.run(() => this.round(state, null, null));
+    const work = this.read.newest(this.clock.now() + timeoutMs, settlePending);
+    return pause.within(this.clock, timeoutMs, work, () => null);
   };
 
   readonly depth = (): number => this.owner.depth();
 
   private readonly push = async (check: Check, attempt: Attempt): Promise<Result<Applied, ProposeFault>> => {
-    for (let shot = 0; ; shot += 1) {
+    for (let attemptNumber = 0; ; attemptNumber += 1) {
       if (attempt.isEnded() || this.clock.now() >= attempt.until) return attempt.giveUp(lateDetail);
       const state = this.acceptor.agreed();
       if (state === null) return attempt.giveUp('no fleet is founded yet');
-      const answered = this.answeredBy(state, attempt, shot === 0);
+      const answered = this.answeredBy(state, attempt, attemptNumber === 0);
       const checked = check(state);
       if (answered !== null || checked.isErr()) {
         const newest = await this.confirmWithin(attempt);
         if (newest === null) return attempt.giveUp(unreachableDetail);
-        if (newest.generation !== state.generation) continue;
+        if (newest.logIndex !== state.logIndex) continue;
         return answered ?? (checked as Result<never, ProposeFault>);
       }
       const outcome = await this.round(state, checked.value, attempt);
-      if (outcome.k === 'settled') {
-        if (attempt.isOf(outcome.settled.change))
-          return ok({ generation: outcome.settled.generation, isRepeat: false });
+      if (outcome.kind === 'committed') {
+        if (attempt.isOf(outcome.committed.change))
+          return ok({ logIndex: outcome.committed.logIndex, isRepeat: false });
         attempt.lostSlot();
-      } else if (outcome.k === 'no majority' && !attempt.mayHaveBeenTaken()) return attempt.giveUp(unreachableDetail);
-      else await this.backOff(shot);
+      } else if (outcome.kind === 'no majority' && !attempt.mayHaveBeenTaken())
+        return attempt.giveUp(unreachableDetail);
+      else await this.backOff(attemptNumber);
     }
   };
 
   /** What the record of the change says, if there is one. */
   private readonly answeredBy = (
-    { changeIds, layoutGeneration }: Agreed,
+    { changeIds, configLogIndex }: CommittedState,
     { changeId, digest }: Attempt,
     isRepeat: boolean,
   ): Result<Applied, ProposeFault> | null => {
     const known = Object.hasOwn(changeIds, changeId) ? changeIds[changeId] : undefined;
     if (known === undefined) return null;
-    if (known.digest === digest) return ok({ generation: known.generation, isRepeat });
-    return err({ kind: 'conflict', layoutGeneration, detail: 'this change id was used for another change' });
+    if (known.digest === digest) return ok({ logIndex: known.logIndex, isRepeat });
+    return err({ kind: 'conflict', configLogIndex, detail: 'this change id was used for another change' });
   };
 
-  private readonly confirmWithin = (attempt: Attempt): Promise<Agreed | null> =>
+  private readonly confirmWithin = (attempt: Attempt): Promise<CommittedState | null> =>
     this.read.newest(attempt.until, (state) => this.round(state, null, null));
 
   /** How long a value may stay undecided before it is taken for abandoned; bounded, since edges wait for it. */
   private readonly rescueAfterMs = (): number => Math.min(ballotsBeforeRescue * this.lastRoundMs, longestBackoffMs);
 
   /** Waits about as long as a ballot takes here, longer after each try, so that proposers on slow disks let each other finish. */
-  private readonly backOff = (shot: number): Promise<void> => {
+  private readonly backOff = (attemptNumber: number): Promise<void> => {
     const base = Math.min(Math.max(backoffMs, this.lastRoundMs), longestBackoffMs);
-    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(shot + 1, mostBackoffs));
+    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, mostBackoffs));
   };
 
   readonly learn = async (since: Since): Promise<void> => {
-    if (since.k === 'checkpoint') await this.acceptor.adopt(since.agreed);
-    if (since.k === 'changes') for (const settled of since.settled) await this.acceptor.settle(settled);
+    if (since.kind === 'checkpoint') await this.acceptor.adopt(since.agreed);
+    if (since.kind === 'changes') for (const committed of since.committed) await this.acceptor.commit(committed);
   };
 
   private readonly vote = (
-    state: Agreed,
+    state: CommittedState,
     call: (member: Member) => Promise<Vote | null>,
-    wanted: Vote['k'],
+    wanted: Vote['kind'],
   ): Promise<Vote[] | 'again' | 'no majority'> => {
     const majority = majorityOf(state.members);
     const ask = async (member: Member): Promise<Vote | null> => {
@@ -186,23 +188,23 @@
       return vote;
     };
     return askMembers<Vote, Vote[] | 'again' | 'no majority'>(
-      agreedState.distinctVoters(state),
+      stateMachine.distinctVoters(state),
       ask,
       (replies, open) => {
         const votes = replies.filter((vote) => vote !== null);
-        const wantedVotes = votes.filter(({ k }) => k === wanted);
+        const wantedVotes = votes.filter(({ kind: k }) => k === wanted);
         if (wantedVotes.length >= majority) return wantedVotes;
         if (wantedVotes.length + open >= majority) return null;
-        return votes.some(({ k }) => k === 'denied' || k === 'ahead') ? 'again' : 'no majority';
+        return votes.some(({ kind: k }) => k === 'denied' || k === 'ahead') ? 'again' : 'no majority';
       },
     );
   };
 
   /** Takes from a vote what the next ballot must know. */
-  private readonly heed = async (member: Member, vote: Vote, state: Agreed): Promise<void> => {
-    if (vote.k === 'denied') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
-    if (vote.k !== 'ahead') return;
-    const since = await this.voters.since(member, state.generation);
+  private readonly heed = async (member: Member, vote: Vote, state: CommittedState): Promise<void> => {
+    if (vote.kind === 'denied') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
+    if (vote.kind !== 'ahead') return;
+    const since = await this.voters.since(member, state.logIndex);
     if (since !== null) await this.learn(since);
   };
 
@@ -211,47 +213,55 @@
     call: (member: Member) => Promise<Vote | null>,
   ): Promise<Vote | null> => {
     const vote = await call(member);
-    if (vote?.k !== 'behind') return vote;
-    await this.voters.supply(member, this.acceptor.since(vote.generation));
+    if (vote?.kind !== 'behind') return vote;
+    await this.voters.supply(member, this.acceptor.since(vote.logIndex));
     return call(member);
   };
 
-  private readonly round = async (state: Agreed, own: Change | null, attempt: Attempt | null): Promise<Round> => {
+  private readonly round = async (
+    state: CommittedState,
+    own: Change | null,
+    attempt: Attempt | null,
+  ): Promise<Round> => {
     const begunAt = this.clock.now();
     const outcome = await this.ballot(state, own, attempt);
-    if (outcome.k !== 'no majority') this.lastRoundMs = this.clock.now() - begunAt;
+    if (outcome.kind !== 'no majority') this.lastRoundMs = this.clock.now() - begunAt;
     return outcome;
   };
 
-  private readonly ballot = async (state: Agreed, own: Change | null, attempt: Attempt | null): Promise<Round> => {
-    const slot = state.generation + 1;
+  private readonly ballot = async (
+    state: CommittedState,
+    own: Change | null,
+    attempt: Attempt | null,
+  ): Promise<Round> => {
+    const slot = state.logIndex + 1;
     this.seenRound = Math.max(this.seenRound, this.acceptor.highestRound()) + 1;
     const ballot: Ballot = [this.seenRound, this.acceptor.incarnation];
     const promises = await this.vote(state, (member) => this.voters.prepare(member, slot, ballot), 'promised');
-    if (promises === 'again' || promises === 'no majority') return { k: promises };
+    if (promises === 'again' || promises === 'no majority') return { kind: promises };
     const change = this.newestAccepted(promises)?.change ?? own;
-    if (change === null) return { k: 'nothing to settle' };
-    if (attempt?.isOf(change) === true && !attempt.offer()) return { k: 'given up' };
+    if (change === null) return { kind: 'nothing to settle' };
+    if (attempt?.isOf(change) === true && !attempt.offer()) return { kind: 'given up' };
     const accepts = await this.vote(state, (member) => this.voters.accept(member, slot, ballot, change), 'accepted');
-    if (accepts === 'again' || accepts === 'no majority') return { k: accepts };
-    const settled: Settled = { generation: slot, change };
-    this.voters.settle(settled);
-    const isKept = await this.acceptor.settle(settled);
-    this.log.info('a generation is settled', {
-      generation: slot,
+    if (accepts === 'again' || accepts === 'no majority') return { kind: accepts };
+    const committed: CommittedChange = { logIndex: slot, change };
+    this.voters.commit(committed);
+    const isKept = await this.acceptor.commit(committed);
+    this.log.info('log entry committed', {
+      logIndex: slot,
       changeId: change.id,
       kind: change.body.kind,
-      isVoid: agreedState.isVoid(state, change),
+      isVoid: stateMachine.isVoid(state, change),
       isKept,
     });
-    return { k: 'settled', settled };
+    return { kind: 'committed', committed };
   };
 
   /** The value that may already be decided: the one accepted under the highest ballot. */
   private readonly newestAccepted = (promises: readonly Vote[]): Accepted | null => {
     let newest: Accepted | null = null;
     for (const vote of promises) {
-      if (vote.k !== 'promised' || vote.accepted === null) continue;
+      if (vote.kind !== 'promised' || vote.accepted === null) continue;
       if (newest === null || ballots.compare(vote.accepted.ballot, newest.ballot) > 0) newest = vote.accepted;
     }
     return newest;
--- a/packages/control-plane/src/quorumCall.ts
+++ b/packages/control-plane/src/quorumCall.ts
@@ -1,10 +1,10 @@
-import type { Acceptor, Ballot, Settled, Since, Vote } from './acceptor.js';
+import type { Acceptor, Ballot, CommittedChange, Since, Vote } from './acceptor.js';
 import { background } from '@martenworks/core-types';
 import type { Change, Member } from '@martenworks/core-types';
 
 /** Where one acceptor stands: the last generation it knows to be decided, and the slot of a value it accepted after that, if any. */
 export interface Position {
-  readonly generation: number;
+  readonly logIndex: number;
   readonly acceptedSlot: number | null;
 }
 
@@ -13,8 +13,8 @@
   readonly prepare: (member: Member, slot: number, ballot: Ballot) => Promise<Vote | null>;
   readonly accept: (member: Member, slot: number, ballot: Ballot, change: Change) => Promise<Vote | null>;
   readonly position: (member: Member) => Promise<Position | null>;
-  readonly settle: (settled: Settled) => void;
-  readonly since: (member: Member, generation: number) => Promise<Since | null>;
+  readonly commit: (committed: CommittedChange) => void;
+  readonly since: (member: Member, logIndex: number) => Promise<Since | null>;
   readonly supply: (member: Member, since: Since) => Promise<void>;
 }
 
@@ -22,7 +22,7 @@
   /** Null while the acceptor belongs to no founded fleet. */
   of: (acceptor: Acceptor): Position | null => {
     const state = acceptor.agreed();
-    return state === null ? null : { generation: state.generation, acceptedSlot: acceptor.acceptedSlot() };
+    return state === null ? null : { logIndex: state.logIndex, acceptedSlot: acceptor.acceptedSlot() };
   },
 };
 
@@ -34,7 +34,7 @@
   ask: (member: Member) => Promise<Reply | null>,
   decide: (replies: readonly (Reply | null)[], open: number) => Outcome | null,
 ): Promise<Outcome> =>
-  new Promise((settle, fail) => {
+  new Promise((resolve, fail) => {
     const replies: (Reply | null)[] = [];
     let isDecided = false;
     for (const member of members) {
@@ -46,7 +46,7 @@
           const outcome = decide(replies, members.length - replies.length);
           if (outcome === null) return;
           isDecided = true;
-          settle(outcome);
+          resolve(outcome);
         }, fail),
       );
     }
--- a/packages/control-plane/src/recovery.ts
+++ b/packages/control-plane/src/recovery.ts
@@ -1,13 +1,13 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Agreed, Clock, Disk, Log, Member, Random } from '@martenworks/core-types';
-import type { WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { CommittedState, Clock, Disk, Log, Member, Random } from '@martenworks/core-types';
+import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { acceptors } from './acceptor.js';
 import { checkMemberLogs } from './memberLogs.js';
 
 const generationLeap = 1_000;
 
-export type RecoveryFault = WriteAheadLogFault | { readonly kind: 'recovery'; readonly detail: string };
+export type RecoveryError = WriteAheadLogError | { readonly kind: 'recovery'; readonly detail: string };
 
 export const recovery = {
   recover: async (
@@ -16,7 +16,7 @@
     random: Random,
     log: Log,
     members: readonly Member[],
-  ): Promise<Result<Agreed, RecoveryFault>> => {
+  ): Promise<Result<CommittedState, RecoveryError>> => {
     const checked = await checkMemberLogs(disk);
     if (checked.isErr()) return err(checked.error);
     const opened = await acceptors.open(disk, clock, random, log);
@@ -31,7 +31,7 @@
       });
     if (new Set(members.map((member) => member.incarnation)).size !== members.length)
       return err({ kind: 'recovery', detail: 'the new members must differ' });
-    const recovered: Agreed = { ...state, generation: state.generation + generationLeap, members };
+    const recovered: CommittedState = { ...state, logIndex: state.logIndex + generationLeap, members };
     const isKept = await acceptor.adopt(recovered);
     await acceptor.close();
     return isKept ? ok(recovered) : err({ kind: 'recovery', detail: 'the disk did not take the recovered state' });
--- a/packages/control-plane/src/platformWire.ts
+++ b/packages/control-plane/src/replicaApi.ts
@@ -3,9 +3,9 @@
 import type { Context } from 'hono';
 import { keys } from '@martenworks/core-types';
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
-import { layouts } from '@martenworks/settings';
-import { bodyOf, changeIdOf, replyTo } from './operatorWire.js';
-import type { Postmaster } from './postmaster.js';
+import { gatewayConfigs } from '@martenworks/settings';
+import { bodyOf, changeIdOf, replyTo } from './operatorApi.js';
+import type { GatewayControlNode } from './gatewayControlNode.js';
 
 const label = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
 const address = type(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/);
@@ -33,7 +33,7 @@
 const recordOf = (
   given: typeof announcement.infer,
   held: ReplicaRecord | undefined,
-  generation: number,
+  logIndex: number,
 ): ReplicaRecord => {
   const isBack = held?.state === 'gone' || (held?.state === 'leaving' && given.state === 'ready');
   const isSame =
@@ -47,30 +47,36 @@
     address: given.address,
     zone: given.zone ?? '',
     slots: given.slots ?? null,
-    born: generation,
+    born: logIndex,
     sides: [],
   };
 };
 
 const unheard = (c: Context): Response =>
-  c.json({ outcome: 'not accepted', detail: 'no majority of postmasters can be reached' }, 503, { 'retry-after': '1' });
+  c.json({ outcome: 'not accepted', detail: 'no majority of control nodes can be reached' }, 503, {
+    'retry-after': '1',
+  });
 
-const announced = async (c: Context, postmaster: Postmaster, records: readonly ReplicaRecord[]): Promise<Response> => {
-  const outcome = await postmaster.replicas.announce(records);
+const announced = async (
+  c: Context,
+  controlNode: GatewayControlNode,
+  records: readonly ReplicaRecord[],
+): Promise<Response> => {
+  const outcome = await controlNode.replicas.announce(records);
   if (outcome.isOk())
-    return c.json({ outcome: 'accepted', replicas: records.map((record) => postmaster.table.find(record.name)) });
+    return c.json({ outcome: 'accepted', replicas: records.map((record) => controlNode.table.find(record.name)) });
   return outcome.error.kind === 'disk'
     ? c.json({ outcome: 'not accepted', detail: 'the disk did not take it' }, 503, { 'retry-after': '1' })
-    : c.json({ outcome: 'unknown', detail: 'no majority of postmasters has confirmed it yet; send it again' }, 504, {
+    : c.json({ outcome: 'unknown', detail: 'no majority of control nodes has confirmed it yet; send it again' }, 504, {
         'retry-after': '1',
       });
 };
 
-export const platformWire = (postmaster: Postmaster): Hono => {
+export const replicaApi = (controlNode: GatewayControlNode): Hono => {
   const app = new Hono();
   const badRequest = (c: Context, detail: string): Response => c.json({ outcome: 'rejected', detail }, 400);
 
-  app.get('/platform/replicas', (c) => c.json({ replicas: postmaster.table.records() }));
+  app.get('/platform/replicas', (c) => c.json({ replicas: controlNode.table.records() }));
 
   app.post('/platform/replicas', async (c) => {
     const body = await bodyOf(c);
@@ -84,9 +90,9 @@
         },
         422,
       );
-    if (!(await postmaster.replicas.learn(checked.map((one) => one.name)))) return unheard(c);
+    if (!(await controlNode.replicas.learn(checked.map((one) => one.name)))) return unheard(c);
     const moved = checked.flatMap((one, at) => {
-      const held = postmaster.table.find(one.name);
+      const held = controlNode.table.find(one.name);
       const isMoved =
         held !== undefined && held.incarnation === one.incarnation && one.pool !== undefined && one.pool !== held.pool;
       return isMoved
@@ -101,19 +107,19 @@
     if (moved.length > 0) return c.json({ outcome: 'rejected', complaints: moved }, 422);
     return announced(
       c,
-      postmaster,
+      controlNode,
       checked.map((one) =>
-        recordOf(one, postmaster.table.find(one.name), postmaster.acceptor.agreed()?.generation ?? 0),
+        recordOf(one, controlNode.table.find(one.name), controlNode.acceptor.agreed()?.logIndex ?? 0),
       ),
     );
   });
 
   const moved = async (c: Context, state: 'leaving' | 'gone'): Promise<Response> => {
     const name = c.req.param('name') ?? '';
-    if (!(await postmaster.replicas.learn([name]))) return unheard(c);
-    const held = postmaster.table.find(name);
+    if (!(await controlNode.replicas.learn([name]))) return unheard(c);
+    const held = controlNode.table.find(name);
     if (held === undefined) return c.json({ outcome: 'rejected', detail: 'no such replica' }, 404);
-    return announced(c, postmaster, [{ ...held, state }]);
+    return announced(c, controlNode, [{ ...held, state }]);
   };
   app.post('/platform/replicas/:name/leaving', (c) => moved(c, 'leaving'));
   app.delete('/platform/replicas/:name', (c) => moved(c, 'gone'));
@@ -138,12 +144,12 @@
       );
     let tenant: Tenant | null = null;
     if (checked.grant !== undefined) {
-      const shaped = layouts.tenant(checked.grant);
+      const shaped = gatewayConfigs.tenant(checked.grant);
       if (shaped.isErr()) return c.json({ outcome: 'rejected', complaints: shaped.error }, 422);
       tenant = shaped.value;
     }
-    const changeId = changeIdOf(c, postmaster);
-    return replyTo(c, changeId, await postmaster.changes.grant(changeId, keyHash, { tenant: checked.tenant }, tenant));
+    const changeId = changeIdOf(c, controlNode);
+    return replyTo(c, changeId, await controlNode.changes.grant(changeId, keyHash, { tenant: checked.tenant }, tenant));
   });
 
   app.post('/platform/keys/revoke', async (c) => {
@@ -157,8 +163,8 @@
         { outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] },
         422,
       );
-    const changeId = changeIdOf(c, postmaster);
-    return replyTo(c, changeId, await postmaster.changes.revoke(changeId, keyHash));
+    const changeId = changeIdOf(c, controlNode);
+    return replyTo(c, changeId, await controlNode.changes.revoke(changeId, keyHash));
   });
   return app;
 };
--- a/packages/control-plane/src/replicaDesk.ts
+++ b/packages/control-plane/src/replicaRegistry.ts
@@ -2,7 +2,7 @@
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
 import type { ClaimPage, ReplicaRecord } from '@martenworks/core-types';
-import type { Lines } from '@martenworks/cluster-membership';
+import type { PeerPool } from '@martenworks/cluster-membership';
 import type { ClaimTable } from './claims.js';
 import type { Acceptor } from './acceptor.js';
 import { majorityOf } from './quorumCall.js';
@@ -10,16 +10,16 @@
 
 export type ReplicaFault = { readonly kind: 'disk' } | { readonly kind: 'unknown' };
 
-const patienceMs = 1_500;
+const timeoutMs = 1_500;
 
-export class ReplicaDesk {
+export class ReplicaRegistry {
   readonly syncedFrom = new Set<string>();
 
   constructor(
     private readonly table: ReplicaTable,
     private readonly claims: ClaimTable,
     private readonly acceptor: Acceptor,
-    private readonly lines: () => Lines,
+    private readonly peerPool: () => PeerPool,
   ) {}
 
   private readonly byMajority = (
@@ -30,25 +30,25 @@
     const members = this.acceptor.agreed()?.members ?? [];
     const majority = majorityOf(members);
     const others = members.filter((member) => member.incarnation !== this.acceptor.incarnation);
-    return new Promise((settle) => {
+    return new Promise((resolve) => {
       let heard = this.acceptor.isVoter() ? 1 : 0;
       let open = others.length;
-      const tally = (isOne: boolean): void => {
+      const metrics = (isOne: boolean): void => {
         open -= 1;
         if (isOne) heard += 1;
-        if (heard >= majority) settle(true);
-        else if (open <= 0) settle(false);
+        if (heard >= majority) resolve(true);
+        else if (open <= 0) resolve(false);
       };
-      if (others.length === 0) settle(false);
+      if (others.length === 0) resolve(false);
       for (const member of others) {
-        const connection = this.lines().to(member.incarnation);
-        if (connection === undefined) tally(false);
+        const connection = this.peerPool().to(member.incarnation);
+        if (connection === undefined) metrics(false);
         else
           background.run(
             'quorum call on replicas',
             connection
-              .ask(topic, body, patienceMs)
-              .then(async (receipt) => tally(receipt.isOk() && (await isHeard(receipt.value)))),
+              .ask(topic, body, timeoutMs)
+              .then(async (reply) => metrics(reply.isOk() && (await isHeard(reply.value)))),
           );
       }
     });
@@ -76,15 +76,15 @@
   readonly takeNews = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
     (await this.table.take(records)).isOk();
 
-  readonly reconcile = async (incarnation: string, lines: Lines): Promise<void> => {
-    const connection = lines.to(incarnation);
+  readonly reconcile = async (incarnation: string, peerPool: PeerPool): Promise<void> => {
+    const connection = peerPool.to(incarnation);
     if (connection === undefined) return;
-    const told = await connection.ask('replicaTable', this.table.records(), patienceMs);
+    const told = await connection.ask('replicaTable', this.table.records(), timeoutMs);
     if (told.isErr()) return;
     const kept = await this.table.take(told.value as ReplicaRecord[]);
     if (kept.isErr()) return;
     for (let from: number | null = 0; from !== null; ) {
-      const page = await connection.ask('claimPage', from, patienceMs);
+      const page = await connection.ask('claimPage', from, timeoutMs);
       if (page.isErr() || !(await this.claims.takePage(page.value as ClaimPage))) return;
       from = (page.value as ClaimPage).next;
     }
--- a/packages/control-plane/src/replicaTable.ts
+++ b/packages/control-plane/src/replicaTable.ts
@@ -1,15 +1,15 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { Owner, replicas } from '@martenworks/core-types';
+import { CommandQueue, replicas } from '@martenworks/core-types';
 import type { Disk, Log, ReplicaRecord } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { WriteAheadLog, WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { logPrefixes } from './memberLogs.js';
 
-const segmentsBeforeCheckpoint = 4;
+const segmentsBeforeSnapshot = 4;
 
 export class ReplicaTable {
-  private readonly owner = new Owner();
+  private readonly owner = new CommandQueue();
   private readonly held = new Map<string, ReplicaRecord>();
   private readonly watchers: ((records: readonly ReplicaRecord[]) => void)[] = [];
 
@@ -23,19 +23,19 @@
       this.held.set(record.name, replicas.merge(this.held.get(record.name), replicas.filled(record)));
   };
 
-  readonly watch = (verb: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(verb);
+  readonly watch = (listener: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(listener);
 
-  readonly take = (told: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogFault>> =>
+  readonly take = (told: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
     this.owner.run(async () => {
-      const news = told
+      const update = told
         .filter((record) => replicas.isNews(this.held.get(record.name), record))
         .map((record) => replicas.merge(this.held.get(record.name), record));
-      if (news.length === 0) return ok(news);
+      if (update.length === 0) return ok(update);
       const kept: ReplicaRecord[] = [];
-      for (const record of news) {
+      for (const record of update) {
         const written = await this.wal.append(record);
         if (written.isErr()) {
-          this.log.error('the log did not take a replica record', { fault: written.error });
+          this.log.error('log append failed for a replica record', { fault: written.error });
           this.tellWatchers(kept);
           return err(written.error);
         }
@@ -43,8 +43,8 @@
         kept.push(record);
       }
       this.tellWatchers(kept);
-      if (this.wal.segmentCount() > segmentsBeforeCheckpoint) await this.wal.checkpoint(this.records);
-      return ok(news);
+      if (this.wal.segmentCount() > segmentsBeforeSnapshot) await this.wal.snapshot(this.records);
+      return ok(update);
     });
 
   private readonly tellWatchers = (kept: readonly ReplicaRecord[]): void => {
@@ -59,13 +59,13 @@
 }
 
 export const replicaTables = {
-  open: async (disk: Disk, log: Log): Promise<Result<ReplicaTable, WriteAheadLogFault>> => {
+  open: async (disk: Disk, log: Log): Promise<Result<ReplicaTable, WriteAheadLogError>> => {
     const opened = await writeAheadLogs.open(disk, logPrefixes.replicas);
     if (opened.isErr()) return err(opened.error);
-    const { wal, checkpoint, records, cutBytes } = opened.value;
-    if (cutBytes > 0) log.warn('a torn tail was cut from the ledger', { wal: 'replicas', cutBytes });
+    const { wal, snapshot, records, cutBytes } = opened.value;
+    if (cutBytes > 0) log.warn('truncated a torn log tail', { wal: 'replicas', cutBytes });
     const table = new ReplicaTable(wal, log);
-    table.replay([...((checkpoint as ReplicaRecord[] | null) ?? []), ...(records as ReplicaRecord[])]);
+    table.replay([...((snapshot as ReplicaRecord[] | null) ?? []), ...(records as ReplicaRecord[])]);
     return ok(table);
   },
 };
--- a/packages/control-plane/src/statePublisher.ts
+++ b/packages/control-plane/src/statePublisher.ts
@@ -1,54 +1,54 @@
-/** Tells fronts what is in force: all of it to those whose source this node is, the bare generation to the others. */
+/** Tells edges what is in force: all of it to those whose source this node is, the bare generation to the others. */
 import type {
-  Agreed,
+  CommittedState,
   Clock,
-  FrontPing,
-  FrontPong,
-  StateHeld,
-  StateMessage,
+  EdgePing,
+  EdgePong,
+  StatePosition,
+  EdgeStateMessage,
   Subscription,
 } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
-import { BookHistory } from './bookHistory.js';
+import { RoutingTableHistory } from './routingTableHistory.js';
 
 const silentMs = 4_000;
 const agesKept = 8;
 const resendMs = 1_000;
 
-/** A state that was sent to a front and that it has not confirmed. */
+/** A state that was sent to an edge and that it has not confirmed. */
 interface Transfer {
-  readonly generation: number;
+  readonly logIndex: number;
   readonly sentAt: number;
 }
 
-/** `generation` and `edition` are what the front is known to hold. */
+/** `generation` and `edition` are what the edge is known to hold. */
 interface Subscriber {
-  generation: number;
-  edition: number;
+  logIndex: number;
+  configVersion: number;
   underWay: Transfer | null;
   announced: number;
   heardAt: number;
   wantsContent: boolean;
 }
 
-export interface FrontLine {
-  readonly front: string;
+export interface EdgeStatus {
+  readonly edge: string;
   readonly zone: string;
   readonly acked: number;
   readonly isContent: boolean;
   readonly heardMsAgo: number;
 }
 
-interface Named {
+interface VersionSince {
   readonly version: number;
   readonly at: number;
 }
 
 export class StatePublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
-  private readonly named = new Map<string, readonly Named[]>();
-  private readonly history = new BookHistory();
+  private readonly named = new Map<string, readonly VersionSince[]>();
+  private readonly history = new RoutingTableHistory();
 
   constructor(
     private readonly acceptor: Acceptor,
@@ -56,21 +56,21 @@
     private readonly listAgeMs: () => number | null,
     private readonly greet: (connection: PeerConnection) => void,
   ) {
-    this.history.note(acceptor.agreed()?.ways ?? null);
+    this.history.note(acceptor.agreed()?.routing ?? null);
     this.noteNamed();
     acceptor.watch(this.bring);
   }
 
   private readonly noteNamed = (): void => {
     const at = this.clock.now();
-    for (const [model, version] of Object.entries(this.acceptor.agreed()?.named ?? {})) {
+    for (const [model, version] of Object.entries(this.acceptor.agreed()?.targetWeights ?? {})) {
       const held = this.named.get(model) ?? [];
       if ((held.at(-1)?.version ?? 0) < version) this.named.set(model, [...held, { version, at }].slice(-agesKept));
     }
   };
 
-  private readonly message = (state: Agreed, held: StateHeld): StateMessage => {
-    const edition = state.ways?.edition ?? 0;
+  private readonly message = (state: CommittedState, held: StatePosition): EdgeStateMessage => {
+    const configVersion = state.routing?.configVersion ?? 0;
     const now = this.clock.now();
     const namedAges = Object.fromEntries(
       [...this.named].map(([model, list]) => [
@@ -78,23 +78,23 @@
         list.map(({ version, at }) => ({ version, msAgo: Math.round(now - at) })),
       ]),
     );
-    this.history.note(state.ways);
+    this.history.note(state.routing);
     return {
-      generation: state.generation,
-      edition,
-      book: this.history.messageFrom(held.edition),
-      named: state.named,
-      namedAges,
+      logIndex: state.logIndex,
+      configVersion,
+      packedTable: this.history.messageFrom(held.configVersion),
+      targetWeights: state.targetWeights,
+      weightsAges: namedAges,
       members: state.members,
     };
   };
 
-  readonly subscribe = (connection: PeerConnection, { generation, edition, wantsContent }: Subscription): void => {
+  readonly subscribe = (connection: PeerConnection, { logIndex, configVersion, wantsContent }: Subscription): void => {
     const before = this.subscribers.get(connection);
     const wasContent = before?.wantsContent === true;
     this.subscribers.set(connection, {
-      generation,
-      edition,
+      logIndex,
+      configVersion,
       underWay: connection.isSending('state') ? (before?.underWay ?? null) : null,
       announced: before?.announced ?? -1,
       heardAt: this.clock.now(),
@@ -107,55 +107,55 @@
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly bring = (): void => {
-    this.history.note(this.acceptor.agreed()?.ways ?? null);
+    this.history.note(this.acceptor.agreed()?.routing ?? null);
     this.noteNamed();
     for (const connection of this.subscribers.keys()) this.bringTo(connection);
   };
 
-  /** Announces the generation in force and, to a front whose source this is, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
+  /** Announces the generation in force and, to an edge whose source this is, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
   private readonly bringTo = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.agreed();
-    if (subscriber === undefined || state === null || state.generation <= subscriber.generation) return;
-    if (state.generation > subscriber.announced) connection.tell('news', state.generation);
-    subscriber.announced = state.generation;
+    if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
+    if (state.logIndex > subscriber.announced) connection.tell('stateAnnounced', state.logIndex);
+    subscriber.announced = state.logIndex;
     if (!subscriber.wantsContent || subscriber.underWay !== null) return;
-    subscriber.underWay = { generation: state.generation, sentAt: this.clock.now() };
+    subscriber.underWay = { logIndex: state.logIndex, sentAt: this.clock.now() };
     connection.tell('state', this.message(state, subscriber));
   };
 
-  /** What is in force for a front that asks: null where nothing was agreed. */
-  readonly stateFor = (held: StateHeld): StateMessage | null => {
+  /** What is in force for an edge that asks: null where nothing was agreed. */
+  readonly stateFor = (held: StatePosition): EdgeStateMessage | null => {
     const state = this.acceptor.agreed();
     return state === null ? null : this.message(state, held);
   };
 
-  readonly acked = (connection: PeerConnection, { generation, edition }: StateHeld): void => {
+  readonly acked = (connection: PeerConnection, { logIndex, configVersion }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     subscriber.heardAt = this.clock.now();
-    if (generation >= subscriber.generation) Object.assign(subscriber, { generation, edition });
+    if (logIndex >= subscriber.logIndex) Object.assign(subscriber, { logIndex, configVersion });
     if (this.isOver(connection, subscriber)) subscriber.underWay = null;
     this.bringTo(connection);
   };
 
-  private readonly isOver = (connection: PeerConnection, { underWay, generation }: Subscriber): boolean => {
-    if (underWay === null || generation >= underWay.generation) return true;
+  private readonly isOver = (connection: PeerConnection, { underWay, logIndex }: Subscriber): boolean => {
+    if (underWay === null || logIndex >= underWay.logIndex) return true;
     return this.clock.now() - underWay.sentAt > resendMs && !connection.isSending('state');
   };
 
-  readonly pong = (connection: PeerConnection, ping: FrontPing, majorityHeardMs: number | null): FrontPong => {
+  readonly pong = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
     this.acked(connection, ping);
     return {
-      generation: this.acceptor.agreed()?.generation ?? -1,
-      fronts: this.fronts(),
-      isSettled: majorityHeardMs !== null,
+      logIndex: this.acceptor.agreed()?.logIndex ?? -1,
+      edgeCount: this.edgeCount(),
+      hasMajority: majorityHeardMs !== null,
       majorityHeardMs,
       listAgeMs: this.listAgeMs(),
     };
   };
 
-  readonly fronts = (): number => {
+  readonly edgeCount = (): number => {
     const now = this.clock.now();
     return [...this.subscribers.values()].filter(({ heardAt }) => now - heardAt <= silentMs).length;
   };
@@ -178,12 +178,12 @@
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
 
-  readonly lines = (): FrontLine[] => {
+  readonly status = (): EdgeStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
-      front: connection.neighbour?.name ?? '',
-      zone: connection.neighbour?.zone ?? '',
-      acked: one.generation,
+      edge: connection.peer?.name ?? '',
+      zone: connection.peer?.zone ?? '',
+      acked: one.logIndex,
       isContent: one.wantsContent,
       heardMsAgo: Math.round(now - one.heardAt),
     }));
