--- a/packages/control-plane/src/weightsDesk.ts
+++ b/packages/control-plane/src/weightsRollout.ts
@@ -1,5 +1,5 @@
 import { background, pause } from '@martenworks/core-types';
-import type { BackEnds, Clock, Log, ReplicaCard, WeightsNews } from '@martenworks/core-types';
+import type { BackendClient, Clock, Log, ReplicaEndpoint, WeightsUpdate } from '@martenworks/core-types';
 
 const noticeMs = 70;
 const firstLookMs = 300;
@@ -10,22 +10,22 @@
 const atOnceShare = 0.25;
 
 interface Waiting {
-  readonly card: ReplicaCard;
+  readonly endpoint: ReplicaEndpoint;
   readonly model: string;
   readonly version: number;
 }
 
-/** Brings the replicas to the weights that were named, some at a time and the oldest weights first, under the lease of one holder. The fronts are told before each order, so that they send nothing there while it is under way. */
-export class WeightsDesk {
+/** Brings the replicas to the weights that were named, some at a time and the oldest weights first, under the lease of one holder. The edges are told before each order, so that they send nothing there while it is under way. */
+export class WeightsRollout {
   private readonly underWay = new Map<string, string>();
   private readonly restUntil = new Map<string, number>();
   private orders = 0;
 
   constructor(
-    private readonly backEnds: BackEnds,
+    private readonly backendClient: BackendClient,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly cards: () => readonly ReplicaCard[],
+    private readonly endpoints: () => readonly ReplicaEndpoint[],
     private readonly wanted: () => readonly {
       readonly pool: string;
       readonly model: string;
@@ -33,26 +33,29 @@
     }[],
     private readonly fence: () => number | null,
     private readonly holder: () => string,
-    private readonly tell: (news: WeightsNews) => void,
+    private readonly tell: (update: WeightsUpdate) => void,
     private readonly holds: (id: string, model: string, version: number) => void,
   ) {}
 
   private readonly pending = (): { waiting: Waiting[]; poolSizes: Map<string, number> } => {
     const poolSizes = new Map<string, number>();
-    const cards = this.cards();
-    for (const card of cards) poolSizes.set(card.pool, (poolSizes.get(card.pool) ?? 0) + 1);
+    const endpoints = this.endpoints();
+    for (const endpoint of endpoints) poolSizes.set(endpoint.pool, (poolSizes.get(endpoint.pool) ?? 0) + 1);
     const now = this.clock.now();
     const waiting = this.wanted().flatMap(({ pool, model, version }) =>
-      cards.flatMap((card) => {
+      endpoints.flatMap((endpoint) => {
         const isBehind =
-          card.pool === pool && !card.isLeaving && card.weights[model] !== undefined && card.weights[model] < version;
-        return isBehind && !this.underWay.has(card.id) && (this.restUntil.get(card.id) ?? 0) <= now
-          ? [{ card, model, version }]
+          endpoint.pool === pool &&
+          !endpoint.isLeaving &&
+          endpoint.weights[model] !== undefined &&
+          endpoint.weights[model] < version;
+        return isBehind && !this.underWay.has(endpoint.id) && (this.restUntil.get(endpoint.id) ?? 0) <= now
+          ? [{ endpoint, model, version }]
           : [];
       }),
     );
     return {
-      waiting: waiting.sort((a, b) => (a.card.weights[a.model] ?? 0) - (b.card.weights[b.model] ?? 0)),
+      waiting: waiting.sort((a, b) => (a.endpoint.weights[a.model] ?? 0) - (b.endpoint.weights[b.model] ?? 0)),
       poolSizes,
     };
   };
@@ -61,55 +64,55 @@
     if (this.fence() === null) return;
     const { waiting, poolSizes } = this.pending();
     for (const one of waiting) {
-      if (this.underWay.has(one.card.id)) continue;
-      const inPool = [...this.underWay.values()].filter((pool) => pool === one.card.pool).length;
-      if (inPool >= Math.max(1, Math.floor((poolSizes.get(one.card.pool) ?? 0) * atOnceShare))) continue;
-      this.underWay.set(one.card.id, one.card.pool);
+      if (this.underWay.has(one.endpoint.id)) continue;
+      const inPool = [...this.underWay.values()].filter((pool) => pool === one.endpoint.pool).length;
+      if (inPool >= Math.max(1, Math.floor((poolSizes.get(one.endpoint.pool) ?? 0) * atOnceShare))) continue;
+      this.underWay.set(one.endpoint.id, one.endpoint.pool);
       background.run(
         'load weights',
-        this.bring(one).finally(() => this.underWay.delete(one.card.id)),
+        this.bring(one).finally(() => this.underWay.delete(one.endpoint.id)),
       );
     }
   };
 
-  private readonly rest = ({ card, model }: Waiting, forMs: number): void =>
-    this.tell({ id: card.id, model, version: null, forMs });
+  private readonly rest = ({ endpoint, model }: Waiting, forMs: number): void =>
+    this.tell({ id: endpoint.id, model, version: null, forMs });
 
-  private readonly done = ({ card, model, version }: Waiting): void => {
-    this.holds(card.id, model, version);
-    this.tell({ id: card.id, model, version, forMs: 0 });
+  private readonly done = ({ endpoint, model, version }: Waiting): void => {
+    this.holds(endpoint.id, model, version);
+    this.tell({ id: endpoint.id, model, version, forMs: 0 });
   };
 
   private readonly postpone = (one: Waiting, forMs: number): void => {
-    this.restUntil.set(one.card.id, this.clock.now() + forMs);
+    this.restUntil.set(one.endpoint.id, this.clock.now() + forMs);
     this.rest(one, 0);
   };
 
   private readonly bring = async (one: Waiting): Promise<void> => {
-    const { card, model, version } = one;
+    const { endpoint, model, version } = one;
     this.rest(one, restMs);
     await pause.for(this.clock, noticeMs);
     const fence = this.fence();
     if (fence === null) return this.postpone(one, 0);
     this.orders += 1;
-    const receipt = await this.backEnds.order(card, { model, version, holder: this.holder(), fence });
-    this.log.info('weights were ordered', { replica: card.id, model, version, fence, receipt });
-    if (receipt === 'holds') return this.done(one);
-    if (receipt === 'outranked' || receipt === 'refused' || receipt === 'elsewhere') return this.postpone(one, againMs);
+    const reply = await this.backendClient.order(endpoint, { model, version, holder: this.holder(), fence });
+    this.log.info('weights load ordered', { replica: endpoint.id, model, version, fence, reply });
+    if (reply === 'holds') return this.done(one);
+    if (reply === 'outranked' || reply === 'refused' || reply === 'elsewhere') return this.postpone(one, againMs);
     await this.watch(one);
   };
 
   private readonly watch = async (one: Waiting): Promise<void> => {
-    const { card, model, version } = one;
+    const { endpoint, model, version } = one;
     const until = this.clock.now() + giveUpMs;
     await pause.for(this.clock, firstLookMs);
     let toldAt = this.clock.now();
     while (this.clock.now() < until) {
       if (this.fence() === null) return;
-      const report = await this.backEnds.report(card);
+      const report = await this.backendClient.report(endpoint);
       if (report.isOk() && (report.value.weights[model] ?? 0) >= version) return this.done(one);
       if (report.isOk() && !report.value.isBusy) return this.postpone(one, againMs);
-      if (report.isErr() && !this.cards().some((held) => held.id === card.id)) return;
+      if (report.isErr() && !this.endpoints().some((held) => held.id === endpoint.id)) return;
       if (this.clock.now() - toldAt > restMs / 2) {
         this.rest(one, restMs);
         toldAt = this.clock.now();
--- a/packages/control-plane/test/catchUp.test.ts
+++ b/packages/control-plane/test/catchUp.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import { agreed } from '@martenworks/core-types';
-import type { Change, Way, WayBook } from '@martenworks/core-types';
+import { stateMachine } from '@martenworks/core-types';
+import type { Change, Route, RoutingTable } from '@martenworks/core-types';
 import { CatchUp, acceptors, catchUpTopics, pageBytes } from '@martenworks/control-plane';
 import type { Acceptor, Page } from '@martenworks/control-plane';
 import type { PeerConnection } from '@martenworks/peer-transport';
@@ -15,33 +15,37 @@
   return (held[0] as { value: T }).value;
 };
 
-const way = (at: number, edition: number): Way => ({
+const route = (at: number, configVersion: number): Route => ({
   name: `way-${at}`,
   host: 'example.org',
-  pathStart: `/${(at * 7_919 + edition) % 1_000_003}/${(at * 104_729) % 999_983}/`,
+  pathPrefix: `/${(at * 7_919 + configVersion) % 1_000_003}/${(at * 104_729) % 999_983}/`,
   kind: 'repeatable',
-  horizonMs: 2_000,
-  targetMs: 500,
+  timeoutMs: 2_000,
+  latencyTargetMs: 500,
   rank: 1,
   shares: [{ pool: 'main', share: 1 }],
-  shots: 2,
-  isOpen: false,
-  mayResume: false,
-  gapMs: null,
+  maxAttempts: 2,
+  isPublic: false,
+  isResumable: false,
+  maxEventGapMs: null,
 });
 
-const bookChange = (edition: number, count: number): Change => {
-  const book: WayBook = {
-    ways: Array.from({ length: count }, (_, at) => way(at, edition)),
+const routingChange = (configVersion: number, count: number): Change => {
+  const routingTable: RoutingTable = {
+    routes: Array.from({ length: count }, (_, at) => route(at, configVersion)),
     pools: [],
     stores: [],
     customers: null,
     limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
   };
   return {
-    id: `ways/${edition}`,
-    digest: String(edition),
-    body: { kind: 'ways', base: edition - 1, ways: { edition, book, source: JSON.stringify(book) } },
+    id: `ways/${configVersion}`,
+    digest: String(configVersion),
+    body: {
+      kind: 'routing',
+      base: configVersion - 1,
+      routing: { configVersion, table: routingTable, source: JSON.stringify(routingTable) },
+    },
   };
 };
 
@@ -71,7 +75,7 @@
       acceptor: (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap(),
     });
   }
-  const founded = agreed.founded(
+  const founded = stateMachine.founded(
     members.map(({ acceptor }, at) => ({ name: `m${at}`, address: `m${at}:1`, incarnation: acceptor.incarnation })),
   );
   for (const { acceptor } of members) await finish(world, acceptor.adopt(founded));
@@ -81,7 +85,7 @@
     const { clock, log } = machine.ports();
     return new CatchUp(
       acceptor,
-      () => peers.filter((peer) => peer.neighbour?.incarnation !== acceptor.incarnation),
+      () => peers.filter((peer) => peer.peer?.incarnation !== acceptor.incarnation),
       clock,
       log,
     );
@@ -89,7 +93,7 @@
   const peers: PeerConnection[] = members.map(
     ({ acceptor }, at) =>
       ({
-        neighbour: { incarnation: acceptor.incarnation, role: 'postmaster' },
+        peer: { incarnation: acceptor.incarnation, role: 'control' },
         ask: async (topic: string, body: unknown) => {
           if (topic !== catchUpTopics.page)
             return ok(await catchUps[at]?.answer(peers[at] as PeerConnection, topic, body));
@@ -99,7 +103,7 @@
           const isBroken = rules.breaks(at, traffic.pages);
           await new Promise<void>((wake) => void world.schedule(null, 1, wake));
           traffic.open -= 1;
-          if (isBroken) return err({ kind: 'coach', code: 'closed' });
+          if (isBroken) return err({ kind: 'peer', code: 'closed' });
           await rules.onPage();
           const page = (await catchUps[at]?.answer(peers[at] as PeerConnection, topic, body)) as Page | null;
           if (page !== null) {
@@ -111,8 +115,8 @@
         },
       }) as unknown as PeerConnection,
   );
-  const settle = async (at: number, generation: number, change: Change): Promise<void> =>
-    void (await finish(world, (members[at] as Member).acceptor.settle({ generation, change })));
+  const settle = async (at: number, logIndex: number, change: Change): Promise<void> =>
+    void (await finish(world, (members[at] as Member).acceptor.commit({ logIndex, change })));
   return { world, members, catchUps: catchUps as [CatchUp, ...CatchUp[]], peers, traffic, rules, settle };
 };
 
@@ -121,7 +125,8 @@
     const bytes: number[] = [];
     for (const missed of [1, 12, 300]) {
       const { world, members, catchUps, traffic, settle } = await stage(2);
-      for (let edition = 1; edition <= missed; edition += 1) await settle(1, edition, bookChange(edition, 2_000));
+      for (let configVersion = 1; configVersion <= missed; configVersion += 1)
+        await settle(1, configVersion, routingChange(configVersion, 2_000));
       await finish(world, Promise.all([catchUps[0].step(), catchUps[0].step(), catchUps[0].step()]));
       expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
       expect(traffic.largest).to.be.at.most(pageBytes);
@@ -134,9 +139,10 @@
   it('given a transfer that breaks at each of its pages in turn, when it is tried again at whichever source, then it goes on where it stopped and no page is sent twice', async () => {
     const { world, members, catchUps, traffic, rules, settle } = await stage(3);
     for (const at of [1, 2])
-      for (let edition = 1; edition <= 3; edition += 1) await settle(at, edition, bookChange(edition, 12_000));
+      for (let configVersion = 1; configVersion <= 3; configVersion += 1)
+        await settle(at, configVersion, routingChange(configVersion, 12_000));
     rules.breaks = (_, page) => page % 2 === 0;
-    for (let tries = 0; tries < 60 && members[0]?.acceptor.agreed()?.generation !== 3; tries += 1)
+    for (let tries = 0; tries < 60 && members[0]?.acceptor.agreed()?.logIndex !== 3; tries += 1)
       await finish(world, catchUps[0].step());
     expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
     expect(traffic.offsets.length).to.be.greaterThan(3);
@@ -145,46 +151,46 @@
 
   it('given a source that dies for good in the midst of a transfer, when another holds the same state, then the rest comes from that one', async () => {
     const { world, members, catchUps, traffic, rules, settle } = await stage(3);
-    for (const at of [1, 2]) await settle(at, 1, bookChange(1, 12_000));
+    for (const at of [1, 2]) await settle(at, 1, routingChange(1, 12_000));
     const dead = new Set<number>();
     rules.breaks = (source, page) => {
       if (page === 3) dead.add(source);
       return dead.has(source);
     };
     for (let tries = 0; tries < 4; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.generation).to.equal(1);
+    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(1);
     expect(traffic.offsets).to.deep.equal(traffic.offsets.map((_, at) => at * pageBytes));
   });
 
   it('given a change with every second page, when a member catches up meanwhile, then the transfer that it began stays whole and the newest is reached', async () => {
     const { world, members, catchUps, rules, settle } = await stage(2);
-    await settle(1, 1, bookChange(1, 4_000));
-    let generation = 1;
+    await settle(1, 1, routingChange(1, 4_000));
+    let logIndex = 1;
     let pages = 0;
     rules.onPage = async () => {
       pages += 1;
-      if (pages % 2 !== 0 || generation >= 20) return;
-      generation += 1;
-      await members[1]?.acceptor.settle({ generation, change: bookChange(generation, 4_000) });
+      if (pages % 2 !== 0 || logIndex >= 20) return;
+      logIndex += 1;
+      await members[1]?.acceptor.commit({ logIndex, change: routingChange(logIndex, 4_000) });
     };
     for (let tries = 0; tries < 6; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.generation).to.equal(20);
+    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(20);
     expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
   });
 
   it('given a member whose disk is full, when it catches up, then nothing is held for settled, nothing is sent again meanwhile, and with room it takes the transfer it has', async () => {
     const { world, members, catchUps, traffic, settle } = await stage(2);
-    await settle(1, 1, bookChange(1, 2_000));
+    await settle(1, 1, routingChange(1, 2_000));
     const disk = (members[0] as Member).machine.disk;
     disk.faults.isFull = true;
     await finish(world, catchUps[0].step());
     const sent = traffic.bytes;
     for (let tries = 0; tries < 5; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.generation).to.equal(0);
+    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(0);
     expect(traffic.bytes).to.equal(sent);
     disk.faults.isFull = false;
     await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.generation).to.equal(1);
+    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(1);
     expect(traffic.bytes).to.equal(sent);
   });
 
@@ -194,7 +200,7 @@
     const sizeOf = (): number =>
       [...one.machine.disk.files.values()].reduce((sum, held) => sum + held.synced.length, 0);
     const before = sizeOf();
-    const change = bookChange(1, 2_000);
+    const change = routingChange(1, 2_000);
     await finish(world, one.acceptor.accept(1, [1, 'a'], change));
     const accepted = sizeOf() - before;
     expect(accepted).to.be.lessThan(JSON.stringify(change).length / 4);
@@ -203,6 +209,6 @@
     const { disk, clock, random, log } = one.machine.ports();
     const again = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
     expect(again.agreed()).to.deep.equal(one.acceptor.agreed());
-    expect(again.agreed()?.ways?.edition).to.equal(1);
+    expect(again.agreed()?.routing?.configVersion).to.equal(1);
   });
 });
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -3,7 +3,7 @@
 import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { HttpReply } from '@martenworks/test-fleet';
 
-const small = { fronts: 2, replicas: 3 };
+const small = { edges: 2, replicas: 3 };
 
 const raised = async (seed: number): Promise<SimFleet> => {
   const fleet = new SimFleet({ seed, ...small });
@@ -11,71 +11,73 @@
   return fleet;
 };
 
-const tier = (horizonMs: number): Record<string, unknown> => ({ tiers: { steady: { rank: 1, horizonMs } } });
+const tier = (deadlineMs: number): Record<string, unknown> => ({
+  tiers: { steady: { rank: 1, horizonMs: deadlineMs } },
+});
 
 const patch = (fleet: SimFleet, at: number, part: unknown, base: number | null, id: string): Promise<HttpReply> =>
-  fleet.onPostmaster(at, 'PATCH', '/operator/layout', part, {
+  fleet.onControlNode(at, 'PATCH', '/operator/layout', part, {
     'change-id': id,
     ...(base === null ? {} : { 'if-match': `"${base}"` }),
   });
 
 const baseOf = async (fleet: SimFleet, at = 0): Promise<number> =>
-  Number((await fleet.finish(fleet.onPostmaster(at, 'GET', '/operator/layout'))).body.generation);
+  Number((await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/layout'))).body.generation);
 
-const allHold = (fleet: SimFleet, generation: number): boolean =>
-  fleet.counters.every(
-    (counter) => counter === null || (counter.freshness.isFresh() && counter.book.generation() >= generation),
+const allHold = (fleet: SimFleet, logIndex: number): boolean =>
+  fleet.gateways.every(
+    (gateway) => gateway === null || (gateway.freshness.isFresh() && gateway.stateView.logIndex() >= logIndex),
   );
 
 describe('founding', () => {
-  it('given one seed address down, when the fleet starts, then counters still find all postmasters', async () => {
+  it('given one seed address down, when the fleet starts, then gateways still find all control nodes', async () => {
     const fleet = new SimFleet({ seed: 1, ...small });
-    fleet.postmasterHosts.forEach((host) => {
+    fleet.controlNodeHosts.forEach((host) => {
       fleet.world.machine(host);
     });
-    await Promise.all([0, 1, 2].map((at) => fleet.startPostmaster(at)));
-    await fleet.world.until('the founding', () => fleet.postmasters.every((one) => one?.isReady() === true));
-    fleet.killPostmaster(0);
+    await Promise.all([0, 1, 2].map((at) => fleet.startControlNode(at)));
+    await fleet.world.until('the founding', () => fleet.controlNodes.every((one) => one?.isReady() === true));
+    fleet.killControlNode(0);
     await fleet.startCounter(0);
-    await fleet.world.until('fresh with one seed down', () => fleet.counters[0]?.freshness.isFresh() === true, 5_000);
-    await fleet.bootPostmaster(0);
-    await fleet.world.until('three voices', () => fleet.counters[0]?.freshness.voiceCount() === 3, 5_000);
+    await fleet.world.until('fresh with one seed down', () => fleet.gateways[0]?.freshness.isFresh() === true, 5_000);
+    await fleet.bootControlNode(0);
+    await fleet.world.until('three voices', () => fleet.gateways[0]?.freshness.voiceCount() === 3, 5_000);
   });
 
-  it('given only two of three postmasters, when they wait, then they found nothing; and with the third they do', async () => {
+  it('given only two of three control nodes, when they wait, then they found nothing; and with the third they do', async () => {
     const fleet = new SimFleet({ seed: 2, ...small });
-    fleet.postmasterHosts.forEach((host) => {
+    fleet.controlNodeHosts.forEach((host) => {
       fleet.world.machine(host);
     });
-    await fleet.startPostmaster(0);
-    await fleet.startPostmaster(1);
+    await fleet.startControlNode(0);
+    await fleet.startControlNode(1);
     await fleet.world.run(20_000);
-    expect(fleet.postmasters.map((one) => one?.acceptor.agreed() ?? null)).to.deep.equal([null, null, null]);
+    expect(fleet.controlNodes.map((one) => one?.acceptor.agreed() ?? null)).to.deep.equal([null, null, null]);
     const told = await fleet.finish(
-      fleet.onPostmaster(0, 'PUT', '/operator/layout', sampleWorkload.layout('weights-1'), { 'if-match': '"0"' }),
+      fleet.onControlNode(0, 'PUT', '/operator/layout', sampleWorkload.config('weights-1'), { 'if-match': '"0"' }),
     );
     expect([told.status, told.body.outcome, told.retryAfter]).to.deep.equal([503, 'not accepted', '1']);
-    await fleet.startPostmaster(2);
-    await fleet.world.until('the founding', () => fleet.postmasters.every((one) => one?.isReady() === true), 5_000);
+    await fleet.startControlNode(2);
+    await fleet.world.until('the founding', () => fleet.controlNodes.every((one) => one?.isReady() === true), 5_000);
   });
 
-  it('given a postmaster that loses its disk in the midst of founding, when it is back, then exactly one fleet is founded', async () => {
+  it('given a control node that loses its disk in the midst of founding, when it is back, then exactly one fleet is founded', async () => {
     for (let seed = 10; seed < 22; seed += 1) {
       const fleet = new SimFleet({ seed, ...small });
-      fleet.postmasterHosts.forEach((host) => {
+      fleet.controlNodeHosts.forEach((host) => {
         fleet.world.machine(host);
       });
-      await Promise.all([0, 1, 2].map((at) => fleet.startPostmaster(at)));
+      await Promise.all([0, 1, 2].map((at) => fleet.startControlNode(at)));
       await fleet.world.run(60 + (seed - 10) * 25);
-      fleet.killPostmaster(seed % 3, true);
+      fleet.killControlNode(seed % 3, true);
       await fleet.world.run(500);
-      await fleet.bootPostmaster(seed % 3);
+      await fleet.bootControlNode(seed % 3);
       await fleet.world.until(
         'one fleet of three voters',
-        () => fleet.postmasters.every((one) => one?.acceptor.isVoter() === true),
+        () => fleet.controlNodes.every((one) => one?.acceptor.isVoter() === true),
         40_000,
       );
-      const lists = new Set(fleet.postmasters.map((one) => JSON.stringify(one?.acceptor.agreed()?.members)));
+      const lists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.agreed()?.members)));
       expect(lists.size, `seed ${seed}`).to.equal(1);
     }
   });
@@ -83,31 +85,31 @@
   it('given two lost disks, when their machines are back empty, then no second fleet is founded, and only the explicit recovery takes changes again', async () => {
     const fleet = await raised(4);
     const base = await baseOf(fleet);
-    fleet.killPostmaster(1, true);
-    fleet.killPostmaster(2, true);
+    fleet.killControlNode(1, true);
+    fleet.killControlNode(2, true);
     await fleet.world.run(1_000);
-    await fleet.bootPostmaster(1);
-    await fleet.bootPostmaster(2);
+    await fleet.bootControlNode(1);
+    await fleet.bootControlNode(2);
     await fleet.world.run(20_000);
-    expect(fleet.postmasters.map((one) => one?.acceptor.isVoter())).to.deep.equal([true, false, false]);
+    expect(fleet.controlNodes.map((one) => one?.acceptor.isVoter())).to.deep.equal([true, false, false]);
     const told = await fleet.finish(patch(fleet, 0, tier(19_000), base, 'while-lost'));
     expect(told.status).to.equal(503);
-    expect(fleet.counters[0]?.freshness.isFresh()).to.equal(false);
-    const members = fleet.postmasters.map((one) => ({
-      name: one?.env.name ?? '',
-      address: one?.env.coach ?? '',
+    expect(fleet.gateways[0]?.freshness.isFresh()).to.equal(false);
+    const members = fleet.controlNodes.map((one) => ({
+      name: one?.settings.name ?? '',
+      address: one?.settings.peerAddress ?? '',
       incarnation: one?.acceptor.incarnation ?? '',
     }));
-    fleet.killPostmaster(0);
-    const machine = fleet.machineOf('postmaster', 0);
+    fleet.killControlNode(0);
+    const machine = fleet.machineOf('control', 0);
     machine.boot();
     const ports = machine.ports();
     const recovered = await fleet.finish(recovery.recover(ports.disk, ports.clock, ports.random, ports.log, members));
     expect(recovered.isOk()).to.equal(true);
-    await fleet.startPostmaster(0);
+    await fleet.startControlNode(0);
     await fleet.world.until(
       'three voters',
-      () => fleet.postmasters.every((one) => one?.acceptor.isVoter() === true),
+      () => fleet.controlNodes.every((one) => one?.acceptor.isVoter() === true),
       10_000,
     );
     const after = await fleet.finish(patch(fleet, 1, tier(18_000), await baseOf(fleet, 1), 'after-recovery'));
@@ -115,18 +117,18 @@
     await fleet.world.until('in force on every counter', () => allHold(fleet, Number(after.body.generation)), 2_000);
   });
 
-  it('given a postmaster lost for good, when an empty one of another name and address comes, then it is swapped in and no accepted change is lost', async () => {
+  it('given a control node lost for good, when an empty one of another name and address comes, then it is swapped in and no accepted change is lost', async () => {
     const fleet = await raised(5);
     const base = await baseOf(fleet);
     const kept = await fleet.finish(patch(fleet, 2, tier(17_000), base, 'kept'));
     expect(kept.status).to.equal(200);
-    fleet.killPostmaster(2, true);
-    fleet.postmasterHosts[2] = '10.0.0.9';
-    fleet.postmasterNames[2] = 'postmaster-9';
-    await fleet.startPostmaster(2);
-    await fleet.world.until('the swap', () => fleet.postmasters[2]?.acceptor.isVoter() === true, 30_000);
-    expect(fleet.postmasters[2]?.acceptor.agreed()?.changeIds.kept?.generation).to.equal(Number(kept.body.generation));
-    fleet.killPostmaster(0);
+    fleet.killControlNode(2, true);
+    fleet.controlNodeHosts[2] = '10.0.0.9';
+    fleet.controlNodeNames[2] = 'postmaster-9';
+    await fleet.startControlNode(2);
+    await fleet.world.until('the swap', () => fleet.controlNodes[2]?.acceptor.isVoter() === true, 30_000);
+    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds.kept?.logIndex).to.equal(Number(kept.body.generation));
+    fleet.killControlNode(0);
     const more = await fleet.finish(patch(fleet, 2, tier(16_000), await baseOf(fleet, 2), 'by-the-new'));
     expect(more.status).to.equal(200);
     await fleet.world.until('in force on every counter', () => allHold(fleet, Number(more.body.generation)), 2_000);
@@ -168,10 +170,10 @@
     ]);
     expect(await baseOf(fleet)).to.equal(base);
     for (const id of ['no-base', 'faulty', 'dangling'])
-      expect((await fleet.finish(fleet.onPostmaster(1, 'GET', `/operator/changes/${id}`))).status).to.equal(404);
+      expect((await fleet.finish(fleet.onControlNode(1, 'GET', `/operator/changes/${id}`))).status).to.equal(404);
   });
 
-  it('given one change that touches tiers, 300 lanes and weights, when it is accepted, then every counter has all of it within two seconds or none', async () => {
+  it('given one change that touches tiers, 300 lanes and weights, when it is accepted, then every gateway has all of it within two seconds or none', async () => {
     const fleet = await raised(7);
     const base = await baseOf(fleet);
     const lanes = Object.fromEntries(
@@ -190,10 +192,10 @@
     const accepted = await told;
     expect(accepted.status).to.equal(200);
     const waited = await fleet.world.until('in force', () => {
-      for (const counter of fleet.counters) {
-        const layout = counter?.book.agreed()?.layout;
+      for (const gateway of fleet.gateways) {
+        const config = gateway?.stateView.agreed()?.config;
         seen.add(
-          `${layout?.tiers.prompt?.horizonMs} ${Object.keys(layout?.lanes ?? {}).length} ${layout?.pools.main?.weights}`,
+          `${config?.tiers.prompt?.horizonMs} ${Object.keys(config?.lanes ?? {}).length} ${config?.pools.main?.weights}`,
         );
       }
       return allHold(fleet, Number(accepted.body.generation));
@@ -202,7 +204,7 @@
     expect([...seen].every((one) => ['10000 4 weights-1', '9999 304 weights-2'].includes(one))).to.equal(true);
   });
 
-  it('given a change id sent again, to another postmaster or with another body, when it was accepted, then it is not applied twice', async () => {
+  it('given a change id sent again, to another control node or with another body, when it was accepted, then it is not applied twice', async () => {
     const fleet = await raised(8);
     const base = await baseOf(fleet);
     const first = await fleet.finish(patch(fleet, 0, tier(15_000), base, 'once'));
@@ -233,7 +235,7 @@
       await fleet.world.run(3_000);
       const truths = await Promise.all(
         [0, 1, 2].map(
-          async (at) => (await fleet.finish(fleet.onPostmaster(at, 'GET', '/operator/changes/half'))).status,
+          async (at) => (await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/changes/half'))).status,
         ),
       );
       expect(new Set(truths).size, `seed ${seed}: ${truths.join()}`).to.equal(1);
@@ -243,7 +245,7 @@
     expect(unknowns).to.be.greaterThan(0);
   });
 
-  it('given a minority postmaster, when it is asked for a change, then it denies at once that it was accepted, with Retry-After', async () => {
+  it('given a minority control node, when it is asked for a change, then it denies at once that it was accepted, with Retry-After', async () => {
     const fleet = await raised(9);
     const base = await baseOf(fleet);
     fleet.world.isolate('10.0.0.1');
@@ -253,7 +255,7 @@
     expect([told.status, told.retryAfter]).to.deep.equal([503, '1']);
     fleet.world.healAll();
     await fleet.world.run(3_000);
-    expect((await fleet.finish(fleet.onPostmaster(1, 'GET', '/operator/changes/alone'))).status).to.equal(404);
+    expect((await fleet.finish(fleet.onControlNode(1, 'GET', '/operator/changes/alone'))).status).to.equal(404);
   });
 
   it('given the platform, when a client is granted and revoked, then its key works and stops within two seconds, for held streams too', async () => {
@@ -261,7 +263,7 @@
     const checker = new InvariantChecker(fleet);
     const key = 'a-new-riders-key';
     const granted = await fleet.finish(
-      fleet.onPostmaster(2, 'POST', '/platform/clients', {
+      fleet.onControlNode(2, 'POST', '/platform/clients', {
         tenant: 'newcomer',
         key,
         grant: { tier: 'steady', lanes: ['query'] },
@@ -279,7 +281,7 @@
     const held = checker.send(ask, 0);
     await fleet.world.run(500);
     expect([held.outcome, held.text.length > 0]).to.deep.equal(['open', true]);
-    const revoked = await fleet.finish(fleet.onPostmaster(0, 'POST', '/platform/keys/revoke', { key }));
+    const revoked = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/keys/revoke', { key }));
     expect(revoked.status).to.equal(200);
     const at = fleet.world.time;
     await fleet.world.run(2_000);
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import type { ClaimState, ReplicaRecord } from '@martenworks/core-types';
-import { LeaseBook } from '@martenworks/cluster-membership';
-import { claimTables, leaseBooks, replicaTables } from '@martenworks/control-plane';
+import { LeaseTable } from '@martenworks/cluster-membership';
+import { claimTables, leaseTables, replicaTables } from '@martenworks/control-plane';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const started = () => {
@@ -33,30 +33,32 @@
 describe('writes that fail', () => {
   it('given a lease whose write failed, when the same holder asks again, then it is no renewal: nothing is granted until a write holds', async () => {
     const { world, ports, mood } = started();
-    const { book } = (await finish(world, leaseBooks.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
+    const { table: leaseTable } = (
+      await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log))
+    )._unsafeUnwrap();
     const ask = { holder: 'a', duties: [{ duty: 'weights', fence: 1 }] };
     mood.isFull = true;
-    expect((await finish(world, book.grant(ask))).granted).to.deep.equal([]);
-    expect((await finish(world, book.grant(ask))).granted).to.deep.equal([]);
-    expect(book.fences()).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
+    expect(leaseTable.fences()).to.deep.equal([]);
     mood.isFull = false;
-    expect((await finish(world, book.grant(ask))).granted).to.deep.equal(['weights']);
-    const again = (await finish(world, leaseBooks.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
-    expect(again.book.fences()).to.deep.equal([['weights', 1]]);
+    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal(['weights']);
+    const again = (await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
+    expect(again.table.fences()).to.deep.equal([['weights', 1]]);
   });
 
   it('given a lease whose write is under way, when others or its holder ask, then nobody is granted it before the write is done, and a release in between counts', async () => {
     const { world, ports } = started();
     const writes: ((isKept: boolean) => void)[] = [];
-    const book = new LeaseBook(ports.clock, () => new Promise((settle) => writes.push(settle)), [], true);
+    const leaseTable = new LeaseTable(ports.clock, () => new Promise((resolve) => writes.push(resolve)), [], true);
     const ask = (holder: string, fence: number) => ({ holder, duties: [{ duty: 'weights', fence }] });
-    const first = book.grant(ask('a', 1));
-    expect((await finish(world, book.grant(ask('a', 1)))).granted).to.deep.equal([]);
-    expect((await finish(world, book.grant(ask('b', 2)))).granted).to.deep.equal([]);
-    book.release(ask('a', 1));
+    const first = leaseTable.grant(ask('a', 1));
+    expect((await finish(world, leaseTable.grant(ask('a', 1)))).granted).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(ask('b', 2)))).granted).to.deep.equal([]);
+    leaseTable.release(ask('a', 1));
     writes[0]?.(true);
     await finish(world, first);
-    const second = book.grant(ask('b', 2));
+    const second = leaseTable.grant(ask('b', 2));
     await world.run(1);
     writes[1]?.(true);
     expect((await finish(world, second)).granted).to.deep.equal(['weights']);
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -1,12 +1,12 @@
 import { err, ok } from 'neverthrow';
 import { expect } from 'chai';
 import { SimWorld } from '@martenworks/test-fleet';
-import { agreed } from '@martenworks/core-types';
-import type { Agreed, Change, Member } from '@martenworks/core-types';
+import { stateMachine } from '@martenworks/core-types';
+import type { CommittedState, Change, Member } from '@martenworks/core-types';
 import { Proposer, acceptors, positions } from '@martenworks/control-plane';
 import type { Acceptor, ProposeFault, Voters } from '@martenworks/control-plane';
 
-const patienceMs = 700;
+const timeoutMs = 700;
 const hopMs = 1;
 
 interface Node {
@@ -67,16 +67,16 @@
       accept: (member, slot, ballot, change) =>
         call(host, member.address, 'accept', () => at(member).accept(slot, ballot, change)),
       position: (member) => call(host, member.address, 'position', () => positions.of(at(member))),
-      settle: (settled) => {
-        for (const to of hosts) if (to !== host) void call(host, to, 'settle', () => held.get(to)?.settle(settled));
+      commit: (committed) => {
+        for (const to of hosts) if (to !== host) void call(host, to, 'settle', () => held.get(to)?.commit(committed));
       },
-      since: (member, generation) => call(host, member.address, 'since', () => at(member).since(generation)),
+      since: (member, logIndex) => call(host, member.address, 'since', () => at(member).since(logIndex)),
       supply: async (member, since) =>
         void (await call(host, member.address, 'supply', () => proposers.get(member.address)?.learn(since))),
     };
     proposers.set(host, new Proposer(held.get(host) as Acceptor, voters, clock, random, log));
   }
-  const founded = agreed.founded(members);
+  const founded = stateMachine.founded(members);
   for (const acceptor of held.values()) await done(world, acceptor.adopt(founded));
   built.value = {
     world,
@@ -98,17 +98,17 @@
 });
 
 const propose = (node: Node | undefined, change: Change): ReturnType<Proposer['propose']> =>
-  (node as Node).proposer.propose(() => ok(change), change.id, change.digest, patienceMs);
+  (node as Node).proposer.propose(() => ok(change), change.id, change.digest, timeoutMs);
 
 const refuse = (node: Node | undefined, id: string): ReturnType<Proposer['propose']> =>
   (node as Node).proposer.propose(
-    ({ layoutGeneration }) => err({ kind: 'conflict', layoutGeneration, detail: 'refused' } as ProposeFault),
+    ({ configLogIndex }) => err({ kind: 'conflict', configLogIndex, detail: 'refused' } as ProposeFault),
     id,
     id,
-    patienceMs,
+    timeoutMs,
   );
 
-const stateOf = (node: Node | undefined): Agreed => (node as Node).acceptor.agreed() as Agreed;
+const stateOf = (node: Node | undefined): CommittedState => (node as Node).acceptor.agreed() as CommittedState;
 
 describe('the proposer', () => {
   it('given one change id used for two changes at once, when one is decided, then only that one is confirmed', async () => {
@@ -132,8 +132,8 @@
     await world.run(50);
     const before = nodes.map(({ host }) => world.machine(host).disk.syncs);
     const ballotsBefore = counts.prepare;
-    const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(patienceMs))));
-    expect(states.map((state) => state?.generation)).to.deep.equal([1, 1, 1, 1, 1]);
+    const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
+    expect(states.map((state) => state?.logIndex)).to.deep.equal([1, 1, 1, 1, 1]);
     const outcome = await done(world, refuse(nodes[3], 'b'));
     expect(outcome._unsafeUnwrapErr().kind).to.equal('conflict');
     expect(nodes.map(({ host }) => world.machine(host).disk.syncs)).to.deep.equal(before);
@@ -146,9 +146,9 @@
       const { world, nodes } = built;
       built.passes = (from, _, topic) => !(from === '10.0.0.1' && topic === 'settle');
       expect((await done(world, propose(nodes[0], revoked('a', 'a')))).isOk()).to.equal(true);
-      expect(stateOf(nodes[4]).generation).to.equal(0);
+      expect(stateOf(nodes[4]).logIndex).to.equal(0);
       built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
-      if (asks === 'read') await done(world, nodes[4]?.proposer.confirm(patienceMs) as Promise<unknown>);
+      if (asks === 'read') await done(world, nodes[4]?.proposer.confirm(timeoutMs) as Promise<unknown>);
       else await done(world, refuse(nodes[4], 'b'));
       expect(stateOf(nodes[4]).changeIds.a?.digest).to.equal('a');
     }
@@ -157,11 +157,11 @@
   it('given replies of a majority that were sent before the call, when a node reads, then they count for nothing', async () => {
     const built = await cluster(4, 3);
     const { world, nodes } = built;
-    const early = nodes[0]?.proposer.confirm(patienceMs) as Promise<Agreed | null>;
+    const early = nodes[0]?.proposer.confirm(timeoutMs) as Promise<CommittedState | null>;
     await done(world, early);
     built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
     expect((await done(world, propose(nodes[1], revoked('a', 'a')))).isOk()).to.equal(true);
-    expect(await done(world, nodes[0]?.proposer.confirm(patienceMs) as Promise<unknown>)).to.equal(null);
+    expect(await done(world, nodes[0]?.proposer.confirm(timeoutMs) as Promise<unknown>)).to.equal(null);
   });
 
   it('given a cut at any message of an order, when its caller is answered, then "unavailable" is told only if no acceptor holds the value, then or later', async () => {
@@ -172,12 +172,12 @@
       built.passes = (from, to) => from === to || left-- > 0;
       const begin = world.time;
       const outcome = await done(world, propose(nodes[0], revoked('a', 'a')));
-      expect(world.time - begin).to.be.lessThan(patienceMs + 30);
+      expect(world.time - begin).to.be.lessThan(timeoutMs + 30);
       if (outcome.isOk()) continue;
       expect(outcome.error.kind).to.be.oneOf(['unavailable', 'unknown']);
       built.passes = () => true;
       await world.run(5_000);
-      await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(patienceMs))));
+      await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
       const wasTaken = nodes.some((node) => stateOf(node).changeIds.a !== undefined);
       if (wasTaken) expect(outcome.error.kind, `seed ${seed}`).to.equal('unknown');
     }
--- a/packages/control-plane/test/platform.test.ts
+++ b/packages/control-plane/test/replicaApi.test.ts
@@ -8,11 +8,11 @@
 
 describe('the platform', () => {
   it('given announcements without incarnations, when a replica leaves, is told again, comes back or moves, then only a return counts as new', async () => {
-    const fleet = new SimFleet({ seed: 71, fronts: 1, replicas: 1 });
+    const fleet = new SimFleet({ seed: 71, edges: 1, replicas: 1 });
     await fleet.up();
     const tell = async (more: Record<string, unknown>, at = 0): Promise<Shown> => {
       const told = await fleet.finish(
-        fleet.onPostmaster(at, 'POST', '/platform/replicas', {
+        fleet.onControlNode(at, 'POST', '/platform/replicas', {
           name: 'lone',
           address: '10.2.0.77:8000',
           pool: 'main',
@@ -25,15 +25,17 @@
     };
     expect(await tell({})).to.deep.equal({ state: 'ready', incarnation: 1 });
     expect(await tell({}, 1)).to.deep.equal({ state: 'ready', incarnation: 1 });
-    expect((await fleet.finish(fleet.onPostmaster(2, 'POST', '/platform/replicas/lone/leaving'))).status).to.equal(200);
+    expect((await fleet.finish(fleet.onControlNode(2, 'POST', '/platform/replicas/lone/leaving'))).status).to.equal(
+      200,
+    );
     expect(await tell({}, 1)).to.deep.equal({ state: 'leaving', incarnation: 1 });
     expect(await tell({ state: 'ready' }, 0)).to.deep.equal({ state: 'ready', incarnation: 2 });
-    expect((await fleet.finish(fleet.onPostmaster(1, 'DELETE', '/platform/replicas/lone'))).status).to.equal(200);
+    expect((await fleet.finish(fleet.onControlNode(1, 'DELETE', '/platform/replicas/lone'))).status).to.equal(200);
     expect(await tell({}, 2)).to.deep.equal({ state: 'ready', incarnation: 3 });
     expect(await tell({ address: '10.2.0.78:8000' })).to.deep.equal({ state: 'ready', incarnation: 4 });
     expect(await tell({ incarnation: 2, state: 'gone' })).to.deep.equal({ state: 'ready', incarnation: 4 });
     const faulty = await fleet.finish(
-      fleet.onPostmaster(0, 'POST', '/platform/replicas', [{ name: 'x y', address: 'nowhere' }]),
+      fleet.onControlNode(0, 'POST', '/platform/replicas', [{ name: 'x y', address: 'nowhere' }]),
     );
     expect(faulty.status).to.equal(422);
     expect((faulty.body.complaints as { path: string }[]).map((one) => one.path)).to.deep.equal([
@@ -42,38 +44,38 @@
     ]);
   });
 
-  it('given a leaving replica confirmed by one postmaster, when that one dies at once with its disk, then every counter still stops sending to it within two seconds', async () => {
+  it('given a leaving replica confirmed by one control node, when that one dies at once with its disk, then every gateway still stops sending to it within two seconds', async () => {
     for (let seed = 72; seed < 78; seed += 1) {
-      const fleet = new SimFleet({ seed, fronts: 3, replicas: 3 });
+      const fleet = new SimFleet({ seed, edges: 3, replicas: 3 });
       await fleet.up();
-      const told = await fleet.finish(fleet.onPostmaster(0, 'POST', '/platform/replicas/replica-1/leaving'));
+      const told = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/replicas/replica-1/leaving'));
       expect(told.status).to.equal(200);
-      fleet.killPostmaster(0, true);
+      fleet.killControlNode(0, true);
       await fleet.world.run(2_000);
-      for (const counter of fleet.counters)
-        if (counter?.freshness.isFresh() === true)
-          expect(counter.book.record('replica-1')?.state, `seed ${seed}`).to.equal('leaving');
-      expect(fleet.counters.some((counter) => counter?.freshness.isFresh() === true)).to.equal(true);
+      for (const gateway of fleet.gateways)
+        if (gateway?.freshness.isFresh() === true)
+          expect(gateway.stateView.record('replica-1')?.state, `seed ${seed}`).to.equal('leaving');
+      expect(fleet.gateways.some((gateway) => gateway?.freshness.isFresh() === true)).to.equal(true);
     }
   });
 
-  it("given a postmaster that missed a replica's return, when it is told that the replica leaves, then the newest incarnation is the one that leaves", async () => {
+  it("given a control node that missed a replica's return, when it is told that the replica leaves, then the newest incarnation is the one that leaves", async () => {
     for (let seed = 80; seed < 86; seed += 1) {
-      const fleet = new SimFleet({ seed, fronts: 3, replicas: 3 });
+      const fleet = new SimFleet({ seed, edges: 3, replicas: 3 });
       await fleet.up();
       for (const host of ['10.0.0.1', '10.0.0.3']) fleet.world.partition('10.0.0.2', host);
       fleet.killReplica('replica-1');
       fleet.bootReplica('replica-1');
       expect((await fleet.finish(fleet.announce('replica-1', 0))).status).to.equal(200);
-      expect(fleet.postmasters[1]?.table.find('replica-1')?.incarnation).to.equal(1);
+      expect(fleet.controlNodes[1]?.table.find('replica-1')?.incarnation).to.equal(1);
       fleet.world.healAll();
-      let told = await fleet.finish(fleet.onPostmaster(1, 'POST', '/platform/replicas/replica-1/leaving'));
-      for (let shot = 0; shot < 20 && told.status !== 200; shot += 1)
-        told = await fleet.finish(fleet.onPostmaster(1, 'POST', '/platform/replicas/replica-1/leaving'));
+      let told = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
+      for (let attempt = 0; attempt < 20 && told.status !== 200; attempt += 1)
+        told = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
       expect(told.status).to.equal(200);
       await fleet.world.run(2_000);
-      for (const counter of fleet.counters) {
-        const record = counter?.book.record('replica-1');
+      for (const gateway of fleet.gateways) {
+        const record = gateway?.stateView.record('replica-1');
         expect([record?.incarnation, record?.state], `seed ${seed}`).to.deep.equal([2, 'leaving']);
       }
     }
--- a/packages/control-plane/test/seats.test.ts
+++ b/packages/control-plane/test/seats.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import type { Lines } from '@martenworks/cluster-membership';
-import { agreed } from '@martenworks/core-types';
-import type { Agreed, Change, Member } from '@martenworks/core-types';
+import type { PeerPool } from '@martenworks/cluster-membership';
+import { stateMachine } from '@martenworks/core-types';
+import type { CommittedState, Change, Member } from '@martenworks/core-types';
 import { acceptors, Membership, Proposer } from '@martenworks/control-plane';
-import type { Acceptor, Standing, Voters } from '@martenworks/control-plane';
+import type { Acceptor, MemberStatus, Voters } from '@martenworks/control-plane';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const member = (incarnation: string): Member => ({ name: incarnation, address: `${incarnation}:1`, incarnation });
@@ -15,7 +15,7 @@
   body: { kind: 'swap', outgoing, incoming: member(incoming) },
 });
 
-const seatsOf = (state: Agreed): string[] => state.members.map(({ incarnation }) => incarnation);
+const seatsOf = (state: CommittedState): string[] => state.members.map(({ incarnation }) => incarnation);
 
 const finish = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
   const held: { value: T }[] = [];
@@ -25,23 +25,23 @@
 };
 
 describe('the seats of the voters', () => {
-  const founded = agreed.founded([member('a'), member('b'), member('x')]);
+  const founded = stateMachine.founded([member('a'), member('b'), member('x')]);
 
   it('given two swaps prepared for one newcomer, when both are settled, then the second is void, uses up its generation and gives no second seat', () => {
-    const first = agreed.apply(founded, swap('x', 'n'));
+    const first = stateMachine.apply(founded, swap('x', 'n'));
     expect(seatsOf(first)).to.deep.equal(['a', 'b', 'n']);
-    expect(agreed.isVoid(first, swap('a', 'n'))).to.equal(true);
-    const second = agreed.apply(first, swap('a', 'n'));
+    expect(stateMachine.isVoid(first, swap('a', 'n'))).to.equal(true);
+    const second = stateMachine.apply(first, swap('a', 'n'));
     expect(seatsOf(second)).to.deep.equal(['a', 'b', 'n']);
-    expect(second.generation).to.equal(2);
-    expect(second.changeIds['swap-a-n']?.generation).to.equal(2);
+    expect(second.logIndex).to.equal(2);
+    expect(second.changeIds['swap-a-n']?.logIndex).to.equal(2);
   });
 
   it('given a swap whose outgoing member has no seat, when it is settled, then it is void', () => {
-    const first = agreed.apply(founded, swap('x', 'n'));
-    expect(agreed.isVoid(first, swap('x', 'm'))).to.equal(true);
-    expect(seatsOf(agreed.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
-    expect(agreed.isVoid(founded, swap('x', 'n'))).to.equal(false);
+    const first = stateMachine.apply(founded, swap('x', 'n'));
+    expect(stateMachine.isVoid(first, swap('x', 'm'))).to.equal(true);
+    expect(seatsOf(stateMachine.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
+    expect(stateMachine.isVoid(founded, swap('x', 'n'))).to.equal(false);
   });
 
   it('given a state of an older release in which one member holds two of three seats, when that member alone votes, then it is no majority', async () => {
@@ -55,7 +55,7 @@
       accept: async (to, slot, ballot, change) =>
         to.incarnation === own.incarnation ? acceptor.accept(slot, ballot, change) : null,
       position: async () => null,
-      settle: () => {},
+      commit: () => {},
       since: async () => null,
       supply: async () => {},
     };
@@ -68,29 +68,32 @@
     const { disk, clock, random, log } = world.machine('10.0.0.1').ports();
     const acceptor: Acceptor = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
     const own = member(acceptor.incarnation);
-    const prepared = agreed.founded([own, member('b'), member('x')]);
+    const prepared = stateMachine.founded([own, member('b'), member('x')]);
     await finish(world, acceptor.adopt(prepared));
-    const checks: ((state: Agreed) => { isErr: () => boolean })[] = [];
+    const checks: ((state: CommittedState) => { isErr: () => boolean })[] = [];
     const proposer = {
-      propose: async (check: (state: Agreed) => { isErr: () => boolean }) => {
+      propose: async (check: (state: CommittedState) => { isErr: () => boolean }) => {
         checks.push(check);
-        return ok({ generation: 1, isRepeat: false });
+        return ok({ logIndex: 1, isRepeat: false });
       },
     } as unknown as Proposer;
-    const standing: Standing = {
+    const memberStatus: MemberStatus = {
       incarnation: 'n',
-      generation: 0,
+      logIndex: 0,
       isVoter: false,
-      vow: null,
+      foundingVote: null,
       syncedFrom: [own.incarnation, 'b'],
     };
-    const newcomer = { neighbour: { ...member('n'), role: 'postmaster' }, ask: async () => ok(standing) };
-    const lines = { to: (incarnation: string) => (incarnation === 'x' ? undefined : newcomer), open: () => [newcomer] };
+    const newcomer = { peer: { ...member('n'), role: 'control' }, ask: async () => ok(memberStatus) };
+    const peerPool = {
+      to: (incarnation: string) => (incarnation === 'x' ? undefined : newcomer),
+      open: () => [newcomer],
+    };
     const membership = new Membership(
       acceptor,
       proposer,
       clock,
-      () => lines as unknown as Lines,
+      () => peerPool as unknown as PeerPool,
       () => true,
       log,
       { strangerWaitMs: 100, needsCopies: true },
@@ -100,9 +103,9 @@
     await world.run(200);
     await finish(world, membership.step());
     expect(checks.length).to.equal(1);
-    const check = checks[0] as (state: Agreed) => { isErr: () => boolean };
+    const check = checks[0] as (state: CommittedState) => { isErr: () => boolean };
     expect(check(prepared).isErr()).to.equal(false);
-    expect(check(agreed.apply(prepared, swap('b', 'n'))).isErr()).to.equal(true);
-    expect(check(agreed.apply(prepared, swap('x', 'm'))).isErr()).to.equal(true);
+    expect(check(stateMachine.apply(prepared, swap('b', 'n'))).isErr()).to.equal(true);
+    expect(check(stateMachine.apply(prepared, swap('x', 'm'))).isErr()).to.equal(true);
   });
 });
--- a/packages/control-plane/test/staleIndex.test.ts
+++ b/packages/control-plane/test/staleIndex.test.ts
@@ -1,23 +1,23 @@
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import type { BackEnds, KeptNews, KeptPage, ShelfNews } from '@martenworks/core-types';
-import { ShelfDesk } from '@martenworks/control-plane';
+import type { BackendClient, PrefixCacheEvent, PrefixCacheEventPage, PrefixCacheUpdate } from '@martenworks/core-types';
+import { PrefixCacheFollower } from '@martenworks/control-plane';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const address = '10.2.0.1:8080';
-const news = (part: string, tokens = 1_000): KeptNews => ({ isKept: tokens > 0, salt: 's', part, tokens });
-const missed = (part: string) => ({ address, salt: 's', parts: [part], isDecided: true, barMs: null });
+const news = (part: string, tokens = 1_000): PrefixCacheEvent => ({ isKept: tokens > 0, salt: 's', part, tokens });
+const missed = (part: string) => ({ address, salt: 's', parts: [part], isDecided: true, quarantineMs: null });
 
 class Teller {
   epoch = 1;
   isSilent = false;
-  events: KeptNews[] = [];
+  events: PrefixCacheEvent[] = [];
 
-  readonly page = (since: number): KeptPage => ({
+  readonly page = (since: number): PrefixCacheEventPage => ({
     epoch: String(this.epoch),
     next: this.events.length,
     isLost: since > this.events.length,
-    news: this.events.slice(since),
+    events: this.events.slice(since),
   });
 }
 
@@ -25,16 +25,16 @@
   const world = new SimWorld(3);
   const { clock, random, log } = world.machine('10.0.0.1').ports();
   const teller = new Teller();
-  const told: ShelfNews[] = [];
-  const keptNews: BackEnds['keptNews'] = (_, since) =>
+  const told: PrefixCacheUpdate[] = [];
+  const prefixCacheEvents: BackendClient['prefixCacheEvents'] = (_, since) =>
     new Promise(
-      (settle) =>
+      (resolve) =>
         void clock.after(200, () =>
-          settle(teller.isSilent ? err({ kind: 'back', code: 'ETIMEDOUT' }) : ok(teller.page(since))),
+          resolve(teller.isSilent ? err({ kind: 'backend', code: 'ETIMEDOUT' }) : ok(teller.page(since))),
         ),
     );
-  const desk = new ShelfDesk(
-    { keptNews } as Partial<BackEnds> as BackEnds,
+  const desk = new PrefixCacheFollower(
+    { prefixCacheEvents } as Partial<BackendClient> as BackendClient,
     clock,
     random,
     log,
@@ -45,14 +45,14 @@
   const parts = (): string[] =>
     desk
       .whole()
-      .flatMap((shelf) => shelf.news.map(({ part }) => part))
+      .flatMap((stored) => stored.events.map(({ part }) => part))
       .sort();
   await world.run(1_000);
   return { world, desk, teller, told, parts };
 };
 
 describe('what the core knows of kept parts', () => {
-  it('given a part that a front found gone, when it is told, then it is dropped and told on once, and comes back by a fresh event only', async () => {
+  it('given a part that an edge found gone, when it is told, then it is dropped and told on once, and comes back by a fresh event only', async () => {
     const { world, desk, teller, told, parts } = await office();
     teller.events.push(news('a'), news('b'));
     await world.run(1_500);
@@ -62,14 +62,14 @@
     desk.missed(missed('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['b']);
-    expect(told.flatMap((one) => one.news)).to.deep.equal([{ isKept: false, salt: 's', part: 'a', tokens: 0 }]);
+    expect(told.flatMap((one) => one.events)).to.deep.equal([{ isKept: false, salt: 's', part: 'a', tokens: 0 }]);
     teller.events.push(news('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['a', 'b']);
     expect(desk.stale()).to.deep.include({ missed: 1, falseAlarms: 0 });
   });
 
-  it('given a part that a front found gone, when its drop is told only then, then it counts as a false alarm', async () => {
+  it('given a part that an edge found gone, when its drop is told only then, then it counts as a false alarm', async () => {
     const { world, desk, teller } = await office();
     teller.events.push(news('a'));
     await world.run(1_500);
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -1,10 +1,10 @@
 /** Data folders and settings files of an earlier release: today's programs take them and lose nothing. */
 import { rmSync } from 'node:fs';
 import { expect } from 'chai';
-import { controlWire, boots } from '@martenworks/platform';
-import { leaseBooks, operatorWire } from '@martenworks/control-plane';
+import { controlApi, boots } from '@martenworks/platform';
+import { leaseTables, operatorApi } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
-import { envs, layouts } from '@martenworks/settings';
+import { gatewaySettings, gatewayConfigs } from '@martenworks/settings';
 import { SimWorld } from '@martenworks/test-fleet';
 import { upgradeData } from './upgradeData.js';
 import { finish, upgradedNodes } from './upgradedNodes.js';
@@ -37,8 +37,8 @@
 });
 
 const keptFences = async (copy: string): Promise<[string, number][]> => {
-  const kept = (await leaseBooks.open(machine.disk(copy), machine.clock, logs.silent()))._unsafeUnwrap();
-  const fences = kept.book.fences();
+  const kept = (await leaseTables.open(machine.disk(copy), machine.clock, logs.silent()))._unsafeUnwrap();
+  const fences = kept.table.fences();
   await kept.close();
   return fences;
 };
@@ -62,10 +62,10 @@
         const hasSeat = started.acceptor.isVoter();
         await started.stop();
         expect([incarnation, isFresh, hasSeat]).to.deep.equal([held.incarnation, held.isFresh, held.hasSeat]);
-        expect([state?.generation, state?.ways?.edition]).to.deep.equal([held.generation, held.version]);
+        expect([state?.logIndex, state?.routing?.configVersion]).to.deep.equal([held.generation, held.version]);
         expect(state?.members).to.deep.equal(core.seats);
-        expect(state?.named).to.deep.equal(core.namedVersions);
-        if (held.version === core.version) expect(state?.ways?.source).to.equal(upgradeData.configuration);
+        expect(state?.targetWeights).to.deep.equal(core.namedVersions);
+        if (held.version === core.version) expect(state?.routing?.source).to.equal(upgradeData.configuration);
         expect(await keptFences(copy)).to.deep.equal(held.fences);
       }));
   }
@@ -75,17 +75,17 @@
     const nodes = await upgradedNodes.cores(world, seatedCores);
     await world.until('a majority', () => nodes.every((node) => node.isReady()), readyMs);
     for (const node of nodes) {
-      const answer = await finish(world, controlWire(node).request('/config'));
+      const answer = await finish(world, controlApi(node).request('/config'));
       expect([answer.status, answer.headers.get('etag')]).to.deep.equal([200, `"${core.version}"`]);
       expect(await answer.text()).to.equal(upgradeData.configuration);
     }
-    const [first] = nodes.map(controlWire);
+    const [first] = nodes.map(controlApi);
     const repeated = await finish(world, first?.request('/config', orderOf(core.version)));
     expect(repeated?.status, 'the newest order, sent again').to.equal(200);
     const next = await finish(world, first?.request('/config', orderOf(core.version + 1)));
     expect(next?.status, 'an order on the newest version').to.equal(200);
     await world.until('the same on all', () =>
-      nodes.every((node) => node.acceptor.agreed()?.ways?.edition === core.version + 1),
+      nodes.every((node) => node.acceptor.agreed()?.routing?.configVersion === core.version + 1),
     );
     for (const node of nodes) {
       expect(node.acceptor.agreed()?.members).to.deep.equal(core.seats);
@@ -96,7 +96,7 @@
   it('given fences on disk, when the nodes grant the lease again, then its fence is above them', async () => {
     const world = new SimWorld(2);
     const nodes = await upgradedNodes.cores(world, seatedCores);
-    const granted = (): number[] => nodes.flatMap((node) => node.duties.lines().map(({ fence }) => fence));
+    const granted = (): number[] => nodes.flatMap((node) => node.leaseManager.status().map(({ fence }) => fence));
     await world.until('a lease', () => granted().length > 0, leaseMs);
     const recorded = Object.values(core.nodes).flatMap(({ fences }) => fences.map(([, fence]) => fence));
     expect(Math.min(...granted())).to.be.above(Math.max(...recorded));
@@ -114,9 +114,9 @@
         const claims = started.claims.size();
         await started.stop();
         expect([incarnation, isFresh]).to.deep.equal([held.incarnation, held.isFresh]);
-        expect(state?.generation).to.equal(held.generation);
+        expect(state?.logIndex).to.equal(held.generation);
         expect(state?.members).to.deep.equal(postmaster.seats);
-        expect(state?.layout).to.deep.equal(upgradeData.layoutPage.layout);
+        expect(state?.config).to.deep.equal(upgradeData.layoutPage.layout);
         expect(Object.keys(state?.keys ?? {})).to.have.lengthOf(postmaster.keys);
         expect(claims).to.equal(postmaster.claims);
         const told = replicas.map((one) => {
@@ -133,14 +133,14 @@
     const nodes = await upgradedNodes.postmasters(world, postmasterNames);
     await world.until('a majority', () => nodes.every((node) => node.isReady()), readyMs);
     for (const node of nodes) {
-      const wire = operatorWire(node);
+      const wire = operatorApi(node);
       const page = await finish(world, wire.request('/operator/layout'));
       expect([page.status, await page.json()]).to.deep.equal([200, upgradeData.layoutPage]);
       const change = await finish(world, wire.request('/operator/changes/add-lane'));
       expect(await change.json()).to.include({ outcome: 'accepted', generation: upgradeData.layoutPage.generation });
       expect(node.acceptor.agreed()?.members).to.deep.equal(postmaster.seats);
     }
-    const leases = () => nodes.flatMap((node) => node.duties.lines());
+    const leases = () => nodes.flatMap((node) => node.leaseManager.status());
     const dutyCount = Object.keys(postmaster.fences).length;
     await world.until('all leases', () => new Set(leases().map(({ duty }) => duty)).size === dutyCount, leaseMs);
     for (const { duty, fence } of leases()) expect(fence, duty).to.be.above(postmaster.fences[duty] as number);
@@ -149,13 +149,13 @@
 
 describe('settings files of an earlier release', () => {
   it("given the core role's, when it is read, then every field means what it meant", () => {
-    const { env, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
+    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(env).to.deep.equal({
       name: 'core-2',
       zone: 'z1',
       zones: { z0: 'r', z1: 'r', z2: 'r' },
-      coach: '127.77.1.2:7640',
+      peerAddress: '127.77.1.2:7640',
       http: '127.77.1.2:8169',
       ready: null,
       seeds: ['127.77.1.1:7640', '127.77.1.2:7640', '127.77.1.3:7640'],
@@ -165,28 +165,28 @@
       drainMs: 8_000,
       orderGapMs: 3_200,
       versionMs: 7_500,
-      unheardMs: 4_500,
-      extraRatio: 0.25,
-      extraWindowMs: 12_000,
-      extraSlack: 58,
-      listEveryMs: 800,
+      controlLossTimeoutMs: 4_500,
+      retryBudgetRatio: 0.25,
+      retryBudgetWindowMs: 12_000,
+      retryBudgetSlack: 58,
+      listIntervalMs: 800,
       listPerSecond: 47,
-      listPatienceMs: 600,
+      listTimeoutMs: 600,
       memoryMb: 350,
       openFiles: 4_100,
       logs: true,
-      watchesStale: true,
+      detectsStaleEntries: true,
     });
   });
 
   it("given the edge role's, when it is read, then every field means what it meant", () => {
-    const { env, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
+    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(env).to.deep.equal({
       name: 'edge-1',
       zone: 'z0',
       zones: { z0: 'r', z1: 'r', z2: 'r' },
-      coach: '127.77.2.1:7640',
+      peerAddress: '127.77.2.1:7640',
       http: '127.77.2.1:8167',
       ready: '127.77.2.1:8162',
       seeds: ['127.77.1.1:7640', '127.77.1.2:7640', '127.77.1.3:7640'],
@@ -196,24 +196,24 @@
       drainMs: 8_000,
       orderGapMs: 3_200,
       versionMs: 7_500,
-      unheardMs: 4_500,
-      extraRatio: 0.25,
-      extraWindowMs: 12_000,
-      extraSlack: 58,
-      listEveryMs: 800,
+      controlLossTimeoutMs: 4_500,
+      retryBudgetRatio: 0.25,
+      retryBudgetWindowMs: 12_000,
+      retryBudgetSlack: 58,
+      listIntervalMs: 800,
       listPerSecond: 47,
-      listPatienceMs: 600,
+      listTimeoutMs: 600,
       memoryMb: 350,
       openFiles: 4_100,
       logs: true,
-      watchesStale: false,
+      detectsStaleEntries: false,
     });
   });
 
   const common = {
     zone: 'a',
     seeds: ['127.78.0.1:7100', '127.78.0.2:7100', '127.78.0.3:7100'],
-    fronts: 12,
+    gatewayCount: 12,
     bodyLimitBytes: 2_097_152,
     queueLimit: 256,
     drainMs: 20_000,
@@ -224,12 +224,14 @@
   };
 
   it("given the postmaster's, when it is checked, then every field means what it meant", () => {
-    expect(envs.check('postmaster', upgradeData.settings('postmaster'), {})._unsafeUnwrap()).to.deep.equal({
+    expect(
+      gatewaySettings.check('gateway-control', upgradeData.settings('postmaster'), {})._unsafeUnwrap(),
+    ).to.deep.equal({
       ...common,
-      role: 'postmaster',
+      role: 'gateway-control',
       name: 'postmaster-1',
-      coach: '127.78.0.1:7100',
-      coachListen: '127.78.0.1:7100',
+      peerAddress: '127.78.0.1:7100',
+      peerListenAddress: '127.78.0.1:7100',
       http: '127.78.0.1:7101',
       operators: null,
       data: '/var/lib/martenworks',
@@ -237,12 +239,12 @@
   });
 
   it("given the counter's, when it is checked, then every field means what it meant", () => {
-    expect(envs.check('counter', upgradeData.settings('counter'), {})._unsafeUnwrap()).to.deep.equal({
+    expect(gatewaySettings.check('gateway', upgradeData.settings('counter'), {})._unsafeUnwrap()).to.deep.equal({
       ...common,
-      role: 'counter',
+      role: 'gateway',
       name: 'counter-1',
-      coach: '127.78.1.1:7100',
-      coachListen: '127.78.1.1:7100',
+      peerAddress: '127.78.1.1:7100',
+      peerListenAddress: '127.78.1.1:7100',
       http: '127.78.1.1:7101',
       operators: '127.78.1.1:7102',
       data: null,
@@ -250,6 +252,6 @@
   });
 
   it("given the operator's layout, when it is checked, then it is taken", () => {
-    expect(layouts.check(upgradeData.layoutPage.layout).isOk()).to.equal(true);
+    expect(gatewayConfigs.check(upgradeData.layoutPage.layout).isOk()).to.equal(true);
   });
 });
--- a/packages/control-plane/test/upgradedNodes.ts
+++ b/packages/control-plane/test/upgradedNodes.ts
@@ -1,10 +1,10 @@
 /** Starts control nodes on data folders of an earlier release by their ordinary start, in a simulated world. */
-import { BackWire, boots } from '@martenworks/platform';
-import { controlNodes, postmasters } from '@martenworks/control-plane';
-import type { ControlNode, Postmaster } from '@martenworks/control-plane';
+import { PlatformClient, boots } from '@martenworks/platform';
+import { controlNodes, gatewayControlNodes } from '@martenworks/control-plane';
+import type { ControlNode, GatewayControlNode } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
-import { envs } from '@martenworks/settings';
+import { gatewaySettings } from '@martenworks/settings';
 import { SimWorld } from '@martenworks/test-fleet';
 import { upgradeData } from './upgradeData.js';
 
@@ -22,12 +22,12 @@
     bindAddrs: { control: `${host}:8169` },
     dataFolder,
   };
-  const { env, platformApi } = boots.check(settings)._unsafeUnwrap();
-  const backEnds = new BackWire(ports.carriage, ports.clock, platformApi, env.listPatienceMs);
+  const { settings: env, platformApi } = boots.check(settings)._unsafeUnwrap();
+  const backEnds = new PlatformClient(ports.httpClient, ports.clock, platformApi, env.listTimeoutMs);
   return (await controlNodes.start(env, ports, backEnds, env.seeds))._unsafeUnwrap();
 };
 
-const startPostmaster = async (node: string, ports: Ports, data: string): Promise<Postmaster> => {
+const startPostmaster = async (node: string, ports: Ports, data: string): Promise<GatewayControlNode> => {
   const host = postmasterHost(node);
   const settings = {
     ...upgradeData.settings('postmaster'),
@@ -37,8 +37,8 @@
     http: `${host}:7101`,
     data,
   };
-  const env = envs.check('postmaster', settings, {})._unsafeUnwrap();
-  return (await postmasters.start(env, ports))._unsafeUnwrap();
+  const env = gatewaySettings.check('gateway-control', settings, {})._unsafeUnwrap();
+  return (await gatewayControlNodes.start(env, ports))._unsafeUnwrap();
 };
 
 const onSimulatedDisk = async (world: SimWorld, node: string, host: string): Promise<Ports> => {
@@ -67,7 +67,7 @@
     return startCore(node, { ...ports, disk: machine.disk(copy) }, copy);
   },
   /** One control node of the product's own wire alone, on a copy of its folder on a real disk. */
-  postmasterAlone: (node: string, copy: string): Promise<Postmaster> => {
+  postmasterAlone: (node: string, copy: string): Promise<GatewayControlNode> => {
     const ports = new SimWorld(seed).machine(postmasterHost(node)).ports();
     return startPostmaster(node, { ...ports, disk: machine.disk(copy) }, copy);
   },
@@ -78,7 +78,7 @@
         nodes.map(async (node) => startCore(node, await onSimulatedDisk(world, node, coreHost(node)), '/data')),
       ),
     ),
-  postmasters: (world: SimWorld, nodes: readonly string[]): Promise<Postmaster[]> =>
+  postmasters: (world: SimWorld, nodes: readonly string[]): Promise<GatewayControlNode[]> =>
     finish(
       world,
       Promise.all(
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -11,7 +11,7 @@
   seed: number,
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, fronts: 3, replicas: 4, ...more });
+  const fleet = new SimFleet({ seed, edges: 3, replicas: 4, ...more });
   await fleet.up();
   return fleet;
 };
@@ -29,9 +29,9 @@
       }
       case 'settledCompressed':
         accepted = compressedChanges.decode(record.change as Uint8Array);
-        return { t: 'settled', settled: { generation: record.generation, change: accepted } };
+        return { t: 'settled', settled: { generation: record.logIndex, change: accepted } };
       case 'settledAsAccepted':
-        return { t: 'settled', settled: { generation: record.generation, change: accepted } };
+        return { t: 'settled', settled: { generation: record.logIndex, change: accepted } };
       default:
         return record;
     }
@@ -39,14 +39,14 @@
 };
 
 describe('roll-outs', () => {
-  it('given load, when every postmaster and counter is restarted in turn, then no accepted change and no begun answer is lost', async () => {
+  it('given load, when every control node and gateway is restarted in turn, then no accepted change and no begun answer is lost', async () => {
     const fleet = await raised(61);
     const checker = new InvariantChecker(fleet);
     checker.traffic(40, 45_000);
     for (let round = 0; round < 3; round += 1) {
-      const base = Number((await fleet.finish(fleet.onPostmaster(round, 'GET', '/operator/layout'))).body.generation);
+      const base = Number((await fleet.finish(fleet.onControlNode(round, 'GET', '/operator/layout'))).body.generation);
       const put = await fleet.finish(
-        fleet.onPostmaster(
+        fleet.onControlNode(
           round,
           'PATCH',
           '/operator/layout',
@@ -56,14 +56,14 @@
       );
       expect(put.status).to.equal(200);
       checker.acceptedIds.set(`roll-${round}`, Number(put.body.generation));
-      await fleet.finish(fleet.rollPostmaster(round));
-      await fleet.world.until('the postmaster is back', () => fleet.postmasters[round]?.isReady() === true);
+      await fleet.finish(fleet.rollControlNode(round));
+      await fleet.world.until('the control node is back', () => fleet.controlNodes[round]?.isReady() === true);
       await fleet.finish(fleet.rollCounter(round), 60_000);
-      await fleet.world.until('the counter is back', () => fleet.counters[round]?.freshness.isFresh() === true);
+      await fleet.world.until('the counter is back', () => fleet.gateways[round]?.freshness.isFresh() === true);
     }
     await fleet.world.run(60_000);
-    const tally = checker.tally();
-    expect(tally.cut ?? 0, JSON.stringify(tally)).to.equal(0);
+    const metrics = checker.metrics();
+    expect(metrics.cut ?? 0, JSON.stringify(metrics)).to.equal(0);
     for (const call of checker.calls) {
       if (call.outcome === 'lost') expect(call.code).to.equal('ECONNREFUSED');
       if (call.outcome === 'denied')
@@ -73,27 +73,27 @@
           false,
         ]);
     }
-    expect(tally.whole ?? 0).to.be.greaterThan(checker.calls.length * 0.9);
+    expect(metrics.whole ?? 0).to.be.greaterThan(checker.calls.length * 0.9);
     expect([...checker.violations(), ...stateViolations(fleet, checker)]).to.deep.equal([]);
   });
 
-  it('given a counter of another wire release, when it greets the fleet, then it is refused and says so, and the others serve on', async () => {
+  it('given a gateway of another wire release, when it greets the fleet, then it is refused and says so, and the others serve on', async () => {
     let isStrange = false;
     const fleet = await raised(62, {
-      onCounter: (counter) => {
+      onCounter: (gateway) => {
         if (!isStrange) return;
-        const hello = counter.hello;
-        (counter.lines as unknown as { own: () => unknown }).own = () => ({ ...hello(), release: wireRelease + 1 });
+        const hello = gateway.hello;
+        (gateway.peerPool as unknown as { own: () => unknown }).own = () => ({ ...hello(), release: wireRelease + 1 });
       },
     });
     isStrange = true;
     fleet.killCounter(2);
     await fleet.bootCounter(2);
     await fleet.world.run(100);
-    for (const connection of fleet.counters[2]?.lines.open() ?? []) connection.close();
+    for (const connection of fleet.gateways[2]?.peerPool.open() ?? []) connection.close();
     await fleet.world.run(10_000);
-    expect(fleet.counters.map((counter) => counter?.freshness.isFresh())).to.deep.equal([true, true, false]);
-    expect(fleet.world.logLines.some((line) => line.context.cause === 'another wire release')).to.equal(true);
+    expect(fleet.gateways.map((gateway) => gateway?.freshness.isFresh())).to.deep.equal([true, true, false]);
+    expect(fleet.world.logLines.some((line) => line.context.cause === 'peer protocol version mismatch')).to.equal(true);
     const checker = new InvariantChecker(fleet);
     const ask = {
       ...sampleWorkload.request(fleet.world.random, 1),
@@ -108,9 +108,9 @@
   });
 });
 
-describe('ledger upkeep', () => {
-  it('given hundreds of wide changes and thousands of claims, when they are kept, then disks stay bounded, and a postmaster comes back with all of it', async () => {
-    const fleet = await raised(63, { fronts: 1, replicas: 2 });
+describe('log upkeep', () => {
+  it('given hundreds of wide changes and thousands of claims, when they are kept, then disks stay bounded, and a control node comes back with all of it', async () => {
+    const fleet = await raised(63, { edges: 1, replicas: 2 });
     const lanes = Object.fromEntries(
       Array.from({ length: 400 }, (_, at) => [`lane-${at}`, { pool: 'main', repeat: 'freely' }]),
     );
@@ -118,7 +118,7 @@
     let largest = 0;
     for (let round = 0; round < 300; round += 1) {
       const put = await fleet.finish(
-        fleet.onPostmaster(
+        fleet.onControlNode(
           round % 3,
           'PATCH',
           '/operator/layout',
@@ -128,24 +128,24 @@
       );
       expect(put.status, JSON.stringify(put.body)).to.equal(200);
       base = Number(put.body.generation);
-      largest = Math.max(largest, ...[0, 1, 2].map((at) => sizeOf(fleet.machineOf('postmaster', at).disk)));
+      largest = Math.max(largest, ...[0, 1, 2].map((at) => sizeOf(fleet.machineOf('control', at).disk)));
     }
     expect(largest).to.be.lessThan(12 * 1024 * 1024);
-    fleet.killPostmaster(1);
-    await fleet.bootPostmaster(1);
-    expect(fleet.postmasters[1]?.acceptor.agreed()?.layoutGeneration).to.equal(base);
-    expect(Object.keys(fleet.postmasters[1]?.acceptor.agreed()?.changeIds ?? {}).length).to.be.greaterThan(300);
+    fleet.killControlNode(1);
+    await fleet.bootControlNode(1);
+    expect(fleet.controlNodes[1]?.acceptor.agreed()?.configLogIndex).to.equal(base);
+    expect(Object.keys(fleet.controlNodes[1]?.acceptor.agreed()?.changeIds ?? {}).length).to.be.greaterThan(300);
   });
 
   it('given an empty machine, when it joins in place of a lost one, then it is rebuilt from the others and votes within six seconds', async () => {
     const fleet = await raised(64);
-    fleet.killPostmaster(2, true);
+    fleet.killControlNode(2, true);
     await fleet.world.run(3_000);
-    await fleet.bootPostmaster(2);
-    const waited = await fleet.world.until('it votes', () => fleet.postmasters[2]?.acceptor.isVoter() === true);
+    await fleet.bootControlNode(2);
+    const waited = await fleet.world.until('it votes', () => fleet.controlNodes[2]?.acceptor.isVoter() === true);
     expect(waited).to.be.lessThan(6_000);
-    expect(fleet.postmasters[2]?.table.records().length).to.equal(5);
-    expect(fleet.postmasters[2]?.acceptor.agreed()?.changeIds['first-layout']).to.not.equal(undefined);
+    expect(fleet.controlNodes[2]?.table.records().length).to.equal(5);
+    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds['first-layout']).to.not.equal(undefined);
   });
 
   it('given a log damaged before its tail, when its control node starts, then the file and the place are named, it counts as empty under a new incarnation, and it is swapped in again with all that was agreed', async () => {
@@ -154,31 +154,31 @@
       const checker = new InvariantChecker(fleet);
       checker.keyedTraffic(10, 1_000);
       await fleet.world.run(3_000);
-      const before = fleet.postmasters[0]?.acceptor.incarnation;
-      const state = fleet.postmasters[1]?.acceptor.agreed();
-      fleet.killPostmaster(0);
-      const machine = fleet.machineOf('postmaster', 0);
+      const before = fleet.controlNodes[0]?.acceptor.incarnation;
+      const state = fleet.controlNodes[1]?.acceptor.agreed();
+      fleet.killControlNode(0);
+      const machine = fleet.machineOf('control', 0);
       const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith(`${prefix}-segment`)) ?? [];
       if (prefix === 'leases' && held === undefined) throw new Error('no lease was ever kept');
       if (name === undefined || held === undefined) throw new Error(`no segment of ${prefix}`);
       held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
-      await fleet.bootPostmaster(0);
-      const again = fleet.postmasters[0]?.acceptor;
+      await fleet.bootControlNode(0);
+      const again = fleet.controlNodes[0]?.acceptor;
       expect(again?.incarnation).to.not.equal(before);
       const told = fleet.world.logLines.find((line) => line.context.file === name);
       expect(told?.context).to.include({ file: name, offset: 0 });
       const waited = await fleet.world.until('it votes', () => again?.isVoter() === true);
       expect(waited).to.be.lessThan(6_000);
-      expect(again?.agreed()?.layoutGeneration).to.equal(state?.layoutGeneration);
-      expect(fleet.postmasters[1]?.acceptor.agreed()?.members.length).to.equal(3);
+      expect(again?.agreed()?.configLogIndex).to.equal(state?.configLogIndex);
+      expect(fleet.controlNodes[1]?.acceptor.agreed()?.members.length).to.equal(3);
     }
   });
 
   it('given a control node that sets its damaged logs aside, when power is lost before each step of that, then it never comes back under its old incarnation with a state', async () => {
     const fleet = await raised(68);
-    const before = fleet.postmasters[0]?.acceptor.incarnation;
-    fleet.killPostmaster(0);
-    const machine = fleet.machineOf('postmaster', 0);
+    const before = fleet.controlNodes[0]?.acceptor.incarnation;
+    fleet.killControlNode(0);
+    const machine = fleet.machineOf('control', 0);
     const lease = [...machine.disk.files].find(([file]) => file.startsWith('replicas-segment'));
     if (lease === undefined) throw new Error('no segment');
     lease[1].synced[20] = (lease[1].synced[20] ?? 0) ^ 0x55;
@@ -205,8 +205,8 @@
 
   it('given a damaged log, when the explicit recovery is asked to start from it, then it refuses by name and removes nothing', async () => {
     const fleet = await raised(69);
-    fleet.killPostmaster(0);
-    const machine = fleet.machineOf('postmaster', 0);
+    fleet.killControlNode(0);
+    const machine = fleet.machineOf('control', 0);
     const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith('decrees-segment')) ?? [];
     if (name === undefined || held === undefined) throw new Error('no segment');
     held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
@@ -220,9 +220,9 @@
 
   it("given writeAheadLogs of a release that knew no sides and no stores' generations, when all three start with them, then they serve, and name no replica that they know nothing of", async () => {
     const fleet = await raised(67);
-    for (const at of [0, 1, 2]) fleet.killPostmaster(at);
+    for (const at of [0, 1, 2]) fleet.killControlNode(at);
     for (const at of [0, 1, 2]) {
-      const machine = fleet.machineOf('postmaster', at);
+      const machine = fleet.machineOf('control', at);
       machine.boot();
       const { disk } = machine.ports();
       for (const prefix of ['decrees', 'replicas']) {
@@ -238,7 +238,7 @@
         const kept = prefix === 'replicas' ? older.filter((_, index) => names.indexOf(names[index]) === index) : older;
         for (const record of kept) await fleet.finish(wal.append(record));
       }
-      await fleet.startPostmaster(at);
+      await fleet.startControlNode(at);
     }
     for (const at of [0, 1]) {
       fleet.killCounter(at);
@@ -248,20 +248,20 @@
     const checker = new InvariantChecker(fleet);
     checker.traffic(40, 6_000, 0.1);
     await fleet.world.run(20_000);
-    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.equal(0);
-    expect(fleet.postmasters[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
+    expect(fleet.controlNodes[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
   });
 
-  it('given claims past their retention, when postmasters tidy, then they are gone from memory and disk', async () => {
-    const fleet = await raised(66, { postmasterEnv: { claimRetentionMs: 5_000 } });
+  it('given claims past their retention, when control nodes tidy, then they are gone from memory and disk', async () => {
+    const fleet = await raised(66, { controlNodeSettings: { claimRetentionMs: 5_000 } });
     const checker = new InvariantChecker(fleet);
     checker.keyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
-    const sizes = fleet.postmasters.map((one) => one?.claims.size() ?? 0);
+    const sizes = fleet.controlNodes.map((one) => one?.claims.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
     await fleet.world.run(15_000);
-    expect(fleet.postmasters.map((one) => one?.claims.size())).to.deep.equal([0, 0, 0]);
+    expect(fleet.controlNodes.map((one) => one?.claims.size())).to.deep.equal([0, 0, 0]);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/core-types/src/backEnds.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -1,8 +1,8 @@
 import type { Result } from 'neverthrow';
-import type { KeptNews, Part, ReplicaCard, WayBook } from './ways.js';
+import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
 
-export interface BackFault {
-  readonly kind: 'back';
+export interface BackendError {
+  readonly kind: 'backend';
   readonly code: string;
 }
 
@@ -14,47 +14,51 @@
 }
 
 /** `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fence was seen; `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken. */
-export type OrderReceipt = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
+export type WeightsOrderOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
 interface ReplicaReport {
   readonly weights: Record<string, number>;
   readonly isBusy: boolean;
 }
 
-export interface KeptPage {
+export interface PrefixCacheEventPage {
   readonly epoch: string;
   readonly next: number;
   readonly isLost: boolean;
-  readonly news: readonly KeptNews[];
+  readonly events: readonly PrefixCacheEvent[];
 }
 
-interface KeptList {
+interface PrefixCacheListing {
   readonly epoch: string;
   readonly next: number;
-  readonly held: readonly KeptNews[];
+  readonly held: readonly PrefixCacheEvent[];
 }
 
 /** What the core asks of the world behind the fleet. Times are in milliseconds; each call ends within its patience. */
-export interface BackEnds {
-  readonly replicas: () => Promise<Result<readonly ReplicaCard[], BackFault>>;
-  readonly order: (card: ReplicaCard, order: WeightsOrder) => Promise<OrderReceipt>;
-  readonly report: (card: ReplicaCard) => Promise<Result<ReplicaReport, BackFault>>;
-  readonly keptNews: (address: string, since: number, waitMs: number) => Promise<Result<KeptPage, BackFault>>;
-  readonly keptList: (address: string) => Promise<Result<KeptList, BackFault>>;
+export interface BackendClient {
+  readonly replicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
+  readonly order: (endpoint: ReplicaEndpoint, order: WeightsOrder) => Promise<WeightsOrderOutcome>;
+  readonly report: (endpoint: ReplicaEndpoint) => Promise<Result<ReplicaReport, BackendError>>;
+  readonly prefixCacheEvents: (
+    address: string,
+    since: number,
+    waitMs: number,
+  ) => Promise<Result<PrefixCacheEventPage, BackendError>>;
+  readonly prefixCacheListing: (address: string) => Promise<Result<PrefixCacheListing, BackendError>>;
 }
 
 /** A caller's order as the data plane understands it; its headers and body stay opaque beside it. */
-export interface CallerOrder {
+export interface RequestMetadata {
   readonly id: string;
   readonly key: string | null;
   readonly leftMs: number | null;
   readonly model: string | null;
   readonly tokensIn: number;
   readonly tokensOut: number;
-  readonly parts: readonly Part[];
+  readonly parts: readonly PromptPart[];
 }
 
-export interface ShotPlan {
+export interface AttemptPlan {
   readonly replica: string;
   readonly leftMs: number;
   readonly tenant: string | null;
@@ -67,7 +71,7 @@
 }
 
 /** `isOwn`: it bears the request's own id; an answer that bears none, a refusal too, may belong to an earlier request. */
-export interface ReceiptHead {
+export interface ResponseHead {
   readonly isOwn: boolean;
   readonly isNotRun: boolean;
   readonly isSealed: boolean;
@@ -77,20 +81,20 @@
 }
 
 /** How callers' and replicas' headers are read and written. Header lists alternate names and values, as they came. */
-export interface ThroughWire {
-  readonly order: (headers: readonly string[]) => Result<CallerOrder, string>;
-  readonly shotHeaders: (headers: readonly string[], shot: ShotPlan) => string[];
-  readonly receiptHead: (
+export interface HeaderCodec {
+  readonly order: (headers: readonly string[]) => Result<RequestMetadata, string>;
+  readonly attemptHeaders: (headers: readonly string[], shot: AttemptPlan) => string[];
+  readonly responseHead: (
     status: number,
     headers: readonly string[],
     orderId: string,
     model: string | null,
-  ) => ReceiptHead;
-  readonly denialBody: (message: string) => string;
+  ) => ResponseHead;
+  readonly rejectionBody: (message: string) => string;
 }
 
-export interface OperatorEdit {
-  readonly edition: number;
-  readonly book: WayBook;
+export interface ConfigurationChange {
+  readonly configVersion: number;
+  readonly table: RoutingTable;
   readonly source: string;
 }
--- a/packages/core-types/src/owner.ts
+++ b/packages/core-types/src/commandQueue.ts
@@ -1,4 +1,4 @@
-export class Owner {
+export class CommandQueue {
   private tail: Promise<unknown> = Promise.resolve();
   private waiting = 0;
 
--- a/packages/core-types/src/claim.ts
+++ b/packages/core-types/src/idempotencyClaim.ts
@@ -2,7 +2,7 @@
 
 export interface Claimant {
   readonly id: string;
-  readonly counter: string;
+  readonly gateway: string;
   readonly address: string;
   readonly digest: string;
 }
@@ -19,8 +19,8 @@
 }
 
 export type ClaimVote =
-  | { readonly k: 'state'; readonly isGranted: boolean; readonly state: ClaimState }
-  | { readonly k: 'mute' };
+  | { readonly kind: 'state'; readonly isGranted: boolean; readonly state: ClaimState }
+  | { readonly kind: 'mute' };
 
 export interface ClaimPage {
   readonly entries: readonly (readonly [key: string, state: ClaimState])[];
--- a/packages/core-types/src/machine.ts
+++ b/packages/core-types/src/machine.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Clock, Disk, DiskFault, Listener, Net, NetFault, Random, Wire } from './ports.js';
+import type { Clock, Disk, DiskError, Listener, Net, NetworkError, Random, RawConnection } from './ports.js';
 
 export const addresses = {
   split: (address: string): { host: string; port: number } => {
@@ -17,13 +17,13 @@
 
 const codeOf = (cause: unknown): string => (cause as { code?: string } | null)?.code ?? 'UNKNOWN';
 
-const diskFault = (cause: unknown): DiskFault => ({
+const diskFault = (cause: unknown): DiskError => ({
   kind: 'disk',
   code: codeOf(cause),
   detail: String((cause as Error | null)?.message ?? cause),
 });
 
-const onDisk = async <T>(work: () => Promise<T>): Promise<Result<T, DiskFault>> => {
+const onDisk = async <T>(work: () => Promise<T>): Promise<Result<T, DiskError>> => {
   try {
     return ok(await work());
   } catch (cause) {
@@ -97,7 +97,7 @@
   };
 };
 
-const wireOver = (socket: Socket): Wire => {
+const wireOver = (socket: Socket): RawConnection => {
   socket.setNoDelay(true);
   socket.on('error', () => {});
   return {
@@ -116,26 +116,26 @@
 };
 
 const realNet = (localHost: string | null): Net => ({
-  dial: (address, patienceMs) =>
-    new Promise((settle) => {
+  dial: (address, timeoutMs) =>
+    new Promise((resolve) => {
       const { host, port } = addresses.split(address);
       const socket = createConnection({ host, port, ...(localHost === null ? {} : { localAddress: localHost }) });
       const giveUp = (code: string): void => {
         socket.destroy();
-        settle(err({ kind: 'net', code, isUnsent: true }));
+        resolve(err({ kind: 'net', code, isUnsent: true }));
       };
-      const clockEvent = setTimeout(() => giveUp('ETIMEDOUT'), patienceMs);
+      const timer = setTimeout(() => giveUp('ETIMEDOUT'), timeoutMs);
       socket.once('error', (cause) => {
-        clearTimeout(clockEvent);
+        clearTimeout(timer);
         giveUp(codeOf(cause));
       });
       socket.once('connect', () => {
-        clearTimeout(clockEvent);
-        settle(ok(wireOver(socket)));
+        clearTimeout(timer);
+        resolve(ok(wireOver(socket)));
       });
     }),
   listen: (address, onWire) =>
-    new Promise((settle) => {
+    new Promise((resolve) => {
       const { host, port } = addresses.split(address);
       const sockets = new Set<Socket>();
       const server = createServer((socket) => {
@@ -151,17 +151,17 @@
           }),
       };
       server.once('error', (cause) =>
-        settle(err({ kind: 'net', code: codeOf(cause), isUnsent: true } satisfies NetFault)),
+        resolve(err({ kind: 'net', code: codeOf(cause), isUnsent: true } satisfies NetworkError)),
       );
-      server.listen(port, host, () => settle(ok(listener)));
+      server.listen(port, host, () => resolve(ok(listener)));
     }),
 });
 
 const realClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
-  after: (delayMs, ring) => {
-    const timer = setTimeout(ring, Math.max(0, delayMs));
+  after: (delayMs, callback) => {
+    const timer = setTimeout(callback, Math.max(0, delayMs));
     return { cancel: () => clearTimeout(timer) };
   },
 };
@@ -172,7 +172,7 @@
 };
 
 const noDisk = (): Disk => {
-  const refuse = async <T>(): Promise<Result<T, DiskFault>> =>
+  const refuse = async <T>(): Promise<Result<T, DiskError>> =>
     err({ kind: 'disk', code: 'NODATA', detail: 'this node has no data folder' });
   return { list: refuse, read: refuse, open: refuse, replace: refuse, truncate: refuse, remove: refuse };
 };
--- a/packages/core-types/src/ports.ts
+++ b/packages/core-types/src/ports.ts
@@ -1,13 +1,13 @@
 import type { Result } from 'neverthrow';
 
-export interface ClockEvent {
+export interface Timer {
   readonly cancel: () => void;
 }
 
 export interface Clock {
   readonly now: () => number;
   readonly wall: () => number;
-  readonly after: (delayMs: number, ring: () => void) => ClockEvent;
+  readonly after: (delayMs: number, callback: () => void) => Timer;
 }
 
 export interface Random {
@@ -15,34 +15,34 @@
   readonly token: (byteCount: number) => string;
 }
 
-export interface DiskFault {
+export interface DiskError {
   readonly kind: 'disk';
   readonly code: string;
   readonly detail: string;
 }
 
 export interface DiskFile {
-  readonly append: (bytes: Uint8Array) => Promise<Result<void, DiskFault>>;
-  readonly sync: () => Promise<Result<void, DiskFault>>;
+  readonly append: (bytes: Uint8Array) => Promise<Result<void, DiskError>>;
+  readonly sync: () => Promise<Result<void, DiskError>>;
   readonly close: () => Promise<void>;
 }
 
 export interface Disk {
-  readonly list: () => Promise<Result<string[], DiskFault>>;
-  readonly read: (name: string) => Promise<Result<Uint8Array | null, DiskFault>>;
-  readonly open: (name: string) => Promise<Result<DiskFile, DiskFault>>;
-  readonly replace: (name: string, bytes: Uint8Array) => Promise<Result<void, DiskFault>>;
-  readonly truncate: (name: string, size: number) => Promise<Result<void, DiskFault>>;
-  readonly remove: (name: string) => Promise<Result<void, DiskFault>>;
+  readonly list: () => Promise<Result<string[], DiskError>>;
+  readonly read: (name: string) => Promise<Result<Uint8Array | null, DiskError>>;
+  readonly open: (name: string) => Promise<Result<DiskFile, DiskError>>;
+  readonly replace: (name: string, bytes: Uint8Array) => Promise<Result<void, DiskError>>;
+  readonly truncate: (name: string, size: number) => Promise<Result<void, DiskError>>;
+  readonly remove: (name: string) => Promise<Result<void, DiskError>>;
 }
 
-export interface NetFault {
+export interface NetworkError {
   readonly kind: 'net';
   readonly code: string;
   readonly isUnsent: boolean;
 }
 
-export interface Wire {
+export interface RawConnection {
   readonly remote: string;
   readonly write: (bytes: Uint8Array) => void;
   readonly backlog: () => number;
@@ -55,14 +55,14 @@
 }
 
 export interface Net {
-  readonly dial: (address: string, patienceMs: number) => Promise<Result<Wire, NetFault>>;
-  readonly listen: (address: string, onWire: (wire: Wire) => void) => Promise<Result<Listener, NetFault>>;
+  readonly dial: (address: string, timeoutMs: number) => Promise<Result<RawConnection, NetworkError>>;
+  readonly listen: (address: string, onWire: (wire: RawConnection) => void) => Promise<Result<Listener, NetworkError>>;
 }
 
 export type WebHandler = (request: Request) => Response | Promise<Response>;
 
-export interface Door {
-  readonly open: (address: string, handler: WebHandler) => Promise<Result<Listener, NetFault>>;
+export interface HttpServer {
+  readonly open: (address: string, handler: WebHandler) => Promise<Result<Listener, NetworkError>>;
 }
 
 /** The head of an answer; `isDelimited` tells that its end can be told from a broken connection (RFC 9112, 6.3). */
@@ -77,7 +77,7 @@
  * the request is unsent. `accepts` is asked with the head of the answer, before its body; a head that is not accepted
  * ends the request (`HEAD_REFUSED`) and closes its connection.
  */
-interface CarriageRequest {
+interface HttpClientRequest {
   readonly method: string;
   readonly url: string;
   readonly headers: Record<string, string> | readonly string[];
@@ -87,15 +87,15 @@
   readonly accepts?: (head: AnswerHead) => boolean;
 }
 
-export interface CarriageReceipt {
+export interface HttpClientResponse {
   readonly status: number;
   readonly header: (name: string) => string | null;
   readonly headers: () => readonly string[];
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-export interface Carriage {
-  readonly carry: (request: CarriageRequest) => Promise<Result<CarriageReceipt, NetFault>>;
+export interface HttpClient {
+  readonly send: (request: HttpClientRequest) => Promise<Result<HttpClientResponse, NetworkError>>;
   readonly close: () => Promise<void>;
 }
 
@@ -103,8 +103,8 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly net: Net;
-  readonly door: Door;
-  readonly carriage: Carriage;
+  readonly httpServer: HttpServer;
+  readonly httpClient: HttpClient;
   readonly disk: Disk;
   readonly log: Log;
 }
--- a/packages/core-types/src/outcome.ts
+++ b/packages/core-types/src/rejection.ts
@@ -1,6 +1,6 @@
 export type Ran = 'no' | 'unknown';
 
-export type DenyCode =
+export type RejectionCode =
   | 'bad_request'
   | 'unknown_key'
   | 'lane_not_granted'
@@ -22,7 +22,7 @@
   | 'caller_left'
   | 'no_such_page';
 
-const statusByCode: Record<DenyCode, number> = {
+const statusByCode: Record<RejectionCode, number> = {
   bad_request: 400,
   unknown_key: 401,
   lane_not_granted: 403,
@@ -45,15 +45,15 @@
   no_such_page: 404,
 };
 
-export interface Deny {
-  readonly kind: 'deny';
-  readonly code: DenyCode;
+export interface Rejection {
+  readonly kind: 'rejection';
+  readonly code: RejectionCode;
   readonly ran: Ran;
   readonly detail: string;
   readonly retryAfterSeconds: number | null;
 }
 
-const comesBack = new Set<DenyCode>([
+const isRetryable = new Set<RejectionCode>([
   'over_share',
   'no_capacity',
   'not_fresh',
@@ -67,13 +67,13 @@
   'no_claim',
 ]);
 
-export const deny = {
-  of: (code: DenyCode, ran: Ran, detail: string, retryAfterSeconds?: number): Deny => ({
-    kind: 'deny',
+export const rejections = {
+  of: (code: RejectionCode, ran: Ran, detail: string, retryAfterSeconds?: number): Rejection => ({
+    kind: 'rejection',
     code,
     ran,
     detail,
-    retryAfterSeconds: retryAfterSeconds ?? (comesBack.has(code) ? 1 : null),
+    retryAfterSeconds: retryAfterSeconds ?? (isRetryable.has(code) ? 1 : null),
   }),
-  status: (denied: Deny): number => statusByCode[denied.code],
+  status: (rejection: Rejection): number => statusByCode[rejection.code],
 };
--- a/packages/core-types/src/ways.ts
+++ b/packages/core-types/src/routing.ts
@@ -1,23 +1,23 @@
-export type WayKind = 'repeatable' | 'once' | 'stream';
+export type RouteKind = 'repeatable' | 'once' | 'stream';
 
-interface WayShare {
+interface RouteShare {
   readonly pool: string;
   readonly share: number;
 }
 
-export interface Way {
+export interface Route {
   readonly name: string;
   readonly host: string;
-  readonly pathStart: string;
-  readonly kind: WayKind;
-  readonly horizonMs: number;
-  readonly targetMs: number;
+  readonly pathPrefix: string;
+  readonly kind: RouteKind;
+  readonly timeoutMs: number;
+  readonly latencyTargetMs: number;
   readonly rank: number;
-  readonly shares: readonly WayShare[];
-  readonly shots: number;
-  readonly isOpen: boolean;
-  readonly mayResume: boolean;
-  readonly gapMs: number | null;
+  readonly shares: readonly RouteShare[];
+  readonly maxAttempts: number;
+  readonly isPublic: boolean;
+  readonly isResumable: boolean;
+  readonly maxEventGapMs: number | null;
 }
 
 interface Engine {
@@ -29,13 +29,13 @@
   readonly models: readonly string[];
 }
 
-export interface WayPool {
+export interface ReplicaPool {
   readonly name: string;
   readonly connectionLimit: number | null;
   readonly engine: Engine | null;
 }
 
-export interface WayStore {
+export interface CacheStore {
   readonly name: string;
   readonly address: string;
   readonly zone: string;
@@ -58,21 +58,21 @@
   readonly idleMs: number;
 }
 
-export interface WayBook {
-  readonly ways: readonly Way[];
-  readonly pools: readonly WayPool[];
-  readonly stores: readonly WayStore[];
+export interface RoutingTable {
+  readonly routes: readonly Route[];
+  readonly pools: readonly ReplicaPool[];
+  readonly stores: readonly CacheStore[];
   readonly customers: readonly Customer[] | null;
   readonly limits: CallerLimits;
 }
 
-export interface WaysInForce {
-  readonly edition: number;
-  readonly book: WayBook;
+export interface ActiveRouting {
+  readonly configVersion: number;
+  readonly table: RoutingTable;
   readonly source: string;
 }
 
-export interface ReplicaCard {
+export interface ReplicaEndpoint {
   readonly id: string;
   readonly pool: string;
   readonly address: string;
@@ -82,12 +82,12 @@
   readonly weights: Record<string, number>;
 }
 
-export interface Part {
+export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-export interface KeptNews {
+export interface PrefixCacheEvent {
   readonly isKept: boolean;
   readonly salt: string;
   readonly part: string;
--- a/packages/core-types/src/layout.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -1,4 +1,4 @@
-import type { WaysInForce } from './ways.js';
+import type { ActiveRouting } from './routing.js';
 
 export interface Tier {
   readonly rank: number;
@@ -27,7 +27,7 @@
   readonly ratePerSecond: number | null;
 }
 
-export interface Layout {
+export interface GatewayConfig {
   readonly tiers: Record<string, Tier>;
   readonly pools: Record<string, Pool>;
   readonly lanes: Record<string, Lane>;
@@ -46,40 +46,40 @@
 
 /** What is kept of a change that was agreed on: by it, the same change sent again is known. */
 interface ChangeRecord {
-  readonly generation: number;
+  readonly logIndex: number;
   readonly digest: string;
-  /** The edition it brought into force; absent for other kinds of change, and in states of older releases. */
-  readonly edition?: number;
+  /** The configuration version it brought into force; absent for other kinds of change, and in states of older releases. */
+  readonly configVersion?: number;
 }
 
 /** The newest changes whose records were dropped: of none up to these can it be told whether it was taken. */
 export interface ForgottenChanges {
-  /** Edition of the book of ways; 0 where none was dropped. */
-  readonly edition: number;
+  /** Configuration version of the routing table; 0 where none was dropped. */
+  readonly configVersion: number;
   /** Version of its weights, by model. */
-  readonly named: Record<string, number>;
+  readonly targetWeights: Record<string, number>;
 }
 
-export interface Agreed {
-  readonly generation: number;
-  readonly layoutGeneration: number;
-  readonly layout: Layout;
+export interface CommittedState {
+  readonly logIndex: number;
+  readonly configLogIndex: number;
+  readonly config: GatewayConfig;
   readonly weightsSince: Record<string, number>;
   readonly storeSince: Record<string, number>;
   readonly keys: Record<string, KeyGrant>;
   readonly members: readonly Member[];
   readonly changeIds: Record<string, ChangeRecord>;
   readonly forgotten: ForgottenChanges;
-  readonly ways: WaysInForce | null;
-  readonly named: Record<string, number>;
+  readonly routing: ActiveRouting | null;
+  readonly targetWeights: Record<string, number>;
 }
 
 export type ChangeBody =
-  | { readonly kind: 'layout'; readonly layout: Layout; readonly base: number }
+  | { readonly kind: 'config'; readonly config: GatewayConfig; readonly base: number }
   | { readonly kind: 'grant'; readonly keyHash: string; readonly grant: KeyGrant; readonly tenant: Tenant | null }
   | { readonly kind: 'revoke'; readonly keyHash: string }
   | { readonly kind: 'swap'; readonly outgoing: string; readonly incoming: Member }
-  | { readonly kind: 'ways'; readonly base: number; readonly ways: WaysInForce }
+  | { readonly kind: 'routing'; readonly base: number; readonly routing: ActiveRouting }
   | { readonly kind: 'weights'; readonly model: string; readonly version: number };
 
 export interface Change {
@@ -103,7 +103,7 @@
   readonly sides: readonly string[];
 }
 
-export interface KvNews {
+export interface KvCacheEvent {
   readonly replica: string;
   readonly incarnation: number;
   readonly seq: number;
@@ -112,30 +112,30 @@
   readonly blocks: readonly string[];
 }
 
-const emptyLayout: Layout = { tiers: {}, pools: {}, lanes: {}, tenants: {} };
+const emptyGatewayConfig: GatewayConfig = { tiers: {}, pools: {}, lanes: {}, tenants: {} };
 const stateRanks: Record<ReplicaState, number> = { ready: 0, leaving: 1, gone: 2 };
 const keptChangeIds = 4096;
 
-const recordOf = (agreed: Agreed, { digest, body }: Change, generation: number): ChangeRecord => {
-  const inForce = agreed.ways?.edition ?? 0;
-  const isWays = body.kind === 'ways' && body.base === inForce && body.ways.edition > inForce;
-  return isWays ? { generation, digest, edition: body.ways.edition } : { generation, digest };
+const recordOf = (agreed: CommittedState, { digest, body }: Change, logIndex: number): ChangeRecord => {
+  const inForce = agreed.routing?.configVersion ?? 0;
+  const isRoutingChange = body.kind === 'routing' && body.base === inForce && body.routing.configVersion > inForce;
+  return isRoutingChange ? { logIndex, digest, configVersion: body.routing.configVersion } : { logIndex, digest };
 };
 
-const oldestBeside = (records: Agreed['changeIds'], keptEdition: number): string | null => {
+const oldestBeside = (records: CommittedState['changeIds'], keptConfigVersion: number): string | null => {
   let oldest: string | null = null;
-  let generation = Infinity;
+  let logIndex = Infinity;
   for (const id of Object.keys(records)) {
     const record = records[id] as ChangeRecord;
-    if (record.generation >= generation || record.edition === keptEdition) continue;
+    if (record.logIndex >= logIndex || record.configVersion === keptConfigVersion) continue;
     oldest = id;
-    generation = record.generation;
+    logIndex = record.logIndex;
   }
   return oldest;
 };
 
 /** A copy; a loop, as deleting from a large object makes every later copy of it slow. */
-const without = (records: Agreed['changeIds'], dropped: string): Agreed['changeIds'] => {
+const without = (records: CommittedState['changeIds'], dropped: string): CommittedState['changeIds'] => {
   const kept: Record<string, ChangeRecord> = {};
   for (const id of Object.keys(records)) if (id !== dropped) kept[id] = records[id] as ChangeRecord;
   return kept;
@@ -143,25 +143,26 @@
 
 const weightsId = /^weights\/(.+)\/(\d+)$/;
 
-const forget = (forgotten: ForgottenChanges, id: string, { edition }: ChangeRecord): ForgottenChanges => {
-  if (edition !== undefined) return { ...forgotten, edition: Math.max(forgotten.edition, edition) };
+const forget = (forgotten: ForgottenChanges, id: string, { configVersion }: ChangeRecord): ForgottenChanges => {
+  if (configVersion !== undefined)
+    return { ...forgotten, configVersion: Math.max(forgotten.configVersion, configVersion) };
   const [, model, version] = weightsId.exec(id) ?? [];
   if (model === undefined) return forgotten;
-  const newest = Math.max(forgotten.named[model] ?? 0, Number(version));
-  return { ...forgotten, named: { ...forgotten.named, [model]: newest } };
+  const newest = Math.max(forgotten.targetWeights[model] ?? 0, Number(version));
+  return { ...forgotten, targetWeights: { ...forgotten.targetWeights, [model]: newest } };
 };
 
 /** Keeps the records of the last `keptChangeIds` changes, and by rule that of the configuration in force, however many changes of other kinds followed it. */
 const rememberChange = (
-  agreed: Agreed,
+  agreed: CommittedState,
   change: Change,
-  generation: number,
-): Pick<Agreed, 'changeIds' | 'forgotten'> => {
-  const record = recordOf(agreed, change, generation);
-  const keptEdition = record.edition ?? agreed.ways?.edition ?? 0;
+  logIndex: number,
+): Pick<CommittedState, 'changeIds' | 'forgotten'> => {
+  const record = recordOf(agreed, change, logIndex);
+  const keptConfigVersion = record.configVersion ?? agreed.routing?.configVersion ?? 0;
   let { changeIds, forgotten } = agreed;
   for (let excess = Object.keys(changeIds).length + 1 - keptChangeIds; excess > 0; excess -= 1) {
-    const oldest = oldestBeside(changeIds, keptEdition);
+    const oldest = oldestBeside(changeIds, keptConfigVersion);
     if (oldest === null) break;
     forgotten = forget(forgotten, oldest, changeIds[oldest] as ChangeRecord);
     changeIds = without(changeIds, oldest);
@@ -169,108 +170,112 @@
   return { changeIds: { ...changeIds, [change.id]: record }, forgotten };
 };
 
-const weightsSince = (state: Agreed, layout: Layout, generation: number): Agreed['weightsSince'] => ({
+const weightsSince = (
+  state: CommittedState,
+  config: GatewayConfig,
+  logIndex: number,
+): CommittedState['weightsSince'] => ({
   ...state.weightsSince,
   ...Object.fromEntries(
-    Object.entries(layout.pools).map(([name, pool]) => {
+    Object.entries(config.pools).map(([name, pool]) => {
       const since = state.weightsSince[name];
       if (since === undefined) return [name, 0];
-      return [name, state.layout.pools[name]?.weights === pool.weights ? since : generation];
+      return [name, state.config.pools[name]?.weights === pool.weights ? since : logIndex];
     }),
   ),
 });
 
-const servesIsolated = (layout: Layout, pool: string): boolean =>
-  Object.values(layout.tenants).some(
-    (tenant) => tenant.isolated && tenant.lanes.some((lane) => layout.lanes[lane]?.pool === pool),
+const servesIsolated = (config: GatewayConfig, pool: string): boolean =>
+  Object.values(config.tenants).some(
+    (tenant) => tenant.isolated && tenant.lanes.some((lane) => config.lanes[lane]?.pool === pool),
   );
 
-const storeUses = (layout: Layout): Map<string, { weights: string; isMixed: boolean }> => {
+const storeUses = (config: GatewayConfig): Map<string, { weights: string; isMixed: boolean }> => {
   const uses = new Map<string, { weights: string; isMixed: boolean }>();
-  for (const [name, pool] of Object.entries(layout.pools)) {
+  for (const [name, pool] of Object.entries(config.pools)) {
     if (pool.store === null) continue;
     uses.set(pool.store, {
       weights: pool.weights,
-      isMixed: uses.get(pool.store)?.isMixed === true || servesIsolated(layout, name),
+      isMixed: uses.get(pool.store)?.isMixed === true || servesIsolated(config, name),
     });
   }
   return uses;
 };
 
-const storeSince = (state: Agreed, layout: Layout, generation: number): Agreed['storeSince'] => {
-  const before = storeUses(state.layout);
-  const after = storeUses(layout);
+const storeSince = (state: CommittedState, config: GatewayConfig, logIndex: number): CommittedState['storeSince'] => {
+  const before = storeUses(state.config);
+  const after = storeUses(config);
   const since: Record<string, number> = { ...state.storeSince };
   for (const store of new Set([...before.keys(), ...after.keys()])) {
     const [was, is] = [before.get(store), after.get(store)];
-    if (since[store] === undefined && was === undefined) since[store] = is?.isMixed === true ? generation : 0;
-    else if (was?.weights !== is?.weights || was?.isMixed === true || is?.isMixed === true) since[store] = generation;
+    if (since[store] === undefined && was === undefined) since[store] = is?.isMixed === true ? logIndex : 0;
+    else if (was?.weights !== is?.weights || was?.isMixed === true || is?.isMixed === true) since[store] = logIndex;
   }
   return since;
 };
 
-const holdsSeat = (state: Agreed, incarnation: string): boolean =>
+const holdsSeat = (state: CommittedState, incarnation: string): boolean =>
   state.members.some((member) => member.incarnation === incarnation);
 
 /** Whether a swap keeps the seats distinct: its outgoing member holds one, its incoming member holds none. */
-const maySwap = (state: Agreed, outgoing: string, incoming: Member): boolean =>
+const maySwap = (state: CommittedState, outgoing: string, incoming: Member): boolean =>
   holdsSeat(state, outgoing) && !holdsSeat(state, incoming.incarnation);
 
 /** The voters: one for each distinct incarnation, also where an older release gave one of them two seats. A majority is still counted of all seats. */
-const distinctVoters = (state: Agreed | null): Member[] => [
+const distinctVoters = (state: CommittedState | null): Member[] => [
   ...new Map((state?.members ?? []).map((member) => [member.incarnation, member])).values(),
 ];
 
-export const agreed = {
+export const stateMachine = {
   servesIsolated,
   holdsSeat,
   maySwap,
   distinctVoters,
-  filled: (state: Agreed): Agreed => ({
+  filled: (state: CommittedState): CommittedState => ({
     ...state,
-    storeSince: (state.storeSince as Agreed['storeSince'] | undefined) ?? {},
-    ways: (state.ways as WaysInForce | null | undefined) ?? null,
-    named: (state.named as Agreed['named'] | undefined) ?? {},
-    forgotten: (state.forgotten as ForgottenChanges | undefined) ?? { edition: 0, named: {} },
+    storeSince: (state.storeSince as CommittedState['storeSince'] | undefined) ?? {},
+    routing: (state.routing as ActiveRouting | null | undefined) ?? null,
+    targetWeights: (state.targetWeights as CommittedState['targetWeights'] | undefined) ?? {},
+    forgotten: (state.forgotten as ForgottenChanges | undefined) ?? { configVersion: 0, targetWeights: {} },
   }),
-  founded: (members: readonly Member[]): Agreed => ({
-    generation: 0,
-    layoutGeneration: 0,
-    layout: emptyLayout,
+  founded: (members: readonly Member[]): CommittedState => ({
+    logIndex: 0,
+    configLogIndex: 0,
+    config: emptyGatewayConfig,
     weightsSince: {},
     storeSince: {},
     keys: {},
     members,
     changeIds: {},
-    forgotten: { edition: 0, named: {} },
-    ways: null,
-    named: {},
+    forgotten: { configVersion: 0, targetWeights: {} },
+    routing: null,
+    targetWeights: {},
   }),
-  apply: (state: Agreed, change: Change): Agreed => {
-    const generation = state.generation + 1;
-    const next = { ...state, generation, ...rememberChange(state, change, generation) };
+  apply: (state: CommittedState, change: Change): CommittedState => {
+    const logIndex = state.logIndex + 1;
+    const next = { ...state, logIndex, ...rememberChange(state, change, logIndex) };
     const { body } = change;
     switch (body.kind) {
-      case 'layout':
-        return body.base === state.layoutGeneration
+      case 'config':
+        return body.base === state.configLogIndex
           ? {
               ...next,
-              layout: body.layout,
-              layoutGeneration: generation,
-              weightsSince: weightsSince(state, body.layout, generation),
-              storeSince: storeSince(state, body.layout, generation),
+              config: body.config,
+              configLogIndex: logIndex,
+              weightsSince: weightsSince(state, body.config, logIndex),
+              storeSince: storeSince(state, body.config, logIndex),
             }
           : next;
       case 'grant': {
-        const isTenantNew = body.tenant !== null && state.layout.tenants[body.grant.tenant] === undefined;
-        const layout = isTenantNew
-          ? { ...state.layout, tenants: { ...state.layout.tenants, [body.grant.tenant]: body.tenant } }
-          : state.layout;
+        const isTenantNew = body.tenant !== null && state.config.tenants[body.grant.tenant] === undefined;
+        const config = isTenantNew
+          ? { ...state.config, tenants: { ...state.config.tenants, [body.grant.tenant]: body.tenant } }
+          : state.config;
         return {
           ...next,
-          layout: layout as Layout,
-          storeSince: storeSince(state, layout as Layout, generation),
-          layoutGeneration: isTenantNew ? generation : state.layoutGeneration,
+          config: config as GatewayConfig,
+          storeSince: storeSince(state, config as GatewayConfig, logIndex),
+          configLogIndex: isTenantNew ? logIndex : state.configLogIndex,
           keys: { ...state.keys, [body.keyHash]: body.grant },
         };
       }
@@ -286,21 +291,21 @@
               members: state.members.map((member) => (member.incarnation === body.outgoing ? body.incoming : member)),
             }
           : next;
-      case 'ways':
-        return body.base === (state.ways?.edition ?? 0) && body.ways.edition > body.base
-          ? { ...next, ways: body.ways }
+      case 'routing':
+        return body.base === (state.routing?.configVersion ?? 0) && body.routing.configVersion > body.base
+          ? { ...next, routing: body.routing }
           : next;
       case 'weights':
-        return body.version > (state.named[body.model] ?? 0)
-          ? { ...next, named: { ...state.named, [body.model]: body.version } }
+        return body.version > (state.targetWeights[body.model] ?? 0)
+          ? { ...next, targetWeights: { ...state.targetWeights, [body.model]: body.version } }
           : next;
     }
   },
-  isVoid: (state: Agreed, change: Change): boolean =>
-    (change.body.kind === 'layout' && change.body.base !== state.layoutGeneration) ||
+  isVoid: (state: CommittedState, change: Change): boolean =>
+    (change.body.kind === 'config' && change.body.base !== state.configLogIndex) ||
     (change.body.kind === 'swap' && !maySwap(state, change.body.outgoing, change.body.incoming)) ||
-    (change.body.kind === 'ways' && change.body.base !== (state.ways?.edition ?? 0)) ||
-    (change.body.kind === 'weights' && change.body.version <= (state.named[change.body.model] ?? 0)),
+    (change.body.kind === 'routing' && change.body.base !== (state.routing?.configVersion ?? 0)) ||
+    (change.body.kind === 'weights' && change.body.version <= (state.targetWeights[change.body.model] ?? 0)),
 };
 
 const isAhead = (a: ReplicaRecord, b: ReplicaRecord): boolean => {
@@ -330,13 +335,13 @@
   },
 };
 
-export interface SideClaim {
+export interface IsolationClaim {
   readonly replica: string;
   readonly incarnation: number;
   readonly side: string;
 }
 
-export interface SideStanding extends SideClaim {
+export interface IsolationStatus extends IsolationClaim {
   readonly sides: readonly string[];
   readonly ageMs: number;
 }
@@ -353,10 +358,10 @@
 export type Contention = Record<string, readonly [contenders: number, calmRunning: number]>;
 
 export interface Pong {
-  readonly generation: number;
+  readonly logIndex: number;
   readonly acceptedSlot: number | null;
   readonly incarnation: string;
   readonly loads: Loads;
   readonly contention: Contention;
-  readonly counters: number;
+  readonly gateways: number;
 }
--- a/packages/core-types/src/uncaughtExceptions.ts
+++ b/packages/core-types/src/uncaughtExceptions.ts
@@ -26,7 +26,7 @@
  */
 const endProcess = (log: Log, exitCode: number): void => {
   process.on('uncaughtException', (failure) => {
-    log.error('an invariant broke', report(failure));
+    log.error('invariant violated', report(failure));
     process.exit(exitCode);
   });
 };
--- a/packages/core-types/test/background.test.ts
+++ b/packages/core-types/test/background.test.ts
@@ -17,9 +17,9 @@
     uncaughtExceptions.endProcess(log, ${brokenExitCode});
     ${body}
   `;
-  return new Promise((settle) => {
+  return new Promise((resolve) => {
     const child = execFile(process.execPath, ['--input-type=module', '--eval', script], (_fault, stdout) =>
-      settle({ exitCode: child.exitCode ?? -1, stdout }),
+      resolve({ exitCode: child.exitCode ?? -1, stdout }),
     );
   });
 };
--- a/packages/edge-proxy/src/attempt.ts
+++ b/packages/edge-proxy/src/attempt.ts
@@ -1,12 +1,12 @@
 import { background } from '@martenworks/core-types';
-import type { AnswerHead, CarriageReceipt, ClockEvent, NetFault, ReceiptHead } from '@martenworks/core-types';
+import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
 import { headerLists } from './call.js';
 import type { Admission, EdgeContext } from './edgeContext.js';
 import { PromptTiming, placementNames } from './promptTiming.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
-import type { WayPlace } from './wayPlacing.js';
+import type { Placement } from './replicaSelector.js';
 
 const fullRestMs = 150;
 const largestDrainedBytes = 65_536;
@@ -40,84 +40,84 @@
   private readonly timing: PromptTiming;
   private readonly mayLeave: boolean;
   private readonly mightHaveRunBefore: boolean;
-  private readonly firstPatienceMs: number;
-  private readonly gapPatienceMs: number;
-  private silence: ClockEvent;
+  private readonly firstTimeoutMs: number;
+  private readonly gapTimeoutMs: number;
+  private silence: Timer;
   private isWritten = false;
 
   constructor(
     private readonly context: EdgeContext,
     private readonly request: AttemptRequest,
-    private readonly placed: WayPlace,
+    private readonly placed: Placement,
   ) {
-    const { tracks, ports } = context;
+    const { replicaTracker, ports } = context;
     const { admission, progress, relay } = request;
-    const { way, mayRepeat } = admission.view;
-    this.stopped = new Promise((settle) => {
-      this.tellStopped = settle;
+    const { route, mayRepeat } = admission.view;
+    this.stopped = new Promise((resolve) => {
+      this.tellStopped = resolve;
     });
     this.timing = new PromptTiming(context, admission, placed, relay.resumeAfter() !== null);
-    this.mayLeave = mayRepeat && progress.attempts + 1 < way.shots;
+    this.mayLeave = mayRepeat && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
-    const typicalFirstMs = tracks.typicalFirstMs(admission.pool);
-    this.firstPatienceMs = retryPolicy.firstPatienceMs({ targetMs: way.targetMs, costMs, typicalFirstMs });
-    this.gapPatienceMs = retryPolicy.gapPatienceMs(way, request.leftMs());
-    const patienceMs = this.mayLeave ? this.firstPatienceMs : this.firstPatienceMs * 2;
-    this.silence = ports.clock.after(patienceMs, this.firstIsLate);
+    const typicalFirstMs = replicaTracker.typicalFirstMs(admission.pool);
+    this.firstTimeoutMs = retryPolicy.firstTimeoutMs({ targetMs: route.latencyTargetMs, costMs, typicalFirstMs });
+    this.gapTimeoutMs = retryPolicy.gapTimeoutMs(route, request.leftMs());
+    const timeoutMs = this.mayLeave ? this.firstTimeoutMs : this.firstTimeoutMs * 2;
+    this.silence = ports.clock.after(timeoutMs, this.firstIsLate);
   }
 
   /** Sends the request, passes its answer on, and tells how that ended. Runs once. */
   readonly run = async (): Promise<AttemptOutcome> => {
-    const { track } = this.placed;
+    const { tracked } = this.placed;
     const { quit } = this.request;
     quit.addEventListener('abort', this.quitted, { once: true });
-    track.whenGone.add(this.replicaGone);
+    tracked.whenGone.add(this.replicaGone);
     this.begin();
     try {
       const carried = this.carry();
-      const receipt = await Promise.race([carried, this.stopped]);
+      const response = await Promise.race([carried, this.stopped]);
       if (this.isWritten) this.request.progress.arrivals += 1;
-      if (typeof receipt === 'string') {
+      if (typeof response === 'string') {
         background.run(
           'discard a late response',
           carried.then((late) => late.map(this.discard)),
         );
-        return this.isWritten ? { kind: 'may have run', cause: `the replica was left: ${receipt}` } : notSent;
+        return this.isWritten ? { kind: 'may have run', cause: `the replica was left: ${response}` } : notSent;
       }
-      return receipt.isErr() ? this.failed(receipt.error) : await this.answered(receipt.value);
+      return response.isErr() ? this.failed(response.error) : await this.answered(response.value);
     } finally {
       this.silence.cancel();
       this.timing.promptRead();
-      this.context.tracks.ended(track);
-      track.whenGone.delete(this.replicaGone);
+      this.context.replicaTracker.ended(tracked);
+      tracked.whenGone.delete(this.replicaGone);
       quit.removeEventListener('abort', this.quitted);
     }
   };
 
   private readonly begin = (): void => {
-    const { tracks, tally, budget } = this.context;
+    const { replicaTracker, metrics, budget } = this.context;
     const { progress, admission } = this.request;
     this.timing.promptSent();
     progress.attempts += 1;
-    tally.add(placementNames.of(this.placed));
+    metrics.add(placementNames.of(this.placed));
     if (progress.attempts === 1) budget.first(admission.pool);
-    tracks.began(this.placed.track, this.placed.readTokens);
+    replicaTracker.began(this.placed.tracked, this.placed.readTokens);
   };
 
   private readonly carry = () => {
     const { ports, wire } = this.context;
     const { call, customer, view, body } = this.request.admission;
-    const { track, salt, version, holder, store } = this.placed;
-    const { card } = track;
-    return ports.carriage.carry({
+    const { tracked, salt, version, holder, store } = this.placed;
+    const { endpoint } = tracked;
+    return ports.httpClient.send({
       method: call.method,
-      url: `http://${card.address}${call.target}`,
-      headers: wire.shotHeaders(headerLists.endToEnd(call.headers), {
-        replica: card.id,
+      url: `http://${endpoint.address}${call.target}`,
+      headers: wire.attemptHeaders(headerLists.endToEnd(call.headers), {
+        replica: endpoint.id,
         leftMs: Math.max(1, Math.floor(this.request.leftMs())),
         tenant: customer?.name ?? null,
-        urgency: customer?.rank ?? view.way.rank,
+        urgency: customer?.rank ?? view.route.rank,
         salt,
         version,
         holder,
@@ -133,22 +133,23 @@
 
   /** Asked as the first byte is about to be written: whatever the request was admitted by and placed on must still hold. */
   private readonly gate = (): boolean => {
-    const { track } = this.placed;
-    const isReplicaOpen = !track.card.isLeaving && !track.isGone && !this.context.tracks.isResting(track);
+    const { tracked } = this.placed;
+    const isReplicaOpen =
+      !tracked.endpoint.isLeaving && !tracked.isGone && !this.context.replicaTracker.isResting(tracked);
     if (this.stopCause !== null || !isReplicaOpen || !this.context.isStanding(this.request.admission)) return false;
     this.isWritten = true;
     this.request.progress.mayHaveRun = true;
     return true;
   };
 
-  private readonly headOf = (status: number, headers: readonly string[]): ReceiptHead => {
+  private readonly headOf = (status: number, headers: readonly string[]): ResponseHead => {
     const { order } = this.request.admission;
-    return this.context.wire.receiptHead(status, headers, order.id, order.model);
+    return this.context.wire.responseHead(status, headers, order.id, order.model);
   };
 
   /** Whether a head belongs to this request, and its answer's end can be told from a broken connection. */
   private readonly isAcceptable = ({ status, headers, isDelimited }: AnswerHead): boolean => {
-    if (!isDelimited) this.context.tally.add('answers_undelimited');
+    if (!isDelimited) this.context.metrics.add('answers_undelimited');
     return isDelimited && this.headOf(status, headers).isOwn;
   };
 
@@ -167,31 +168,31 @@
     this.mayLeave && !this.context.isClosing && this.context.budget.left(this.request.admission.pool) > 0;
 
   private readonly firstIsLate = (): void => {
-    const { tracks } = this.context;
-    tracks.slow(this.placed.track);
-    tracks.firstSeen(this.request.admission.pool, this.firstPatienceMs);
+    const { replicaTracker } = this.context;
+    replicaTracker.slow(this.placed.tracked);
+    replicaTracker.firstSeen(this.request.admission.pool, this.firstTimeoutMs);
     if (this.mayStillLeave()) this.stop('silent');
   };
 
   private readonly pieceIsLate = (): void => {
-    this.context.tracks.slow(this.placed.track);
-    if (this.request.admission.view.way.mayResume && this.mayStillLeave()) this.stop('silent');
+    this.context.replicaTracker.slow(this.placed.tracked);
+    if (this.request.admission.view.route.isResumable && this.mayStillLeave()) this.stop('silent');
   };
 
   private readonly heardPiece = (): void => {
     this.silence.cancel();
-    this.silence = this.context.ports.clock.after(this.gapPatienceMs, this.pieceIsLate);
+    this.silence = this.context.ports.clock.after(this.gapTimeoutMs, this.pieceIsLate);
   };
 
   private readonly takeBack = (): void => {
     this.request.progress.mayHaveRun = this.mightHaveRunBefore;
   };
 
-  private readonly failed = ({ code, isUnsent }: NetFault): AttemptOutcome => {
-    const { tracks, tally } = this.context;
+  private readonly failed = ({ code, isUnsent }: NetworkError): AttemptOutcome => {
+    const { replicaTracker, metrics } = this.context;
     if (code === 'GATED') return notSent;
-    tracks.failed(this.placed.track);
-    tally.add('shots_failed');
+    replicaTracker.failed(this.placed.tracked);
+    metrics.add('shots_failed');
     if (this.isWritten && !isUnsent) return { kind: 'may have run', cause: `the replica broke off: ${code}` };
     this.takeBack();
     if (this.isWritten) this.request.progress.arrivals -= 1;
@@ -201,73 +202,73 @@
   private readonly mayTryAnother = (): boolean => {
     const { view, pool } = this.request.admission;
     const { arrivals } = this.request.progress;
-    return view.mayRepeat && arrivals < view.way.shots && this.context.budget.left(pool) > 0;
+    return view.mayRepeat && arrivals < view.route.maxAttempts && this.context.budget.left(pool) > 0;
   };
 
-  private readonly answered = async (receipt: CarriageReceipt): Promise<AttemptOutcome> => {
-    const { tracks } = this.context;
-    const { track } = this.placed;
-    const { status } = receipt;
-    const headers = receipt.headers();
+  private readonly answered = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
+    const { replicaTracker } = this.context;
+    const { tracked } = this.placed;
+    const { status } = response;
+    const headers = response.headers();
     const head = this.headOf(status, headers);
     const hasReply = this.request.relay.hasReply();
     const verdict = retryPolicy.headVerdict(status, head, { hasReply, mayTryAnother: this.mayTryAnother() });
-    if (verdict.kind === 'turned away') return this.turnedAway(receipt, head);
+    if (verdict.kind === 'connection rejected') return this.turnedAway(response, head);
     if (verdict.kind === 'drop') {
       this.abort.abort();
-      this.discard(receipt);
-      if (verdict.holdsAgainst) tracks.failed(track);
+      this.discard(response);
+      if (verdict.holdsAgainst) replicaTracker.failed(tracked);
       return { kind: 'may have run', cause: verdict.cause };
     }
-    for (const [model, version] of Object.entries(head.versions)) tracks.holds(track, model, version);
-    const { way } = this.request.admission.view;
+    for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
+    const { route } = this.request.admission.view;
     const { isSuccess, isFailure } = verdict;
     const outcome = await this.request.relay.pass(
-      { status, headers, body: receipt.body, isResumable: isSuccess && way.kind === 'stream' && way.mayResume },
+      { status, headers, body: response.body, isResumable: isSuccess && route.kind === 'stream' && route.isResumable },
       { onFirst: () => this.firstPiece(isSuccess, isFailure), onPiece: this.heardPiece, stopped: this.stopped },
     );
     if (outcome.kind !== 'whole') this.abort.abort();
-    if (outcome.kind === 'may have run') tracks.failed(track);
+    if (outcome.kind === 'may have run') replicaTracker.failed(tracked);
     return outcome;
   };
 
-  private readonly turnedAway = (receipt: CarriageReceipt, head: ReceiptHead): AttemptOutcome => {
-    const { tracks, tally, ports } = this.context;
-    const { track } = this.placed;
+  private readonly turnedAway = (response: HttpClientResponse, head: ResponseHead): AttemptOutcome => {
+    const { replicaTracker, metrics, ports } = this.context;
+    const { tracked } = this.placed;
     this.takeBack();
-    tally.add('shots_turned_away');
-    ports.log.info('turned away', {
-      replica: track.card.id,
-      running: track.running,
+    metrics.add('shots_turned_away');
+    ports.log.info('connection rejected', {
+      replica: tracked.endpoint.id,
+      running: tracked.running,
       head,
-      resting: track.restUntil - ports.clock.now(),
+      resting: tracked.restUntil - ports.clock.now(),
     });
-    for (const [model, version] of Object.entries(head.versions)) tracks.holds(track, model, version);
-    if (head.isElsewhere) tracks.failed(track);
-    else tracks.full(track, head.retryAfterMs ?? fullRestMs);
-    background.run('drain a rejected response', this.drain(receipt));
+    for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
+    if (head.isElsewhere) replicaTracker.failed(tracked);
+    else replicaTracker.full(tracked, head.retryAfterMs ?? fullRestMs);
+    background.run('drain a rejected response', this.drain(response));
     return { kind: 'not run', isArrival: true, retryAfterMs: head.retryAfterMs };
   };
 
   private readonly firstPiece = (isSuccess: boolean, isFailure: boolean): void => {
-    const { tracks } = this.context;
-    const { track } = this.placed;
+    const { replicaTracker } = this.context;
+    const { tracked } = this.placed;
     this.timing.promptRead();
     const spentMs = this.timing.spentMs();
-    if (isSuccess) tracks.firstSeen(this.request.admission.pool, spentMs);
-    if (isFailure) tracks.failed(track);
-    else tracks.answered(track);
+    if (isSuccess) replicaTracker.firstSeen(this.request.admission.pool, spentMs);
+    if (isFailure) replicaTracker.failed(tracked);
+    else replicaTracker.answered(tracked);
     if (isSuccess) this.timing.learn(spentMs);
   };
 
-  private readonly discard = (receipt: CarriageReceipt): void => {
-    void receipt.body[Symbol.asyncIterator]().return?.();
+  private readonly discard = (response: HttpClientResponse): void => {
+    void response.body[Symbol.asyncIterator]().return?.();
   };
 
   /** Reads a refusal to its end, so that its connection can be kept. */
-  private readonly drain = async (receipt: CarriageReceipt): Promise<void> => {
+  private readonly drain = async (response: HttpClientResponse): Promise<void> => {
     try {
-      for await (const bytes of receipt.body) if (bytes.length > largestDrainedBytes) return;
+      for await (const bytes of response.body) if (bytes.length > largestDrainedBytes) return;
     } catch {
       return;
     }
--- a/packages/edge-proxy/src/call.ts
+++ b/packages/edge-proxy/src/call.ts
@@ -10,7 +10,7 @@
   readonly headers: readonly string[];
   readonly headerBytes: number;
   readonly body: (limitBytes: number) => Promise<Result<Uint8Array, BodyFault>>;
-  readonly whenGone: (verb: () => void) => void;
+  readonly whenGone: (listener: () => void) => void;
   readonly answer: (status: number, headers: readonly string[], isLast: boolean) => Reply;
 }
 
--- a/packages/edge-proxy/src/callerConnection.ts
+++ b/packages/edge-proxy/src/callerConnection.ts
@@ -19,13 +19,13 @@
   }
 
   /** Keeps one request until its answer is whole; the verb that it returns registers whom to tell that the caller left. */
-  readonly begin = (incoming: IncomingMessage, response: ServerResponse): ((verb: () => void) => void) => {
+  readonly begin = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
     const exchange: Exchange = { incoming, response, onGone: [] };
     this.open.add(exchange);
     response.once('close', () => this.ended(exchange));
-    return (verb) => {
-      if (this.open.has(exchange)) exchange.onGone.push(verb);
-      else if (!response.writableFinished) verb();
+    return (listener) => {
+      if (this.open.has(exchange)) exchange.onGone.push(listener);
+      else if (!response.writableFinished) listener();
     };
   };
 
--- a/packages/edge-proxy/src/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwardedRequest.ts
@@ -4,7 +4,7 @@
 import type { Admission, EdgeContext } from './edgeContext.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { StopCause } from './retryPolicy.js';
-import type { WayPlace } from './wayPlacing.js';
+import type { Placement } from './replicaSelector.js';
 
 const waitShare = 0.2;
 const waitStepMs = 15;
@@ -17,7 +17,7 @@
 /** One caller's request on its way: placed, sent to one replica after another where it may be, answered once. */
 export class ForwardedRequest {
   private readonly arrivedAt: number;
-  private readonly horizonAt: number;
+  private readonly deadlineAt: number;
   private readonly relay: AnswerRelay;
   private readonly progress: RequestProgress = { attempts: 0, arrivals: 0, mayHaveRun: false };
   private readonly avoided = new Set<string>();
@@ -33,18 +33,18 @@
     const { call, order, view } = admission;
     this.relay = new AnswerRelay(call);
     this.arrivedAt = context.ports.clock.now();
-    this.horizonAt = this.arrivedAt + Math.min(order.leftMs ?? view.way.horizonMs, view.way.horizonMs);
+    this.deadlineAt = this.arrivedAt + Math.min(order.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
     call.whenGone(() => this.stop('caller left'));
   }
 
   /** Resolves once the request is answered or nobody waits for an answer. */
   readonly run = async (): Promise<void> => {
-    const horizon = this.context.ports.clock.after(Math.max(0, this.leftMs()), () => this.stop('horizon'));
+    const deadline = this.context.ports.clock.after(Math.max(0, this.leftMs()), () => this.stop('horizon'));
     try {
       await this.attemptOn();
     } finally {
-      horizon.cancel();
-      this.context.tally.add('calls');
+      deadline.cancel();
+      this.context.metrics.add('calls');
     }
   };
 
@@ -63,12 +63,12 @@
 
   private readonly refusal = (): string | null => {
     if (this.quit.signal.aborted) return this.hasCallerLeft() ? null : 'the time is over';
-    if (this.progress.arrivals >= this.admission.view.way.shots) return 'no further replica may be asked';
+    if (this.progress.arrivals >= this.admission.view.route.maxAttempts) return 'no further replica may be asked';
     return this.context.isStanding(this.admission) ? null : 'the way or the key was taken back';
   };
 
   /** One attempt; true if the request is over with it. */
-  private readonly attempt = async (placed: WayPlace): Promise<boolean> => {
+  private readonly attempt = async (placed: Placement): Promise<boolean> => {
     const { admission, progress, relay, leftMs } = this;
     const attempt = new Attempt(
       this.context,
@@ -76,7 +76,7 @@
       placed,
     );
     const outcome = await attempt.run();
-    this.avoided.add(placed.track.card.id);
+    this.avoided.add(placed.tracked.endpoint.id);
     switch (outcome.kind) {
       case 'whole':
         this.isEnded = true;
@@ -107,41 +107,41 @@
 
   private readonly hasCallerLeft = (): boolean => this.quit.signal.aborted && this.quitCause === 'caller left';
 
-  private readonly leftMs = (): number => this.horizonAt - this.context.ports.clock.now();
+  private readonly leftMs = (): number => this.deadlineAt - this.context.ports.clock.now();
 
   private readonly leave = (): void => {
     this.isEnded = true;
-    this.context.tally.add('caller_left');
+    this.context.metrics.add('caller_left');
   };
 
   /** Ends a request that no attempt answered: 503 promises that it has not run, 502 and 504 promise nothing. */
   private readonly giveUp = (message: string): void => {
-    if (!this.progress.mayHaveRun) this.deny(statuses.unavailable, message, true);
-    else this.deny(this.leftMs() <= leastLeftMs ? statuses.lateGateway : statuses.badGateway, message, false);
+    if (!this.progress.mayHaveRun) this.reject(statuses.unavailable, message, true);
+    else this.reject(this.leftMs() <= leastLeftMs ? statuses.lateGateway : statuses.badGateway, message, false);
   };
 
-  private readonly deny = (status: number, message: string, comesBack: boolean): void => {
+  private readonly reject = (status: number, message: string, comesBack: boolean): void => {
     if (this.isEnded) return;
     this.isEnded = true;
-    const { tally, ports } = this.context;
+    const { metrics, ports } = this.context;
     const { call, order, view } = this.admission;
-    tally.add(`denied_${status}`);
+    metrics.add(`denied_${status}`);
     ports.log.info('denied', {
       order: order.id,
-      way: view.way.name,
+      route: view.route.name,
       status,
       message,
-      shots: this.progress.attempts,
+      attempts: this.progress.attempts,
       ms: Math.round(ports.clock.now() - this.arrivedAt),
     });
     if (this.relay.hasReply()) this.relay.cut();
-    else this.context.deny(call, status, message, comesBack ? this.comeBackAfterMs() : null);
+    else this.context.reject(call, status, message, comesBack ? this.comeBackAfterMs() : null);
   };
 
   private readonly comeBackAfterMs = (): number =>
     this.comeBackMs ?? shortestComeBackMs + comeBackSpreadMs * this.context.ports.random.fraction();
 
-  private readonly place = async (): Promise<WayPlace | null> => {
+  private readonly place = async (): Promise<Placement | null> => {
     const { clock } = this.context.ports;
     const { pool, order, customer } = this.admission;
     const untilAt = this.waitUntilAt();
@@ -154,8 +154,8 @@
   };
 
   private readonly waitUntilAt = (): number => {
-    const waitMs = this.admission.view.way.targetMs * waitShare;
+    const waitMs = this.admission.view.route.latencyTargetMs * waitShare;
     const resumesUntilAt = this.relay.hasReply() ? this.context.ports.clock.now() + waitMs : 0;
-    return Math.min(this.horizonAt, Math.max(this.arrivedAt + waitMs, resumesUntilAt));
+    return Math.min(this.deadlineAt, Math.max(this.arrivedAt + waitMs, resumesUntilAt));
   };
 }
--- a/packages/edge-proxy/src/callDoor.ts
+++ b/packages/edge-proxy/src/ingressServer.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
-import type { CallerLimits, NetFault } from '@martenworks/core-types';
+import type { CallerLimits, NetworkError } from '@martenworks/core-types';
 import { headerLists } from './call.js';
 import type { BodyFault, Call, Reply } from './call.js';
 import { CallerConnection } from './callerConnection.js';
@@ -14,22 +14,22 @@
 const slowBodyMs = 30_000;
 
 const bodyOf = (incoming: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, BodyFault>> =>
-  new Promise((settle) => {
+  new Promise((resolve) => {
     const parts: Buffer[] = [];
     let size = 0;
-    if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return settle(err('too large'));
+    if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return resolve(err('too large'));
     incoming.on('data', (part: Buffer) => {
       size += part.length;
       if (size > limitBytes) {
         incoming.removeAllListeners('data');
         incoming.resume();
-        return settle(err('too large'));
+        return resolve(err('too large'));
       }
       parts.push(part);
     });
-    incoming.on('end', () => settle(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
-    incoming.on('error', () => settle(err('gone')));
-    incoming.on('close', () => settle(err('gone')));
+    incoming.on('end', () => resolve(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
+    incoming.on('error', () => resolve(err('gone')));
+    incoming.on('close', () => resolve(err('gone')));
   });
 
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
@@ -37,12 +37,12 @@
 /** `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset cuts it. */
 const replyOver = (response: ServerResponse, isDelimited: boolean): Reply => ({
   write: (bytes) =>
-    new Promise((settle) => {
-      if (response.destroyed || response.write(bytes)) return settle();
+    new Promise((resolve) => {
+      if (response.destroyed || response.write(bytes)) return resolve();
       const done = (): void => {
         response.off('drain', done);
         response.off('close', done);
-        settle();
+        resolve();
       };
       response.on('drain', done);
       response.on('close', done);
@@ -63,17 +63,17 @@
   },
 };
 
-export interface CallDoorTerms {
+export interface IngressServerOptions {
   readonly onCall: (call: Call) => void;
   readonly isClosing: () => boolean;
 }
 
 /** A caller-side HTTP/1.1 server that keeps targets, headers and bodies as they came. */
-export class CallDoor {
+export class IngressServer {
   private readonly server: Server;
   private readonly connections = new WeakMap<object, CallerConnection>();
 
-  constructor(private readonly terms: CallDoorTerms) {
+  constructor(private readonly terms: IngressServerOptions) {
     this.server = createServer(
       {
         maxHeaderSize: largestHeaderBytes,
@@ -122,13 +122,13 @@
     this.server.headersTimeout = limits.headerMs;
   };
 
-  readonly open = (address: string): Promise<Result<void, NetFault>> =>
-    new Promise((settle) => {
+  readonly open = (address: string): Promise<Result<void, NetworkError>> =>
+    new Promise((resolve) => {
       const { host, port } = addresses.split(address);
       this.server.once('error', (cause) =>
-        settle(err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: true })),
+        resolve(err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: true })),
       );
-      this.server.listen(port, host, 1_024, () => settle(ok(undefined)));
+      this.server.listen(port, host, 1_024, () => resolve(ok(undefined)));
     });
 
   readonly shut = (): void => {
@@ -137,7 +137,7 @@
   };
 
   readonly isEmpty = (): Promise<boolean> =>
-    new Promise((settle) => this.server.getConnections((cause, count) => settle(cause !== null || count === 0)));
+    new Promise((resolve) => this.server.getConnections((cause, count) => resolve(cause !== null || count === 0)));
 
   readonly closeIdle = (): void => this.server.closeIdleConnections();
 
--- a/packages/edge-proxy/src/tally.ts
+++ b/packages/edge-proxy/src/metricCounters.ts
@@ -1,5 +1,5 @@
-/** Named counters of one edge, since its start. */
-export class Tally {
+/** Named gateways of one edge, since its start. */
+export class MetricCounters {
   private readonly counts = new Map<string, number>();
 
   readonly add = (name: string): void => void this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
--- /dev/null
+++ b/packages/edge-proxy/src/prefixCacheIndex.ts
@@ -0,0 +1,139 @@
+import { IncarnationMatcher } from '@martenworks/core-types';
+import type { Clock, PrefixCacheUpdate } from '@martenworks/core-types';
+
+const trustOwnMs = 3_000;
+const readingMs = 2_500;
+const wholeShare = 0.95;
+const trustUnheardMs = 8_000;
+
+interface StoredPrefixes {
+  isHeard: boolean;
+  unheardAt: number | null;
+  epoch: string;
+  readonly pairs: IncarnationMatcher;
+  readonly kept: Map<string, number>;
+  readonly own: Map<string, number>;
+  readonly reading: Map<string, number>;
+  readonly quarantined: Map<string, number>;
+}
+
+const labelOf = (salt: string, part: string): string => `${salt}\n${part}`;
+
+/** The edge's index: which address keeps how many tokens of which part under which salt, from what the core tells and, for a while, from what this edge saw itself. */
+export class PrefixCacheIndex {
+  private readonly prefixCaches = new Map<string, StoredPrefixes>();
+
+  constructor(private readonly clock: Clock) {}
+
+  private readonly stored = (address: string): StoredPrefixes => {
+    const held = this.prefixCaches.get(address);
+    if (held !== undefined) return held;
+    const fresh: StoredPrefixes = {
+      isHeard: false,
+      unheardAt: null,
+      epoch: '',
+      pairs: new IncarnationMatcher(this.clock),
+      kept: new Map(),
+      own: new Map(),
+      reading: new Map(),
+      quarantined: new Map(),
+    };
+    this.prefixCaches.set(address, fresh);
+    return fresh;
+  };
+
+  readonly take = (bundle: readonly PrefixCacheUpdate[]): void => {
+    for (const { address, isWhole, isHeard, epoch, events: update } of bundle) {
+      const stored = this.stored(address);
+      stored.unheardAt = isHeard ? null : (stored.unheardAt ?? this.clock.now());
+      stored.isHeard = isHeard;
+      if (epoch !== undefined && epoch !== '' && epoch !== stored.epoch) {
+        if (stored.epoch !== '') stored.pairs.isFirstByEpoch();
+        stored.epoch = epoch;
+      }
+      if (isWhole) stored.kept.clear();
+      for (const { isKept, salt, part, tokens } of update) {
+        const label = labelOf(salt, part);
+        if (tokens > 0) stored.kept.set(label, tokens);
+        else stored.kept.delete(label);
+        if (!isKept) stored.own.delete(label);
+      }
+    }
+  };
+
+  /** Another replica has the address: nothing that the one before kept is there, unless its events told so before. */
+  readonly bornAt = (address: string): void => {
+    const stored = this.prefixCaches.get(address);
+    if (stored === undefined) return;
+    if (stored.pairs.isFirstById()) stored.kept.clear();
+    stored.own.clear();
+    stored.reading.clear();
+    stored.quarantined.clear();
+  };
+
+  readonly leftAt = (address: string): void => void this.prefixCaches.delete(address);
+
+  /** Whatever is told, the address does not count as keeping the part for a while. */
+  readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
+    void this.stored(address).quarantined.set(labelOf(salt, part), this.clock.now() + forMs);
+
+  readonly isQuarantined = (address: string, salt: string, part: string): boolean => {
+    const quarantined = this.prefixCaches.get(address)?.quarantined;
+    const label = labelOf(salt, part);
+    const until = quarantined?.get(label);
+    if (until === undefined) return false;
+    if (until > this.clock.now()) return true;
+    quarantined?.delete(label);
+    return false;
+  };
+
+  /** What this edge saw itself: `address` was given the part just now. */
+  readonly saw = (address: string, salt: string, part: string): void =>
+    void this.stored(address).own.set(labelOf(salt, part), this.clock.now());
+
+  /** `address` is reading the part now: whoever comes there next finds it. */
+  readonly reads = (address: string, salt: string, part: string): void =>
+    void this.stored(address).reading.set(labelOf(salt, part), this.clock.now());
+
+  readonly isReading = (address: string, salt: string, part: string): boolean => {
+    const stored = this.prefixCaches.get(address);
+    const label = labelOf(salt, part);
+    const at = stored?.reading.get(label);
+    if (stored === undefined || at === undefined || this.isQuarantined(address, salt, part)) return false;
+    if (this.clock.now() - at <= readingMs) return true;
+    stored.reading.delete(label);
+    return false;
+  };
+
+  /** The address was found without the part: what the index says of it is wrong until told anew. */
+  readonly missed = (address: string, salt: string, part: string): void => {
+    const stored = this.stored(address);
+    stored.own.delete(labelOf(salt, part));
+    stored.kept.delete(labelOf(salt, part));
+  };
+
+  /** Memory goes by blocks, so a part is rarely kept to its last token: most of it counts as all. */
+  readonly keeps = (address: string, salt: string, part: string, tokens: number): boolean => {
+    const stored = this.prefixCaches.get(address);
+    if (stored === undefined) return false;
+    const label = labelOf(salt, part);
+    if (this.isQuarantined(address, salt, part)) return false;
+    const isTrusted = stored.unheardAt === null || this.clock.now() - stored.unheardAt <= trustUnheardMs;
+    if (isTrusted && (stored.kept.get(label) ?? 0) >= tokens * wholeShare) return true;
+    const sawAt = stored.own.get(label);
+    if (sawAt === undefined) return false;
+    if (this.clock.now() - sawAt <= trustOwnMs) return true;
+    stored.own.delete(label);
+    return false;
+  };
+
+  readonly isHeard = (address: string): boolean => this.prefixCaches.get(address)?.isHeard === true;
+
+  readonly sizes = (): { address: string; parts: number; isHeard: boolean; quarantined: number }[] =>
+    [...this.prefixCaches].map(([address, { kept, isHeard, quarantined }]) => ({
+      address,
+      parts: kept.size,
+      isHeard,
+      quarantined: quarantined.size,
+    }));
+}
--- a/packages/edge-proxy/src/promptTiming.ts
+++ b/packages/edge-proxy/src/promptTiming.ts
@@ -1,15 +1,16 @@
-import type { ReadingNews } from '@martenworks/core-types';
+import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from './edgeContext.js';
-import { heavyTokens } from './replicaTracks.js';
-import type { KeptClaim } from './staleWatch.js';
-import type { WayPlace } from './wayPlacing.js';
+import { heavyTokens } from './replicaTracker.js';
+import type { ExpectedHit } from './staleEntryDetector.js';
+import type { Placement } from './replicaSelector.js';
 
 export const placementNames = {
-  /** The counter that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
-  of: ({ anchor, isKept, isSoon, isHome, holder }: WayPlace): string => {
-    if (anchor === null || anchor.tokens < heavyTokens) return isHome ? 'placed_short_home' : 'placed_short_elsewhere';
+  /** The gateway that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
+  of: ({ affinityPart, isKept, isSoon, isPreferred, holder }: Placement): string => {
+    if (affinityPart === null || affinityPart.tokens < heavyTokens)
+      return isPreferred ? 'placed_short_home' : 'placed_short_elsewhere';
     const source = isKept ? 'kept' : isSoon ? 'soon' : holder !== null ? 'pull' : 'read';
-    return `placed_long_${source}${isHome ? '_home' : ''}`;
+    return `placed_long_${source}${isPreferred ? '_home' : ''}`;
   },
 };
 
@@ -19,19 +20,20 @@
   private readonly pendingBefore: number;
   private readonly isIdle: boolean;
   private readonly isAlone: boolean;
-  private reading: ReadingNews | null = null;
+  private reading: PrefillNotice | null = null;
   private isReading = true;
 
   constructor(
     private readonly context: EdgeContext,
     private readonly admission: Admission,
-    private readonly placed: WayPlace,
+    private readonly placed: Placement,
     isResumption: boolean,
   ) {
-    const { track, isSoon } = placed;
+    const { tracked, isSoon } = placed;
     this.sentAt = context.ports.clock.now();
-    this.pendingBefore = track.pendingTokens + track.othersTokens;
-    this.isIdle = track.running < track.card.slots && !isResumption && !context.tracks.isSuspect(track);
+    this.pendingBefore = tracked.pendingTokens + tracked.othersTokens;
+    this.isIdle =
+      tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.isSuspect(tracked);
     this.isAlone = this.pendingBefore === 0 && !isSoon;
   }
 
@@ -39,56 +41,60 @@
 
   /** Tells the other edges of a long prompt that is about to be read. */
   readonly promptSent = (): void => {
-    const { track, readTokens, salt, anchor } = this.placed;
+    const { tracked, readTokens, salt, affinityPart } = this.placed;
     if (readTokens < heavyTokens) return;
-    const { card } = track;
+    const { endpoint } = tracked;
     const id = this.context.readingId();
-    this.reading = { id, replica: card.id, tokens: readTokens, salt, part: anchor?.id ?? null };
-    this.context.touch.tellReading(this.reading);
-    if (salt !== null && anchor !== null) this.context.shelves.reads(card.address, salt, anchor.id);
+    this.reading = { id, replica: endpoint.id, tokens: readTokens, salt, part: affinityPart?.id ?? null };
+    this.context.control.tellReading(this.reading);
+    if (salt !== null && affinityPart !== null)
+      this.context.prefixCaches.reads(endpoint.address, salt, affinityPart.id);
   };
 
   /** Notes, once, that the prompt is read or the attempt over. */
   readonly promptRead = (): void => {
     if (!this.isReading) return;
     this.isReading = false;
-    this.context.tracks.given(this.placed.track, this.placed.readTokens);
-    if (this.reading !== null) this.context.touch.tellReading({ ...this.reading, tokens: 0 });
+    this.context.replicaTracker.given(this.placed.tracked, this.placed.readTokens);
+    if (this.reading !== null) this.context.control.tellReading({ ...this.reading, tokens: 0 });
   };
 
   /** Takes from the time to a first piece how fast the replica reads, and whether it kept what the index says. */
   readonly learn = (spentMs: number): void => {
-    const { tracks, shelves } = this.context;
-    const { track, anchor, salt, readTokens, pullMs, readsAll, claim } = this.placed;
-    if (anchor === null || salt === null) return;
-    shelves.saw(track.card.address, salt, anchor.id);
+    const { replicaTracker, prefixCaches } = this.context;
+    const { tracked, affinityPart, salt, readTokens, pullMs, readsAll, expectedHit } = this.placed;
+    if (affinityPart === null || salt === null) return;
+    prefixCaches.saw(tracked.endpoint.address, salt, affinityPart.id);
     const isLate = this.isIdle && this.speaksAgainstIndex(spentMs);
-    if (this.isAlone && !isLate) tracks.measured(readTokens, spentMs - pullMs);
-    const hasReadAlone = this.aheadTokens() === 0 && (readsAll || claim?.pullMs === null);
+    if (this.isAlone && !isLate) replicaTracker.measured(readTokens, spentMs - pullMs);
+    const hasReadAlone = this.aheadTokens() === 0 && (readsAll || expectedHit?.pullMs === null);
     if (!this.isIdle || isLate || !hasReadAlone) return;
-    tracks.sampled(track, this.admission.order.tokensIn - (claim?.tokens ?? 0), spentMs);
+    replicaTracker.sampled(tracked, this.admission.order.tokensIn - (expectedHit?.tokens ?? 0), spentMs);
   };
 
   private readonly aheadTokens = (): number => {
-    const { track, readTokens } = this.placed;
-    return Math.max(0, this.pendingBefore + this.context.tracks.cameWith(track, this.sentAt) - readTokens);
+    const { tracked, readTokens } = this.placed;
+    return Math.max(0, this.pendingBefore + this.context.replicaTracker.cameWith(tracked, this.sentAt) - readTokens);
   };
 
   private readonly speaksAgainstIndex = (spentMs: number): boolean => {
-    const { claim, secondClaim } = this.placed;
-    const [isFirstLate, isSecondLate] = [this.isClaimLate(claim, spentMs), this.isClaimLate(secondClaim, spentMs)];
+    const { expectedHit, secondExpectedHit } = this.placed;
+    const [isFirstLate, isSecondLate] = [
+      this.isHitLate(expectedHit, spentMs),
+      this.isHitLate(secondExpectedHit, spentMs),
+    ];
     return isFirstLate || isSecondLate;
   };
 
-  private readonly isClaimLate = (claim: KeptClaim | null, spentMs: number): boolean => {
-    if (claim === null) return false;
-    const { tracks, shelves, compare } = this.context;
+  private readonly isHitLate = (expectedHit: ExpectedHit | null, spentMs: number): boolean => {
+    if (expectedHit === null) return false;
+    const { replicaTracker, prefixCaches, compare } = this.context;
     const timing = {
-      claim,
-      restTokens: Math.max(0, this.admission.order.tokensIn - claim.tokens),
+      expectedHit,
+      restTokens: Math.max(0, this.admission.order.tokensIn - expectedHit.tokens),
       aheadTokens: this.aheadTokens(),
-      tokensPerMs: tracks.readingRate(this.placed.track),
-      isHeard: shelves.isHeard(claim.address),
+      tokensPerMs: replicaTracker.readingRate(this.placed.tracked),
+      isHeard: prefixCaches.isHeard(expectedHit.address),
       sentAt: this.sentAt,
     };
     return compare(timing, spentMs);
--- a/packages/edge-proxy/src/extraBudget.ts
+++ b/packages/edge-proxy/src/retryBudget.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@martenworks/core-types';
 
-/** The fleet's bound: in any window, further shots at a pool are at most `ratio` of its requests plus `slack`, over all fronts together. */
+/** The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over all edges together. */
 export interface ExtraTerms {
   readonly ratio: number;
   readonly windowMs: number;
@@ -16,15 +16,15 @@
   extra: number;
 }
 
-/** This front's part: what its own requests earn, and an equal part of the slack. Sums over fronts keep the fleet's bound, since each keeps its part in each window. */
-export class ExtraBudget {
+/** This edge's part: what its own requests earn, and an equal part of the slack. Sums over edges keep the fleet's bound, since each keeps its part in each window. */
+export class RetryBudget {
   private readonly pools = new Map<string, Bucket[]>();
   private readonly startedAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly terms: ExtraTerms,
-    private readonly fronts: () => number,
+    private readonly edges: () => number,
   ) {
     this.startedAt = clock.now();
   }
@@ -50,7 +50,7 @@
     const buckets = this.pools.get(pool) ?? [];
     const sum = (of: 'first' | 'extra'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
     const isYoung = this.clock.now() - this.startedAt < this.terms.windowMs;
-    const slack = (this.terms.slack * cautiousShare * (isYoung ? 0.5 : 1)) / Math.max(1, this.fronts());
+    const slack = (this.terms.slack * cautiousShare * (isYoung ? 0.5 : 1)) / Math.max(1, this.edges());
     return Math.floor(sum('first') * this.terms.ratio * cautiousShare + slack) - sum('extra');
   };
 
--- a/packages/edge-proxy/src/retryPolicy.ts
+++ b/packages/edge-proxy/src/retryPolicy.ts
@@ -1,5 +1,5 @@
-import type { ReceiptHead, Way } from '@martenworks/core-types';
-import type { WayView } from '@martenworks/route-table';
+import type { ResponseHead, Route } from '@martenworks/core-types';
+import type { RouteView } from '@martenworks/route-table';
 
 const patienceShare = 0.7;
 const patienceFactor = 3;
@@ -27,7 +27,7 @@
 
 /** What an answer's head leads to; `holdsAgainst` tells that the replica is taken to be unwell. */
 type HeadVerdict =
-  | { readonly kind: 'turned away' }
+  | { readonly kind: 'connection rejected' }
   | { readonly kind: 'pass on'; readonly isSuccess: boolean; readonly isFailure: boolean }
   | { readonly kind: 'drop'; readonly cause: string; readonly holdsAgainst: boolean };
 
@@ -38,10 +38,10 @@
 
 const headVerdict = (
   status: number,
-  head: ReceiptHead,
+  head: ResponseHead,
   { hasReply, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
-  if (head.isOwn && head.isNotRun) return { kind: 'turned away' };
+  if (head.isOwn && head.isNotRun) return { kind: 'connection rejected' };
   const isSuccess = status >= 200 && status < 300;
   const isFailure = status >= 500;
   const drop = (cause: string, holdsAgainst = true): HeadVerdict => ({ kind: 'drop', cause, holdsAgainst });
@@ -62,14 +62,14 @@
   headVerdict,
 
   /** How long a first piece may take, in milliseconds, before its replica counts as silent. */
-  firstPatienceMs: ({ targetMs, costMs, typicalFirstMs }: FirstPatience): number =>
+  firstTimeoutMs: ({ targetMs, costMs, typicalFirstMs }: FirstPatience): number =>
     Math.max(targetMs * patienceShare, costMs * patienceFactor + patienceSlackMs, typicalFirstMs * typicalFactor),
 
   /** How long a pause within a stream may be, in milliseconds, before its replica counts as silent. */
-  gapPatienceMs: ({ gapMs }: Way, leftMs: number): number =>
+  gapTimeoutMs: ({ maxEventGapMs: gapMs }: Route, leftMs: number): number =>
     Math.min((gapMs ?? usualGapMs) * silenceGaps, Math.max(leftMs * silenceShare, gapMs ?? usualGapMs)),
 
   /** Whether a request whose last attempt may have run may be sent again: a call that runs at most once never is. */
-  mayGoOn: (view: WayView, hasReply: boolean, isResumable: boolean): boolean =>
-    hasReply ? view.way.mayResume && isResumable : view.mayRepeat,
+  mayGoOn: (view: RouteView, hasReply: boolean, isResumable: boolean): boolean =>
+    hasReply ? view.route.isResumable && isResumable : view.mayRepeat,
 };
--- a/packages/edge-proxy/src/staleWatch.ts
+++ b/packages/edge-proxy/src/staleEntryDetector.ts
@@ -1,4 +1,4 @@
-import type { Clock, MissedNews } from '@martenworks/core-types';
+import type { Clock, CacheMissReport } from '@martenworks/core-types';
 
 const missingShare = 0.6;
 const foundShare = 0.4;
@@ -17,7 +17,7 @@
 const doubtedLabels = 2;
 
 /** What the index said as a prompt was placed: `address` keeps these parts. `pullMs` is the time to hand them over, null where the replica itself keeps them. */
-export interface KeptClaim {
+export interface ExpectedHit {
   readonly address: string;
   readonly salt: string;
   readonly parts: readonly string[];
@@ -27,7 +27,7 @@
 
 /** What an answer's first piece is measured against; `aheadTokens` were pending at the replica as the prompt was sent or came there with it. */
 export interface AnswerTiming {
-  readonly claim: KeptClaim;
+  readonly expectedHit: ExpectedHit;
   readonly restTokens: number;
   readonly aheadTokens: number;
   readonly tokensPerMs: number | null;
@@ -38,9 +38,9 @@
 export type Verdict = 'missing' | 'found' | 'unclear';
 
 export type Decision =
-  | { readonly k: 'none' }
-  | { readonly k: 'strike' }
-  | { readonly k: 'drop'; readonly barMs: number | null };
+  | { readonly kind: 'none' }
+  | { readonly kind: 'strike' }
+  | { readonly kind: 'drop'; readonly quarantineMs: number | null };
 
 interface Suspicion {
   strikes: number;
@@ -48,17 +48,17 @@
   drops: number;
 }
 
-const labelOf = ({ address, salt, parts }: Pick<KeptClaim, 'address' | 'salt' | 'parts'>): string =>
+const labelOf = ({ address, salt, parts }: Pick<ExpectedHit, 'address' | 'salt' | 'parts'>): string =>
   `${address}\n${salt}\n${parts.at(-1) ?? ''}`;
 
 /** Tells from the time to the first piece whether the parts that the index promised had to be read after all. */
 export const answerTimings = {
-  judge: ({ claim, restTokens, aheadTokens, tokensPerMs }: AnswerTiming, spentMs: number): Verdict => {
+  judge: ({ expectedHit, restTokens, aheadTokens, tokensPerMs }: AnswerTiming, spentMs: number): Verdict => {
     if (tokensPerMs === null) return 'unclear';
-    const partsMs = claim.tokens / tokensPerMs;
+    const partsMs = expectedHit.tokens / tokensPerMs;
     const restMs = restTokens / tokensPerMs;
     const aheadMs = aheadTokens / tokensPerMs;
-    const pullMs = claim.pullMs ?? 0;
+    const pullMs = expectedHit.pullMs ?? 0;
     if (partsMs < leastReadMs || pullMs * 2 > partsMs * foundShare) return 'unclear';
     if (spentMs < restMs + partsMs * foundShare) return 'found';
     if (spentMs > (restMs + aheadMs + partsMs) * troubleFactor + troubleSlackMs) return 'unclear';
@@ -67,7 +67,7 @@
 };
 
 /** Gathers strikes against what the index says of an address. Queueing explains a single late answer, so an entry falls at the second strike within ten seconds, each by a request sent after the one before was answered; an answer in time clears it. Where the address's events are not heard, one strike is enough. An entry that falls again within a minute is barred for a while, longer each time, where it kept the parts for itself (one that only hands over may be filled anew). Once two entries of an address fell within half a minute, one strike fells and bars the next. */
-export class StaleWatch {
+export class StaleEntryDetector {
   private readonly suspicions = new Map<string, Suspicion>();
   private readonly fallen = new Map<string, Map<string, number>>();
   private readonly counts = { strikes: 0, found: 0, drops: 0, bars: 0 };
@@ -76,40 +76,40 @@
 
   readonly take = (timing: AnswerTiming, spentMs: number): Decision => {
     const verdict = answerTimings.judge(timing, spentMs);
-    if (verdict === 'unclear') return { k: 'none' };
+    if (verdict === 'unclear') return { kind: 'none' };
     const now = this.clock.now();
-    const label = labelOf(timing.claim);
+    const label = labelOf(timing.expectedHit);
     if (verdict === 'found') {
       this.counts.found += 1;
       const held = this.suspicions.get(label);
       if (held !== undefined) held.strikes = 0;
-      return { k: 'none' };
+      return { kind: 'none' };
     }
     const suspicion = this.suspicion(label, now);
-    if (timing.sentAt < suspicion.notedAt) return { k: 'none' };
+    if (timing.sentAt < suspicion.notedAt) return { kind: 'none' };
     suspicion.strikes = (now - suspicion.notedAt <= strikeWindowMs ? suspicion.strikes : 0) + 1;
     suspicion.notedAt = now;
     this.counts.strikes += 1;
-    const isDoubted = this.isDoubted(timing.claim.address, label);
-    if (suspicion.strikes < (timing.isHeard && !isDoubted ? strikesHeard : strikesUnheard)) return { k: 'strike' };
-    this.fell(timing.claim.address, label);
+    const isDoubted = this.isDoubted(timing.expectedHit.address, label);
+    if (suspicion.strikes < (timing.isHeard && !isDoubted ? strikesHeard : strikesUnheard)) return { kind: 'strike' };
+    this.fell(timing.expectedHit.address, label);
     suspicion.drops += isDoubted && suspicion.drops === 0 ? 2 : 1;
     suspicion.strikes = strikesHeard - 1;
     this.counts.drops += 1;
-    if (suspicion.drops === 1 || timing.claim.pullMs !== null) return { k: 'drop', barMs: null };
+    if (suspicion.drops === 1 || timing.expectedHit.pullMs !== null) return { kind: 'drop', quarantineMs: null };
     this.counts.bars += 1;
-    return { k: 'drop', barMs: Math.min(longestBarMs, firstBarMs * 2 ** (suspicion.drops - 2)) };
+    return { kind: 'drop', quarantineMs: Math.min(longestBarMs, firstBarMs * 2 ** (suspicion.drops - 2)) };
   };
 
-  /** What another front saw: its strike makes one's own the second, which alone decides; what it decided is done already. */
-  readonly hear = (news: MissedNews): void => {
+  /** What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already. */
+  readonly hear = (update: CacheMissReport): void => {
     const now = this.clock.now();
-    const suspicion = this.suspicion(labelOf(news), now);
+    const suspicion = this.suspicion(labelOf(update), now);
     suspicion.strikes = strikesHeard - 1;
     suspicion.notedAt = now;
-    if (!news.isDecided) return;
+    if (!update.isDecided) return;
     suspicion.drops += 1;
-    this.fell(news.address, labelOf(news));
+    this.fell(update.address, labelOf(update));
   };
 
   /** Two other entries of the address fell a short while ago: it forgets as such. */
--- a/packages/edge-proxy/src/webCall.ts
+++ b/packages/edge-proxy/src/webCall.ts
@@ -41,7 +41,7 @@
     this.headers = flat(request.headers);
     this.host = request.headers.get('host') ?? host;
     this.headerBytes = this.headers.reduce((sum, text) => sum + text.length + 2, 0) + this.target.length;
-    this.response = new Promise((settle) => (this.settle = settle));
+    this.response = new Promise((resolve) => (this.settle = resolve));
     request.signal.addEventListener('abort', this.left, { once: true });
   }
 
@@ -59,12 +59,12 @@
 
   readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyFault>> => bodyOf(this.request, limitBytes);
 
-  readonly whenGone = (verb: () => void): void => {
+  readonly whenGone = (listener: () => void): void => {
     if (this.request.signal.aborted) {
-      verb();
+      listener();
       return;
     }
-    this.leavers.push(verb);
+    this.leavers.push(listener);
   };
 
   readonly answer = (status: number, headers: readonly string[], isLast: boolean): Reply => {
@@ -77,8 +77,8 @@
       pull: () => this.wake(),
       cancel: this.left,
     });
-    const act = (verb: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
-      if (pipe !== null && !this.isOver) verb(pipe);
+    const act = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
+      if (pipe !== null && !this.isOver) listener(pipe);
     };
     this.settle(new Response(bodiless.has(status) ? null : stream, { status, headers: list }));
     return {
@@ -101,13 +101,13 @@
 }
 
 export const webCalls = {
-  /** Answers a `Request` by whoever receives calls: a front without its own server. */
+  /** Answers a `Request` by whoever receives calls: an edge without its own server. */
   handler:
     (receive: (call: Call) => Promise<void>): WebHandler =>
     (request) => {
       const call = new WebCall(request);
-      return new Promise((settle, fail) => {
-        background.run('deliver a response', call.response.then(settle));
+      return new Promise((resolve, fail) => {
+        background.run('deliver a response', call.response.then(resolve));
         receive(call).catch(fail);
       });
     },
--- a/packages/edge-proxy/test/callerConnections.test.ts
+++ b/packages/edge-proxy/test/callerConnections.test.ts
@@ -9,8 +9,8 @@
   piecesOf,
   properAnswer,
   requestText,
-} from './wireStage.js';
-import type { RawCaller, ReplicaRequest } from './wireStage.js';
+} from './edgeHarness.js';
+import type { RawCaller, ReplicaRequest } from './edgeHarness.js';
 
 const answer = (request: ReplicaRequest): void => void request.socket.write(properAnswer(request), 'latin1');
 const bodyOf = (kind: 'once' | 'stream', tryId: string): string =>
@@ -33,17 +33,17 @@
 };
 
 const closedOf = (request: ReplicaRequest): Promise<void> =>
-  new Promise((settle) => {
-    if (request.socket.destroyed) settle();
-    else request.socket.once('close', () => settle());
+  new Promise((resolve) => {
+    if (request.socket.destroyed) resolve();
+    else request.socket.once('close', () => resolve());
   });
 
 /** Collects requests until there are so many. */
 const gathered = (count: number) => {
   const requests: ReplicaRequest[] = [];
   let tell: (all: ReplicaRequest[]) => void = () => {};
-  const all = new Promise<ReplicaRequest[]>((settle) => {
-    tell = settle;
+  const all = new Promise<ReplicaRequest[]>((resolve) => {
+    tell = resolve;
   });
   const take = (request: ReplicaRequest): void => {
     requests.push(request);
@@ -219,7 +219,7 @@
     await staged(
       () => {},
       async (stage, replica) => {
-        stage.front.door.limit({ headerBytes: 16_384, bodyBytes: 65_536, headerMs: 200, idleMs: 15_000 });
+        stage.edge.ingress.limit({ headerBytes: 16_384, bodyBytes: 65_536, headerMs: 200, idleMs: 15_000 });
         const caller = stage.caller();
         caller.socket.write(`${requestText('once', 'POST', 'one', 'with length')}GET /half`);
         await replica.untilBegun();
--- a/packages/edge-proxy/test/controlNodeStub.ts
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -1,27 +1,27 @@
 /** A control node of the simulated world that holds whatever state a test gives it and publishes as the product does. */
 import { logs } from '@martenworks/core-types';
 import type {
-  FrontPong,
+  EdgePong,
   Listener,
   Member,
-  StateHeld,
-  StateMessage,
+  StatePosition,
+  EdgeStateMessage,
   Subscription,
-  WayBook,
+  RoutingTable,
 } from '@martenworks/core-types';
 import { hellos, peerConnections } from '@martenworks/peer-transport';
 import type { Hello, PeerConnection } from '@martenworks/peer-transport';
 import type { SimWorld } from '@martenworks/test-fleet';
-import { packedBooks } from '@martenworks/route-table';
+import { packedRoutingTables } from '@martenworks/route-table';
 
 const peerPort = 7_000;
 
 const limits = { headerBytes: 16_384, bodyBytes: 65_536, headerMs: 3_000, idleMs: 15_000 };
 
 /** The routing table of a generation: one pool, named after it. */
-export const bookOf = (generation: number): WayBook => ({
-  ways: [],
-  pools: [{ name: `pool of ${generation}`, connectionLimit: null, engine: null }],
+export const routingTableOf = (logIndex: number): RoutingTable => ({
+  routes: [],
+  pools: [{ name: `pool of ${logIndex}`, connectionLimit: null, engine: null }],
   stores: [],
   customers: null,
   limits,
@@ -56,14 +56,14 @@
     readonly host: string,
     private readonly zone: string,
     private readonly members: readonly Member[],
-    public generation: number,
+    public logIndex: number,
     private readonly publishing: Publishing = 'newer states only',
   ) {}
 
   private readonly hello = (): Hello => {
     const { name, address } = memberOf(this.host);
-    const node = { name, coach: address, http: `${this.host}:8081`, operators: null, zone: this.zone };
-    return hellos.of('postmaster', node, `start ${this.starts} of ${this.host}`);
+    const node = { name, peerAddress: address, http: `${this.host}:8081`, operators: null, zone: this.zone };
+    return hellos.of('control', node, `start ${this.starts} of ${this.host}`);
   };
 
   readonly start = async (): Promise<void> => {
@@ -86,8 +86,8 @@
   };
 
   /** Puts a state in force here, which is published at once. */
-  readonly advanceTo = (generation: number): void => {
-    this.generation = generation;
+  readonly advanceTo = (logIndex: number): void => {
+    this.logIndex = logIndex;
     for (const connection of this.subscribers.keys()) this.publish(connection);
   };
 
@@ -101,48 +101,48 @@
 
   private readonly told = (connection: PeerConnection, topic: string, body: unknown): void => {
     if (topic === 'subscribe') this.subscribe(connection, body as Subscription);
-    if (topic === 'ack') this.acknowledged(connection, body as StateHeld);
+    if (topic === 'ack') this.acknowledged(connection, body as StatePosition);
   };
 
-  private readonly acknowledged = (connection: PeerConnection, { generation }: StateHeld): void => {
+  private readonly acknowledged = (connection: PeerConnection, { logIndex }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
-    if (subscriber !== undefined) subscriber.held = Math.max(subscriber.held, generation);
-    if (generation > this.generation) this.staleArrivals += 1;
+    if (subscriber !== undefined) subscriber.held = Math.max(subscriber.held, logIndex);
+    if (logIndex > this.logIndex) this.staleArrivals += 1;
   };
 
-  private readonly subscribe = (connection: PeerConnection, { generation, wantsContent }: Subscription): void => {
-    this.subscribers.set(connection, { held: generation, wantsContent });
+  private readonly subscribe = (connection: PeerConnection, { logIndex, wantsContent }: Subscription): void => {
+    this.subscribers.set(connection, { held: logIndex, wantsContent });
     this.publish(connection);
   };
 
   private readonly publish = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    if (this.publishing === 'newer states only' && this.generation <= subscriber.held) return;
-    connection.tell('news', this.generation);
+    if (this.publishing === 'newer states only' && this.logIndex <= subscriber.held) return;
+    connection.tell('stateAnnounced', this.logIndex);
     if (!subscriber.wantsContent) return;
     this.statesSent += 1;
     connection.tell('state', this.message());
   };
 
-  private readonly message = (): StateMessage => ({
-    generation: this.generation,
-    edition: this.generation,
-    book: packedBooks.whole(bookOf(this.generation)),
-    named: {},
-    namedAges: {},
+  private readonly message = (): EdgeStateMessage => ({
+    logIndex: this.logIndex,
+    configVersion: this.logIndex,
+    packedTable: packedRoutingTables.whole(routingTableOf(this.logIndex)),
+    targetWeights: {},
+    weightsAges: {},
     members: this.members,
   });
 
-  private readonly answerState = (): StateMessage => {
+  private readonly answerState = (): EdgeStateMessage => {
     this.statesSent += 1;
     return this.message();
   };
 
-  private readonly pong = (): FrontPong => ({
-    generation: this.generation,
-    fronts: 1,
-    isSettled: true,
+  private readonly pong = (): EdgePong => ({
+    logIndex: this.logIndex,
+    edgeCount: 1,
+    hasMajority: true,
     majorityHeardMs: 0,
     listAgeMs: 0,
   });
@@ -150,6 +150,6 @@
   private readonly answer = (topic: string): unknown => {
     if (topic === 'state') return this.answerState();
     if (topic === 'ping') return this.pong();
-    return topic === 'roster' ? [{ hello: this.hello(), ageMs: 0 }] : null;
+    return topic === 'memberList' ? [{ hello: this.hello(), ageMs: 0 }] : null;
   };
 }
--- a/packages/edge-proxy/test/wireStage.ts
+++ b/packages/edge-proxy/test/edgeHarness.ts
@@ -1,11 +1,11 @@
 import { createConnection, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { logs, machine } from '@martenworks/core-types';
-import type { Carriage, Ports, ReplicaCard, Way, WayBook } from '@martenworks/core-types';
-import { Front } from '@martenworks/edge-proxy';
-import { throughWire } from '@martenworks/platform';
-import { wayEnvs } from '@martenworks/settings';
-import { carriages } from '@martenworks/upstream';
+import type { HttpClient, Ports, ReplicaEndpoint, Route, RoutingTable } from '@martenworks/core-types';
+import { EdgeProxy } from '@martenworks/edge-proxy';
+import { headerCodec } from '@martenworks/platform';
+import { nodeSettings } from '@martenworks/settings';
+import { httpClients } from '@martenworks/upstream';
 
 const host = '127.0.0.1';
 const headEnd = '\r\n\r\n';
@@ -25,15 +25,15 @@
   new RegExp(`^${name}: *(.*)$`, 'im').exec(head)?.[1]?.trim() ?? null;
 
 const listening = (server: Server): Promise<number> =>
-  new Promise((settle) => server.listen(0, host, () => settle((server.address() as AddressInfo).port)));
+  new Promise((resolve) => server.listen(0, host, () => resolve((server.address() as AddressInfo).port)));
 
 /** A replica that speaks raw bytes: it reads whole requests and leaves each answer to its script. */
 export class RawReplica {
   readonly begun: ReplicaRequest[] = [];
   readonly sockets = new Set<Socket>();
   private tellBegun: () => void = () => {};
-  private readonly firstBegun = new Promise<void>((settle) => {
-    this.tellBegun = settle;
+  private readonly firstBegun = new Promise<void>((resolve) => {
+    this.tellBegun = resolve;
   });
   private readonly server: Server;
   private port = 0;
@@ -150,11 +150,11 @@
   readonly received = (): string => this.text;
 
   readonly until = (isThere: () => boolean): Promise<void> =>
-    new Promise((settle) => {
+    new Promise((resolve) => {
       const check = (): void => {
         if (!isThere()) return;
         this.watchers.delete(check);
-        settle();
+        resolve();
       };
       this.watchers.add(check);
       check();
@@ -208,32 +208,32 @@
 
 /** Milliseconds: how long a route holds a request, and the aim from which an edge derives its patience with a replica. */
 export interface Times {
-  readonly horizonMs: number;
+  readonly deadlineMs: number;
   readonly targetMs: number;
 }
 
 /** So long that a busy machine changes no outcome. */
-export const patient: Times = { horizonMs: 20_000, targetMs: 10_000 };
+export const patient: Times = { deadlineMs: 20_000, targetMs: 10_000 };
 /** So short that an edge leaves a silent replica, where it may, well before it gives the request up. */
-export const impatient: Times = { horizonMs: 10_000, targetMs: 4_000 };
+export const impatient: Times = { deadlineMs: 10_000, targetMs: 4_000 };
 
-const wayOf = (kind: RouteKind, { horizonMs, targetMs }: Times): Way => ({
+const routeOf = (kind: RouteKind, { deadlineMs, targetMs }: Times): Route => ({
   name: kind,
   host: 'site.example',
-  pathStart: pathOf(kind),
+  pathPrefix: pathOf(kind),
   kind: kind === 'once' || kind === 'repeatable' ? kind : 'stream',
-  horizonMs,
-  targetMs,
+  timeoutMs: deadlineMs,
+  latencyTargetMs: targetMs,
   rank: 1,
   shares: [{ pool: 'p', share: 1 }],
-  shots: 3,
-  isOpen: true,
-  mayResume: kind === 'resumable stream',
-  gapMs: 50,
+  maxAttempts: 3,
+  isPublic: true,
+  isResumable: kind === 'resumable stream',
+  maxEventGapMs: 50,
 });
 
-const bookOf = (times: Times): WayBook => ({
-  ways: routeKinds.map((kind) => wayOf(kind, times)),
+const routingTableOf = (times: Times): RoutingTable => ({
+  routes: routeKinds.map((kind) => routeOf(kind, times)),
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
   customers: null,
@@ -292,21 +292,21 @@
 /** A real edge on loopback before raw replicas: real `CallDoor`, real carriage, real clock; nothing is simulated. */
 export class WireStage {
   private constructor(
-    readonly front: Front,
+    readonly edge: EdgeProxy,
     private readonly edgeHost: string,
-    private readonly carriage: Carriage,
+    private readonly httpClient: HttpClient,
     readonly replicas: readonly RawReplica[],
   ) {}
 
   static readonly open = async (replicas: readonly RawReplica[], times: Times = patient): Promise<WireStage> => {
     for (const replica of replicas) await replica.open();
     const edgeHost = freshHost();
-    const env = wayEnvs
+    const settings = nodeSettings
       .check({
         name: 'edge',
         zone: 'z',
         zones: { z: 'r' },
-        coach: `${host}:1`,
+        peerAddress: `${host}:1`,
         http: `${edgeHost}:${edgePort}`,
         seeds: [`${host}:1`],
         voters: 1,
@@ -314,42 +314,42 @@
         drainMs: 1_000,
         orderGapMs: 3_000,
         versionMs: 8_000,
-        extraRatio: 1,
-        extraWindowMs: 10_000,
-        extraSlack: 100,
-        listEveryMs: 1_000,
+        retryBudgetRatio: 1,
+        retryBudgetWindowMs: 10_000,
+        retryBudgetSlack: 100,
+        listIntervalMs: 1_000,
         listPerSecond: 1,
-        listPatienceMs: 1_000,
+        listTimeoutMs: 1_000,
         memoryMb: 250,
         openFiles: 4_096,
       })
       ._unsafeUnwrap();
-    const carriage = carriages.real(null);
+    const httpClient = httpClients.real(null);
     const ports: Ports = {
       clock: machine.clock,
       random: machine.random,
       net: machine.net(null),
-      door: { open: async () => Promise.reject(new Error('no door is opened here')) },
-      carriage,
+      httpServer: { open: async () => Promise.reject(new Error('no door is opened here')) },
+      httpClient,
       disk: machine.noDisk(),
       log: logs.silent(),
     };
-    const front = new Front(env, ports, throughWire, []);
-    front.takeState({
-      generation: 1,
-      edition: 1,
-      book: bookOf(times),
-      named: {},
-      namedAges: {},
+    const edge = new EdgeProxy(settings, ports, headerCodec, []);
+    edge.takeState({
+      logIndex: 1,
+      configVersion: 1,
+      table: routingTableOf(times),
+      targetWeights: {},
+      weightsAges: {},
       members: [],
     });
-    const stage = new WireStage(front, edgeHost, carriage, replicas);
+    const stage = new WireStage(edge, edgeHost, httpClient, replicas);
     stage.list(replicas);
-    (await front.open())._unsafeUnwrap();
+    (await edge.open())._unsafeUnwrap();
     return stage;
   };
 
-  private readonly cardOf = (replica: RawReplica): ReplicaCard => ({
+  private readonly endpointOf = (replica: RawReplica): ReplicaEndpoint => ({
     id: replica.id,
     pool: 'p',
     address: replica.address(),
@@ -361,9 +361,9 @@
 
   /** Puts just these replicas on the list. */
   readonly list = (replicas: readonly RawReplica[]): void =>
-    this.front.takeCards({
+    this.edge.takeEndpoints({
       isWhole: false,
-      put: replicas.map(this.cardOf),
+      put: replicas.map(this.endpointOf),
       gone: this.replicas.filter((replica) => !replicas.includes(replica)).map(({ id }) => id),
     });
 
@@ -396,9 +396,9 @@
     this.replicas.flatMap(({ begun }) => begun).filter((request) => request.tryId === tryId);
 
   readonly close = async (): Promise<void> => {
-    this.front.stop();
-    this.front.door.shut();
+    this.edge.stop();
+    this.edge.ingress.shut();
     for (const replica of this.replicas) replica.close();
-    await this.carriage.close();
+    await this.httpClient.close();
   };
 }
