--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -1,8 +1,15 @@
 import { expect } from 'chai';
 import { SimWorld } from '@martenworks/test-fleet';
-import type { CallerOrder, Customer, ReplicaCard, WayBook } from '@martenworks/core-types';
-import { BookDoor } from '@martenworks/route-table';
-import { EventCutter, ExtraBudget, ReplicaTracks, ShelfBook, WayPlacing, headerLists } from '@martenworks/edge-proxy';
+import type { RequestMetadata, Customer, ReplicaEndpoint, RoutingTable } from '@martenworks/core-types';
+import { RoutingTableIndexer } from '@martenworks/route-table';
+import {
+  EventCutter,
+  RetryBudget,
+  ReplicaTracker,
+  PrefixCacheIndex,
+  ReplicaSelector,
+  headerLists,
+} from '@martenworks/edge-proxy';
 
 const bytes = (text: string): Uint8Array => Buffer.from(text, 'utf8');
 const text = (part: Uint8Array): string => Buffer.from(part).toString('utf8');
@@ -46,13 +53,13 @@
   });
 });
 
-describe('the budget of extra shots', () => {
+describe('the budget of extra attempts', () => {
   const terms = { ratio: 0.2, windowMs: 10_000, slack: 58 };
 
-  it('given nine fronts that spend all they may in every window, when uneven load runs a minute, then no sliding window of all exceeds the bound', async () => {
+  it('given nine edges that spend all they may in every window, when uneven load runs a minute, then no sliding window of all exceeds the bound', async () => {
     const world = new SimWorld(5);
     const { clock } = world.machine('10.0.0.1').ports();
-    const budgets = Array.from({ length: 9 }, () => new ExtraBudget(clock, terms, () => 9));
+    const budgets = Array.from({ length: 9 }, () => new RetryBudget(clock, terms, () => 9));
     const firsts: number[] = [];
     const extras: number[] = [];
     for (let step = 0; step < 600; step += 1) {
@@ -74,9 +81,9 @@
     expect(extras.length).to.be.greaterThan(100);
   });
 
-  it('given fronts that start anew one after another, when each spends at once, then a young front gets half of its slack only', () => {
+  it('given edges that start anew one after another, when each spends at once, then a young edge gets half of its slack only', () => {
     const clock = new SimWorld(1).machine('10.0.0.1').ports().clock;
-    const budget = new ExtraBudget(clock, { ratio: 0.2, windowMs: 10_000, slack: 80 }, () => 10);
+    const budget = new RetryBudget(clock, { ratio: 0.2, windowMs: 10_000, slack: 80 }, () => 10);
     let spent = 0;
     while (budget.take('p')) spent += 1;
     expect(spent).to.equal(3);
@@ -84,7 +91,7 @@
 });
 
 const model = 'm';
-const card = (id: string, more: Partial<ReplicaCard> = {}): ReplicaCard => ({
+const endpoint = (id: string, more: Partial<ReplicaEndpoint> = {}): ReplicaEndpoint => ({
   id,
   pool: 'p',
   address: `10.2.0.${id.length}:${8_000 + Number(id.slice(1))}`,
@@ -98,8 +105,8 @@
   { name: 'shared', keyHashes: [], rank: null, isIsolated: false },
   { name: 'walled', keyHashes: [], rank: null, isIsolated: true },
 ];
-const book: WayBook = {
-  ways: [],
+const routingTable: RoutingTable = {
+  routes: [],
   pools: [
     {
       name: 'p',
@@ -118,7 +125,7 @@
   customers,
   limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
 };
-const long = (id: string): CallerOrder => ({
+const long = (id: string): RequestMetadata => ({
   id: 'q',
   key: null,
   leftMs: null,
@@ -135,12 +142,12 @@
 const office = (count = 13) => {
   const world = new SimWorld(3);
   const { clock } = world.machine('10.0.0.1').ports();
-  const tracks = new ReplicaTracks(clock);
-  const shelves = new ShelfBook(clock);
+  const replicaTracker = new ReplicaTracker(clock);
+  const prefixCaches = new PrefixCacheIndex(clock);
   const named = new Map<string, { version: number; at: number }>();
-  const placing = new WayPlacing(
-    tracks,
-    shelves,
+  const placing = new ReplicaSelector(
+    replicaTracker,
+    prefixCaches,
     clock,
     (name) => {
       const held = named.get(name);
@@ -148,57 +155,61 @@
     },
     6_000,
   );
-  tracks.take({ isWhole: true, put: Array.from({ length: count }, (_, at) => card(`r${at + 1}`)), gone: [] });
-  const view = new BookDoor().view(1, book);
-  const place = (order: CallerOrder, customer: Customer | null = null, avoided = nobody) =>
+  replicaTracker.take({
+    isWhole: true,
+    put: Array.from({ length: count }, (_, at) => endpoint(`r${at + 1}`)),
+    gone: [],
+  });
+  const view = new RoutingTableIndexer().view(1, routingTable);
+  const place = (order: RequestMetadata, customer: Customer | null = null, avoided = nobody) =>
     placing.place({ pool: 'p', order, customer, avoided }, view, 64);
-  return { world, tracks, shelves, named, place, clock };
+  return { world, replicaTracker, prefixCaches, named, place, clock };
 };
 
 describe('where a prompt goes', () => {
-  it('given fronts that never talk, when they place prompts of one anchor, then all choose one home, and many anchors spread', () => {
+  it('given edges that never talk, when they place prompts of one anchor, then all choose one home, and many anchors spread', () => {
     const [one, other] = [office(), office()];
-    const homes = Array.from({ length: 92 }, (_, at) => one.place(long(`manual-${at}`))?.track.card.id);
-    expect(homes).to.deep.equal(
-      Array.from({ length: 92 }, (_, at) => other.place(long(`manual-${at}`))?.track.card.id),
+    const preferred = Array.from({ length: 92 }, (_, at) => one.place(long(`manual-${at}`))?.tracked.endpoint.id);
+    expect(preferred).to.deep.equal(
+      Array.from({ length: 92 }, (_, at) => other.place(long(`manual-${at}`))?.tracked.endpoint.id),
     );
     const counts = new Map<string | undefined, number>();
-    for (const home of homes) counts.set(home, (counts.get(home) ?? 0) + 1);
+    for (const home of preferred) counts.set(home, (counts.get(home) ?? 0) + 1);
     expect(counts.size).to.be.greaterThan(10);
     expect(Math.max(...counts.values())).to.be.lessThan(20);
   });
 
   it('given a home that reads long prompts, when its anchor is kept there, then a crowded home is left for one that pulls from it', () => {
-    const { tracks, shelves, place } = office();
+    const { replicaTracker, prefixCaches, place } = office();
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
-    shelves.take([
+    prefixCaches.take([
       {
-        address: home.track.card.address,
+        address: home.tracked.endpoint.address,
         isWhole: false,
         isHeard: true,
-        news: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
+        events: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
       },
     ]);
-    expect(place(long('manual'))?.track).to.equal(home.track);
+    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
     expect(place(long('manual'))?.isKept).to.equal(true);
-    tracks.began(home.track, 60_000);
+    replicaTracker.began(home.tracked, 60_000);
     const left = place(long('manual'));
-    expect(left?.track).to.not.equal(home.track);
-    expect(left?.holder).to.equal(home.track.card.address);
+    expect(left?.tracked).to.not.equal(home.tracked);
+    expect(left?.holder).to.equal(home.tracked.endpoint.address);
   });
 
   it('given parts kept under other weights or for an isolated tenant, when another prompt is placed, then they count for nothing', () => {
-    const { shelves, place, tracks } = office();
-    const holder = tracks.all()[4];
+    const { prefixCaches, place, replicaTracker } = office();
+    const holder = replicaTracker.all()[4];
     if (holder === undefined) throw new Error('no replica');
     const kept = (salt: string) =>
-      shelves.take([
+      prefixCaches.take([
         {
-          address: holder.card.address,
+          address: holder.endpoint.address,
           isWhole: false,
           isHeard: true,
-          news: [{ isKept: true, salt, part: 'manual', tokens: 13_300 }],
+          events: [{ isKept: true, salt, part: 'manual', tokens: 13_300 }],
         },
       ]);
     kept('m@0');
@@ -207,36 +218,36 @@
     expect(place(long('manual'), customers[0])?.salt).to.equal('m@1');
     const walled = place(long('manual'), customers[1]);
     expect(walled?.salt).to.equal('m@1/walled');
-    expect(walled?.isKept === true || walled?.holder === holder.card.address).to.equal(true);
+    expect(walled?.isKept === true || walled?.holder === holder.endpoint.address).to.equal(true);
   });
 
   it('given replicas that leave, rest or hold old weights for too long, when prompts are placed, then none of them is chosen', async () => {
-    const { tracks, named, place, clock, world } = office(3);
-    tracks.take({ isWhole: false, put: [card('r1', { isLeaving: true })], gone: [] });
-    tracks.takeWeights({ id: 'r2', model, version: null, forMs: 500 });
-    for (let at = 0; at < 50; at += 1) expect(place(long(`a${at}`))?.track.card.id).to.equal('r3');
-    tracks.takeWeights({ id: 'r2', model, version: 2, forMs: 0 });
+    const { replicaTracker, named, place, clock, world } = office(3);
+    replicaTracker.take({ isWhole: false, put: [endpoint('r1', { isLeaving: true })], gone: [] });
+    replicaTracker.takeWeights({ id: 'r2', model, version: null, forMs: 500 });
+    for (let at = 0; at < 50; at += 1) expect(place(long(`a${at}`))?.tracked.endpoint.id).to.equal('r3');
+    replicaTracker.takeWeights({ id: 'r2', model, version: 2, forMs: 0 });
     named.set(model, { version: 2, at: clock.now() });
     await world.run(6_500);
     for (let at = 0; at < 50; at += 1) {
       const placed = place(long(`a${at}`));
-      expect(placed?.track.card.id).to.equal('r2');
+      expect(placed?.tracked.endpoint.id).to.equal('r2');
       expect(placed?.version).to.equal(2);
     }
   });
 
   it('given a leaving replica, when an older list says that it is ready, then it stays leaving, and weights never go back', () => {
-    const { tracks } = office(2);
-    tracks.take({ isWhole: false, put: [card('r1', { isLeaving: true, weights: { m: 3 } })], gone: [] });
-    tracks.take({ isWhole: true, put: [card('r1'), card('r2')], gone: [] });
-    const track = tracks.all().find((one) => one.card.id === 'r1');
-    expect(track?.card.isLeaving).to.equal(true);
-    expect(track?.card.weights).to.deep.equal({ m: 3 });
+    const { replicaTracker } = office(2);
+    replicaTracker.take({ isWhole: false, put: [endpoint('r1', { isLeaving: true, weights: { m: 3 } })], gone: [] });
+    replicaTracker.take({ isWhole: true, put: [endpoint('r1'), endpoint('r2')], gone: [] });
+    const tracked = replicaTracker.all().find((one) => one.endpoint.id === 'r1');
+    expect(tracked?.endpoint.isLeaving).to.equal(true);
+    expect(tracked?.endpoint.weights).to.deep.equal({ m: 3 });
   });
 
   it('given a short part before the long one, when nobody keeps the long one, then no replica counts as keeping it', () => {
     const { place } = office();
-    const prompt: CallerOrder = {
+    const prompt: RequestMetadata = {
       ...long('q'),
       parts: [
         { id: 'greeting', tokens: 55 },
@@ -247,14 +258,20 @@
     expect(place(prompt)?.isKept).to.equal(false);
   });
 
-  it('given a long prompt that another front has read at the home, when a second one of that anchor comes, then it goes there and waits rather than have it read twice', () => {
-    const { tracks, shelves, place } = office();
+  it('given a long prompt that another edge has read at the home, when a second one of that anchor comes, then it goes there and waits rather than have it read twice', () => {
+    const { replicaTracker, prefixCaches, place } = office();
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
-    tracks.takeReading({ id: 'x', replica: home.track.card.id, tokens: 17_000, salt: 'm@1', part: 'manual' });
-    shelves.reads(home.track.card.address, 'm@1', 'manual');
-    expect(place(long('manual'))?.track).to.equal(home.track);
-    const short: CallerOrder = {
+    replicaTracker.takeReading({
+      id: 'x',
+      replica: home.tracked.endpoint.id,
+      tokens: 17_000,
+      salt: 'm@1',
+      part: 'manual',
+    });
+    prefixCaches.reads(home.tracked.endpoint.address, 'm@1', 'manual');
+    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
+    const short: RequestMetadata = {
       ...long('s'),
       tokensIn: 400,
       parts: [
@@ -272,39 +289,39 @@
             { id: `session-${at}`, tokens: 37 },
             { id: 'own', tokens: 300 },
           ],
-        })?.track,
-      ).to.not.equal(home.track);
-    tracks.takeReading({ id: 'x', replica: home.track.card.id, tokens: 0, salt: null, part: null });
-    expect(home.track.othersTokens).to.equal(0);
+        })?.tracked,
+      ).to.not.equal(home.tracked);
+    replicaTracker.takeReading({ id: 'x', replica: home.tracked.endpoint.id, tokens: 0, salt: null, part: null });
+    expect(home.tracked.othersTokens).to.equal(0);
   });
 });
 
 describe('replicas that lie about their health', () => {
   it('given one that fails a third of its requests, when prompts at home there come, then they go elsewhere, and come back once it has been well for a while', async () => {
-    const { tracks, place, world } = office();
+    const { replicaTracker, place, world } = office();
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
     for (let at = 0; at < 12; at += 1) {
-      if (at % 3 === 0) tracks.failed(home.track);
-      else tracks.answered(home.track);
+      if (at % 3 === 0) replicaTracker.failed(home.tracked);
+      else replicaTracker.answered(home.tracked);
     }
-    expect(place(long('manual'))?.track).to.not.equal(home.track);
+    expect(place(long('manual'))?.tracked).to.not.equal(home.tracked);
     await world.run(25_000);
-    expect(place(long('manual'))?.track).to.equal(home.track);
+    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
   });
 
   it('given a pool in which every replica fails, when a prompt is placed, then the pool is not emptied by suspicion', () => {
-    const { tracks, place } = office();
-    for (const track of tracks.all()) for (let at = 0; at < 6; at += 1) tracks.failed(track);
+    const { replicaTracker, place } = office();
+    for (const tracked of replicaTracker.all()) for (let at = 0; at < 6; at += 1) replicaTracker.failed(tracked);
     expect(place(long('manual'))).to.not.equal(null);
   });
 });
 
 describe('what a store is sent', () => {
   it('given prompts of one manual with ends short and long, when they are placed, then only those whose end is short are sent on to the store', () => {
-    const { shelves, place } = office();
-    shelves.take([{ address: '10.9.0.1:9000', isWhole: false, isHeard: true, news: [] }]);
-    const withEnd = (tokens: number): CallerOrder => ({
+    const { prefixCaches, place } = office();
+    prefixCaches.take([{ address: '10.9.0.1:9000', isWhole: false, isHeard: true, events: [] }]);
+    const withEnd = (tokens: number): RequestMetadata => ({
       ...long('manual'),
       tokensIn: 13_300 + tokens,
       parts: [
@@ -314,12 +331,12 @@
     });
     expect(place(withEnd(1_000))?.store).to.equal('10.9.0.1:9000');
     expect(place(withEnd(9_000))?.store).to.equal(null);
-    shelves.take([
+    prefixCaches.take([
       {
         address: '10.9.0.1:9000',
         isWhole: false,
         isHeard: true,
-        news: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
+        events: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
       },
     ]);
     expect(place(withEnd(1_000))?.store).to.equal(null);
@@ -333,36 +350,38 @@
   });
 });
 
-describe("the front's index", () => {
-  it('given a part that is dropped, when the news comes, then it counts no more, also where this front saw it itself', () => {
-    const { shelves } = office();
+describe("the edge's index", () => {
+  it('given a part that is dropped, when the news comes, then it counts no more, also where this edge saw it itself', () => {
+    const { prefixCaches } = office();
     const news = (isKept: boolean, tokens: number) =>
-      shelves.take([{ address: 'x', isWhole: false, isHeard: true, news: [{ isKept, salt: 's', part: 'p', tokens }] }]);
-    shelves.saw('x', 's', 'p');
-    expect(shelves.keeps('x', 's', 'p', 500)).to.equal(true);
+      prefixCaches.take([
+        { address: 'x', isWhole: false, isHeard: true, events: [{ isKept, salt: 's', part: 'p', tokens }] },
+      ]);
+    prefixCaches.saw('x', 's', 'p');
+    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(true);
     news(false, 0);
-    expect(shelves.keeps('x', 's', 'p', 500)).to.equal(false);
+    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(false);
     news(true, 500);
-    expect(shelves.keeps('x', 's', 'p', 500)).to.equal(true);
+    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(true);
     news(false, 128);
-    expect(shelves.keeps('x', 's', 'p', 500)).to.equal(false);
+    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(false);
   });
 
   it('given memory that goes by blocks of sixteen, when a part of 13,300 tokens is told as 13,296, then it counts as kept', () => {
-    const { shelves } = office();
-    shelves.take([
-      { address: 'x', isWhole: false, isHeard: true, news: [{ isKept: true, salt: 's', part: 'p', tokens: 13_296 }] },
+    const { prefixCaches } = office();
+    prefixCaches.take([
+      { address: 'x', isWhole: false, isHeard: true, events: [{ isKept: true, salt: 's', part: 'p', tokens: 13_296 }] },
     ]);
-    expect(shelves.keeps('x', 's', 'p', 13_300)).to.equal(true);
-    expect(shelves.keeps('x', 's', 'p', 20_000)).to.equal(false);
+    expect(prefixCaches.keeps('x', 's', 'p', 13_300)).to.equal(true);
+    expect(prefixCaches.keeps('x', 's', 'p', 20_000)).to.equal(false);
   });
 
-  it('given what this front saw itself, when no news ever tells of it, then it is trusted for a while only', async () => {
-    const { shelves, world } = office();
-    shelves.saw('x', 's', 'p');
+  it('given what this edge saw itself, when no news ever tells of it, then it is trusted for a while only', async () => {
+    const { prefixCaches, world } = office();
+    prefixCaches.saw('x', 's', 'p');
     await world.run(2_900);
-    expect(shelves.keeps('x', 's', 'p', 1)).to.equal(true);
+    expect(prefixCaches.keeps('x', 's', 'p', 1)).to.equal(true);
     await world.run(200);
-    expect(shelves.keeps('x', 's', 'p', 1)).to.equal(false);
+    expect(prefixCaches.keeps('x', 's', 'p', 1)).to.equal(false);
   });
 });
--- a/packages/edge-proxy/test/replicaConnections.test.ts
+++ b/packages/edge-proxy/test/replicaConnections.test.ts
@@ -12,8 +12,8 @@
   piecesOf,
   properAnswer,
   routeKinds,
-} from './wireStage.js';
-import type { BodyKind, CallerAnswer, ReplicaRequest, RouteKind } from './wireStage.js';
+} from './edgeHarness.js';
+import type { BodyKind, CallerAnswer, ReplicaRequest, RouteKind } from './edgeHarness.js';
 
 /**
  * What a fault does to the first arrival of a request:
@@ -402,7 +402,7 @@
         }
       };
       const replicas = ['r1', 'r2', 'r3', 'r4'].map((id) => new RawReplica(id, script));
-      const stage = await WireStage.open(replicas, { horizonMs: 1_500, targetMs: 300 });
+      const stage = await WireStage.open(replicas, { deadlineMs: 1_500, targetMs: 300 });
       const wrong: string[] = [];
       let served = 0;
       const callOn = async (caller: number): Promise<void> => {
--- a/packages/edge-proxy/test/staleIndex.test.ts
+++ b/packages/edge-proxy/test/staleIndex.test.ts
@@ -1,27 +1,27 @@
 import { expect } from 'chai';
 import { SimWorld } from '@martenworks/test-fleet';
-import type { ShelfNews } from '@martenworks/core-types';
-import { ReplicaTracks, ShelfBook, StaleWatch, answerTimings } from '@martenworks/edge-proxy';
+import type { PrefixCacheUpdate } from '@martenworks/core-types';
+import { ReplicaTracker, PrefixCacheIndex, StaleEntryDetector, answerTimings } from '@martenworks/edge-proxy';
 import type { AnswerTiming } from '@martenworks/edge-proxy';
 
 const address = '10.2.0.1:8080';
 const [salt, part, tokens] = ['m@1', 'manual', 13_300];
-const kept = (more: Partial<ShelfNews> = {}): ShelfNews => ({
+const kept = (more: Partial<PrefixCacheUpdate> = {}): PrefixCacheUpdate => ({
   address,
   isWhole: false,
   isHeard: true,
   epoch: '1',
-  news: [{ isKept: true, salt, part, tokens }],
+  events: [{ isKept: true, salt, part, tokens }],
   ...more,
 });
 
 const office = () => {
   const world = new SimWorld(3);
   const { clock } = world.machine('10.0.0.1').ports();
-  const shelves = new ShelfBook(clock);
-  const watch = new StaleWatch(clock);
+  const prefixCaches = new PrefixCacheIndex(clock);
+  const watch = new StaleEntryDetector(clock);
   const timing = (more: Partial<AnswerTiming> = {}): AnswerTiming => ({
-    claim: { address, salt, parts: [part], tokens, pullMs: null },
+    expectedHit: { address, salt, parts: [part], tokens, pullMs: null },
     restTokens: 3_700,
     aheadTokens: 0,
     tokensPerMs: 50,
@@ -34,8 +34,8 @@
     await world.run(spentMs);
     return watch.take(sent, spentMs);
   };
-  const isKept = (): boolean => shelves.keeps(address, salt, part, tokens);
-  return { world, clock, shelves, watch, timing, late, isKept };
+  const isKept = (): boolean => prefixCaches.keeps(address, salt, part, tokens);
+  return { world, clock, prefixCaches, watch, timing, late, isKept };
 };
 
 describe('time to the first piece', () => {
@@ -50,19 +50,19 @@
     ['a late time though no reading rate is known', { tokensPerMs: null }, 345, 'unclear'],
     [
       'a late time of a short part',
-      { claim: { address, salt, parts: [part], tokens: 300, pullMs: null } },
+      { expectedHit: { address, salt, parts: [part], tokens: 300, pullMs: null } },
       400,
       'unclear',
     ],
     [
       'the time of reading in spite of a holder',
-      { claim: { address, salt, parts: [part], tokens, pullMs: 20 } },
+      { expectedHit: { address, salt, parts: [part], tokens, pullMs: 20 } },
       345,
       'missing',
     ],
     [
       'a late time where handing over is as slow as reading',
-      { claim: { address, salt, parts: [part], tokens, pullMs: 200 } },
+      { expectedHit: { address, salt, parts: [part], tokens, pullMs: 200 } },
       345,
       'unclear',
     ],
@@ -77,116 +77,125 @@
 describe('strikes against the index', () => {
   it('given two late answers in a row, when the second was sent after the first, then the entry falls, and the next one bars it', async () => {
     const { late } = office();
-    expect(await late()).to.deep.equal({ k: 'strike' });
-    expect(await late()).to.deep.equal({ k: 'drop', barMs: null });
-    expect(await late()).to.deep.equal({ k: 'drop', barMs: 15_000 });
-    expect(await late()).to.deep.equal({ k: 'drop', barMs: 30_000 });
+    expect(await late()).to.deep.equal({ kind: 'strike' });
+    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: null });
+    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: 15_000 });
+    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: 30_000 });
   });
 
   it('given two late answers of one burst, when both were sent before the first came, then they count as one', async () => {
     const { watch, timing, world } = office();
     const sent = timing();
     await world.run(340);
-    expect(watch.take(sent, 340).k).to.equal('strike');
+    expect(watch.take(sent, 340).kind).to.equal('strike');
     await world.run(80);
-    expect(watch.take(sent, 420).k).to.equal('none');
+    expect(watch.take(sent, 420).kind).to.equal('none');
   });
 
   it('given an answer in time or a long while between two late ones, when the second comes, then nothing falls', async () => {
     const { late, world } = office();
     await late();
-    expect((await late({}, 80)).k).to.equal('none');
-    expect((await late()).k).to.equal('strike');
+    expect((await late({}, 80)).kind).to.equal('none');
+    expect((await late()).kind).to.equal('strike');
     await world.run(11_000);
-    expect((await late()).k).to.equal('strike');
+    expect((await late()).kind).to.equal('strike');
   });
 
   it('given an address whose events are not heard, when one answer is late, then its entry falls', async () => {
     const { late } = office();
-    expect((await late({ isHeard: false })).k).to.equal('drop');
+    expect((await late({ isHeard: false })).kind).to.equal('drop');
   });
 
   it('given an address of which two entries fell, when a third is late once, then it is barred, and no more once another replica has the address', async () => {
     const { watch, late, world } = office();
-    const of = (name: string) => late({ claim: { address, salt, parts: [name], tokens, pullMs: null } });
+    const of = (name: string) => late({ expectedHit: { address, salt, parts: [name], tokens, pullMs: null } });
     for (const name of ['a', 'a', 'b', 'b']) await of(name);
-    expect(await of('c')).to.deep.equal({ k: 'drop', barMs: 15_000 });
+    expect(await of('c')).to.deep.equal({ kind: 'drop', quarantineMs: 15_000 });
     await world.run(31_000);
-    expect((await of('d')).k).to.equal('strike');
+    expect((await of('d')).kind).to.equal('strike');
     for (const name of ['a', 'a', 'b', 'b']) await of(name);
     watch.bornAt(address);
-    expect((await of('e')).k).to.equal('strike');
+    expect((await of('e')).kind).to.equal('strike');
   });
 
-  it('given strikes of other fronts, when they are heard, then they alone decide nothing and an own one does', async () => {
+  it('given strikes of other edges, when they are heard, then they alone decide nothing and an own one does', async () => {
     const { watch, late } = office();
-    const news = { address, salt, parts: [part], isDecided: false, barMs: null };
+    const news = { address, salt, parts: [part], isDecided: false, quarantineMs: null };
     watch.hear(news);
     watch.hear(news);
-    expect((await late({}, 240)).k).to.equal('none');
-    expect((await late()).k).to.equal('drop');
+    expect((await late({}, 240)).kind).to.equal('none');
+    expect((await late()).kind).to.equal('drop');
   });
 });
 
-describe("the front's index of an address", () => {
+describe("the edge's index of an address", () => {
   it('given an entry that fell, when a fresh event tells it, then it counts again', () => {
-    const { shelves, isKept } = office();
-    shelves.take([kept()]);
-    shelves.missed(address, salt, part);
+    const { prefixCaches, isKept } = office();
+    prefixCaches.take([kept()]);
+    prefixCaches.missed(address, salt, part);
     expect(isKept()).to.equal(false);
-    shelves.take([kept()]);
+    prefixCaches.take([kept()]);
     expect(isKept()).to.equal(true);
   });
 
   it('given a barred entry, when events and own answers tell it, then it counts only once the bar is over', async () => {
-    const { shelves, isKept, world } = office();
-    shelves.bar(address, salt, part, 15_000);
-    shelves.take([kept()]);
-    shelves.saw(address, salt, part);
-    shelves.reads(address, salt, part);
+    const { prefixCaches, isKept, world } = office();
+    prefixCaches.quarantine(address, salt, part, 15_000);
+    prefixCaches.take([kept()]);
+    prefixCaches.saw(address, salt, part);
+    prefixCaches.reads(address, salt, part);
     expect(isKept()).to.equal(false);
-    expect(shelves.isReading(address, salt, part)).to.equal(false);
+    expect(prefixCaches.isReading(address, salt, part)).to.equal(false);
     await world.run(15_100);
     expect(isKept()).to.equal(true);
   });
 
   it('given an address whose events are not heard any more, when eight seconds are over, then its entries count no more, and again once it is heard', async () => {
-    const { shelves, isKept, world } = office();
-    shelves.take([kept()]);
-    shelves.take([kept({ isHeard: false, news: [] })]);
+    const { prefixCaches, isKept, world } = office();
+    prefixCaches.take([kept()]);
+    prefixCaches.take([kept({ isHeard: false, events: [] })]);
     await world.run(7_900);
-    shelves.take([kept({ isHeard: false, news: [] })]);
+    prefixCaches.take([kept({ isHeard: false, events: [] })]);
     expect(isKept()).to.equal(true);
     await world.run(200);
     expect(isKept()).to.equal(false);
-    shelves.take([kept({ news: [] })]);
+    prefixCaches.take([kept({ events: [] })]);
     expect(isKept()).to.equal(true);
   });
 
   it('given another life at the address, when the list tells it first, then its entries are gone at once; when a new epoch told it before, then those of that epoch stay', () => {
     const [first, second] = [office(), office()];
-    first.shelves.take([kept()]);
-    first.shelves.saw(address, salt, part);
-    first.shelves.bornAt(address);
+    first.prefixCaches.take([kept()]);
+    first.prefixCaches.saw(address, salt, part);
+    first.prefixCaches.bornAt(address);
     expect(first.isKept()).to.equal(false);
-    first.shelves.take([kept({ epoch: '2' })]);
+    first.prefixCaches.take([kept({ epoch: '2' })]);
     expect(first.isKept()).to.equal(true);
-    second.shelves.take([kept()]);
-    second.shelves.take([kept({ epoch: '2', isWhole: true })]);
-    second.shelves.bornAt(address);
+    second.prefixCaches.take([kept()]);
+    second.prefixCaches.take([kept({ epoch: '2', isWhole: true })]);
+    second.prefixCaches.bornAt(address);
     expect(second.isKept()).to.equal(true);
-    second.shelves.bornAt(address);
+    second.prefixCaches.bornAt(address);
     expect(second.isKept()).to.equal(false);
   });
 });
 
 describe('lives at an address', () => {
   it('given a crashed replica that the list still shows beside the next one, when it leaves the list, then no further life is told', () => {
-    const tracks = new ReplicaTracks(new SimWorld(1).machine('10.0.0.1').ports().clock);
-    const card = (id: string) => ({ id, pool: 'p', address, zone: 'a', slots: 1, isLeaving: false, weights: {} });
-    expect(tracks.take({ isWhole: true, put: [card('i-1')], gone: [] })).to.deep.equal({ born: [], left: [] });
-    expect(tracks.take({ isWhole: false, put: [card('i-2')], gone: [] })).to.deep.equal({ born: [address], left: [] });
-    expect(tracks.take({ isWhole: false, put: [], gone: ['i-1'] })).to.deep.equal({ born: [], left: [] });
-    expect(tracks.take({ isWhole: false, put: [], gone: ['i-2'] })).to.deep.equal({ born: [], left: [address] });
+    const replicaTracker = new ReplicaTracker(new SimWorld(1).machine('10.0.0.1').ports().clock);
+    const endpoint = (id: string) => ({ id, pool: 'p', address, zone: 'a', slots: 1, isLeaving: false, weights: {} });
+    expect(replicaTracker.take({ isWhole: true, put: [endpoint('i-1')], gone: [] })).to.deep.equal({
+      born: [],
+      left: [],
+    });
+    expect(replicaTracker.take({ isWhole: false, put: [endpoint('i-2')], gone: [] })).to.deep.equal({
+      born: [address],
+      left: [],
+    });
+    expect(replicaTracker.take({ isWhole: false, put: [], gone: ['i-1'] })).to.deep.equal({ born: [], left: [] });
+    expect(replicaTracker.take({ isWhole: false, put: [], gone: ['i-2'] })).to.deep.equal({
+      born: [],
+      left: [address],
+    });
   });
 });
--- a/packages/edge-proxy/test/stateOrder.test.ts
+++ b/packages/edge-proxy/test/stateOrder.test.ts
@@ -1,10 +1,10 @@
 /** An edge never goes back to an older state, whichever control node sends one and whenever it arrives. */
 import { expect } from 'chai';
-import { CoreTouch } from '@martenworks/edge-proxy';
-import type { StateNews } from '@martenworks/core-types';
+import { ControlConnection } from '@martenworks/edge-proxy';
+import type { EdgeState } from '@martenworks/core-types';
 import { SimWorld } from '@martenworks/test-fleet';
-import { wayEnvs } from '@martenworks/settings';
-import { ControlNodeStub, bookOf, memberOf } from './controlNodeStub.js';
+import { nodeSettings } from '@martenworks/settings';
+import { ControlNodeStub, routingTableOf, memberOf } from './controlNodeStub.js';
 import type { Publishing } from './controlNodeStub.js';
 
 const edgeHost = '10.1.0.1';
@@ -15,12 +15,12 @@
 /** Time in which an edge that hears of a newer state has asked for it and has it, over links that are not slow. */
 const fetchMs = 300;
 
-const env = wayEnvs
+const settings = nodeSettings
   .check({
     name: 'edge',
     zone: 'near',
     zones: { near: 'r' },
-    coach: `${edgeHost}:7000`,
+    peerAddress: `${edgeHost}:7000`,
     http: `${edgeHost}:8080`,
     seeds: members.map(({ address }) => address),
     voters: 3,
@@ -28,12 +28,12 @@
     drainMs: 1_000,
     orderGapMs: 3_000,
     versionMs: 8_000,
-    extraRatio: 1,
-    extraWindowMs: 10_000,
-    extraSlack: 100,
-    listEveryMs: 1_000,
+    retryBudgetRatio: 1,
+    retryBudgetWindowMs: 10_000,
+    retryBudgetSlack: 100,
+    listIntervalMs: 1_000,
     listPerSecond: 1,
-    listPatienceMs: 1_000,
+    listTimeoutMs: 1_000,
     memoryMb: 250,
     openFiles: 4_096,
   })
@@ -43,8 +43,8 @@
 class Stage {
   readonly world: SimWorld;
   readonly nodes: readonly ControlNodeStub[];
-  readonly states: StateNews[] = [];
-  readonly touch: CoreTouch;
+  readonly states: EdgeState[] = [];
+  readonly control: ControlConnection;
 
   private constructor(seed: number, publishing: Publishing) {
     this.world = new SimWorld(seed);
@@ -52,16 +52,16 @@
       (host, at) => new ControlNodeStub(this.world, host, at === 0 ? 'near' : 'far', members, 1, publishing),
     );
     const ignore = (): void => {};
-    this.touch = new CoreTouch(
-      env,
+    this.control = new ControlConnection(
+      settings,
       this.world.machine(edgeHost).ports(),
       'incarnation of the edge',
       members.map(({ address }) => address),
       {
         state: (news) => void this.states.push(news),
-        cards: ignore,
+        endpoints: ignore,
         weights: ignore,
-        shelves: ignore,
+        prefixCaches: ignore,
         reading: ignore,
         missed: ignore,
         isReady: () => true,
@@ -87,20 +87,19 @@
     return this.nodes.slice(1);
   }
 
-  readonly generations = (): number[] => this.states.map(({ generation }) => generation);
+  readonly generations = (): number[] => this.states.map(({ logIndex }) => logIndex);
 
   readonly between = (low: number, high: number): number => low + this.world.random() * (high - low);
 
   /** Lets whatever is on its way arrive, and checks that each state was newer than the one before, the last the newest. */
   readonly expectOnward = async (newest: number): Promise<void> => {
     await this.world.run(settleMs);
-    this.touch.stop();
+    this.control.stop();
     const generations = this.generations();
     const what = `seed ${this.world.seed}: ${generations.join(' ')}`;
-    for (const [at, generation] of generations.entries())
-      expect(generation, what).to.be.above(generations[at - 1] ?? 0);
-    expect(this.touch.stateHeld(), what).to.deep.equal({ generation: newest, edition: newest });
-    expect(this.touch.state()?.book, what).to.deep.equal(bookOf(newest));
+    for (const [at, logIndex] of generations.entries()) expect(logIndex, what).to.be.above(generations[at - 1] ?? 0);
+    expect(this.control.statePosition(), what).to.deep.equal({ logIndex: newest, configVersion: newest });
+    expect(this.control.state()?.table, what).to.deep.equal(routingTableOf(newest));
   };
 }
 
@@ -127,7 +126,7 @@
       const [lagging] = others as [ControlNodeStub];
       await lagging.stop();
       await world.run(stage.between(50, 500));
-      lagging.generation = 2;
+      lagging.logIndex = 2;
       world.delayLink(lagging.host, edgeHost, stage.between(100, 300));
       await lagging.start();
       await world.until('its state is on its way', () => lagging.statesSent > 0, settleMs);
@@ -145,7 +144,7 @@
       const { world, source, others } = stage;
       await source.stop();
       await world.run(stage.between(20, 600));
-      source.generation = 2;
+      source.logIndex = 2;
       world.delayLink(source.host, edgeHost, stage.between(100, 300));
       await source.start();
       await world.until('its state is on its way', () => source.statesSent > 0, settleMs);
@@ -164,7 +163,7 @@
       await world.run(fetchMs);
       await source.stop();
       await world.run(stage.between(0, 600));
-      source.generation = 2;
+      source.logIndex = 2;
       await source.start();
       await world.until('its state is on its way', () => source.statesSent > 0, settleMs);
       await stage.expectOnward(3);
--- /dev/null
+++ b/packages/gateway/src/admissionStage.ts
@@ -0,0 +1,40 @@
+import { keys } from '@martenworks/core-types';
+import type { StageContext } from './stageContext.js';
+import type { Rejector } from './rejector.js';
+import type { GatewayRequest } from './gatewayRequest.js';
+import { grants } from './grants.js';
+
+export class AdmissionStage {
+  isDraining = false;
+
+  constructor(
+    private readonly context: StageContext,
+    private readonly rejector: Rejector,
+    private readonly next: (request: GatewayRequest) => void,
+  ) {}
+
+  readonly work = (request: GatewayRequest): void => {
+    if (request.isEnded) return;
+    if (this.isDraining) {
+      this.rejector.refuse(request, 'draining', 'this gateway is closing');
+      return;
+    }
+    const view = this.context.stateView.view();
+    if (view === null || !this.context.freshness.isFresh()) {
+      this.rejector.refuse(request, 'not_fresh', 'this gateway has not heard a majority of control nodes lately');
+      return;
+    }
+    if (request.order.key === null) {
+      this.rejector.refuse(request, 'unknown_key', 'no bearer key was given');
+      return;
+    }
+    request.keyHash = keys.hash(request.order.key);
+    const tenant = grants.holderOf(view, request.keyHash);
+    if (tenant === undefined) {
+      this.rejector.refuse(request, 'unknown_key', 'the key is not granted');
+      return;
+    }
+    request.tenant = tenant;
+    this.next(request);
+  };
+}
--- a/packages/counter/src/budget.ts
+++ b/packages/gateway/src/budget.ts
@@ -1,11 +1,11 @@
 const extraShare = 0.2;
 
-export class ExtraBudget {
+export class RetryBudget {
   private tokens = 0;
 
   constructor(readonly allowance: number) {}
 
-  readonly firstShot = (): void => {
+  readonly firstAttempt = (): void => {
     this.tokens = Math.min(Math.max(1, this.allowance), this.tokens + extraShare);
   };
 
--- /dev/null
+++ b/packages/gateway/src/callerApi.ts
@@ -0,0 +1,142 @@
+import { Hono } from 'hono';
+import type { Context } from 'hono';
+import { bodyLimit } from 'hono/body-limit';
+import { rejections, pause } from '@martenworks/core-types';
+import type { Rejection } from '@martenworks/core-types';
+import { backWire } from '@martenworks/upstream';
+import type { CompletionPath, Piece } from '@martenworks/upstream';
+import type { Gateway } from './gateway.js';
+import type { StreamResponse } from './gatewayRequest.js';
+
+const wholeLimit = 8 * 1024 * 1024;
+const flushMs = 25;
+const encoder = new TextEncoder();
+
+const errorBody = (rejection: Rejection, requestId: string): Record<string, unknown> => ({
+  error: { type: rejection.code, message: rejection.detail, ran: rejection.ran, request_id: requestId },
+});
+
+const rejectionReply = (c: Context, rejection: Rejection, requestId: string): Response =>
+  c.json(errorBody(rejection, requestId), rejections.status(rejection) as 400, {
+    'x-request-id': requestId,
+    ...(rejection.retryAfterSeconds === null ? {} : { 'retry-after': String(rejection.retryAfterSeconds) }),
+  });
+
+const streamReply = (gateway: Gateway, response: StreamResponse): Response => {
+  const cut = (cause: string): Uint8Array =>
+    encoder.encode(
+      `event: error\ndata: ${JSON.stringify(errorBody(rejections.of('cut_stream', 'unknown', cause), response.requestId))}\n\n`,
+    );
+  let isCut = false;
+  const body = new ReadableStream<Uint8Array>(
+    {
+      pull: async (controller) => {
+        if (isCut) {
+          await pause.for(gateway.ports.clock, flushMs);
+          return controller.error(new Error('the stream was cut'));
+        }
+        const next = await response.pieces.next();
+        if (next.done === true) return controller.error(new Error('the stream was cut'));
+        const piece: Piece = next.value;
+        if (piece.kind === 'piece') return controller.enqueue(encoder.encode(`data: ${piece.data}\n\n`));
+        if (piece.kind === 'done') {
+          await response.pieces.return(undefined);
+          controller.enqueue(encoder.encode('data: [DONE]\n\n'));
+          return controller.close();
+        }
+        isCut = true;
+        await response.pieces.return(undefined);
+        controller.enqueue(cut(piece.cause));
+      },
+      cancel: async () => void (await response.pieces.return(undefined)),
+    },
+    { highWaterMark: 0 },
+  );
+  return new Response(body, {
+    status: 200,
+    headers: { 'content-type': 'text/event-stream', 'cache-control': 'no-store', 'x-request-id': response.requestId },
+  });
+};
+
+const wholeReply = async (c: Context, path: CompletionPath, response: StreamResponse): Promise<Response> => {
+  const datas: string[] = [];
+  let size = 0;
+  for await (const piece of response.pieces) {
+    if (piece.kind === 'done')
+      return c.json(backWire.assemble(path, datas), 200, { 'x-request-id': response.requestId });
+    if (piece.kind !== 'piece')
+      return rejectionReply(c, rejections.of('cut_stream', 'unknown', piece.cause), response.requestId);
+    datas.push(piece.data);
+    size += piece.data.length;
+    if (size > wholeLimit)
+      return rejectionReply(
+        c,
+        rejections.of('cut_stream', 'unknown', 'the receipt is too large to hold'),
+        response.requestId,
+      );
+  }
+  return rejectionReply(c, rejections.of('cut_stream', 'unknown', 'the stream was cut'), response.requestId);
+};
+
+const keyOf = (c: Context): string | null => /^Bearer +(\S+)$/i.exec(c.req.header('authorization') ?? '')?.[1] ?? null;
+
+const deadlineOf = (c: Context): number | null => {
+  const given = c.req.header('x-horizon-ms');
+  return given !== undefined && /^\d{1,9}$/.test(given) ? Math.max(1, Number(given)) : null;
+};
+
+const requestIdOf = (c: Context, gateway: Gateway): string => {
+  const given = c.req.header('x-request-id');
+  return given !== undefined && /^[\w.:-]{1,128}$/.test(given) ? given : gateway.ports.random.token(12);
+};
+
+export const callerApi = (gateway: Gateway): Hono => {
+  const app = new Hono();
+  const completion =
+    (path: CompletionPath) =>
+    async (c: Context): Promise<Response> => {
+      const requestId = requestIdOf(c, gateway);
+      let body: unknown;
+      try {
+        body = await c.req.json();
+      } catch {
+        return rejectionReply(c, rejections.of('bad_request', 'no', 'the body is not JSON'), requestId);
+      }
+      if (body === null || typeof body !== 'object' || Array.isArray(body))
+        return rejectionReply(c, rejections.of('bad_request', 'no', 'the body must be an object'), requestId);
+      const fields = body as Record<string, unknown>;
+      const response = await gateway.serve({
+        requestId,
+        key: keyOf(c),
+        path,
+        body: fields,
+        deadlineMs: deadlineOf(c),
+        idempotencyKey: c.req.header('idempotency-key') ?? null,
+        signal: c.req.raw.signal,
+      });
+      if (response.kind === 'rejection') return rejectionReply(c, response, requestId);
+      return fields.stream === true ? streamReply(gateway, response) : wholeReply(c, path, response);
+    };
+  const limited = bodyLimit({
+    maxSize: gateway.settings.bodyLimitBytes,
+    onError: (c) =>
+      rejectionReply(c, rejections.of('too_large', 'no', 'the body is over the limit'), requestIdOf(c, gateway)),
+  });
+  app.post('/v1/completions', limited, completion('/v1/completions'));
+  app.post('/v1/chat/completions', limited, completion('/v1/chat/completions'));
+  app.get('/healthz', (c) => c.json({ status: 'ok' }));
+  app.get('/readyz', (c) => {
+    const isReady = gateway.freshness.isFresh() && !gateway.stages.isDraining;
+    return isReady
+      ? c.json({ status: 'ready', generation: gateway.stateView.logIndex() })
+      : c.json({ status: 'not ready', voices: gateway.freshness.voiceCount() }, 503, { 'retry-after': '1' });
+  });
+  app.notFound((c) =>
+    rejectionReply(c, rejections.of('no_such_page', 'no', 'no such path or method'), requestIdOf(c, gateway)),
+  );
+  app.onError((cause, c) => {
+    gateway.ports.log.error('request handler threw', { cause: String(cause.stack ?? cause) });
+    return c.json({ error: { type: 'internal', message: 'internal error', ran: 'unknown' } }, 500);
+  });
+  return app;
+};
--- a/packages/counter/src/freshness.ts
+++ b/packages/gateway/src/freshness.ts
@@ -7,7 +7,7 @@
 interface Voice {
   askedAt: number;
   wallGap: number;
-  generation: number;
+  logIndex: number;
   pendingSince: number | null;
 }
 
@@ -17,7 +17,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly members: () => readonly Member[],
-    private readonly heldGeneration: () => number,
+    private readonly heldLogIndex: () => number,
   ) {}
 
   private readonly wallGap = (): number => this.clock.wall() - this.clock.now();
@@ -27,10 +27,10 @@
   readonly heard = (stamp: { askedAt: number; wallGap: number }, pong: Pong): void => {
     const held = this.voices.get(pong.incarnation);
     if (held !== undefined && held.askedAt > stamp.askedAt) return;
-    const isPending = pong.acceptedSlot !== null && pong.acceptedSlot > this.heldGeneration();
+    const isPending = pong.acceptedSlot !== null && pong.acceptedSlot > this.heldLogIndex();
     this.voices.set(pong.incarnation, {
       ...stamp,
-      generation: pong.generation,
+      logIndex: pong.logIndex,
       pendingSince: isPending ? (held?.pendingSince ?? this.clock.now()) : null,
     });
   };
@@ -39,7 +39,7 @@
     if (voice === undefined) return false;
     const now = this.clock.now();
     if (now - voice.askedAt > freshMs || Math.abs(this.wallGap() - voice.wallGap) > jumpMs) return false;
-    if (voice.generation > this.heldGeneration()) return false;
+    if (voice.logIndex > this.heldLogIndex()) return false;
     return voice.pendingSince === null || now - voice.pendingSince <= pendingMs;
   };
 
--- a/packages/counter/src/layoutView.ts
+++ b/packages/gateway/src/gatewayConfigView.ts
@@ -1,5 +1,5 @@
 import { DenseIndex } from '@martenworks/core-types';
-import type { Agreed, Lane, Pool, Tenant, Tier } from '@martenworks/core-types';
+import type { CommittedState, Lane, Pool, Tenant, Tier } from '@martenworks/core-types';
 
 export interface LaneView {
   readonly index: number;
@@ -18,31 +18,31 @@
   readonly lanes: ReadonlySet<number>;
 }
 
-export interface LayoutView {
-  readonly generation: number;
-  readonly layoutGeneration: number;
+export interface GatewayConfigView {
+  readonly logIndex: number;
+  readonly configLogIndex: number;
   readonly lanes: ReadonlyMap<string, LaneView>;
   readonly tenants: ReadonlyMap<string, TenantView>;
   readonly pools: ReadonlyMap<string, Pool>;
-  readonly keys: Agreed['keys'];
+  readonly keys: CommittedState['keys'];
   readonly urgencyOf: (rank: number) => number;
 }
 
-export class Door {
+export class GatewayConfigIndexer {
   readonly laneNames = new DenseIndex();
   readonly tenantNames = new DenseIndex();
 
-  readonly view = (agreed: Agreed): LayoutView => {
-    const { layout } = agreed;
+  readonly view = (agreed: CommittedState): GatewayConfigView => {
+    const { config } = agreed;
     const lanes = new Map<string, LaneView>();
-    for (const [name, lane] of Object.entries(layout.lanes)) {
-      const pool = layout.pools[lane.pool];
+    for (const [name, lane] of Object.entries(config.lanes)) {
+      const pool = config.pools[lane.pool];
       if (pool !== undefined)
         lanes.set(name, { index: this.laneNames.indexOf(name), name, poolName: lane.pool, pool, repeat: lane.repeat });
     }
     const tenants = new Map<string, TenantView>();
-    for (const [name, tenant] of Object.entries(layout.tenants)) {
-      const tier = layout.tiers[tenant.tier];
+    for (const [name, tenant] of Object.entries(config.tenants)) {
+      const tier = config.tiers[tenant.tier];
       if (tier === undefined) continue;
       const granted = new Set(tenant.lanes.map((lane) => this.laneNames.indexOf(lane)));
       tenants.set(name, {
@@ -54,16 +54,16 @@
         lanes: granted,
       });
     }
-    const ranks = [...new Set(Object.values(layout.tiers).map((tier) => tier.rank))].sort((a, b) => b - a);
+    const ranks = [...new Set(Object.values(config.tiers).map((tier) => tier.rank))].sort((a, b) => b - a);
     const urgencyOf = (rank: number): number =>
       ranks.length < 2 ? 0 : Math.max(0, ranks.indexOf(rank)) / (ranks.length - 1);
     return {
       urgencyOf,
-      generation: agreed.generation,
-      layoutGeneration: agreed.layoutGeneration,
+      logIndex: agreed.logIndex,
+      configLogIndex: agreed.configLogIndex,
       lanes,
       tenants,
-      pools: new Map(Object.entries(layout.pools)),
+      pools: new Map(Object.entries(config.pools)),
       keys: agreed.keys,
     };
   };
--- a/packages/counter/src/parcel.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -1,27 +1,27 @@
-import type { Deny } from '@martenworks/core-types';
+import type { Rejection } from '@martenworks/core-types';
 import type { CompletionPath, Piece } from '@martenworks/upstream';
 import type { Claim } from './claims.js';
-import type { LaneView, TenantView } from './layoutView.js';
+import type { LaneView, TenantView } from './gatewayConfigView.js';
 
 export interface Order {
   readonly requestId: string;
   readonly key: string | null;
   readonly path: CompletionPath;
   readonly body: Record<string, unknown>;
-  readonly horizonMs: number | null;
+  readonly deadlineMs: number | null;
   readonly idempotencyKey: string | null;
   readonly signal: AbortSignal;
 }
 
-export interface StreamReceipt {
+export interface StreamResponse {
   readonly kind: 'stream';
   readonly requestId: string;
   readonly pieces: AsyncGenerator<Piece>;
 }
 
-export type Receipt = Deny | StreamReceipt;
+export type GatewayResponse = Rejection | StreamResponse;
 
-export interface ShotOn {
+export interface ActiveAttempt {
   readonly replica: string;
   readonly incarnation: number;
   readonly lost: () => void;
@@ -39,19 +39,19 @@
 
 export const scopes = {
   ofTenant: (tenant: TenantView): string | null => (tenant.tenant.isolated ? tenant.name : null),
-  of: (parcel: Parcel): string | null => (parcel.tenant === null ? null : scopes.ofTenant(parcel.tenant)),
+  of: (request: GatewayRequest): string | null => (request.tenant === null ? null : scopes.ofTenant(request.tenant)),
 };
 
-export class Parcel {
+export class GatewayRequest {
   keyHash = '';
   laneName = '';
   promptTokens = 0;
   blocks: readonly string[] = [];
   tenant: TenantView | null = null;
   lane: LaneView | null = null;
-  horizonAt = Number.POSITIVE_INFINITY;
-  shots = 0;
-  extraShots = 0;
+  deadlineAt = Number.POSITIVE_INFINITY;
+  attempts = 0;
+  retries = 0;
   isOnce = false;
   comeBackSeconds: number | null = null;
   mayHaveRun = false;
@@ -62,13 +62,13 @@
   readonly avoided = new Set<string>();
   readonly quit = new AbortController();
   private step: Step = 'entered';
-  private shot: ShotOn | null = null;
+  private attempt: ActiveAttempt | null = null;
   private readonly enders: (() => void)[] = [];
 
   constructor(
     readonly order: Order,
     readonly arrivedAt: number,
-    private readonly settle: (receipt: Receipt) => void,
+    private readonly respond: (response: GatewayResponse) => void,
   ) {}
 
   private readonly goes = (next: Step): void => {
@@ -88,32 +88,32 @@
     return this.isEnded || this.isRelaying;
   }
 
-  get shotOn(): ShotOn | null {
-    return this.shot;
+  get activeAttempt(): ActiveAttempt | null {
+    return this.attempt;
   }
 
-  readonly whenEnded = (verb: () => void): void => void this.enders.push(verb);
+  readonly whenEnded = (listener: () => void): void => void this.enders.push(listener);
 
   readonly waits = (): void => this.goes('waiting');
 
-  readonly leaves = (shot: ShotOn): void => {
+  readonly leaves = (attempt: ActiveAttempt): void => {
     this.goes('out');
-    this.shot = shot;
+    this.attempt = attempt;
   };
 
   readonly comesBack = (): void => {
     if (this.step === 'out') this.goes('entered');
-    this.shot = null;
+    this.attempt = null;
   };
 
   readonly relays = (pieces: AsyncGenerator<Piece>): void => {
     this.goes('relaying');
-    this.settle({ kind: 'stream', requestId: this.order.requestId, pieces });
+    this.respond({ kind: 'stream', requestId: this.order.requestId, pieces });
   };
 
-  readonly denies = (denied: Deny): void => {
+  readonly denies = (rejection: Rejection): void => {
     if (this.isAnswered) return;
-    this.settle(denied);
+    this.respond(rejection);
     this.end();
   };
 
--- a/packages/counter/src/tally.ts
+++ b/packages/gateway/src/metricCounters.ts
@@ -1,4 +1,4 @@
-export class Tally {
+export class MetricCounters {
   private readonly counts = new Map<string, number>();
 
   readonly add = (name: string, amount = 1): void => void this.counts.set(name, (this.counts.get(name) ?? 0) + amount);
--- a/packages/counter/src/pipe.ts
+++ b/packages/gateway/src/pipe.ts
@@ -123,14 +123,14 @@
     return line.ratePerMs === 0 ? 0 : line.items.size / line.ratePerMs;
   };
 
-  readonly hopeless = (now: number, horizonOf: (item: T) => number): T[] => {
+  readonly hopeless = (now: number, deadlineOf: (item: T) => number): T[] => {
     const found: T[] = [];
     for (const line of this.active()) {
       this.rate(line, now);
       if (line.ratePerMs === 0) continue;
       let ahead = 0;
       for (const item of line.items.keys()) {
-        if (ahead >= leastForecast && now + ahead / line.ratePerMs > horizonOf(item)) found.push(item);
+        if (ahead >= leastForecast && now + ahead / line.ratePerMs > deadlineOf(item)) found.push(item);
         else ahead += 1;
       }
     }
--- /dev/null
+++ b/packages/gateway/src/relayStage.ts
@@ -0,0 +1,86 @@
+import { background, pause } from '@martenworks/core-types';
+import type { Piece } from '@martenworks/upstream';
+import type { StageContext } from './stageContext.js';
+import type { GatewayRequest } from './gatewayRequest.js';
+
+export class RelayStage {
+  constructor(private readonly context: StageContext) {}
+
+  readonly replay = async function* (request: GatewayRequest, datas: readonly string[]): AsyncGenerator<Piece> {
+    try {
+      for (const data of datas) yield { kind: 'piece', data };
+      yield { kind: 'done' };
+    } finally {
+      request.end();
+    }
+  };
+
+  private readonly nextPiece = (
+    request: GatewayRequest,
+    rest: AsyncGenerator<Piece>,
+    stopped: Promise<Piece>,
+  ): Promise<Piece> => {
+    if (request.cutCause !== null) return Promise.resolve({ kind: 'cut', cause: request.cutCause });
+    const next = rest
+      .next()
+      .then(
+        (step): Piece =>
+          step.done === true ? { kind: 'cut', cause: 'the stream ended without its end marker' } : step.value,
+      );
+    return pause.within<Piece>(
+      this.context.ports.clock,
+      this.context.settings.stallMs,
+      Promise.race([next, stopped]),
+      () => ({
+        kind: 'cut',
+        cause: 'the replica fell silent',
+      }),
+    );
+  };
+
+  readonly relay = async function* (
+    this: RelayStage,
+    request: GatewayRequest,
+    replica: string,
+    first: Piece,
+    rest: AsyncGenerator<Piece>,
+    release: () => void,
+  ): AsyncGenerator<Piece> {
+    const stopped = new Promise<Piece>((resolve) => {
+      request.quit.signal.addEventListener(
+        'abort',
+        () => resolve({ kind: 'cut', cause: request.cutCause ?? 'the stream was given up' }),
+        { once: true },
+      );
+    });
+    const keep = (piece: Piece): void => {
+      if (request.claim !== null && piece.kind === 'piece') request.keptDatas.push(piece.data);
+    };
+    try {
+      keep(first);
+      yield first;
+      for (;;) {
+        const piece = await this.nextPiece(request, rest, stopped);
+        keep(piece);
+        if (piece.kind === 'piece') {
+          yield piece;
+          continue;
+        }
+        if (piece.kind === 'done') {
+          this.context.metrics.add('finished');
+          request.isWhole = true;
+          yield piece;
+          return;
+        }
+        this.context.metrics.add('cut');
+        if (request.cutCause === null && !request.isEnded) this.context.replicaTracker.failed(replica);
+        yield { kind: 'cut', cause: piece.cause };
+        return;
+      }
+    } finally {
+      release();
+      request.end();
+      background.run('close a response body', rest.return(undefined));
+    }
+  };
+}
--- a/packages/counter/src/tracks.ts
+++ b/packages/gateway/src/replicaTracker.ts
@@ -6,7 +6,7 @@
 const forecastSlack = 3;
 const heavyTokens = 1_000;
 
-interface Track {
+interface TrackedReplica {
   running: number;
   pendingTokens: number;
   others: number;
@@ -24,7 +24,7 @@
   seenAt: number;
 }
 
-export class PullTracks {
+export class TransferTracker {
   private readonly held = new Map<string, Pull>();
 
   constructor(private readonly clock: Clock) {}
@@ -48,20 +48,20 @@
     Math.max(this.excess(`${holder}>${receiver}`), this.excess(holder) / 2);
 }
 
-export class Tracks {
-  private readonly held = new Map<string, Track>();
+export class ReplicaTracker {
+  private readonly held = new Map<string, TrackedReplica>();
 
   private marks = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly heavyNews: () => void = () => {},
+    private readonly longPrompts: () => void = () => {},
   ) {}
 
-  private readonly of = (replica: string): Track => {
+  private readonly of = (replica: string): TrackedReplica => {
     const held = this.held.get(replica);
     if (held !== undefined) return held;
-    const track: Track = {
+    const tracked: TrackedReplica = {
       running: 0,
       pendingTokens: 0,
       others: 0,
@@ -70,32 +70,32 @@
       suspicionMs: firstSuspicionMs,
       unanswered: new Map(),
     };
-    this.held.set(replica, track);
-    return track;
+    this.held.set(replica, tracked);
+    return tracked;
   };
 
   readonly began = (replica: string, tokens: number, forecastMs: number): number => {
-    const track = this.of(replica);
-    track.running += 1;
-    track.pendingTokens += tokens;
+    const tracked = this.of(replica);
+    tracked.running += 1;
+    tracked.pendingTokens += tokens;
     const mark = ++this.marks;
-    track.unanswered.set(mark, this.clock.now() + silenceMs + Math.max(0, forecastMs) * forecastSlack);
-    if (tokens >= heavyTokens) this.heavyNews();
+    tracked.unanswered.set(mark, this.clock.now() + silenceMs + Math.max(0, forecastMs) * forecastSlack);
+    if (tokens >= heavyTokens) this.longPrompts();
     return mark;
   };
 
   readonly given = (replica: string, mark: number, tokens: number): void => {
-    const track = this.of(replica);
-    track.pendingTokens = Math.max(0, track.pendingTokens - tokens);
-    const isNews = track.unanswered.delete(mark) && tokens >= heavyTokens;
-    if (isNews) this.heavyNews();
+    const tracked = this.of(replica);
+    tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
+    const isNews = tracked.unanswered.delete(mark) && tokens >= heavyTokens;
+    if (isNews) this.longPrompts();
   };
 
   readonly firstPiece = (replica: string, mark: number, tokens: number): void => {
     this.given(replica, mark, tokens);
-    const track = this.of(replica);
-    track.suspicionMs = firstSuspicionMs;
-    track.suspectUntil = 0;
+    const tracked = this.of(replica);
+    tracked.suspicionMs = firstSuspicionMs;
+    tracked.suspectUntil = 0;
   };
 
   readonly ended = (replica: string): void => {
@@ -103,51 +103,52 @@
   };
 
   readonly failed = (replica: string): void => {
-    const track = this.of(replica);
-    track.suspectUntil = this.clock.now() + track.suspicionMs;
-    track.suspicionMs = Math.min(track.suspicionMs * 2, longestSuspicionMs);
+    const tracked = this.of(replica);
+    tracked.suspectUntil = this.clock.now() + tracked.suspicionMs;
+    tracked.suspicionMs = Math.min(tracked.suspicionMs * 2, longestSuspicionMs);
   };
 
   readonly rests = (replica: string, forMs: number): void => {
-    const track = this.of(replica);
-    track.suspectUntil = Math.max(track.suspectUntil, this.clock.now() + Math.min(forMs, longestSuspicionMs));
+    const tracked = this.of(replica);
+    tracked.suspectUntil = Math.max(tracked.suspectUntil, this.clock.now() + Math.min(forMs, longestSuspicionMs));
   };
 
   readonly toldOthers = (loads: Loads): void => {
-    for (const [replica, track] of this.held) if (loads[replica] === undefined) track.others = track.othersTokens = 0;
+    for (const [replica, tracked] of this.held)
+      if (loads[replica] === undefined) tracked.others = tracked.othersTokens = 0;
     for (const [replica, [running, tokens]] of Object.entries(loads)) {
-      const track = this.of(replica);
-      track.others = running;
-      track.othersTokens = tokens;
+      const tracked = this.of(replica);
+      tracked.others = running;
+      tracked.othersTokens = tokens;
     }
   };
 
   readonly running = (replica: string): number => this.of(replica).running + this.of(replica).others;
   readonly own = (replica: string): number => this.of(replica).running;
   readonly pendingTokens = (replica: string): number => this.of(replica).pendingTokens + this.of(replica).othersTokens;
-  private readonly isSilent = (track: Track): boolean => {
+  private readonly isSilent = (tracked: TrackedReplica): boolean => {
     const now = this.clock.now();
-    for (const dueAt of track.unanswered.values()) if (now > dueAt) return true;
+    for (const dueAt of tracked.unanswered.values()) if (now > dueAt) return true;
     return false;
   };
 
   readonly isSuspect = (replica: string): boolean => {
-    const track = this.of(replica);
-    return track.suspectUntil > this.clock.now() || this.isSilent(track);
+    const tracked = this.of(replica);
+    return tracked.suspectUntil > this.clock.now() || this.isSilent(tracked);
   };
 
   readonly report = (): Loads =>
     Object.fromEntries(
       [...this.held]
-        .filter(([, track]) => track.running > 0)
-        .map(([replica, track]) => [replica, [track.running, Math.round(track.pendingTokens)] as const]),
+        .filter(([, tracked]) => tracked.running > 0)
+        .map(([replica, tracked]) => [replica, [tracked.running, Math.round(tracked.pendingTokens)] as const]),
     );
 
   readonly all = (): { replica: string; running: number; others: number; isSuspect: boolean }[] =>
-    [...this.held].map(([replica, track]) => ({
+    [...this.held].map(([replica, tracked]) => ({
       replica,
-      running: track.running,
-      others: track.others,
+      running: tracked.running,
+      others: tracked.others,
       isSuspect: this.isSuspect(replica),
     }));
 }
--- /dev/null
+++ b/packages/gateway/src/stageContext.ts
@@ -0,0 +1,17 @@
+import type { Ports } from '@martenworks/core-types';
+import type { GatewaySettings } from '@martenworks/settings';
+import type { StateView } from './stateView.js';
+import type { Claims } from './claims.js';
+import type { Freshness } from './freshness.js';
+import type { MetricCounters } from './metricCounters.js';
+import type { ReplicaTracker } from './replicaTracker.js';
+
+export interface StageContext {
+  readonly settings: GatewaySettings;
+  readonly ports: Ports;
+  readonly stateView: StateView;
+  readonly replicaTracker: ReplicaTracker;
+  readonly freshness: Freshness;
+  readonly metrics: MetricCounters;
+  readonly claims: Claims;
+}
--- a/packages/counter/test/callers.test.ts
+++ b/packages/gateway/test/callers.test.ts
@@ -7,7 +7,7 @@
 const raised = async (
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
-  const fleet = new SimFleet({ seed: 3, fronts: 2, replicas: 3, ...more });
+  const fleet = new SimFleet({ seed: 3, edges: 2, replicas: 3, ...more });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
 };
@@ -26,15 +26,15 @@
   body: unknown,
   headers: Record<string, string>,
   path = '/v1/completions',
-): Promise<HttpReply> => fleet.finish(fleet.call(`http://${fleet.counterHosts[0]}:7101${path}`, 'POST', body, headers));
+): Promise<HttpReply> => fleet.finish(fleet.call(`http://${fleet.gatewayHosts[0]}:7101${path}`, 'POST', body, headers));
 
 describe('callers', () => {
   it('given each wrong request, when it is sent, then its status, type and ran are told at once', async () => {
     const { fleet } = await raised({
-      counterEnv: { bodyLimitBytes: 4_096 },
-      layout: {
-        ...sampleWorkload.layout('weights-1'),
-        lanes: { ...(sampleWorkload.layout('weights-1').lanes as object), secret: { pool: 'main', repeat: 'freely' } },
+      gatewaySettings: { bodyLimitBytes: 4_096 },
+      config: {
+        ...sampleWorkload.config('weights-1'),
+        lanes: { ...(sampleWorkload.config('weights-1').lanes as object), secret: { pool: 'main', repeat: 'freely' } },
       },
     });
     const good = { model: 'query', prompt: 'hello', max_tokens: 4 };
@@ -68,11 +68,11 @@
     expect((chat.body.choices as { message: { role: string } }[])[0]?.message.role).to.equal('assistant');
   });
 
-  it('given a tenant over its rate, when it asks on, then it gets 429 with Retry-After and its neighbours do not', async () => {
-    const layout = sampleWorkload.layout('weights-1');
-    const tenants = layout.tenants as Record<string, Record<string, unknown>>;
+  it('given a tenant over its rate, when it asks on, then it gets 429 with Retry-After and its peers do not', async () => {
+    const config = sampleWorkload.config('weights-1');
+    const tenants = config.tenants as Record<string, Record<string, unknown>>;
     const { fleet, checker } = await raised({
-      layout: { ...layout, tenants: { ...tenants, north: { ...tenants.north, ratePerSecond: 4 } } },
+      config: { ...config, tenants: { ...tenants, north: { ...tenants.north, ratePerSecond: 4 } } },
     });
     for (let at = 0; at < 20; at += 1) {
       checker.send(ask(fleet, 'query', 'north', `n${at}`), 0);
@@ -90,12 +90,12 @@
   });
 
   it('given a tier with a small share of the queue, when its requests pile up, then it is denied over its share while another tier still queues', async () => {
-    const layout = sampleWorkload.layout('weights-1');
+    const config = sampleWorkload.config('weights-1');
     const { fleet, checker } = await raised({
-      counterEnv: { queueLimit: 20 },
+      gatewaySettings: { queueLimit: 20 },
       replicaSettings: { decodeMs: 100 },
-      layout: {
-        ...layout,
+      config: {
+        ...config,
         tiers: { prompt: { rank: 0 }, steady: { rank: 1, share: 0.1 }, patient: { rank: 3 } },
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
@@ -117,8 +117,8 @@
   it('given a caller that leaves mid-stream or in the queue, when it has left, then its run is cancelled or never begun', async () => {
     const { fleet, checker } = await raised({
       replicaSettings: { decodeMs: 50 },
-      layout: {
-        ...sampleWorkload.layout('weights-1'),
+      config: {
+        ...sampleWorkload.config('weights-1'),
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
     });
@@ -133,36 +133,36 @@
     await fleet.world.run(3_000);
     expect(checker.allRuns().length).to.equal(before);
     expect(checker.allRuns().some((run) => run.isFinished)).to.equal(false);
-    expect(fleet.counters[0]?.stages.live.size).to.equal(0);
+    expect(fleet.gateways[0]?.stages.live.size).to.equal(0);
     checker.send(ask(fleet, 'query', 'south', 'after'), 0);
     await fleet.world.run(3_000);
     expect(checker.calls.at(-1)?.outcome).to.equal('whole');
   });
 
-  it('given a reader that stops reading, when the replica could send on, then the counter takes no more pieces than it can pass on', async () => {
+  it('given a reader that stops reading, when the replica could send on, then the gateway takes no more pieces than it can pass on', async () => {
     const { fleet } = await raised();
     const quit = new AbortController();
-    const receipt = await fleet.finish(
+    const response = await fleet.finish(
       fleet.world
         .machine('10.9.0.1')
-        .carriage()
-        .carry({
+        .httpClient()
+        .send({
           method: 'POST',
-          url: `http://${fleet.counterHosts[0]}:7101/v1/completions`,
+          url: `http://${fleet.gatewayHosts[0]}:7101/v1/completions`,
           headers: { 'content-type': 'application/json', ...bearer(keyOf('north')) },
           body: JSON.stringify({ model: 'query', prompt: 'hello', max_tokens: 2_000, stream: true }),
           signal: quit.signal,
           gate: () => true,
         }),
     );
-    const body = receipt._unsafeUnwrap().body[Symbol.asyncIterator]();
+    const body = response._unsafeUnwrap().body[Symbol.asyncIterator]();
     await fleet.finish(body.next());
     const standIns = [...fleet.runningReplicas.values()];
     await fleet.world.run(5_000);
     expect(standIns.reduce((sum, standIn) => sum + standIn.piecesSaid, 0)).to.be.lessThan(10);
     quit.abort();
     await fleet.world.run(2_000);
-    expect(fleet.counters[0]?.stages.live.size).to.equal(0);
+    expect(fleet.gateways[0]?.stages.live.size).to.equal(0);
   });
 
   it('given a replica that cuts its stream midway, when the caller reads on, then an error event ends it, and the connection breaks', async () => {
@@ -181,28 +181,28 @@
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given the horizon of a request, when no piece came by then, then it is denied at that moment with Retry-After', async () => {
+  it('given the deadline of a request, when no piece came by then, then it is denied at that moment with Retry-After', async () => {
     const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 5_000 } });
-    const call = checker.send(ask(fleet, 'confirm', 'north'), 0, { horizonMs: 700 });
+    const call = checker.send(ask(fleet, 'confirm', 'north'), 0, { deadlineMs: 700 });
     await fleet.world.run(20_000);
     expect([call.status, call.code, call.ran]).to.deep.equal([503, 'horizon_passed', 'unknown']);
     expect(call.retryAfter).to.not.equal(null);
     expect(call.endedAt - call.sentAt).to.be.within(695, 720);
   });
 
-  it('given requests that wait in a counter, when it loses the postmasters, then each is denied within two seconds, not at its horizon', async () => {
+  it('given requests that wait in a gateway, when it loses the control nodes, then each is denied within two seconds, not at its deadline', async () => {
     const { fleet, checker } = await raised({
       replicaSettings: { decodeMs: 400 },
-      layout: {
-        ...sampleWorkload.layout('weights-1'),
+      config: {
+        ...sampleWorkload.config('weights-1'),
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
     });
     const calls = Array.from({ length: 14 }, (_, at) =>
-      checker.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 20 }, 0, { horizonMs: 60_000 }),
+      checker.send({ ...ask(fleet, 'query', 'north', `n${at}`), maxTokens: 20 }, 0, { deadlineMs: 60_000 }),
     );
     await fleet.world.run(500);
-    for (const host of fleet.postmasterHosts) fleet.world.partition(fleet.counterHosts[0] as string, host);
+    for (const host of fleet.controlNodeHosts) fleet.world.partition(fleet.gatewayHosts[0] as string, host);
     await fleet.world.run(2_100);
     const waiting = calls.filter((call) => call.outcome === 'denied');
     expect(waiting.length)
@@ -216,17 +216,17 @@
   it("given a tenant that is made isolated, when its requests wait, then they run as the isolated tenant's", async () => {
     const { fleet, checker } = await raised({
       replicaSettings: { decodeMs: 100 },
-      layout: {
-        ...sampleWorkload.layout('weights-1'),
+      config: {
+        ...sampleWorkload.config('weights-1'),
         tenants: { north: { tier: 'prompt', lanes: ['query'] }, south: { tier: 'prompt', lanes: ['query'] } },
         pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } },
       },
       tenants: ['north', 'south'],
     });
-    for (let at = 0; at < 14; at += 1) checker.send(ask(fleet, 'query', 'north', `n${at}`), 0, { horizonMs: 60_000 });
+    for (let at = 0; at < 14; at += 1) checker.send(ask(fleet, 'query', 'north', `n${at}`), 0, { deadlineMs: 60_000 });
     await fleet.world.run(200);
     const put = await fleet.finish(
-      fleet.onPostmaster(
+      fleet.onControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -249,7 +249,7 @@
     ).to.equal(true);
   });
 
-  it('given the same Idempotency-Key at two counters at once and again later, when all are answered, then one run served them all', async () => {
+  it('given the same Idempotency-Key at two gateways at once and again later, when all are answered, then one run served them all', async () => {
     const { fleet, checker } = await raised();
     const wanted = ask(fleet, 'book', 'north');
     checker.send(wanted, 0, { idempotencyKey: 'order-1' });
@@ -266,7 +266,7 @@
     fleet.killCounter(0);
     fleet.killCounter(1);
     await fleet.bootCounter(1);
-    await fleet.world.until('the counter is back', () => fleet.counters[1]?.freshness.isFresh() === true);
+    await fleet.world.until('the counter is back', () => fleet.gateways[1]?.freshness.isFresh() === true);
     const late = checker.send(wanted, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
     expect([late.status, late.code, late.ran]).to.deep.equal([409, 'outcome_unknown', 'unknown']);
--- a/packages/counter/test/fairness.test.ts
+++ b/packages/gateway/test/fairness.test.ts
@@ -8,7 +8,7 @@
   third: { rank: 3, horizonMs: 5_000 },
 };
 
-const layoutOf = (tierOf: Record<string, string>): Record<string, unknown> => ({
+const configOf = (tierOf: Record<string, string>): Record<string, unknown> => ({
   tiers: Object.keys(tierOf).length > 0 ? threeTiers : { second: threeTiers.second },
   pools: { main: { weights: 'weights-1', slots: 4 }, app: { weights: 'app-1' } },
   lanes: {
@@ -28,11 +28,11 @@
 const raised = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 5,
-    fronts: 3,
+    edges: 3,
     replicas: 3,
-    layout: layoutOf(tierOf),
+    config: configOf(tierOf),
     replicaSettings: { decodeMs: 20, slots: 4 },
-    counterEnv: { queueLimit: 256 },
+    gatewaySettings: { queueLimit: 256 },
   });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
@@ -93,13 +93,13 @@
     expect(seen.p95[0], JSON.stringify(seen)).to.be.lessThan(1_000);
     expect(seen.shares[1], JSON.stringify(seen)).to.be.greaterThan(seen.shares[2] ?? 1);
     expect(seen.shares[2], JSON.stringify(seen)).to.be.greaterThan(0.01);
-    const denied = checker.calls.filter((call) => call.outcome === 'denied');
-    expect(denied.length).to.be.greaterThan(500);
+    const rejection = checker.calls.filter((call) => call.outcome === 'denied');
+    expect(rejection.length).to.be.greaterThan(500);
     expect(
-      denied.every((call) => (call.ran === 'no' || call.code === 'horizon_passed') && Number(call.retryAfter) >= 1),
+      rejection.every((call) => (call.ran === 'no' || call.code === 'horizon_passed') && Number(call.retryAfter) >= 1),
     ).to.equal(true);
     const later = (waitMs: number): number =>
-      denied.filter((call) => call.endedAt - call.sentAt > waitMs).length / denied.length;
+      rejection.filter((call) => call.endedAt - call.sentAt > waitMs).length / rejection.length;
     expect(later(1_500), 'share of denials told after more than 1.5 s').to.be.lessThan(0.1);
     expect(later(4_900), 'share of denials that waited out the horizon').to.be.lessThan(0.04);
     expect(checker.violations()).to.deep.equal([]);
--- a/packages/counter/test/standing.test.ts
+++ b/packages/gateway/test/grants.test.ts
@@ -2,8 +2,8 @@
 import { InvariantChecker, keyOf, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { SampleRequest } from '@martenworks/test-fleet';
 
-const layoutOf = (more: Record<string, unknown> = {}): Record<string, unknown> => ({
-  ...sampleWorkload.layout('weights-1'),
+const configOf = (more: Record<string, unknown> = {}): Record<string, unknown> => ({
+  ...sampleWorkload.config('weights-1'),
   tenants: { north: { tier: 'prompt', lanes: [...requestKinds] }, south: { tier: 'prompt', lanes: [...requestKinds] } },
   ...more,
 });
@@ -13,10 +13,10 @@
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 61,
-    fronts: 1,
+    edges: 1,
     replicas: 2,
     tenants: ['north', 'south'],
-    layout: layoutOf(),
+    config: configOf(),
     ...more,
   });
   await fleet.up();
@@ -34,19 +34,19 @@
 
 const change = async (fleet: SimFleet, part: Record<string, unknown>, base = 1): Promise<void> => {
   const told = await fleet.finish(
-    fleet.onPostmaster(0, 'PATCH', '/operator/layout', part, { 'if-match': `"${base}"` }),
+    fleet.onControlNode(0, 'PATCH', '/operator/layout', part, { 'if-match': `"${base}"` }),
   );
   expect(told.status).to.equal(200);
 };
 
-const oneSlot = layoutOf({ pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } } });
+const oneSlot = configOf({ pools: { main: { weights: 'weights-1', slots: 1 }, app: { weights: 'app-1' } } });
 
 const slowly = (fleet: SimFleet, delayMs: number): void => {
-  for (const host of fleet.replicaHosts) fleet.world.delayLink(fleet.counterHosts[0] as string, host, delayMs);
+  for (const host of fleet.replicaHosts) fleet.world.delayLink(fleet.gatewayHosts[0] as string, host, delayMs);
 };
 
 describe('what a request stands on', () => {
-  it('given a shot that is out on a lane which may repeat, when the lane is made once and the shot then fails, then it runs no second time', async () => {
+  it('given a attempt that is out on a lane which may repeat, when the lane is made once and the attempt then fails, then it runs no second time', async () => {
     const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 3_000 } });
     checker.traffic(20, 1);
     const call = checker.send(ask('query', 'north'), 0);
@@ -60,11 +60,11 @@
     expect([call.outcome, call.ran]).to.deep.equal(['denied', 'unknown']);
   });
 
-  it("given a shot that is out, when its tenant is made isolated and the shot then fails, then the next one runs as the isolated tenant's", async () => {
+  it("given a attempt that is out, when its tenant is made isolated and the attempt then fails, then the next one runs as the isolated tenant's", async () => {
     const { fleet, checker } = await raised({ replicas: 4, replicaSettings: { decodeMs: 1_500 } });
     checker.traffic(40, 500, 0);
     await fleet.world.run(9_000);
-    const call = checker.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
+    const call = checker.send(ask('query', 'north'), 0, { deadlineMs: 60_000 });
     await fleet.world.run(500);
     await change(fleet, { tenants: { north: { isolated: true } } });
     await fleet.world.run(500);
@@ -78,19 +78,19 @@
   });
 
   it('given a request that waits, when its tenant loses the lane, then it is denied at once and never runs', async () => {
-    const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 200 }, layout: oneSlot });
+    const { fleet, checker } = await raised({ replicaSettings: { decodeMs: 200 }, config: oneSlot });
     const calls = Array.from({ length: 8 }, (_, at) =>
-      checker.send(ask('query', 'north', `n${at}`), 0, { horizonMs: 60_000 }),
+      checker.send(ask('query', 'north', `n${at}`), 0, { deadlineMs: 60_000 }),
     );
     await fleet.world.run(300);
     const running = checker.allRuns().length;
     await change(fleet, { tenants: { north: { lanes: ['confirm'] } } });
     await fleet.world.run(500);
-    const denied = calls.filter((call) => call.outcome === 'denied');
-    expect(denied.length)
+    const rejection = calls.filter((call) => call.outcome === 'denied');
+    expect(rejection.length)
       .to.equal(calls.length - running)
       .and.greaterThan(2);
-    for (const call of denied)
+    for (const call of rejection)
       expect([call.status, call.code, call.ran]).to.deep.equal([403, 'lane_not_granted', 'no']);
     await fleet.world.run(20_000);
     expect(checker.allRuns().length).to.equal(running);
@@ -99,8 +99,8 @@
   it('given a connect that takes long, when the lane, the isolation or the replica changed meanwhile, then the body is not sent on what it was placed by', async () => {
     const { fleet, checker } = await raised({ replicas: 4 });
     slowly(fleet, 700);
-    const lost = checker.send(ask('query', 'north'), 0, { horizonMs: 60_000 });
-    const apart = checker.send(ask('confirm', 'south'), 0, { horizonMs: 60_000 });
+    const lost = checker.send(ask('query', 'north'), 0, { deadlineMs: 60_000 });
+    const apart = checker.send(ask('confirm', 'south'), 0, { deadlineMs: 60_000 });
     await fleet.world.run(100);
     await change(fleet, { tenants: { north: { lanes: ['confirm'] }, south: { isolated: true } } });
     await fleet.world.run(30_000);
@@ -112,14 +112,14 @@
         .filter((run) => run.requestId === apart.requestId)
         .map((run) => run.isIsolated),
     ).to.deep.equal([true]);
-    const again = checker.send(ask('confirm', 'north'), 0, { horizonMs: 60_000 });
+    const again = checker.send(ask('confirm', 'north'), 0, { deadlineMs: 60_000 });
     await fleet.world.run(100);
     const placed = fleet.replicaHosts.map((_, at) => fleet.replicaName(at));
     for (const name of placed)
       expect(
         (
           await fleet.finish(
-            fleet.onPostmaster(0, 'POST', '/platform/replicas', [
+            fleet.onControlNode(0, 'POST', '/platform/replicas', [
               { name, address: `${fleet.hostOfReplica(name)}:8000`, pool: 'main', incarnation: 2 },
             ]),
           )
@@ -146,7 +146,7 @@
     expect(
       fleet.startedReplicas.reduce((sum, { replica: standIn }) => sum + standIn.arrivals.length, 0) - before,
     ).to.equal(1);
-    expect(fleet.counters[0]?.tracks.all().some((track) => track.isSuspect)).to.equal(false);
+    expect(fleet.gateways[0]?.replicaTracker.all().some((tracked) => tracked.isSuspect)).to.equal(false);
   });
 
   it('given replicas that are full and say when to come back, when they answer 429, then another is tried and the last answer carries their Retry-After', async () => {
@@ -166,7 +166,7 @@
     expect(visits.filter((id) => id === once.requestId).length).to.equal(1);
   });
 
-  it('given a request that breaks every replica it reaches, when it is sent, then it takes no more than two extra shots from the others', async () => {
+  it('given a request that breaks every replica it reaches, when it is sent, then it takes no more than two extra attempts from the others', async () => {
     const { fleet, checker } = await raised({ replicas: 6 });
     checker.traffic(60, 3_000, 0);
     await fleet.world.run(5_000);
@@ -193,18 +193,18 @@
       expect(
         (
           await fleet.finish(
-            fleet.call(`http://${fleet.counterHosts[0]}:7101${path}`, method, method === 'POST' ? {} : undefined),
+            fleet.call(`http://${fleet.gatewayHosts[0]}:7101${path}`, method, method === 'POST' ? {} : undefined),
           )
         ).status,
         path,
       ).to.equal(404);
     }
-    expect((await fleet.finish(fleet.call(`http://${fleet.counterHosts[0]}:7101/healthz`, 'GET'))).status).to.equal(
+    expect((await fleet.finish(fleet.call(`http://${fleet.gatewayHosts[0]}:7101/healthz`, 'GET'))).status).to.equal(
       200,
     );
     for (const path of ['/status', '/metrics'])
       expect(
-        (await fleet.finish(fleet.call(`http://${fleet.counterHosts[0]}:7102${path}`, 'GET'))).status,
+        (await fleet.finish(fleet.call(`http://${fleet.gatewayHosts[0]}:7102${path}`, 'GET'))).status,
         path,
       ).to.equal(200);
   });
@@ -213,7 +213,7 @@
     const { fleet } = await raised();
     const tell = (more: Record<string, unknown>) =>
       fleet.finish(
-        fleet.onPostmaster(0, 'POST', '/platform/replicas', [
+        fleet.onControlNode(0, 'POST', '/platform/replicas', [
           { name: 'replica-1', address: `${fleet.replicaHosts[0]}:8000`, pool: 'app', ...more },
         ]),
       );
@@ -229,7 +229,7 @@
   it('given two pools of other weights, when one change names one store for both, then it is rejected with its path', async () => {
     const { fleet } = await raised();
     const told = await fleet.finish(
-      fleet.onPostmaster(
+      fleet.onControlNode(
         0,
         'PATCH',
         '/operator/layout',
--- a/packages/counter/test/grayFailures.test.ts
+++ b/packages/gateway/test/grayFailures.test.ts
@@ -2,13 +2,13 @@
 import { InvariantChecker, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 
 describe('replicas in trouble', () => {
-  it('given a replica that takes requests and answers nothing, when the other is sound, then counters soon send it no more but for one try each of those that had none out, and use it again afterwards', async () => {
+  it('given a replica that takes requests and answers nothing, when the other is sound, then gateways soon send it no more but for one try each of those that had none out, and use it again afterwards', async () => {
     const fleet = new SimFleet({
       seed: 21,
-      fronts: 4,
+      edges: 4,
       replicas: 2,
-      layout: {
-        ...sampleWorkload.layout('weights-1'),
+      config: {
+        ...sampleWorkload.config('weights-1'),
         tenants: Object.fromEntries(
           sampleWorkload.tenantNames.map((name) => [name, { tier: 'prompt', lanes: [...requestKinds] }]),
         ),
@@ -30,7 +30,7 @@
       (call) => call.sentAt > frozenAt && call.sentAt < thawedAt - 1_000 && call.endedAt > thawedAt,
     );
     expect(held.filter((call) => call.sentAt < frozenAt + 2_500).length).to.be.greaterThan(0);
-    for (const host of fleet.counterHosts)
+    for (const host of fleet.gatewayHosts)
       expect(held.filter((call) => call.sentAt > frozenAt + 2_500 && call.host === host).length, host).to.be.lessThan(
         2,
       );
@@ -40,8 +40,8 @@
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given shots that wait on a replica which vanished, when the platform tells that it is gone, then they end or are tried elsewhere at once', async () => {
-    const fleet = new SimFleet({ seed: 22, fronts: 2, replicas: 3, replicaSettings: { decodeMs: 400 } });
+  it('given attempts that wait on a replica which vanished, when the platform tells that it is gone, then they end or are tried elsewhere at once', async () => {
+    const fleet = new SimFleet({ seed: 22, edges: 2, replicas: 3, replicaSettings: { decodeMs: 400 } });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
     checker.traffic(30, 1_500, 0);
@@ -49,7 +49,7 @@
     for (const name of ['replica-1', 'replica-2', 'replica-3']) fleet.world.machine(fleet.hostOfReplica(name)).vanish();
     await fleet.world.run(500);
     for (const name of ['replica-1', 'replica-2', 'replica-3'])
-      await fleet.finish(fleet.onPostmaster(0, 'DELETE', `/platform/replicas/${name}`));
+      await fleet.finish(fleet.onControlNode(0, 'DELETE', `/platform/replicas/${name}`));
     const toldAt = fleet.world.time;
     await fleet.world.run(20_000);
     const open = checker.calls.filter((call) => call.request.kind !== 'book' && call.endedAt > toldAt - 400);
--- a/packages/counter/test/path.test.ts
+++ b/packages/gateway/test/path.test.ts
@@ -3,24 +3,24 @@
 
 describe('the ordinary path', () => {
   it('given a whole fleet, when eight tenants ask for ten seconds, then every call is answered whole and no rule is broken', async () => {
-    const fleet = new SimFleet({ seed: 1, fronts: 9, replicas: 13 });
+    const fleet = new SimFleet({ seed: 1, edges: 9, replicas: 13 });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
     checker.traffic(60, 10_000);
     await fleet.world.run(30_000);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.calls.length).to.be.greaterThan(500);
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.be.greaterThan(0);
   });
 
-  it('given nine counters that start together, when they have been up for a second, then each holds all three postmasters', async () => {
+  it('given nine gateways that start together, when they have been up for a second, then each holds all three control nodes', async () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const fleet = new SimFleet({ seed, fronts: 9, replicas: 8 });
+      const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
       await fleet.up();
       await fleet.world.run(500);
       expect(
-        fleet.counters.map((counter) => counter?.freshness.voiceCount()),
+        fleet.gateways.map((gateway) => gateway?.freshness.voiceCount()),
         `seed ${seed}`,
       ).to.deep.equal(Array.from({ length: 9 }, () => 3));
     }
@@ -28,7 +28,7 @@
 
   it("given eight replicas that keep nothing yet, when short and long prompts come at the users' rate, then the short ones do not wait behind the long ones", async () => {
     for (const seed of [4, 5]) {
-      const fleet = new SimFleet({ seed, fronts: 9, replicas: 8 });
+      const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
       await fleet.up();
       const checker = new InvariantChecker(fleet);
       checker.traffic(180, 5_000);
@@ -43,7 +43,7 @@
         .map((call) => call.firstTokenAt - call.sentAt)
         .sort((a, b) => a - b);
       expect(longs[Math.floor(longs.length * 0.95)], `seed ${seed}`).to.be.lessThan(2_500);
-      expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+      expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
     }
   });
 });
--- a/packages/inspector/src/index.ts
+++ b/packages/inspector/src/index.ts
@@ -8,9 +8,9 @@
 export * from './reader.js';
 export * from './print.js';
 
-const usage = `postrider inspector --at IP:PORT[,IP:PORT...] [--json] [QUERY]
+const usage = `martenworks inspector --at IP:PORT[,IP:PORT...] [--json] [QUERY]
 
-Asks the postmasters at these http addresses, and through them the counters. With a query: answers it and ends, with
+Asks the control nodes at these http addresses, and through them the counters. With a query: answers it and ends, with
 0 all reached, 1 some nodes not reached, 2 wrong words, 3 nothing reached, 4 refused. Without: a shell; leave with quit.
 
 ${help}`;
--- a/packages/inspector/src/queries.ts
+++ b/packages/inspector/src/queries.ts
@@ -13,28 +13,28 @@
 const list = (value: unknown): Row[] => (Array.isArray(value) ? (value as Row[]) : []);
 const table = (value: unknown): [string, Row][] => Object.entries((value ?? {}) as Record<string, Row>);
 const down = (seen: Seen): string[] =>
-  [...seen.postmasters, ...seen.counters].filter(([, status]) => status === null).map(([name]) => name);
+  [...seen.controlNodes, ...seen.gateways].filter(([, status]) => status === null).map(([name]) => name);
 
 const live = (nodes: ReadonlyMap<string, Row | null>): [string, Row][] =>
   [...nodes].flatMap(([name, status]) => (status === null ? [] : [[name, status] as [string, Row]]));
 
 const newest = (seen: Seen): Row =>
-  live(seen.postmasters)
+  live(seen.controlNodes)
     .map(([, status]) => status)
     .sort((a, b) => Number(b.generation ?? -1) - Number(a.generation ?? -1))[0] ?? {};
 
 const nodes = (seen: Seen): Row[] => [
-  ...[...seen.postmasters].map(([name, status]) => ({
+  ...[...seen.controlNodes].map(([name, status]) => ({
     node: name,
-    role: 'postmaster',
+    role: 'gateway-control',
     zone: status?.zone ?? '',
     state: status === null ? 'unreachable' : status.voter === true ? 'voter' : 'no vote',
     generation: status?.generation ?? null,
     detail: status === null ? '' : `reaches ${String(status.reachable)} members`,
   })),
-  ...[...seen.counters].map(([name, status]) => ({
+  ...[...seen.gateways].map(([name, status]) => ({
     node: name,
-    role: 'counter',
+    role: 'gateway',
     zone: status?.zone ?? '',
     state: status === null ? 'unreachable' : status.fresh === true ? 'fresh' : 'not fresh',
     generation: status?.generation ?? null,
@@ -43,19 +43,19 @@
 ];
 
 const acks = (seen: Seen): Row[] =>
-  live(seen.postmasters).flatMap(([name, status]) =>
+  live(seen.controlNodes).flatMap(([name, status]) =>
     list(status.counters).map((ack) => ({
-      postmaster: name,
+      controlNode: name,
       holds: status.generation,
-      counter: ack.counter,
-      acked: ack.generation,
+      counter: ack.gateway,
+      acked: ack.logIndex,
       ackAgeMs: ack.ackAgeMs,
     })),
   );
 
 const replicas = (seen: Seen): Row[] =>
   list(newest(seen).replicas).map((record) => {
-    const views = live(seen.counters).flatMap(([, status]) =>
+    const views = live(seen.gateways).flatMap(([, status]) =>
       list(status.replicas).filter((one) => one.replica === record.name),
     );
     return {
@@ -72,27 +72,27 @@
   });
 
 const index = (seen: Seen): Row[] =>
-  list(newest(seen).index).map((shelf) => {
-    const seqs = live(seen.counters).flatMap(([, status]) =>
+  list(newest(seen).index).map((stored) => {
+    const seqs = live(seen.gateways).flatMap(([, status]) =>
       list(status.index)
-        .filter((one) => one.replica === shelf.replica)
+        .filter((one) => one.replica === stored.replica)
         .map((one) => Number(one.seq)),
     );
     return {
-      replica: shelf.replica,
-      incarnation: shelf.incarnation,
-      seq: shelf.seq,
-      blocks: shelf.blocks,
-      whole: shelf.isWhole,
-      scopes: list(shelf.scopes)
+      replica: stored.replica,
+      incarnation: stored.incarnation,
+      seq: stored.seq,
+      blocks: stored.blocks,
+      whole: stored.isWhole,
+      scopes: list(stored.scopes)
         .map((scope) => (String(scope) === '' ? 'shared' : String(scope)))
         .join(' '),
-      countersBehind: seqs.filter((seq) => seq < Number(shelf.seq)).length,
+      countersBehind: seqs.filter((seq) => seq < Number(stored.seq)).length,
     };
   });
 
 const queues = (seen: Seen): Row[] =>
-  live(seen.counters).flatMap(([name, status]) =>
+  live(seen.gateways).flatMap(([name, status]) =>
     table(status.queues).map(([pool, queue]) => ({
       counter: name,
       pool,
@@ -105,7 +105,7 @@
   );
 
 const budgets = (seen: Seen): Row[] =>
-  live(seen.counters).flatMap(([name, status]) =>
+  live(seen.gateways).flatMap(([name, status]) =>
     Object.entries((status.budgets ?? {}) as Record<string, number>).map(([pool, left]) => ({
       counter: name,
       pool,
@@ -114,12 +114,12 @@
   );
 
 const members = (seen: Seen): Row[] =>
-  live(seen.postmasters).flatMap(([name, status]) =>
+  live(seen.controlNodes).flatMap(([name, status]) =>
     list(status.members).map((member) => ({ seenBy: name, ...member })),
   );
 
 const leases = (seen: Seen): Row[] =>
-  live(seen.postmasters).flatMap(([name, status]) =>
+  live(seen.controlNodes).flatMap(([name, status]) =>
     list(status.leases).map((lease) => ({
       duty: lease.duty,
       holder: name,
@@ -129,7 +129,7 @@
   );
 
 const watchers = (seen: Seen): Row[] =>
-  live(seen.postmasters).flatMap(([name, status]) =>
+  live(seen.controlNodes).flatMap(([name, status]) =>
     list(status.watch).map((line) => ({
       toldBy: name,
       node: line.node,
@@ -152,8 +152,8 @@
 
 export const help = `queries:
   nodes                        every node: role, zone, state, generation
-  acks                         what each counter acknowledged to each postmaster
-  members                      who votes, as each postmaster holds it
+  acks                         what each counter acknowledged to each control node
+  members                      who votes, as each control node holds it
   replicas                     every replica: state, incarnation, running, suspicion
   index                        what is known to be kept, by replica
   leases                       who does which duty, under which number
@@ -167,7 +167,7 @@
 `;
 
 const replyOf = (told: Told | null): Outcome => {
-  if (told === null) return { rows: [], code: codes.unreachable, note: 'no postmaster answers' };
+  if (told === null) return { rows: [], code: codes.unreachable, note: 'no control node answers' };
   return { rows: [told.body], code: told.status < 300 ? codes.fine : codes.refused, note: null };
 };
 
@@ -201,7 +201,7 @@
   const view = views[name];
   if (view !== undefined) {
     const seen = await look(ask, addresses);
-    if (seen === null) return { rows: [], code: codes.unreachable, note: 'no postmaster answers' };
+    if (seen === null) return { rows: [], code: codes.unreachable, note: 'no control node answers' };
     const absent = down(seen);
     return {
       rows: view(seen),
@@ -219,14 +219,14 @@
       const [lane, tenant, ...prompt] = rest;
       if (lane === undefined || tenant === undefined || prompt.length === 0) break;
       const seen = await look(ask, addresses);
-      const counter = seen === null ? undefined : live(seen.counters)[0];
-      if (counter === undefined) return { rows: [], code: codes.unreachable, note: 'no counter answers' };
-      const told = await ask(String(counter[1].http), '/why', {
+      const gateway = seen === null ? undefined : live(seen.gateways)[0];
+      if (gateway === undefined) return { rows: [], code: codes.unreachable, note: 'no counter answers' };
+      const told = await ask(String(gateway[1].http), '/why', {
         method: 'POST',
         body: { lane, tenant, prompt: textOf(prompt.join(' ')) },
       });
       if (told?.status !== 200) return { rows: told === null ? [] : [told.body], code: codes.refused, note: null };
-      return { rows: list(told.body.candidates), code: codes.fine, note: `as ${counter[0]} sees it` };
+      return { rows: list(told.body.candidates), code: codes.fine, note: `as ${gateway[0]} sees it` };
     }
     case 'plan': {
       const ops = rest[0] === undefined ? null : opsOf(rest[0]);
--- a/packages/inspector/src/reader.ts
+++ b/packages/inspector/src/reader.ts
@@ -13,41 +13,41 @@
   more?: { method?: 'GET' | 'POST' | 'PATCH'; body?: unknown; headers?: Record<string, string> },
 ) => Promise<Told | null>;
 
-const patienceMs = 2_000;
+const timeoutMs = 2_000;
 
 export const askOverHttp: Ask = async (address, path, more = {}) => {
   try {
-    const receipt = await request(`http://${address}${path}`, {
+    const response = await request(`http://${address}${path}`, {
       method: more.method ?? 'GET',
       headers: { 'content-type': 'application/json', ...more.headers },
       ...(more.body === undefined ? {} : { body: JSON.stringify(more.body) }),
-      headersTimeout: patienceMs,
-      bodyTimeout: patienceMs,
+      headersTimeout: timeoutMs,
+      bodyTimeout: timeoutMs,
     });
-    const text = await receipt.body.text();
-    return { status: receipt.statusCode, body: text.startsWith('{') ? (JSON.parse(text) as Row) : { text } };
+    const text = await response.body.text();
+    return { status: response.statusCode, body: text.startsWith('{') ? (JSON.parse(text) as Row) : { text } };
   } catch {
     return null;
   }
 };
 
 export interface Seen {
-  readonly postmasters: ReadonlyMap<string, Row | null>;
-  readonly counters: ReadonlyMap<string, Row | null>;
+  readonly controlNodes: ReadonlyMap<string, Row | null>;
+  readonly gateways: ReadonlyMap<string, Row | null>;
 }
 
 const rowsOf = (value: unknown): Row[] => (Array.isArray(value) ? (value as Row[]) : []);
 
 export const look = async (ask: Ask, addresses: readonly string[]): Promise<Seen | null> => {
-  const postmasterAt = new Map<string, string>();
-  const counterAt = new Map<string, string>();
+  const controlNodeAt = new Map<string, string>();
+  const gatewayAt = new Map<string, string>();
   for (const address of addresses) {
     const told = await ask(address, '/operator/status');
     if (told?.status !== 200) continue;
-    for (const one of rowsOf(told.body.postmasters)) postmasterAt.set(String(one.name), String(one.http));
-    for (const one of rowsOf(told.body.counters)) counterAt.set(String(one.counter), String(one.http));
+    for (const one of rowsOf(told.body.controlNodes)) controlNodeAt.set(String(one.name), String(one.http));
+    for (const one of rowsOf(told.body.counters)) gatewayAt.set(String(one.gateway), String(one.http));
   }
-  if (postmasterAt.size === 0) return null;
+  if (controlNodeAt.size === 0) return null;
   const read = async (at: ReadonlyMap<string, string>, path: string): Promise<Map<string, Row | null>> =>
     new Map(
       await Promise.all(
@@ -57,8 +57,8 @@
         }),
       ),
     );
-  const postmasters = await read(postmasterAt, '/operator/status');
-  for (const status of postmasters.values())
-    for (const one of rowsOf(status?.counters)) counterAt.set(String(one.counter), String(one.http));
-  return { postmasters, counters: await read(counterAt, '/status') };
+  const controlNodes = await read(controlNodeAt, '/operator/status');
+  for (const status of controlNodes.values())
+    for (const one of rowsOf(status?.counters)) gatewayAt.set(String(one.gateway), String(one.http));
+  return { controlNodes, gateways: await read(gatewayAt, '/status') };
 };
--- a/packages/inspector/test/inspector.test.ts
+++ b/packages/inspector/test/inspector.test.ts
@@ -7,29 +7,29 @@
 import { SimFleet } from '@martenworks/test-fleet';
 
 const raised = async (): Promise<{ fleet: SimFleet; see: (...words: string[]) => Promise<Outcome> }> => {
-  const fleet = new SimFleet({ seed: 12, fronts: 2, replicas: 5 });
+  const fleet = new SimFleet({ seed: 12, edges: 2, replicas: 5 });
   await fleet.up();
   await fleet.world.run(500);
   const ask: Ask = async (address, path, more = {}) => {
     const told = await fleet.call(`http://${address}${path}`, more.method ?? 'GET', more.body, more.headers);
     return told.status === 0 ? null : told;
   };
-  const addresses = fleet.postmasterHosts.map((host) => `${host}:7101`);
+  const addresses = fleet.controlNodeHosts.map((host) => `${host}:7101`);
   return { fleet, see: (...words) => fleet.finish(query(ask, addresses, words)) };
 };
 
 describe('the inspector', () => {
-  it('given a whole fleet and then a dead counter, when its nodes are asked for, then each is told and the absent one is named by the code', async () => {
+  it('given a whole fleet and then a dead gateway, when its nodes are asked for, then each is told and the absent one is named by the code', async () => {
     const { fleet, see } = await raised();
     const whole = await see('nodes');
     expect(whole.code).to.equal(codes.fine);
     expect(whole.rows.map((row) => row.state)).to.deep.equal(['voter', 'voter', 'voter', 'fresh', 'fresh']);
     expect(new Set((await see('acks')).rows.map((row) => row.acked))).to.deep.equal(new Set([9]));
     expect((await see('nonsense')).code).to.equal(codes.usage);
-    fleet.killPostmaster(2);
+    fleet.killControlNode(2);
     const partly = await see('nodes');
     expect([partly.code, partly.note]).to.deep.equal([codes.partly, 'not reached: postmaster-3']);
-    for (const at of [0, 1]) fleet.killPostmaster(at);
+    for (const at of [0, 1]) fleet.killControlNode(at);
     expect((await see('nodes')).code).to.equal(codes.unreachable);
   });
 
@@ -60,17 +60,17 @@
       ['replace', '/pools/main/weights', 'weights-2'],
     ]);
     const rival = await fleet.finish(
-      fleet.onPostmaster(1, 'PATCH', '/operator/layout', { tiers: { extra: { rank: 5 } } }, { 'if-match': '"1"' }),
+      fleet.onControlNode(1, 'PATCH', '/operator/layout', { tiers: { extra: { rank: 5 } } }, { 'if-match': '"1"' }),
     );
     expect(rival.status).to.equal(200);
     expect((await see('apply', file, planIdOf(first))).code).to.equal(codes.refused);
     const second = planIdOf(await see('plan', file));
     expect((await see('apply', file, second)).code).to.equal(codes.fine);
-    const layout = (await see('layout')).rows[0]?.layout as {
+    const config = (await see('layout')).rows[0]?.layout as {
       pools: { main: { weights: string } };
       tiers: Record<string, unknown>;
     };
-    expect([layout.pools.main.weights, 'extra' in layout.tiers]).to.deep.equal(['weights-2', true]);
+    expect([config.pools.main.weights, 'extra' in config.tiers]).to.deep.equal(['weights-2', true]);
     writeFileSync(file, JSON.stringify([{ op: 'remove', path: '/pools/main' }]));
     const broken = await see('plan', file);
     expect(broken.code).to.equal(codes.refused);
--- a/packages/model-check/src/breaks.ts
+++ b/packages/model-check/src/breaks.ts
@@ -1,8 +1,8 @@
-import { LeaseBook } from '@martenworks/cluster-membership';
+import { LeaseTable } from '@martenworks/cluster-membership';
 import type { LeaseTerms } from '@martenworks/cluster-membership';
-import type { Acceptor, Ballot, Proposer, Settled, Standing, Voters } from '@martenworks/control-plane';
-import { agreed as agreedState } from '@martenworks/core-types';
-import type { Agreed, Change, Clock, Member } from '@martenworks/core-types';
+import type { Acceptor, Ballot, Proposer, CommittedChange, MemberStatus, Voters } from '@martenworks/control-plane';
+import { stateMachine } from '@martenworks/core-types';
+import type { CommittedState, Change, Clock, Member } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { ModelDisk } from './modelDisk.js';
 
@@ -22,22 +22,22 @@
   readonly grantsAcrossSwaps?: boolean;
   /** Nothing that was missed is fetched or supplied. */
   readonly neverCatchesUp?: boolean;
-  readonly leaseBook?: (clock: Clock, terms: LeaseTerms) => LeaseBook;
-  readonly standing?: (told: Standing, asker: Acceptor) => Standing;
+  readonly leaseTable?: (clock: Clock, terms: LeaseTerms) => LeaseTable;
+  readonly memberStatus?: (told: MemberStatus, asker: Acceptor) => MemberStatus;
 }
 
 type Overridable<T> = { -readonly [Key in keyof T]: T[Key] };
 
 const overridable = <T>(object: T): Overridable<T> => object as Overridable<T>;
 
-const applyAnySwap = (state: Agreed, change: Change): Agreed => {
+const applyAnySwap = (state: CommittedState, change: Change): CommittedState => {
   const { body } = change;
   if (body.kind !== 'swap') return unbrokenApply(state, change);
   const members = state.members.map((member) => (member.incarnation === body.outgoing ? body.incoming : member));
   return { ...unbrokenApply(state, change), members };
 };
 
-const unbrokenApply = agreedState.apply;
+const unbrokenApply = stateMachine.apply;
 
 const checkOnce = (proposer: Proposer): Proposer => {
   const propose: Proposer['propose'] = (check, ...rest) => {
@@ -51,9 +51,9 @@
   name: 'swap-any-seat',
   what: 'a swap is applied whatever seats there are, and its check is not made again before a further try',
   install: () => {
-    agreedState.apply = applyAnySwap;
+    stateMachine.apply = applyAnySwap;
     return () => {
-      agreedState.apply = unbrokenApply;
+      stateMachine.apply = unbrokenApply;
     };
   },
   swapProposer: checkOnce,
@@ -84,12 +84,12 @@
 const grantUnwritten: Break = {
   name: 'grant-unwritten',
   what: 'a lease is granted and its fence is not written',
-  leaseBook: (clock, terms) => new LeaseBook(clock, async () => true, [], false, terms),
+  leaseTable: (clock, terms) => new LeaseTable(clock, async () => true, [], false, terms),
 };
 
 /** What the acceptor does with a record once the log has it; private there. */
 interface Redoing {
-  readonly redo: (record: { readonly t: 'adopted'; readonly agreed: Agreed }) => void;
+  readonly redo: (record: { readonly t: 'adopted'; readonly agreed: CommittedState }) => void;
 }
 
 const grantAcrossSwaps: Break = {
@@ -101,16 +101,16 @@
 const seatWithoutState: Break = {
   name: 'seat-without-state',
   what: 'a newcomer is seated before it is known to hold the state, and holds it in memory alone',
-  standing: (told, asker) => {
+  memberStatus: (told, asker) => {
     const state = asker.agreed();
     if (state === null) return told;
-    return { ...told, generation: state.generation, syncedFrom: state.members.map((member) => member.incarnation) };
+    return { ...told, logIndex: state.logIndex, syncedFrom: state.members.map((member) => member.incarnation) };
   },
   acceptor: (acceptor) => {
     const adopt = acceptor.adopt;
     overridable(acceptor).adopt = async (agreed) => {
-      if (agreed.generation === 0) return adopt(agreed);
-      if ((acceptor.agreed()?.generation ?? -1) >= agreed.generation) return false;
+      if (agreed.logIndex === 0) return adopt(agreed);
+      if ((acceptor.agreed()?.logIndex ?? -1) >= agreed.logIndex) return false;
       (acceptor as unknown as Redoing).redo({ t: 'adopted', agreed });
       return true;
     };
@@ -124,7 +124,7 @@
     const accept = acceptor.accept;
     overridable(acceptor).accept = async (slot: number, ballot: Ballot, change: Change) => {
       const vote = await accept(slot, ballot, change);
-      return vote.k === 'denied' ? accept(slot, vote.promised, change) : vote;
+      return vote.kind === 'denied' ? accept(slot, vote.promised, change) : vote;
     };
   },
 };
@@ -155,7 +155,7 @@
     ...voters,
     accept: async (member, slot, ballot, change) => {
       const vote = await voters.accept(member, slot, ballot, change);
-      if (vote?.k === 'accepted') voters.settle({ generation: slot, change } satisfies Settled);
+      if (vote?.kind === 'accepted') voters.commit({ logIndex: slot, change } satisfies CommittedChange);
       return vote;
     },
   }),
@@ -176,7 +176,7 @@
     ...voters,
     prepare: async (member, slot, ballot) => {
       const vote = await voters.prepare(member, slot, ballot);
-      return vote?.k === 'promised' ? { ...vote, accepted: null } : vote;
+      return vote?.kind === 'promised' ? { ...vote, accepted: null } : vote;
     },
   }),
 };
@@ -185,9 +185,9 @@
   name: 'forget-records',
   what: 'no record is kept of the changes that were agreed on',
   install: () => {
-    agreedState.apply = (state, change) => ({ ...unbrokenApply(state, change), changeIds: {} });
+    stateMachine.apply = (state, change) => ({ ...unbrokenApply(state, change), changeIds: {} });
     return () => {
-      agreedState.apply = unbrokenApply;
+      stateMachine.apply = unbrokenApply;
     };
   },
 };
@@ -196,12 +196,12 @@
   name: 'settle-other',
   what: 'one node puts another configuration in force than the one that was chosen',
   acceptor: (acceptor) => {
-    const settle = acceptor.settle;
-    overridable(acceptor).settle = ({ generation, change }) => {
+    const settle = acceptor.commit;
+    overridable(acceptor).commit = ({ logIndex, change }) => {
       const { body } = change;
-      if (body.kind !== 'ways' || !acceptor.incarnation.startsWith('n1-')) return settle({ generation, change });
-      const ways = { ...body.ways, source: `${body.ways.source}, changed` };
-      return settle({ generation, change: { ...change, body: { ...body, ways } } });
+      if (body.kind !== 'routing' || !acceptor.incarnation.startsWith('n1-')) return settle({ logIndex, change });
+      const routing = { ...body.routing, source: `${body.routing.source}, changed` };
+      return settle({ logIndex, change: { ...change, body: { ...body, routing } } });
     };
   },
 };
--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -1,4 +1,4 @@
-import type { Agreed, Change } from '@martenworks/core-types';
+import type { CommittedState, Change } from '@martenworks/core-types';
 
 /** The rules that a schedule must keep. */
 export type Rule =
@@ -25,7 +25,7 @@
 export interface Order {
   readonly id: string;
   readonly base: number;
-  readonly edition: number;
+  readonly configVersion: number;
 }
 
 /** What the checker may look at on one node, from outside. */
@@ -36,7 +36,7 @@
   /** No disk holds this incarnation any more. */
   readonly isLost: boolean;
   /** The state that is durable there, as far as it was seen. */
-  readonly state: Agreed | null;
+  readonly state: CommittedState | null;
   /** The change that is accepted there and not known to be settled. */
   readonly accepted: { readonly slot: number; readonly changeId: string } | null;
   /** The fence of the lease that it holds at this moment. */
@@ -54,21 +54,21 @@
 /** Judges one schedule from outside: it counts votes by itself and compares what nodes tell with it. */
 export class Checker {
   readonly violations: Violation[] = [];
-  private readonly states = new Map<number, Agreed>();
+  private readonly states = new Map<number, CommittedState>();
   private readonly texts = new Map<number, string>();
   private readonly votes = new Map<number, Vote[]>();
   private readonly chosen = new Map<number, string>();
-  private readonly compared = new WeakSet<Agreed>();
+  private readonly compared = new WeakSet<CommittedState>();
   private readonly acknowledged = new Map<string, number>();
   private readonly orderAt = new Map<number, string>();
   private newestAcknowledged = 0;
   private newestRead = 0;
   private newestChosenGeneration = 0;
-  private newestChosenEdition = 0;
+  private newestChosenConfigVersion = 0;
   private leader: { node: string; fence: number } | null = null;
   private highestFence = 0;
 
-  constructor(founded: Agreed) {
+  constructor(founded: CommittedState) {
     this.learn(founded, 'the founding');
   }
 
@@ -76,35 +76,35 @@
 
   readonly newestGeneration = (): number => this.newestChosenGeneration;
 
-  readonly newestState = (): Agreed => this.states.get(this.newestStateGeneration()) as Agreed;
+  readonly newestState = (): CommittedState => this.states.get(this.newestStateGeneration()) as CommittedState;
 
   private readonly newestStateGeneration = (): number => {
     let newest = 0;
-    for (const generation of this.states.keys()) newest = Math.max(newest, generation);
+    for (const logIndex of this.states.keys()) newest = Math.max(newest, logIndex);
     return newest;
   };
 
   /** The state that was agreed as `generation`, where any node has shown it. */
-  readonly stateAt = (generation: number): Agreed | undefined => this.states.get(generation);
+  readonly stateAt = (logIndex: number): CommittedState | undefined => this.states.get(logIndex);
 
   /** Takes note of a state that a node holds durable; states of one generation must be equal. */
-  readonly learn = (state: Agreed, where: string): void => {
+  readonly learn = (state: CommittedState, where: string): void => {
     if (this.compared.has(state)) return;
     this.compared.add(state);
-    const text = JSON.stringify([state.members, state.ways, Object.keys(state.changeIds).sort()]);
-    const known = this.texts.get(state.generation);
+    const text = JSON.stringify([state.members, state.routing, Object.keys(state.changeIds).sort()]);
+    const known = this.texts.get(state.logIndex);
     if (known !== undefined) {
-      if (known !== text) this.tell('one history', `generation ${state.generation} at ${where}: ${text}, not ${known}`);
+      if (known !== text) this.tell('one history', `generation ${state.logIndex} at ${where}: ${text}, not ${known}`);
       return;
     }
-    this.texts.set(state.generation, text);
-    this.states.set(state.generation, state);
+    this.texts.set(state.logIndex, text);
+    this.states.set(state.logIndex, state);
     const seats = new Set(state.members.map((member) => member.incarnation));
     if (seats.size !== state.members.length)
-      this.tell('seats distinct', `generation ${state.generation}: ${state.members.map((one) => one.name).join()}`);
-    if (state.generation > 0 && !this.chosen.has(state.generation))
-      this.tell('settled by a majority', `generation ${state.generation} at ${where} was accepted by no majority`);
-    this.newestChosenEdition = Math.max(this.newestChosenEdition, state.ways?.edition ?? 0);
+      this.tell('seats distinct', `generation ${state.logIndex}: ${state.members.map((one) => one.name).join()}`);
+    if (state.logIndex > 0 && !this.chosen.has(state.logIndex))
+      this.tell('settled by a majority', `generation ${state.logIndex} at ${where} was accepted by no majority`);
+    this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, state.routing?.configVersion ?? 0);
   };
 
   /** An acceptor told, or was about to tell, that it has accepted a change. */
@@ -132,39 +132,37 @@
     this.chosen.set(slot, change.id);
     this.orderAt.set(slot, change.id);
     this.newestChosenGeneration = Math.max(this.newestChosenGeneration, slot);
-    if (change.body.kind === 'ways')
-      this.newestChosenEdition = Math.max(this.newestChosenEdition, change.body.ways.edition);
+    if (change.body.kind === 'routing')
+      this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, change.body.routing.configVersion);
   };
 
   /** An operator was told that its change was settled as `generation`. */
-  readonly orderAcknowledged = (order: Order, generation: number): void => {
+  readonly orderAcknowledged = (order: Order, logIndex: number): void => {
     const known = this.acknowledged.get(order.id);
-    if (known !== undefined && known !== generation)
-      this.tell('one change a generation', `${order.id} acknowledged as ${known} and as ${generation}`);
-    this.acknowledged.set(order.id, generation);
-    this.newestAcknowledged = Math.max(this.newestAcknowledged, generation);
-    const chosen = this.chosen.get(generation);
+    if (known !== undefined && known !== logIndex)
+      this.tell('one change a generation', `${order.id} acknowledged as ${known} and as ${logIndex}`);
+    this.acknowledged.set(order.id, logIndex);
+    this.newestAcknowledged = Math.max(this.newestAcknowledged, logIndex);
+    const chosen = this.chosen.get(logIndex);
     if (chosen !== order.id)
-      this.tell(
-        'acknowledged in force',
-        `${order.id} acknowledged as ${generation}, which is ${chosen ?? 'not chosen'}`,
-      );
+      this.tell('acknowledged in force', `${order.id} acknowledged as ${logIndex}, which is ${chosen ?? 'not chosen'}`);
   };
 
   /** An operator was told that its change cannot be made on the version it named. */
   readonly orderRefused = (order: Order, node: string): void => {
-    const isInForce = [...this.chosen.values()].includes(order.id) && this.newestChosenEdition === order.edition;
+    const isInForce =
+      [...this.chosen.values()].includes(order.id) && this.newestChosenConfigVersion === order.configVersion;
     if (isInForce) this.tell('resend refused', `${order.id} is in force and was refused at ${node}`);
-    else if (this.newestChosenEdition <= order.base)
+    else if (this.newestChosenConfigVersion <= order.base)
       this.tell('newest base refused', `${order.id} on ${order.base}, the newest, was refused at ${node}`);
   };
 
   /** The generation that a read beginning now may not fall short of. */
   readonly readFloor = (): number => Math.max(this.newestAcknowledged, this.newestRead);
 
-  readonly readAnswered = (floor: number, generation: number, node: string): void => {
-    if (generation < floor) this.tell('stale read', `${node} confirmed generation ${generation}, ${floor} was known`);
-    this.newestRead = Math.max(this.newestRead, generation);
+  readonly readAnswered = (floor: number, logIndex: number, node: string): void => {
+    if (logIndex < floor) this.tell('stale read', `${node} confirmed generation ${logIndex}, ${floor} was known`);
+    this.newestRead = Math.max(this.newestRead, logIndex);
   };
 
   /** Checks what holds between any two steps. */
@@ -176,22 +174,20 @@
     this.checkLeases(nodes);
   };
 
-  private readonly holds = (node: Observed, generation: number): boolean =>
-    (node.state !== null && node.state.generation >= generation) ||
-    (node.accepted?.slot === generation && node.accepted.changeId === this.chosen.get(generation));
+  private readonly holds = (node: Observed, logIndex: number): boolean =>
+    (node.state !== null && node.state.logIndex >= logIndex) ||
+    (node.accepted?.slot === logIndex && node.accepted.changeId === this.chosen.get(logIndex));
 
   private readonly checkHolders = (nodes: readonly Observed[]): void => {
-    const generation = this.newestAcknowledged;
-    if (generation === 0) return;
+    const logIndex = this.newestAcknowledged;
+    if (logIndex === 0) return;
     const members = this.newestState().members;
     const seats = new Set(members.map((member) => member.incarnation));
-    const without = nodes.filter(
-      (node) => !node.isLost && seats.has(node.incarnation) && !this.holds(node, generation),
-    );
+    const without = nodes.filter((node) => !node.isLost && seats.has(node.incarnation) && !this.holds(node, logIndex));
     if (without.length >= majorityOf(members.length))
       this.tell(
         'acknowledged change held',
-        `generation ${generation} is lacking at ${without.map((node) => node.node).join()}, a majority of those who vote next`,
+        `generation ${logIndex} is lacking at ${without.map((node) => node.node).join()}, a majority of those who vote next`,
       );
   };
 
@@ -213,10 +209,10 @@
     const seats = new Set(members.map((member) => member.incarnation));
     const living = nodes.filter((node) => node.isAlive && seats.has(node.incarnation));
     for (const node of living)
-      if ((node.state?.generation ?? -1) < this.newestChosenGeneration)
+      if ((node.state?.logIndex ?? -1) < this.newestChosenGeneration)
         this.tell(
           'catching up',
-          `${node.node} holds ${node.state?.generation ?? 'nothing'} after ${rounds} fair rounds, ${this.newestChosenGeneration} is the newest`,
+          `${node.node} holds ${node.state?.logIndex ?? 'nothing'} after ${rounds} fair rounds, ${this.newestChosenGeneration} is the newest`,
         );
     if (!isLastOrderAcknowledged) this.tell('progress', `no order was acknowledged in ${rounds} fair rounds`);
   };
--- a/packages/model-check/src/fairEnd.ts
+++ b/packages/model-check/src/fairEnd.ts
@@ -37,7 +37,7 @@
     for (const node of this.fleet.nodes) {
       if (!node.isAlive() && !node.isAway && !this.keptDown.has(node)) await node.start();
       node.upkeep();
-      node.settleRival();
+      node.commitPending();
       node.dutyTick();
     }
     const isOrderDue = round >= roundBeforeOrder && round - this.orderedIn >= roundsForOrder;
@@ -70,7 +70,7 @@
     const seats = this.seats();
     const newest = this.checker().newestGeneration();
     return this.observed().every(
-      (node) => !node.isAlive || !seats.has(node.incarnation) || (node.state?.generation ?? -1) >= newest,
+      (node) => !node.isAlive || !seats.has(node.incarnation) || (node.state?.logIndex ?? -1) >= newest,
     );
   };
 
--- a/packages/model-check/src/lossBound.ts
+++ b/packages/model-check/src/lossBound.ts
@@ -30,7 +30,7 @@
   };
 
   /** A newcomer told its standing: whoever heard it may be about to seat it. */
-  readonly noteStanding = (incarnation: string): void =>
+  readonly noteMemberStatus = (incarnation: string): void =>
     void this.candidatesUntil.set(incarnation, this.now() + candidateMs);
 
   /** Whether these incarnations may be missing beside those that are lost already. */
@@ -55,20 +55,20 @@
    */
   private readonly seatsInForce = (): Seats[] => {
     const inForce: Seats[] = [];
-    const newest = this.checker().newestState().generation;
-    for (let generation = newest; generation >= 0; generation -= 1) {
-      const members = this.checker().stateAt(generation)?.members;
+    const newest = this.checker().newestState().logIndex;
+    for (let logIndex = newest; logIndex >= 0; logIndex -= 1) {
+      const members = this.checker().stateAt(logIndex)?.members;
       if (members === undefined) continue;
-      inForce.push({ slot: generation, members });
-      if (this.isSettledByMajority(generation, members)) break;
+      inForce.push({ slot: logIndex, members });
+      if (this.isSettledByMajority(logIndex, members)) break;
     }
     return [...inForce, ...[...this.offeredSeats.values()].filter(({ slot }) => slot > newest)];
   };
 
-  private readonly isSettledByMajority = (generation: number, members: readonly Member[]): boolean => {
+  private readonly isSettledByMajority = (logIndex: number, members: readonly Member[]): boolean => {
     const seats = new Set(members.map((member) => member.incarnation));
     const holders = this.observed().filter(
-      (node) => seats.has(node.incarnation) && (node.state?.generation ?? -1) >= generation,
+      (node) => seats.has(node.incarnation) && (node.state?.logIndex ?? -1) >= logIndex,
     );
     return holders.length > members.length / 2;
   };
--- a/packages/model-check/src/modelDisk.ts
+++ b/packages/model-check/src/modelDisk.ts
@@ -1,6 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Disk, DiskFault, DiskFile } from '@martenworks/core-types';
+import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
 
 interface StoredFile {
   readonly durable: Uint8Array;
@@ -9,7 +9,7 @@
 
 interface PendingSync {
   readonly file: string;
-  readonly finish: (outcome: Result<void, DiskFault>) => void;
+  readonly finish: (outcome: Result<void, DiskError>) => void;
 }
 
 const empty = new Uint8Array();
@@ -21,7 +21,7 @@
   return whole;
 };
 
-const fault = (code: string): DiskFault => ({ kind: 'disk', code, detail: code });
+const fault = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
 /** A disk whose syncs wait for the scheduler, so that a crash can fall before or after each write. */
 export class ModelDisk {
@@ -78,7 +78,7 @@
     return copied;
   };
 
-  private readonly sync = (name: string): Promise<Result<void, DiskFault>> => {
+  private readonly sync = (name: string): Promise<Result<void, DiskError>> => {
     if (this.isGated) return new Promise((finish) => this.pending.push({ file: name, finish }));
     this.makeDurable(name);
     return Promise.resolve(ok(undefined));
@@ -87,7 +87,7 @@
   /** The disk as one run of a process sees it; once `isLive` is false no call of it has an effect or an answer. */
   readonly view = (isLive: () => boolean): Disk => {
     const never = new Promise<never>(() => {});
-    const step = async <T>(work: () => Result<T, DiskFault>): Promise<Result<T, DiskFault>> =>
+    const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> =>
       isLive() ? work() : never;
     const fileOf = (name: string): DiskFile => ({
       append: (bytes) =>
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -1,19 +1,19 @@
 import { err, ok } from 'neverthrow';
-import { Roster } from '@martenworks/cluster-membership';
-import type { LeaseTerms, Lines } from '@martenworks/cluster-membership';
-import { ConsensusMember, acceptors, leaseBooks } from '@martenworks/control-plane';
+import { MemberList } from '@martenworks/cluster-membership';
+import type { LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
+import { ConsensusMember, acceptors, leaseTables } from '@martenworks/control-plane';
 import type {
   Acceptor,
   Ballot,
   ConsensusPace,
   ConsensusRole,
-  KeptLeases,
+  PersistedLeases,
   Proposer,
-  Standing,
+  MemberStatus,
   Voters,
 } from '@martenworks/control-plane';
 import { logs } from '@martenworks/core-types';
-import type { Agreed, Change, Clock, Disk, Ports, Random } from '@martenworks/core-types';
+import type { CommittedState, Change, Clock, Disk, Ports, Random } from '@martenworks/core-types';
 import { hellos } from '@martenworks/peer-transport';
 import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import type { Break } from './breaks.js';
@@ -24,16 +24,16 @@
 import type { VirtualClock } from './virtualClock.js';
 
 const pace: ConsensusPace & { readonly strangerWaitMs: number } = {
-  votePatienceMs: 800,
+  voteTimeoutMs: 800,
   foundingMs: 150,
   upkeepMs: 300,
-  beatMs: 400,
-  beatPatienceMs: 900,
-  dutyMs: 300,
-  leasePatienceMs: 500,
+  keepaliveIntervalMs: 400,
+  keepaliveTimeoutMs: 900,
+  leaseIntervalMs: 300,
+  leaseTimeoutMs: 500,
   strangerWaitMs: 2_500,
 };
-const confirmPatienceMs = 700;
+const confirmTimeoutMs = 700;
 const leaveBudgetMs = 3_000;
 const leaseMs = 1_600;
 const leaseMarginMs = 400;
@@ -42,7 +42,7 @@
 const duty = 'weights';
 const log = logs.silent();
 /** Messages that are told; all others are asked and get an answer. */
-const toldTopics: ReadonlySet<string> = new Set(['settled', 'leaseDrop', 'leaving']);
+const toldTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
 /** Connections are modelled above the network, so nothing is ever dialled. */
 const unreachableNet = { dial: () => new Promise<never>(() => {}), listen: () => new Promise<never>(() => {}) };
 
@@ -56,7 +56,7 @@
   readonly onAccepted: (voter: Acceptor, slot: number, ballot: Ballot, change: Change) => void;
   readonly onOffered: (slot: number, change: Change) => void;
   /** A node has told where it stands; who asked may give it a seat on the strength of that. */
-  readonly onStandingTold: (incarnation: string) => void;
+  readonly onMemberStatus: (incarnation: string) => void;
 }
 
 interface VoteHeld {
@@ -65,13 +65,13 @@
 }
 
 /** A held connection as the product's nodes use it, over the modelled network. */
-type Connection = Pick<PeerConnection, 'neighbour' | 'ask' | 'tell' | 'isLive' | 'close'>;
+type Connection = Pick<PeerConnection, 'peer' | 'ask' | 'tell' | 'isLive' | 'close'>;
 
 /** Steps of the consensus member that its own timers would take, and parts of it that breaks replace. */
 interface MemberInside {
-  lines: Lines;
+  peerPool: PeerPool;
   readonly upkeep: () => void;
-  readonly settleRival: () => void;
+  readonly commitPending: () => void;
   wasVoter: boolean;
   readonly noteSeat: () => void;
   mayGrant: () => boolean;
@@ -80,7 +80,7 @@
     ask: () => Promise<unknown>;
     supply: () => Promise<unknown>;
   };
-  readonly proposer: { voters: Voters; readonly read: { newest: () => Promise<Agreed | null> } };
+  readonly proposer: { voters: Voters; readonly read: { newest: () => Promise<CommittedState | null> } };
   readonly membership: { proposer: Proposer };
 }
 
@@ -93,13 +93,13 @@
   readonly process: Process;
 }
 
-/** One core node: the product's own agreement, membership and leases, wired as the control node wires them. */
+/** One control node: the product's own agreement, membership and leases, wired as the control node wires them. */
 export class ModelNode {
   readonly disk = new ModelDisk();
   private parts: Parts | null = null;
   private run = 0;
   private identities = 0;
-  private lastState: Agreed | null = null;
+  private lastState: CommittedState | null = null;
   private lastIncarnation = '';
   private vote: VoteHeld | null = null;
   /** It has left for good, or its machine was never started. */
@@ -147,7 +147,7 @@
       leaseMs,
       marginMs: leaseMarginMs,
       gapMs: orderGapMs,
-      floor: () => (acceptor.agreed()?.generation ?? 0) * fencesPerGeneration,
+      floor: () => (acceptor.agreed()?.logIndex ?? 0) * fencesPerGeneration,
     };
     const leases = await this.openLeases(disk, clock, terms);
     this.noteVotes(acceptor);
@@ -155,14 +155,14 @@
     const hello = (): Hello => this.helloOf(acceptor.incarnation);
     const ports = { clock, random, net: unreachableNet, disk, log } as unknown as Ports;
     const member = new ConsensusMember(
-      { ports, hello, roster: new Roster(clock, hello), seeds: [], acceptor, leases, terms },
+      { ports, hello, memberList: new MemberList(clock, hello), seeds: [], acceptor, leases, terms },
       this.role(acceptor),
       pace,
     );
     const inside = member as unknown as MemberInside;
     this.breakInside(inside, acceptor);
     this.parts = { acceptor, member, inside, handlers: member.handlers(), process };
-    inside.lines = this.lines(process);
+    inside.peerPool = this.peerPool(process);
     inside.wasVoter = acceptor.isVoter();
     acceptor.watch(() => inside.noteSeat());
     this.lastIncarnation = acceptor.incarnation;
@@ -194,14 +194,14 @@
     const role = {
       extraAddresses: () => [],
       isDown: () => true,
-      wantedDuties: () => (acceptor.isVoter() ? [duty] : []),
-      dutiesChanged: () => {},
+      wantedLeases: () => (acceptor.isVoter() ? [duty] : []),
+      leasesChanged: () => {},
       needsCopies: false,
       syncedFrom: () => (acceptor.agreed()?.members ?? []).map((member) => member.incarnation),
       prepareUpkeep: async () => {
         await this.parts?.member.catchUp.step();
       },
-      sharedRoster: () => [],
+      sharedMembers: () => [],
       joined: () => {},
       left: () => {},
       told: () => {},
@@ -210,10 +210,10 @@
     return role;
   };
 
-  private readonly openLeases = async (disk: Disk, clock: Clock, terms: LeaseTerms): Promise<KeptLeases> => {
-    const broken = this.world.broken?.leaseBook?.(clock, terms);
-    if (broken !== undefined) return { book: broken, close: async () => {} };
-    const opened = await leaseBooks.open(disk, clock, log, terms);
+  private readonly openLeases = async (disk: Disk, clock: Clock, terms: LeaseTerms): Promise<PersistedLeases> => {
+    const broken = this.world.broken?.leaseTable?.(clock, terms);
+    if (broken !== undefined) return { table: broken, close: async () => {} };
+    const opened = await leaseTables.open(disk, clock, log, terms);
     if (opened.isErr()) throw new Error(`${this.name} did not open its leases: ${JSON.stringify(opened.error)}`);
     return opened.value;
   };
@@ -224,7 +224,7 @@
     (acceptor as { -readonly [Key in keyof Acceptor]: Acceptor[Key] }).accept = async (slot, ballot, change) => {
       this.world.onOffered(slot, change);
       const vote = await accept(slot, ballot, change);
-      if (vote.k === 'accepted') {
+      if (vote.kind === 'accepted') {
         this.vote = { slot, changeId: change.id };
         this.world.onAccepted(acceptor, slot, ballot, change);
       }
@@ -233,7 +233,7 @@
   };
 
   /** Puts the founding state on disk, before the schedule begins. */
-  readonly found = async (state: Agreed): Promise<void> => {
+  readonly found = async (state: CommittedState): Promise<void> => {
     this.disk.isGated = false;
     await this.parts?.acceptor.adopt(state);
     this.world.broken?.disk?.(this.disk);
@@ -265,7 +265,7 @@
     const slot = kept.acceptedSlot();
     if (slot === null) return;
     const told = await kept.prepare(slot, [Number.MAX_SAFE_INTEGER, 'reading back']);
-    if (told.k === 'promised' && told.accepted !== null) this.vote = { slot, changeId: told.accepted.change.id };
+    if (told.kind === 'promised' && told.accepted !== null) this.vote = { slot, changeId: told.accepted.change.id };
   };
 
   readonly loseDisk = async (): Promise<void> => {
@@ -298,18 +298,18 @@
 
   private readonly helloOf = (incarnation: string): Hello =>
     hellos.of(
-      'postmaster',
-      { name: this.name, coach: `${this.name}:1`, http: '', operators: null, zone: '' },
+      'control',
+      { name: this.name, peerAddress: `${this.name}:1`, http: '', operators: null, zone: '' },
       incarnation,
     );
 
   private readonly connectionTo = (process: Process, peer: Parts): Connection => ({
-    neighbour: this.neighbourOf(peer),
+    peer: this.peerOf(peer),
     isLive: () => process.isAlive() && peer.process.isAlive(),
     close: () => {},
-    ask: async (topic, body, patienceMs) => {
-      const told = await this.world.network.ask(process, peer.process, topic, body, patienceMs);
-      return told.isAnswered ? ok(told.value) : err({ kind: 'coach', code: 'late' });
+    ask: async (topic, body, timeoutMs) => {
+      const told = await this.world.network.ask(process, peer.process, topic, body, timeoutMs);
+      return told.isAnswered ? ok(told.value) : err({ kind: 'peer', code: 'late' });
     },
     tell: (topic, body) => {
       this.world.network.tell(process, peer.process, topic, body);
@@ -317,22 +317,22 @@
     },
   });
 
-  private readonly neighbourOf = (peer: Parts): Hello =>
+  private readonly peerOf = (peer: Parts): Hello =>
     hellos.of(
-      'postmaster',
-      { name: peer.process.node, coach: `${peer.process.node}:1`, http: '', operators: null, zone: '' },
+      'control',
+      { name: peer.process.node, peerAddress: `${peer.process.node}:1`, http: '', operators: null, zone: '' },
       peer.acceptor.incarnation,
     );
 
   /** The held connections, as the product's own keeper of them shows them. */
-  private readonly lines = (process: Process): Lines => {
+  private readonly peerPool = (process: Process): PeerPool => {
     const open = (): Connection[] =>
       this.connected(process).flatMap((node) => (node.parts === null ? [] : [this.connectionTo(process, node.parts)]));
     const to = (incarnation: string): Connection | undefined => {
       const peer = this.processOf(process, incarnation);
       return peer === undefined ? undefined : this.connectionTo(process, peer);
     };
-    return { open, to, align: () => {}, stop: () => {} } as unknown as Lines;
+    return { open, to, align: () => {}, stop: () => {} } as unknown as PeerPool;
   };
 
   private readonly handle = async (topic: string, body: unknown, from: Process): Promise<unknown> => {
@@ -345,23 +345,23 @@
       return null;
     }
     const answer = await own.handlers.asked(connection, topic, body);
-    if (topic !== 'standing') return answer;
-    this.world.onStandingTold(own.acceptor.incarnation);
-    return this.world.broken?.standing?.(answer as Standing, sender.acceptor) ?? answer;
+    if (topic !== 'memberStatus') return answer;
+    this.world.onMemberStatus(own.acceptor.incarnation);
+    return this.world.broken?.memberStatus?.(answer as MemberStatus, sender.acceptor) ?? answer;
   };
 
   /** What the control node does each 300 ms: fetch what it lacks, then look after the seats. */
   readonly upkeep = (): void => this.parts?.inside.upkeep();
 
   /** What the control node does where an accepted change stays unsettled. */
-  readonly settleRival = (): void => this.parts?.inside.settleRival();
+  readonly commitPending = (): void => this.parts?.inside.commitPending();
 
-  readonly dutyTick = (): void => void this.parts?.member.duties.tick();
+  readonly dutyTick = (): void => void this.parts?.member.leaseManager.tick();
 
   /** The state of a confirmed read; null where no majority answered. */
-  readonly read = async (): Promise<Agreed | null> => {
+  readonly read = async (): Promise<CommittedState | null> => {
     if (this.parts === null) return null;
-    return this.parts.member.proposer.confirm(confirmPatienceMs);
+    return this.parts.member.proposer.confirm(confirmTimeoutMs);
   };
 
   readonly propose: Proposer['propose'] = (...order) => {
@@ -372,7 +372,7 @@
   readonly observed = (): Observed => {
     const acceptor = this.acceptor();
     if (acceptor !== null) this.lastState = acceptor.agreed();
-    const slot = (this.lastState?.generation ?? -1) + 1;
+    const slot = (this.lastState?.logIndex ?? -1) + 1;
     return {
       node: this.name,
       incarnation: this.lastIncarnation,
@@ -380,7 +380,7 @@
       isLost: this.lastIncarnation === '',
       state: this.lastState,
       accepted: this.vote?.slot === slot ? this.vote : null,
-      fence: this.parts?.member.duties.fenceOf(duty) ?? null,
+      fence: this.parts?.member.leaseManager.fenceOf(duty) ?? null,
     };
   };
 }
--- a/packages/model-check/src/network.ts
+++ b/packages/model-check/src/network.ts
@@ -44,14 +44,14 @@
     void this.inFlight.push({ from, to, label: `${from.node}>${to.node}:${label}`, deliver });
 
   /** Asks once, and waits for the answer for `patienceMs`. */
-  readonly ask = (from: Process, to: Process, topic: string, body: unknown, patienceMs: number): Promise<Answer> =>
-    new Promise((settle) => {
-      const timer = this.clock.after(patienceMs, () => {
-        if (from.isAlive()) settle({ isAnswered: false });
+  readonly ask = (from: Process, to: Process, topic: string, body: unknown, timeoutMs: number): Promise<Answer> =>
+    new Promise((resolve) => {
+      const timer = this.clock.after(timeoutMs, () => {
+        if (from.isAlive()) resolve({ isAnswered: false });
       });
       const answered = (value: unknown): void => {
         timer.cancel();
-        settle({ isAnswered: true, value });
+        resolve({ isAnswered: true, value });
       };
       this.send(from, to, topic, () => {
         void to.handle(topic, body, from).then((value) => {
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -1,22 +1,26 @@
 import { err, ok } from 'neverthrow';
 import type { ProposeFault, Proposer } from '@martenworks/control-plane';
-import type { Agreed, Change, WaysInForce } from '@martenworks/core-types';
+import type { CommittedState, Change, ActiveRouting } from '@martenworks/core-types';
 import type { Checker, Order } from './checker.js';
 import type { ModelNode } from './modelNode.js';
 
-const orderPatienceMs = 3_000;
+const orderTimeoutMs = 3_000;
 
 /** Turns an operator's order into what the configuration service proposes for it. */
 const proposalOf = (order: Order): Parameters<Proposer['propose']> => {
-  const ways = { edition: order.edition, book: {}, source: order.id } as unknown as WaysInForce;
-  const change: Change = { id: order.id, digest: order.id, body: { kind: 'ways', base: order.base, ways } };
-  const check = (state: Agreed) => {
-    const edition = state.ways?.edition ?? 0;
-    if (edition === order.base) return ok(change);
-    const fault: ProposeFault = { kind: 'conflict', layoutGeneration: edition, detail: `${edition} is in force` };
+  const routing = { configVersion: order.configVersion, table: {}, source: order.id } as unknown as ActiveRouting;
+  const change: Change = { id: order.id, digest: order.id, body: { kind: 'routing', base: order.base, routing } };
+  const check = (state: CommittedState) => {
+    const configVersion = state.routing?.configVersion ?? 0;
+    if (configVersion === order.base) return ok(change);
+    const fault: ProposeFault = {
+      kind: 'conflict',
+      configLogIndex: configVersion,
+      detail: `${configVersion} is in force`,
+    };
     return err(fault);
   };
-  return [check, order.id, order.id, orderPatienceMs];
+  return [check, order.id, order.id, orderTimeoutMs];
 };
 
 /** One operator: builds each order on the newest version it has been told of, and may send its last one again. */
@@ -33,7 +37,7 @@
   /** Sends a new order to a node; true once it was acknowledged. */
   readonly order = (node: ModelNode): Promise<boolean> => {
     this.sent += 1;
-    this.last = { id: `ways/${this.number}-${this.sent}`, base: this.known, edition: this.known + 1 };
+    this.last = { id: `ways/${this.number}-${this.sent}`, base: this.known, configVersion: this.known + 1 };
     return this.attempt(this.last, node);
   };
 
@@ -47,8 +51,8 @@
   private readonly attempt = async (order: Order, node: ModelNode): Promise<boolean> => {
     const outcome = await node.propose(...proposalOf(order));
     if (outcome.isOk()) {
-      this.checker().orderAcknowledged(order, outcome.value.generation);
-      this.known = Math.max(this.known, order.edition);
+      this.checker().orderAcknowledged(order, outcome.value.logIndex);
+      this.known = Math.max(this.known, order.configVersion);
       return true;
     }
     if (outcome.error.kind === 'conflict' || outcome.error.kind === 'rejected')
@@ -61,8 +65,8 @@
     const floor = this.checker().readFloor();
     const state = await node.read();
     if (state === null) return false;
-    this.checker().readAnswered(floor, state.generation, node.name);
-    this.known = Math.max(this.known, state.ways?.edition ?? 0);
+    this.checker().readAnswered(floor, state.logIndex, node.name);
+    this.known = Math.max(this.known, state.routing?.configVersion ?? 0);
     return true;
   };
 }
--- a/packages/model-check/src/virtualClock.ts
+++ b/packages/model-check/src/virtualClock.ts
@@ -1,6 +1,6 @@
-import type { ClockEvent } from '@martenworks/core-types';
+import type { Timer } from '@martenworks/core-types';
 
-interface Timer {
+interface ScheduledTimer {
   readonly at: number;
   readonly order: number;
   readonly ring: () => void;
@@ -8,24 +8,24 @@
 
 /** Time of one schedule in milliseconds. It stands still until the scheduler moves it on. */
 export class VirtualClock {
-  private timers: Timer[] = [];
+  private timers: ScheduledTimer[] = [];
   private created = 0;
   private time = 1_000;
 
   readonly now = (): number => this.time;
 
-  readonly after = (delayMs: number, ring: () => void): ClockEvent => {
-    const timer: Timer = { at: this.time + Math.max(0, delayMs), order: ++this.created, ring };
+  readonly after = (delayMs: number, ring: () => void): Timer => {
+    const timer: ScheduledTimer = { at: this.time + Math.max(0, delayMs), order: ++this.created, ring };
     this.timers.push(timer);
     return { cancel: () => this.remove(timer) };
   };
 
-  private readonly remove = (timer: Timer): void => {
+  private readonly remove = (timer: ScheduledTimer): void => {
     this.timers = this.timers.filter((one) => one !== timer);
   };
 
-  private readonly next = (): Timer | undefined => {
-    let first: Timer | undefined;
+  private readonly next = (): ScheduledTimer | undefined => {
+    let first: ScheduledTimer | undefined;
     for (const timer of this.timers)
       if (first === undefined || timer.at < first.at || (timer.at === first.at && timer.order < first.order))
         first = timer;
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -1,4 +1,4 @@
-import { agreed as agreedState } from '@martenworks/core-types';
+import { stateMachine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
 import type { Break } from './breaks.js';
 import { Checker } from './checker.js';
@@ -45,7 +45,7 @@
       nodes: () => this.nodes,
       onAccepted: this.onAccepted,
       onOffered: this.lossBound.noteOffered,
-      onStandingTold: this.lossBound.noteStanding,
+      onMemberStatus: this.lossBound.noteMemberStatus,
     };
     this.nodes = Array.from({ length: voterCount + spareCount }, (_, at) => new ModelNode(`n${at}`, surroundings));
     this.operators = Array.from({ length: operatorCount }, (_, number) => new Operator(number, this.checker));
@@ -74,7 +74,7 @@
     const members = voters.map(
       (node): Member => ({ name: node.name, address: `${node.name}:1`, incarnation: node.incarnation() }),
     );
-    const founded = agreedState.founded(members);
+    const founded = stateMachine.founded(members);
     for (const node of voters) await node.found(founded);
     this.judge = new Checker(founded);
   };
@@ -166,7 +166,7 @@
         node.upkeep();
         return true;
       case 'settleRival':
-        node.settleRival();
+        node.commitPending();
         return true;
       case 'dutyTick':
         node.dutyTick();
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -2,14 +2,14 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
-import type { Clock, ClockEvent, Listener, Log, Net, NetFault, Wire } from '@martenworks/core-types';
+import type { Clock, Timer, Listener, Log, Net, NetworkError, RawConnection } from '@martenworks/core-types';
 import { Assembly } from './assembly.js';
 import { Unpacker, frameLimit, frames } from './frames.js';
 import type { Frame, PartFrame } from './frames.js';
 import { SendQueue, partBytes } from './sendQueue.js';
 import { streams } from './streams.js';
 
-export const wireRelease = 3;
+export const wireRelease = 4;
 const backlogLimit = 8 * 1024 * 1024;
 const hardBacklogLimit = 64 * 1024 * 1024;
 const stalledMs = 3_000;
@@ -18,7 +18,7 @@
 export interface Hello {
   readonly release: number;
   readonly name: string;
-  readonly role: 'counter' | 'postmaster' | 'inspector';
+  readonly role: 'edge' | 'control' | 'inspector';
   readonly address: string;
   readonly http: string;
   readonly zone: string;
@@ -30,7 +30,7 @@
     role: Hello['role'],
     node: {
       readonly name: string;
-      readonly coach: string;
+      readonly peerAddress: string;
       readonly http: string;
       readonly operators: string | null;
       readonly zone: string;
@@ -40,8 +40,8 @@
     release: wireRelease,
     name: node.name,
     role,
-    address: node.coach,
-    http: role === 'counter' ? (node.operators ?? '') : node.http,
+    address: node.peerAddress,
+    http: role === 'edge' ? (node.operators ?? '') : node.http,
     zone: node.zone,
     incarnation,
   }),
@@ -49,8 +49,8 @@
 
 type PeerFrame = Frame<Hello>;
 
-export interface PeerFault {
-  readonly kind: 'coach';
+export interface PeerError {
+  readonly kind: 'peer';
   readonly code: 'closed' | 'late' | 'full' | 'unreachable' | 'release';
 }
 
@@ -62,11 +62,11 @@
 }
 
 interface Call {
-  readonly settle: (receipt: Result<unknown, PeerFault>) => void;
+  readonly settle: (reply: Result<unknown, PeerError>) => void;
   readonly stream: string;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   readonly askedAt: number;
-  clockEvent: ClockEvent;
+  timer: Timer;
 }
 
 export class PeerConnection {
@@ -80,10 +80,10 @@
   private lastBacklog = 0;
   private drainedAt: number;
   private heardAt: number;
-  neighbour: Hello | null = null;
+  peer: Hello | null = null;
 
   constructor(
-    private readonly wire: Wire,
+    private readonly wire: RawConnection,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly own: Hello,
@@ -112,7 +112,7 @@
     this.close();
   };
 
-  /** A neighbour that reads at the pace of its link is kept; one that takes nothing for a while isn't. */
+  /** A peer that reads at the pace of its link is kept; one that takes nothing for a while isn't. */
   private readonly isStalled = (): boolean => {
     const now = this.clock.now();
     const backlog = this.wire.backlog();
@@ -125,7 +125,7 @@
   private readonly send = (topic: string, frame: PeerFrame): boolean => {
     if (!this.isOpen) return false;
     if (this.isStalled()) {
-      this.drop('neighbour reads too slowly');
+      this.drop('peer reads too slowlyly');
       return false;
     }
     const message = frames.encode(frame);
@@ -174,22 +174,22 @@
     if (frame.f === 'hello') {
       if (frame.hello.release !== wireRelease) {
         this.log.warn('connection dropped', {
-          cause: 'another wire release',
+          cause: 'peer protocol version mismatch',
           theirs: frame.hello.release,
           ours: wireRelease,
         });
         this.close();
         return;
       }
-      if (this.neighbour !== null) {
+      if (this.peer !== null) {
         this.close();
         return;
       }
-      this.neighbour = frame.hello;
+      this.peer = frame.hello;
       this.handlers.joined(this);
       return;
     }
-    if (this.neighbour === null) {
+    if (this.peer === null) {
       this.close();
       return;
     }
@@ -217,22 +217,22 @@
     const call = this.calls.get(frame.id);
     if (call === undefined) return;
     this.calls.delete(frame.id);
-    call.clockEvent.cancel();
+    call.timer.cancel();
     call.settle(ok(frame.body));
   };
 
   readonly tell = (topic: string, body: unknown): boolean => this.send(topic, { f: 'tell', topic, body });
 
   /** Asks and waits for the reply.
-   * @param patienceMs how long without progress: each part that arrives or is acknowledged on the ask's stream begins it anew
+   * @param timeoutMs how long without progress: each part that arrives or is acknowledged on the ask's stream begins it anew
    * @returns the reply's body, or `late`, `full` (too many calls are open) or `closed` */
-  readonly ask = (topic: string, body: unknown, patienceMs: number): Promise<Result<unknown, PeerFault>> => {
-    if (!this.isOpen) return Promise.resolve(err({ kind: 'coach', code: 'closed' }));
-    if (this.calls.size >= callLimit) return Promise.resolve(err({ kind: 'coach', code: 'full' }));
+  readonly ask = (topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => {
+    if (!this.isOpen) return Promise.resolve(err({ kind: 'peer', code: 'closed' }));
+    if (this.calls.size >= callLimit) return Promise.resolve(err({ kind: 'peer', code: 'full' }));
     const id = this.nextCall++;
-    return new Promise((settle) => {
-      const clockEvent = this.clock.after(patienceMs, () => this.loseCallPatience(id));
-      this.calls.set(id, { settle, stream: streams.of(topic), patienceMs, askedAt: this.clock.now(), clockEvent });
+    return new Promise((resolve) => {
+      const timer = this.clock.after(timeoutMs, () => this.loseCallPatience(id));
+      this.calls.set(id, { settle: resolve, stream: streams.of(topic), timeoutMs, askedAt: this.clock.now(), timer });
       this.send(topic, { f: 'ask', id, topic, body });
     });
   };
@@ -241,13 +241,13 @@
     const call = this.calls.get(id);
     if (call === undefined) return;
     const progressAt = Math.max(call.askedAt, this.progressAt.get(call.stream) ?? 0);
-    const leftMs = progressAt + call.patienceMs - this.clock.now();
+    const leftMs = progressAt + call.timeoutMs - this.clock.now();
     if (leftMs > 0) {
-      call.clockEvent = this.clock.after(leftMs, () => this.loseCallPatience(id));
+      call.timer = this.clock.after(leftMs, () => this.loseCallPatience(id));
       return;
     }
     this.calls.delete(id);
-    call.settle(err({ kind: 'coach', code: 'late' }));
+    call.settle(err({ kind: 'peer', code: 'late' }));
   };
 
   /** Milliseconds since the last byte from the neighbour. */
@@ -266,15 +266,15 @@
     this.isOpen = false;
     this.wire.close();
     for (const call of this.calls.values()) {
-      call.clockEvent.cancel();
-      call.settle(err({ kind: 'coach', code: 'closed' }));
+      call.timer.cancel();
+      call.settle(err({ kind: 'peer', code: 'closed' }));
     }
     this.calls.clear();
-    if (this.neighbour !== null) this.handlers.left(this);
+    if (this.peer !== null) this.handlers.left(this);
   };
 }
 
-const helloPatienceMs = 2000;
+const helloTimeoutMs = 2000;
 
 export const peerConnections = {
   listen: (
@@ -284,11 +284,11 @@
     own: () => Hello,
     address: string,
     handlers: Handlers,
-  ): Promise<Result<Listener, NetFault>> =>
+  ): Promise<Result<Listener, NetworkError>> =>
     net.listen(address, (wire) => {
       const connection = new PeerConnection(wire, clock, log, own(), handlers);
-      clock.after(helloPatienceMs, () => {
-        if (connection.neighbour === null) connection.close();
+      clock.after(helloTimeoutMs, () => {
+        if (connection.peer === null) connection.close();
       });
       connection.begin();
     }),
@@ -299,22 +299,22 @@
     own: Hello,
     address: string,
     handlers: Handlers,
-    patienceMs = helloPatienceMs,
-  ): Promise<Result<PeerConnection, PeerFault>> => {
-    const wire = await net.dial(address, patienceMs);
-    if (wire.isErr()) return err({ kind: 'coach', code: 'unreachable' });
-    return new Promise((settle) => {
+    timeoutMs = helloTimeoutMs,
+  ): Promise<Result<PeerConnection, PeerError>> => {
+    const wire = await net.dial(address, timeoutMs);
+    if (wire.isErr()) return err({ kind: 'peer', code: 'unreachable' });
+    return new Promise((resolve) => {
       const connection: PeerConnection = new PeerConnection(wire.value, clock, log, own, {
         ...handlers,
         joined: (joined) => {
-          clockEvent.cancel();
+          timer.cancel();
           handlers.joined(joined);
-          settle(ok(joined));
+          resolve(ok(joined));
         },
       });
-      const clockEvent = clock.after(patienceMs, () => {
-        if (connection.neighbour === null) connection.close();
-        settle(err({ kind: 'coach', code: 'unreachable' }));
+      const timer = clock.after(timeoutMs, () => {
+        if (connection.peer === null) connection.close();
+        resolve(err({ kind: 'peer', code: 'unreachable' }));
       });
       connection.begin();
     });
--- a/packages/peer-transport/src/streams.ts
+++ b/packages/peer-transport/src/streams.ts
@@ -3,16 +3,16 @@
 const mainStream = 'main';
 
 const streamsByTopic: Readonly<Record<string, string>> = {
-  beat: 'beat',
+  keepalive: 'keepalive',
   state: 'state',
-  cards: 'cards',
-  shelves: 'shelves',
-  shelfRelay: 'shelves',
+  endpoints: 'endpoints',
+  prefixCaches: 'prefixCaches',
+  prefixCacheRelay: 'prefixCaches',
   statePage: 'statePage',
   stateBehind: 'stateBehind',
   prepare: 'agreement',
   accept: 'agreement',
-  settled: 'agreement',
+  committed: 'agreement',
 };
 
 export const streams = {
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import type { Result } from 'neverthrow';
-import type { Wire } from '@martenworks/core-types';
+import type { RawConnection } from '@martenworks/core-types';
 import { Unpacker, frames, hellos, peerConnections } from '@martenworks/peer-transport';
-import type { Handlers, Hello, PeerConnection, PeerFault } from '@martenworks/peer-transport';
+import type { Handlers, Hello, PeerConnection, PeerError } from '@martenworks/peer-transport';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const nearHost = '10.0.0.1';
@@ -10,7 +10,7 @@
 const farAddress = `${farHost}:7640`;
 const narrowBytesPerSecond = 7_000_000 / 8;
 
-type Reply = Result<unknown, PeerFault>;
+type Reply = Result<unknown, PeerError>;
 
 interface Seen {
   reply: Reply | null;
@@ -25,8 +25,8 @@
 
 const helloOf = (host: string, incarnation = host): Hello =>
   hellos.of(
-    'postmaster',
-    { name: host, coach: `${host}:7640`, http: `${host}:8200`, operators: null, zone: 'zone-a' },
+    'control',
+    { name: host, peerAddress: `${host}:7640`, http: `${host}:8200`, operators: null, zone: 'zone-a' },
     incarnation,
   );
 
@@ -64,9 +64,9 @@
     return this.connections[count] as PeerConnection;
   };
 
-  readonly ask = (connection: PeerConnection, topic: string, body: unknown, patienceMs: number): Seen => {
+  readonly ask = (connection: PeerConnection, topic: string, body: unknown, timeoutMs: number): Seen => {
     const seen: Seen = { reply: null, at: 0 };
-    void connection.ask(topic, body, patienceMs).then((reply) => Object.assign(seen, { reply, at: this.world.time }));
+    void connection.ask(topic, body, timeoutMs).then((reply) => Object.assign(seen, { reply, at: this.world.time }));
     return seen;
   };
 
@@ -128,26 +128,26 @@
     expect(seen.at - cutAt).to.be.within(500, 750);
   });
 
-  it("given a neighbour that reads at its link's pace, when more than 8 MB wait for it, then it is not cut and gets all of it", async () => {
+  it("given a peer that reads at its link's pace, when more than 8 MB wait for it, then it is not cut and gets all of it", async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
-    for (const mark of [3, 5, 9]) connection.tell('shelves', bytesOf(4_000_000, mark));
+    for (const mark of [3, 5, 9]) connection.tell('prefixCaches', bytesOf(4_000_000, mark));
     for (let count = 0; count < 16; count += 1) {
-      connection.tell('news', count);
+      connection.tell('stateAnnounced', count);
       await pair.world.run(1_000);
     }
     expect(pair.dropped()).to.deep.equal([]);
     expect(connection.isLive()).to.equal(true);
-    expect(pair.told.filter(({ topic }) => topic === 'shelves').length).to.equal(3);
+    expect(pair.told.filter(({ topic }) => topic === 'prefixCaches').length).to.equal(3);
   });
 
-  it('given a neighbour that reads nothing, when ever more is told to it, then it is cut before much memory is held for it', async () => {
+  it('given a peer that reads nothing, when ever more is told to it, then it is cut before much memory is held for it', async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     pair.world.machine(farHost).freeze();
     let count = 0;
     for (; connection.isLive() && count < 100; count += 1) {
-      connection.tell('shelves', bytesOf(1_000_000));
+      connection.tell('prefixCaches', bytesOf(1_000_000));
       await pair.world.run(100);
     }
     expect(count).to.be.below(45);
@@ -157,19 +157,19 @@
   it('given a large body under way, when a smaller one of another kind follows, then they share the link and the smaller one is there first', async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
-    connection.tell('shelves', bytesOf(2_000_000));
+    connection.tell('prefixCaches', bytesOf(2_000_000));
     connection.tell('state', bytesOf(100_000));
     await pair.world.until('both', () => pair.told.length === 2);
-    expect(pair.told.map(({ topic }) => topic)).to.deep.equal(['state', 'shelves']);
+    expect(pair.told.map(({ topic }) => topic)).to.deep.equal(['state', 'prefixCaches']);
   });
 
   it('given large and small messages of one kind, when they are told one after another, then they arrive in that order', async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
-    for (const topic of ['shelves', 'reading'])
+    for (const topic of ['prefixCaches', 'prefill'])
       for (const size of [200_000, 1, 100_000, 2, 3]) connection.tell(topic, bytesOf(size));
     await pair.world.until('all', () => pair.told.length === 10);
-    for (const topic of ['shelves', 'reading'])
+    for (const topic of ['prefixCaches', 'prefill'])
       expect(
         pair.told.filter((told) => told.topic === topic).map(({ body }) => (body as Uint8Array).length),
       ).to.deep.equal([200_000, 1, 100_000, 2, 3]);
@@ -183,18 +183,18 @@
       if (body === 'first') await pair.pause(800);
       return `reply to ${body}`;
     };
-    const first = pair.ask(connection, 'roster', 'first', 500);
+    const first = pair.ask(connection, 'memberList', 'first', 500);
     await pair.world.run(600);
-    const second = pair.ask(connection, 'roster', 'second', 500);
+    const second = pair.ask(connection, 'memberList', 'second', 500);
     await pair.world.run(1_000);
     expect(codeOf(first)).to.equal('late');
     expect(second.reply?._unsafeUnwrap()).to.equal('reply to second');
   });
 
-  it('given a neighbour that replies twice under one id, and under ids never asked, when other asks are open, then each gets the first reply under its own id only', async () => {
+  it('given a peer that replies twice under one id, and under ids never asked, when other asks are open, then each gets the first reply under its own id only', async () => {
     const pair = new Pair();
     const { net } = pair.world.machine(farHost).ports();
-    const wires: Wire[] = [];
+    const wires: RawConnection[] = [];
     (
       await net.listen(farAddress, (wire) => {
         wires.push(wire);
@@ -217,18 +217,18 @@
       })
     )._unsafeUnwrap();
     const connection = await pair.dial();
-    const asks = ['a', 'b', 'c'].map((body) => pair.ask(connection, 'roster', body, 500));
+    const asks = ['a', 'b', 'c'].map((body) => pair.ask(connection, 'memberList', body, 500));
     await pair.world.run(1_000);
     expect(asks.map(({ reply }) => reply?._unsafeUnwrap())).to.deep.equal(['reply to a', 'reply to b', 'reply to c']);
   });
 
-  it('given an ask under way, when the neighbour restarts at the same address and is dialled anew, then the ask ends as closed and no reply of the old process reaches an ask of the new connection', async () => {
+  it('given an ask under way, when the peer restarts at the same address and is dialled anew, then the ask ends as closed and no reply of the old process reaches an ask of the new connection', async () => {
     const { pair, connection } = await paired();
     pair.answer = async (_, body) => {
       await pair.pause(300);
       return `old reply to ${body}`;
     };
-    const lost = pair.ask(connection, 'roster', 'lost', 5_000);
+    const lost = pair.ask(connection, 'memberList', 'lost', 5_000);
     await pair.world.run(100);
     pair.world.machine(farHost).kill();
     await pair.world.run(20);
@@ -236,34 +236,34 @@
     pair.answer = async (_, body) => `new reply to ${body}`;
     await pair.listen('second life');
     const next = await pair.dial();
-    const fresh = pair.ask(next, 'roster', 'fresh', 5_000);
+    const fresh = pair.ask(next, 'memberList', 'fresh', 5_000);
     await pair.world.run(1_000);
     expect(codeOf(lost)).to.equal('closed');
     expect(fresh.reply?._unsafeUnwrap()).to.equal('new reply to fresh');
-    expect(next.neighbour?.incarnation).to.equal('second life');
+    expect(next.peer?.incarnation).to.equal('second life');
   });
 
-  it('given a connection that is replaced while the neighbour lives on, when the old reply is ready, then it is sent to nobody', async () => {
+  it('given a connection that is replaced while the peer lives on, when the old reply is ready, then it is sent to nobody', async () => {
     const { pair, connection } = await paired();
     pair.answer = async (_, body) => {
       await pair.pause(body === 'old' ? 500 : 900);
       return `reply to ${body}`;
     };
-    const old = pair.ask(connection, 'roster', 'old', 5_000);
+    const old = pair.ask(connection, 'memberList', 'old', 5_000);
     await pair.world.run(50);
     connection.close();
     const next = await pair.dial();
-    const fresh = pair.ask(next, 'roster', 'fresh', 5_000);
+    const fresh = pair.ask(next, 'memberList', 'fresh', 5_000);
     await pair.world.run(2_000);
     expect(codeOf(old)).to.equal('closed');
     expect(fresh.reply?._unsafeUnwrap()).to.equal('reply to fresh');
   });
 
-  it('given a neighbour that sends what is no frame of a known kind, when it arrives, then the connection ends and says why', async () => {
+  it('given a peer that sends what is no frame of a known kind, when it arrives, then the connection ends and says why', async () => {
     for (const strange of [null, 'text', { f: 'other' }, { f: 7 }]) {
       const pair = new Pair();
       const { net } = pair.world.machine(farHost).ports();
-      const wires: Wire[] = [];
+      const wires: RawConnection[] = [];
       (
         await net.listen(farAddress, (wire) => {
           wires.push(wire);
--- a/packages/postrider/src/index.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-export * from './door.js';
-export * from './main.js';
--- a/packages/prefix-index/src/index.ts
+++ b/packages/prefix-index/src/index.ts
@@ -1,3 +1,3 @@
-export * from './pigeonhole.js';
-export * from './place.js';
-export * from './quarters.js';
+export * from './prefixIndex.js';
+export * from './placement.js';
+export * from './tenantPartitions.js';
--- a/packages/prefix-index/src/place.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import type { Pool, ReplicaRecord } from '@martenworks/core-types';
 import { prompts } from '@martenworks/core-types';
-import type { Pigeonhole } from './pigeonhole.js';
+import type { PrefixIndex } from './prefixIndex.js';
 
 interface Candidate {
   readonly record: ReplicaRecord;
@@ -35,7 +35,7 @@
 const runCostMs = 15;
 const leastPulledBlocks = 2;
 const leastColdBlocks = 8;
-const homeDiscount = 0.5;
+const affinityDiscount = 0.5;
 const heavyTokens = 1_000;
 const unburdenedShare = 0.5;
 const reluctance = 2;
@@ -45,7 +45,7 @@
   readonly blockCount: number;
 }
 
-const homeOf = (blocks: readonly string[], candidates: readonly Candidate[]): string | null => {
+const preferredReplicaOf = (blocks: readonly string[], candidates: readonly Candidate[]): string | null => {
   const anchor = blocks[leastColdBlocks - 1];
   if (anchor === undefined) return null;
   let home: string | null = null;
@@ -86,7 +86,7 @@
   return best;
 };
 
-export const weigh = (index: Pigeonhole, question: PlaceQuestion): Placement[] => {
+export const weigh = (index: PrefixIndex, question: PlaceQuestion): Placement[] => {
   const { pool, blocks, now, isolatedTenant } = question;
   const keptBy = (record: ReplicaRecord) => index.kept(record.name, blocks, isolatedTenant, now);
   const holders: HolderKept[] = [];
@@ -96,7 +96,7 @@
       if (kept.isNameable) holders.push({ record, blockCount: kept.blockCount });
     }
   }
-  const home = question.useIndex && holders.length === 0 ? homeOf(blocks, question.candidates) : null;
+  const home = question.useIndex && holders.length === 0 ? preferredReplicaOf(blocks, question.candidates) : null;
   const isUnburdened = (candidate: Candidate): boolean => candidate.pendingTokens < heavyTokens;
   const unburdened = question.candidates.filter(isUnburdened).length;
   const isLastUnburdened =
@@ -113,9 +113,9 @@
     const localTokens = local * prompts.blockTokens;
     const prefilledTokens = Math.max(0, question.promptTokens - localTokens - pulledTokens);
     const isMakingLikely = candidate.pendingTokens >= prefilledTokens;
-    const homeGainMs =
+    const affinityBonusMs =
       candidate.record.name === home && local === 0
-        ? (prefilledTokens / pool.prefillTokensPerMs) * (isMakingLikely ? 1 : homeDiscount)
+        ? (prefilledTokens / pool.prefillTokensPerMs) * (isMakingLikely ? 1 : affinityDiscount)
         : 0;
     const isBurden = isLastUnburdened && prefilledTokens >= heavyTokens && isUnburdened(candidate);
     const burdenMs = isBurden ? (reluctance * prefilledTokens) / pool.prefillTokensPerMs : 0;
@@ -125,13 +125,13 @@
       candidate.running * runCostMs +
       prefilledTokens / pool.prefillTokensPerMs +
       (pull?.costMs ?? 0) -
-      homeGainMs;
+      affinityBonusMs;
     weighed.push({ record: candidate.record, holder, localTokens, pulledTokens, prefilledTokens, costMs });
   }
   return weighed;
 };
 
-export const place = (index: Pigeonhole, question: PlaceQuestion): Placement | null =>
+export const place = (index: PrefixIndex, question: PlaceQuestion): Placement | null =>
   weigh(index, question).reduce<Placement | null>(
     (best, one) => (best === null || one.costMs < best.costMs ? one : best),
     null,
--- a/packages/prefix-index/src/quarters.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import type { Agreed, ReplicaRecord, SideClaim, SideStanding } from '@martenworks/core-types';
+import type { CommittedState, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 
 const usedGraceMs = 9_000;
 const unusedGraceMs = 3_000;
@@ -30,7 +30,7 @@
   return best;
 };
 
-const quarterPlan = {
+const tenantPartitionPlan = {
   roles: (replicaNames: readonly string[], isolatedTenants: readonly string[]): Map<string, string> => {
     const roles = new Map(replicaNames.map((name) => [name, shared]));
     if (isolatedTenants.length === 0) return roles;
@@ -42,9 +42,9 @@
       free.delete(name);
       roles.set(name, role);
     };
-    const hasOwnQuarters = isolatedTenants.length <= Math.floor(count / 4);
-    if (hasOwnQuarters) for (const tenant of [...isolatedTenants].sort()) seat(`own:${tenant}`, tenant);
-    const mixedCount = hasOwnQuarters ? Math.ceil(free.size / 4) : Math.ceil(count / 2);
+    const hasOwnPartition = isolatedTenants.length <= Math.floor(count / 4);
+    if (hasOwnPartition) for (const tenant of [...isolatedTenants].sort()) seat(`own:${tenant}`, tenant);
+    const mixedCount = hasOwnPartition ? Math.ceil(free.size / 4) : Math.ceil(count / 2);
     for (let at = 0; at < mixedCount; at += 1) seat('mixed', mixed);
     return roles;
   },
@@ -53,13 +53,13 @@
 const admits = (role: string, isolatedTenant: string | null): boolean =>
   role === mixed || role === (isolatedTenant ?? shared);
 
-export class Quarters {
+export class TenantPartitions {
   private readonly seats = new Map<string, Seat>();
 
-  readonly align = (records: Iterable<ReplicaRecord>, state: Agreed | null, now: number): void => {
+  readonly align = (records: Iterable<ReplicaRecord>, state: CommittedState | null, now: number): void => {
     if (state === null) return;
-    const isolated = Object.entries(state.layout.tenants).filter(([, tenant]) => tenant.isolated);
-    const served = new Set(Object.values(state.layout.lanes).map((lane) => lane.pool));
+    const isolated = Object.entries(state.config.tenants).filter(([, tenant]) => tenant.isolated);
+    const served = new Set(Object.values(state.config.lanes).map((lane) => lane.pool));
     const byPool = new Map<string, ReplicaRecord[]>();
     const present = new Set<string>();
     for (const record of records) {
@@ -69,9 +69,9 @@
     }
     for (const [pool, some] of byPool) {
       const tenants = isolated
-        .filter(([, tenant]) => tenant.lanes.some((lane) => state.layout.lanes[lane]?.pool === pool))
+        .filter(([, tenant]) => tenant.lanes.some((lane) => state.config.lanes[lane]?.pool === pool))
         .map(([name]) => name);
-      const roles = quarterPlan.roles(some.map((record) => record.name).sort(), tenants);
+      const roles = tenantPartitionPlan.roles(some.map((record) => record.name).sort(), tenants);
       for (const record of some) this.seat(record, roles.get(record.name) ?? mixed, now);
     }
     for (const name of [...this.seats.keys()]) if (!present.has(name)) this.seats.delete(name);
@@ -84,13 +84,13 @@
     else if (held.role !== role) Object.assign(held, { role, roleSince: now });
   };
 
-  readonly wanted = (now: number): SideClaim[] =>
+  readonly wanted = (now: number): IsolationClaim[] =>
     [...this.seats].flatMap(([replica, { incarnation, role, roleSince, openAt }]) =>
       openAt.has(role) || (openAt.size > 0 && now - roleSince < steadyMs) ? [] : [{ replica, incarnation, side: role }],
     );
 
   readonly admitted = (
-    { replica, incarnation, side, sides, ageMs }: SideStanding,
+    { replica, incarnation, side, sides, ageMs }: IsolationStatus,
     isUsed: boolean,
     now: number,
   ): void => {
--- a/packages/prefix-index/test/holders.test.ts
+++ b/packages/prefix-index/test/holders.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
-import { Pigeonhole } from '@martenworks/prefix-index';
+import { PrefixIndex } from '@martenworks/prefix-index';
 import { InvariantChecker, keyOf, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { SampleRequest, Run } from '@martenworks/test-fleet';
 
 const manual = (name: string): string => `${name} `.repeat(3_000).slice(0, 12_000);
 
-const layoutOf = (isolated: readonly string[], more: Record<string, unknown> = {}): Record<string, unknown> => ({
-  ...sampleWorkload.layout('weights-1'),
+const configOf = (isolated: readonly string[], more: Record<string, unknown> = {}): Record<string, unknown> => ({
+  ...sampleWorkload.config('weights-1'),
   pools: { main: { weights: 'weights-1', slots: 2, ...more }, app: { weights: 'app-1' } },
   tenants: Object.fromEntries(
     sampleWorkload.tenantNames.map((name) => [
@@ -28,10 +28,10 @@
 const raised = async (
   seed: number,
   replicas: number,
-  layout: Record<string, unknown>,
+  config: Record<string, unknown>,
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
-  const fleet = new SimFleet({ seed, fronts: 2, replicas, layout, replicaSettings: { decodeMs: 20 }, ...more });
+  const fleet = new SimFleet({ seed, edges: 2, replicas, config, replicaSettings: { decodeMs: 20 }, ...more });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
 };
@@ -52,7 +52,7 @@
 
 describe('who is named in Cache-From', () => {
   it('given a manual kept by one replica, when more ask for it than that one takes, then others are sent with it as their holder and pull it', async () => {
-    const { fleet, checker } = await raised(31, 4, layoutOf([]));
+    const { fleet, checker } = await raised(31, 4, configOf([]));
     await waves(fleet, checker, 'north', 'alpha', 1);
     const keeper = checker.allRuns()[0]?.replica ?? '';
     await waves(fleet, checker, 'south', 'alpha', 6);
@@ -70,7 +70,7 @@
   });
 
   it("given isolated tenants with the same manual, when all ask, then no isolated tenant's parts reach another, and the others still pull", async () => {
-    const { fleet, checker } = await raised(32, 12, layoutOf(['depot', 'mill']));
+    const { fleet, checker } = await raised(32, 12, configOf(['depot', 'mill']));
     for (let round = 0; round < 3; round += 1)
       for (const tenant of ['depot', 'mill', 'north', 'south'])
         for (const count of [1, 10]) await waves(fleet, checker, tenant, `beta-${round}`, count);
@@ -88,11 +88,11 @@
   });
 
   it("given new weights, when the old ones' parts are still kept, then they are named to nobody, until replicas born under the new ones keep some", async () => {
-    const { fleet, checker } = await raised(33, 4, layoutOf([]));
+    const { fleet, checker } = await raised(33, 4, configOf([]));
     await waves(fleet, checker, 'north', 'gamma', 6);
     const before = named(checker).length;
     const put = await fleet.finish(
-      fleet.onPostmaster(
+      fleet.onControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -119,7 +119,7 @@
   });
 
   it('given pulls that take longer than a prefill would, when that was seen, then that holder is named no more; and again when it has passed', async () => {
-    const { fleet, checker } = await raised(34, 4, layoutOf([]));
+    const { fleet, checker } = await raised(34, 4, configOf([]));
     for (const standIn of fleet.runningReplicas.values()) standIn.faults.pullDelayMs = 1_500;
     let afterLearning = 0;
     for (let round = 0; round < 8; round += 1) {
@@ -141,13 +141,13 @@
 
   it('given a cache store, when it goes down and returns empty, then it is named while it keeps parts, and every call is still answered whole', async () => {
     const storeHost = '10.4.0.1';
-    const { fleet, checker } = await raised(35, 3, layoutOf([], { store: 'store-1' }), {
+    const { fleet, checker } = await raised(35, 3, configOf([], { store: 'store-1' }), {
       replicaSettings: { decodeMs: 20, store: `${storeHost}:8000`, capacityBlocks: 60 },
     });
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000 });
     const announce = (incarnation: number): Promise<{ status: number }> =>
       fleet.finish(
-        fleet.onPostmaster(0, 'POST', '/platform/replicas', [
+        fleet.onControlNode(0, 'POST', '/platform/replicas', [
           { name: 'store-1', kind: 'store', pool: 'main', address: `${storeHost}:8000`, incarnation },
         ]),
       );
@@ -165,7 +165,9 @@
     fleet.world.machine(storeHost).boot();
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 1 });
     await fleet.world.run(5_000);
-    expect(fleet.counters[0]?.book.index.sizes().find((shelf) => shelf.replica === 'store-1')?.blocks).to.equal(0);
+    expect(fleet.gateways[0]?.stateView.index.sizes().find((stored) => stored.replica === 'store-1')?.blocks).to.equal(
+      0,
+    );
     await announce(2);
     const back = fromStore();
     fleet.world.machine(storeHost).kill();
@@ -175,12 +177,13 @@
     await rounds();
     expect(fromStore()).to.be.greaterThan(back);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
   });
 
-  it('given a replica that served an isolated tenant and told nothing of it, when its quarter becomes shared and every counter starts anew, then it is named to nobody', async () => {
-    const { fleet, checker } = await raised(36, 4, layoutOf(['depot']));
-    const own = fleet.counters[0]?.book.quarters.roles().find(({ role }) => role === 'depot')?.replica ?? '';
+  it('given a replica that served an isolated tenant and told nothing of it, when its quarter becomes shared and every gateway starts anew, then it is named to nobody', async () => {
+    const { fleet, checker } = await raised(36, 4, configOf(['depot']));
+    const own =
+      fleet.gateways[0]?.stateView.tenantPartitions.roles().find(({ role }) => role === 'depot')?.replica ?? '';
     const hide = (hidesEvents: boolean): void => {
       for (const standIn of fleet.runningReplicas.values()) standIn.faults.hidesEvents = hidesEvents;
     };
@@ -189,7 +192,7 @@
     hide(false);
     expect(checker.allRuns().some((run) => run.replica === own && run.isIsolated)).to.equal(true);
     const put = await fleet.finish(
-      fleet.onPostmaster(
+      fleet.onControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -214,11 +217,11 @@
     await waves(fleet, checker, 'south', 'zeta', 10);
     expect(checker.allRuns().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(own)}:8000`).length).to.equal(0);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.tally()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it("given a store that keeps an isolated tenant's parts and told nothing of them, when others ask for the same prefix, then it is named to nobody until it is announced anew without isolated tenants", async () => {
-    const { fleet, checker } = await raised(37, 3, layoutOf(['depot'], { store: 'store-1' }), {
+    const { fleet, checker } = await raised(37, 3, configOf(['depot'], { store: 'store-1' }), {
       hasStore: true,
       replicaSettings: { decodeMs: 20, capacityBlocks: 60 },
     });
@@ -234,7 +237,7 @@
     await rounds();
     expect(fromStore()).to.equal(0);
     const put = await fleet.finish(
-      fleet.onPostmaster(
+      fleet.onControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -256,7 +259,7 @@
   });
 
   it('given notices with a gap, when the replica tells that its cache is cleared, then it may be named again', () => {
-    const index = new Pigeonhole(60_000);
+    const index = new PrefixIndex(60_000);
     index.reconcile(
       [
         {
--- a/packages/route-table/src/patches.ts
+++ b/packages/route-table/src/patches.ts
@@ -1,5 +1,5 @@
-/** Differences between books of ways: made, joined, applied. */
-import type { BookPatch, Customer, ListPatch, WayBook } from '@martenworks/core-types';
+/** Differences between routing tables of routes: made, joined, applied. */
+import type { RoutingTablePatch, Customer, ListPatch, RoutingTable } from '@martenworks/core-types';
 
 interface Named {
   readonly name: string;
@@ -35,21 +35,21 @@
   },
 };
 
-const customersBetween = (before: WayBook, after: WayBook): ListPatch<Customer> | null =>
+const customersBetween = (before: RoutingTable, after: RoutingTable): ListPatch<Customer> | null =>
   after.customers === null ? null : lists.between(before.customers ?? [], after.customers);
 
 export const patches = {
-  between: (from: number, before: WayBook, after: WayBook): BookPatch => {
-    const { ways, customers: _, ...rest } = after;
-    return { from, ...lists.between(before.ways, ways), customers: customersBetween(before, after), rest };
+  between: (from: number, before: RoutingTable, after: RoutingTable): RoutingTablePatch => {
+    const { routes, customers: _, ...rest } = after;
+    return { from, ...lists.between(before.routes, routes), customers: customersBetween(before, after), rest };
   },
-  apply: (held: WayBook, { put, gone, customers, rest }: BookPatch): WayBook => ({
+  apply: (held: RoutingTable, { put, gone, customers, rest }: RoutingTablePatch): RoutingTable => ({
     ...rest,
-    ways: lists.apply(held.ways, { put, gone }),
+    routes: lists.apply(held.routes, { put, gone }),
     customers: customers === null ? null : lists.apply(held.customers ?? [], customers),
   }),
   /** One patch in place of two, of which the second builds on what the first makes. */
-  joined: (first: BookPatch, second: BookPatch): BookPatch => ({
+  joined: (first: RoutingTablePatch, second: RoutingTablePatch): RoutingTablePatch => ({
     from: first.from,
     ...lists.joined(first, second),
     customers:
@@ -59,9 +59,9 @@
     rest: second.rest,
   }),
   /** How many ways and customers the patch names. */
-  size: (patch: BookPatch): number =>
+  size: (patch: RoutingTablePatch): number =>
     patch.put.length + patch.gone.length + (patch.customers?.put.length ?? 0) + (patch.customers?.gone.length ?? 0),
   /** Whether the patch is worth sending in place of the book. */
-  isSmaller: (patch: BookPatch, book: WayBook): boolean =>
-    patches.size(patch) < book.ways.length + (book.customers?.length ?? 0),
+  isSmaller: (patch: RoutingTablePatch, routingTable: RoutingTable): boolean =>
+    patches.size(patch) < routingTable.routes.length + (routingTable.customers?.length ?? 0),
 };
--- /dev/null
+++ b/packages/route-table/src/routeLookup.ts
@@ -0,0 +1,64 @@
+import { DenseIndex } from '@martenworks/core-types';
+import type { Customer, Route, RoutingTable, ReplicaPool } from '@martenworks/core-types';
+
+export interface RouteView {
+  readonly index: number;
+  readonly route: Route;
+  readonly mayRepeat: boolean;
+}
+
+export interface RoutingTableView {
+  readonly routingTable: RoutingTable;
+  readonly configVersion: number;
+  readonly isKeyed: boolean;
+  readonly match: (host: string, path: string) => RouteView | null;
+  readonly holderOf: (keyHash: string) => Customer | null;
+  readonly pool: (name: string) => ReplicaPool | null;
+}
+
+const hostNameOf = (host: string): string => host.toLowerCase().replace(/:\d+$/, '');
+
+export class RoutingTableIndexer {
+  private readonly routeNames = new DenseIndex();
+
+  readonly view = (configVersion: number, routingTable: RoutingTable): RoutingTableView => {
+    const byHost = new Map<string, RouteView[]>();
+    for (const route of routingTable.routes) {
+      const host = hostNameOf(route.host);
+      const views = byHost.get(host) ?? [];
+      views.push({
+        index: this.routeNames.indexOf(route.name),
+        route,
+        mayRepeat: route.kind === 'repeatable' || (route.kind === 'stream' && route.isResumable),
+      });
+      byHost.set(host, views);
+    }
+    for (const views of byHost.values()) views.sort((a, b) => b.route.pathPrefix.length - a.route.pathPrefix.length);
+    const holders = new Map<string, Customer>();
+    for (const customer of routingTable.customers ?? [])
+      for (const hash of customer.keyHashes) holders.set(hash, customer);
+    const pools = new Map(routingTable.pools.map((pool) => [pool.name, pool]));
+    return {
+      routingTable,
+      configVersion,
+      isKeyed: routingTable.customers !== null,
+      match: (host, path) =>
+        byHost.get(hostNameOf(host))?.find((view) => path.startsWith(view.route.pathPrefix)) ?? null,
+      holderOf: (keyHash) => holders.get(keyHash) ?? null,
+      pool: (name) => pools.get(name) ?? null,
+    };
+  };
+}
+
+export const shares = {
+  draw: (route: Route, fraction: number): string => {
+    const total = route.shares.reduce((sum, one) => sum + one.share, 0);
+    let left = fraction * total;
+    for (const { pool, share } of route.shares) {
+      if (share <= 0) continue;
+      left -= share;
+      if (left < 0) return pool;
+    }
+    return route.shares.findLast((one) => one.share > 0)?.pool ?? '';
+  },
+};
--- a/packages/route-table/test/books.test.ts
+++ b/packages/route-table/test/routingTables.test.ts
@@ -1,25 +1,25 @@
 import { expect } from 'chai';
-import type { Way, WayBook } from '@martenworks/core-types';
-import { BookDoor, books, patches, salts, shares } from '@martenworks/route-table';
+import type { Route, RoutingTable } from '@martenworks/core-types';
+import { RoutingTableIndexer, routingTables, patches, salts, shares } from '@martenworks/route-table';
 
-const way = (more: Partial<Way> = {}): Way => ({
+const route = (more: Partial<Route> = {}): Route => ({
   name: 'w',
   host: 'a.example',
-  pathStart: '/x/',
+  pathPrefix: '/x/',
   kind: 'stream',
-  horizonMs: 1_000,
-  targetMs: 300,
+  timeoutMs: 1_000,
+  latencyTargetMs: 300,
   rank: 0,
   shares: [{ pool: 'p', share: 1 }],
-  shots: 1,
-  isOpen: false,
-  mayResume: false,
-  gapMs: 250,
+  maxAttempts: 1,
+  isPublic: false,
+  isResumable: false,
+  maxEventGapMs: 250,
   ...more,
 });
 
-const book = (more: Partial<WayBook> = {}): WayBook => ({
-  ways: [way()],
+const routingTable = (more: Partial<RoutingTable> = {}): RoutingTable => ({
+  routes: [route()],
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
   customers: [{ name: 'north', keyHashes: ['k1'], rank: null, isIsolated: false }],
@@ -27,24 +27,28 @@
   ...more,
 });
 
-const faultsOf = (given: WayBook): string[] =>
-  books.check(given).match(
+const faultsOf = (given: RoutingTable): string[] =>
+  routingTables.check(given).match(
     () => [],
     (faults) => faults.map((fault) => fault.path),
   );
 
-describe('the book of ways', () => {
-  it('given a sound book, when it is checked, then nothing is wrong with it', () => {
-    expect(faultsOf(book())).to.deep.equal([]);
+describe('the routing table', () => {
+  it('given a sound routing table, when it is checked, then nothing is wrong with it', () => {
+    expect(faultsOf(routingTable())).to.deep.equal([]);
   });
 
-  const broken: [string, WayBook, string][] = [
-    ['a way to an absent pool', book({ ways: [way({ shares: [{ pool: 'q', share: 1 }] })] }), '/ways/0/shares'],
+  const broken: [string, RoutingTable, string][] = [
+    [
+      'a way to an absent pool',
+      routingTable({ routes: [route({ shares: [{ pool: 'q', share: 1 }] })] }),
+      '/ways/0/shares',
+    ],
     [
       'weights that sum to 0',
-      book({
-        ways: [
-          way({
+      routingTable({
+        routes: [
+          route({
             shares: [
               { pool: 'p', share: 0 },
               { pool: 'p', share: 0 },
@@ -54,13 +58,13 @@
       }),
       '/ways/0/shares',
     ],
-    ['no weight at all', book({ ways: [way({ shares: [] })] }), '/ways/0/shares'],
-    ['no horizon', book({ ways: [way({ horizonMs: 0 })] }), '/ways/0/horizonMs'],
-    ['two ways in one place', book({ ways: [way(), way({ name: 'v' })] }), '/ways/1'],
-    ['two ways of one name', book({ ways: [way(), way({ pathStart: '/y/' })] }), '/ways/1/name'],
+    ['no weight at all', routingTable({ routes: [route({ shares: [] })] }), '/ways/0/shares'],
+    ['no horizon', routingTable({ routes: [route({ timeoutMs: 0 })] }), '/ways/0/horizonMs'],
+    ['two ways in one place', routingTable({ routes: [route(), route({ name: 'v' })] }), '/ways/1'],
+    ['two ways of one name', routingTable({ routes: [route(), route({ pathPrefix: '/y/' })] }), '/ways/1/name'],
     [
       'a key of two customers',
-      book({
+      routingTable({
         customers: [
           { name: 'a', keyHashes: ['k'], rank: null, isIsolated: false },
           { name: 'b', keyHashes: ['k'], rank: null, isIsolated: false },
@@ -68,7 +72,11 @@
       }),
       '/customers/1',
     ],
-    ['a path start without a slash at its end', book({ ways: [way({ pathStart: '/x' })] }), '/ways/0/pathStart'],
+    [
+      'a path start without a slash at its end',
+      routingTable({ routes: [route({ pathPrefix: '/x' })] }),
+      '/ways/0/pathStart',
+    ],
   ];
   for (const [what, given, path] of broken) {
     it(`given ${what}, when it is checked, then it is refused with its path`, () => {
@@ -77,33 +85,33 @@
   }
 
   it('given nested path starts, when a path is matched, then the longest that begins it wins, on its host only', () => {
-    const view = new BookDoor().view(
+    const view = new RoutingTableIndexer().view(
       1,
-      book({
-        ways: [
-          way({ name: 'short', pathStart: '/' }),
-          way({ name: 'long', pathStart: '/x/y/' }),
-          way({ name: 'mid', pathStart: '/x/' }),
+      routingTable({
+        routes: [
+          route({ name: 'short', pathPrefix: '/' }),
+          route({ name: 'long', pathPrefix: '/x/y/' }),
+          route({ name: 'mid', pathPrefix: '/x/' }),
         ],
       }),
     );
-    expect(view.match('a.example', '/x/y/z')?.way.name).to.equal('long');
-    expect(view.match('A.example:80', '/x/yz')?.way.name).to.equal('mid');
-    expect(view.match('a.example', '/q')?.way.name).to.equal('short');
+    expect(view.match('a.example', '/x/y/z')?.route.name).to.equal('long');
+    expect(view.match('A.example:80', '/x/yz')?.route.name).to.equal('mid');
+    expect(view.match('a.example', '/q')?.route.name).to.equal('short');
     expect(view.match('b.example', '/x/y/z')).to.equal(null);
   });
 
-  it('given kinds of ways, when they are viewed, then only repeatable ones and resumable streams may repeat', () => {
-    const mayRepeat = (more: Partial<Way>): boolean | undefined =>
-      new BookDoor().view(1, book({ ways: [way(more)] })).match('a.example', '/x/')?.mayRepeat;
+  it('given kinds of routes, when they are viewed, then only repeatable ones and resumable streams may repeat', () => {
+    const mayRepeat = (more: Partial<Route>): boolean | undefined =>
+      new RoutingTableIndexer().view(1, routingTable({ routes: [route(more)] })).match('a.example', '/x/')?.mayRepeat;
     expect(mayRepeat({ kind: 'repeatable' })).to.equal(true);
-    expect(mayRepeat({ kind: 'once', mayResume: true })).to.equal(false);
+    expect(mayRepeat({ kind: 'once', isResumable: true })).to.equal(false);
     expect(mayRepeat({ kind: 'stream' })).to.equal(false);
-    expect(mayRepeat({ kind: 'stream', mayResume: true })).to.equal(true);
+    expect(mayRepeat({ kind: 'stream', isResumable: true })).to.equal(true);
   });
 
   it('given shares of 90, 0 and 10, when pools are drawn evenly, then each gets its share and the one of 0 none', () => {
-    const split = way({
+    const split = route({
       shares: [
         { pool: 'a', share: 90 },
         { pool: 'b', share: 0 },
@@ -116,19 +124,19 @@
     expect(drawn.filter((pool) => pool === 'c').length).to.equal(100);
   });
 
-  it('given a book and the next one, when the patch between them is applied, then the next one is what is held, whatever was put, changed or taken away', () => {
-    const before = book({
-      ways: [
-        way({ name: 'a', pathStart: '/a/' }),
-        way({ name: 'b', pathStart: '/b/' }),
-        way({ name: 'c', pathStart: '/c/' }),
+  it('given a routing table and the next one, when the patch between them is applied, then the next one is what is held, whatever was put, changed or taken away', () => {
+    const before = routingTable({
+      routes: [
+        route({ name: 'a', pathPrefix: '/a/' }),
+        route({ name: 'b', pathPrefix: '/b/' }),
+        route({ name: 'c', pathPrefix: '/c/' }),
       ],
     });
-    const after = book({
-      ways: [
-        way({ name: 'b', pathStart: '/b/', horizonMs: 9 }),
-        way({ name: 'c', pathStart: '/c/' }),
-        way({ name: 'd', pathStart: '/d/' }),
+    const after = routingTable({
+      routes: [
+        route({ name: 'b', pathPrefix: '/b/', timeoutMs: 9 }),
+        route({ name: 'c', pathPrefix: '/c/' }),
+        route({ name: 'd', pathPrefix: '/d/' }),
       ],
       customers: [{ name: 'south', keyHashes: ['k9'], rank: 1, isIsolated: true }],
       limits: { headerBytes: 2, bodyBytes: 2, headerMs: 2, idleMs: 2 },
@@ -137,7 +145,7 @@
     expect(patch.put.map((one) => one.name)).to.deep.equal(['b', 'd']);
     expect(patch.gone).to.deep.equal(['a']);
     const held = patches.apply(before, patch);
-    expect({ ...held, ways: [...held.ways].sort((x, y) => (x.name < y.name ? -1 : 1)) }).to.deep.equal(after);
+    expect({ ...held, routes: [...held.routes].sort((x, y) => (x.name < y.name ? -1 : 1)) }).to.deep.equal(after);
     expect(patches.isSmaller(patch, after)).to.equal(false);
     expect(patches.isSmaller(patches.between(3, after, after), after)).to.equal(true);
   });
