--- a/packages/settings/src/layoutCheck.ts
+++ b/packages/settings/src/gatewayConfigCheck.ts
@@ -1,9 +1,9 @@
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Layout } from '@martenworks/core-types';
+import type { GatewayConfig } from '@martenworks/core-types';
 
-export interface Complaint {
+export interface ValidationIssue {
   readonly path: string;
   readonly message: string;
 }
@@ -38,7 +38,7 @@
   'ratePerSecond?': type('0 < number <= 1000000 | null'),
 });
 
-const layoutShape = type({
+const gatewayConfigSchema = type({
   '+': 'reject',
   tiers: type({ '[string]': tier }),
   pools: type({ '[string]': pool }),
@@ -48,17 +48,17 @@
 
 const tenantShape = tenant;
 
-const complaintsOf = (problems: type.errors): Complaint[] =>
+const issuesOf = (problems: type.errors): ValidationIssue[] =>
   problems.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }));
 
-const filledTenant = (given: typeof tenant.infer): Layout['tenants'][string] => ({
+const filledTenant = (given: typeof tenant.infer): GatewayConfig['tenants'][string] => ({
   tier: given.tier,
   isolated: given.isolated ?? false,
   lanes: given.lanes ?? [],
   ratePerSecond: given.ratePerSecond ?? null,
 });
 
-const filled = (given: typeof layoutShape.infer): Layout => ({
+const filled = (given: typeof gatewayConfigSchema.infer): GatewayConfig => ({
   tiers: Object.fromEntries(
     Object.entries(given.tiers).map(([key, one]) => [
       key,
@@ -82,28 +82,28 @@
   tenants: Object.fromEntries(Object.entries(given.tenants).map(([key, one]) => [key, filledTenant(one)])),
 });
 
-const named = (table: Record<string, unknown>, at: string): Complaint[] =>
+const named = (table: Record<string, unknown>, at: string): ValidationIssue[] =>
   Object.keys(table)
     .filter((key) => !name.allows(key))
     .map((key) => ({ path: `/${at}/${key}`, message: 'must be a name of letters, digits, dots, dashes, at most 64' }));
 
-const absent = (layout: Layout): Complaint[] => [
-  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((at) => named(layout[at], at)),
-  ...Object.entries(layout.pools).flatMap(([key, one]) => {
-    const first = Object.entries(layout.pools).find(([, other]) => one.store !== null && other.store === one.store);
+const absent = (config: GatewayConfig): ValidationIssue[] => [
+  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((at) => named(config[at], at)),
+  ...Object.entries(config.pools).flatMap(([key, one]) => {
+    const first = Object.entries(config.pools).find(([, other]) => one.store !== null && other.store === one.store);
     return first === undefined || first[1].weights === one.weights
       ? []
       : [{ path: `/pools/${key}/store`, message: `is the store of pool ${first[0]} too, which has other weights` }];
   }),
-  ...Object.entries(layout.lanes)
-    .filter(([, one]) => !Object.hasOwn(layout.pools, one.pool))
+  ...Object.entries(config.lanes)
+    .filter(([, one]) => !Object.hasOwn(config.pools, one.pool))
     .map(([key, one]) => ({ path: `/lanes/${key}/pool`, message: `names the absent pool ${one.pool}` })),
-  ...Object.entries(layout.tenants)
-    .filter(([, one]) => !Object.hasOwn(layout.tiers, one.tier))
+  ...Object.entries(config.tenants)
+    .filter(([, one]) => !Object.hasOwn(config.tiers, one.tier))
     .map(([key, one]) => ({ path: `/tenants/${key}/tier`, message: `names the absent tier ${one.tier}` })),
-  ...Object.entries(layout.tenants).flatMap(([key, one]) =>
+  ...Object.entries(config.tenants).flatMap(([key, one]) =>
     one.lanes.flatMap((laneName, at) =>
-      Object.hasOwn(layout.lanes, laneName)
+      Object.hasOwn(config.lanes, laneName)
         ? []
         : [{ path: `/tenants/${key}/lanes/${at}`, message: `names the absent lane ${laneName}` }],
     ),
@@ -122,17 +122,18 @@
   return next;
 };
 
-export const layouts = {
-  check: (given: unknown): Result<Layout, Complaint[]> => {
-    const shaped = layoutShape(given);
-    if (shaped instanceof type.errors) return err(complaintsOf(shaped));
-    const layout = filled(shaped);
-    const faults = absent(layout);
-    return faults.length === 0 ? ok(layout) : err(faults);
+export const gatewayConfigs = {
+  check: (given: unknown): Result<GatewayConfig, ValidationIssue[]> => {
+    const shaped = gatewayConfigSchema(given);
+    if (shaped instanceof type.errors) return err(issuesOf(shaped));
+    const config = filled(shaped);
+    const faults = absent(config);
+    return faults.length === 0 ? ok(config) : err(faults);
   },
-  tenant: (given: unknown): Result<Layout['tenants'][string], Complaint[]> => {
+  tenant: (given: unknown): Result<GatewayConfig['tenants'][string], ValidationIssue[]> => {
     const shaped = tenantShape(given);
-    return shaped instanceof type.errors ? err(complaintsOf(shaped)) : ok(filledTenant(shaped));
+    return shaped instanceof type.errors ? err(issuesOf(shaped)) : ok(filledTenant(shaped));
   },
-  merge: (held: Layout, part: unknown): unknown => merged(held, part),
+  /** A configuration with a partial change laid over it (RFC 7396); not checked. */
+  merge: (held: GatewayConfig, part: unknown): unknown => merged(held, part),
 };
--- a/packages/settings/src/env.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -1,21 +1,21 @@
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Complaint } from './layoutCheck.js';
+import type { ValidationIssue } from './gatewayConfigCheck.js';
 
-export type Role = 'counter' | 'postmaster';
+export type Role = 'gateway' | 'gateway-control';
 
-export interface Env {
+export interface GatewaySettings {
   readonly role: Role;
   readonly name: string;
   readonly zone: string;
-  readonly coach: string;
-  readonly coachListen: string;
+  readonly peerAddress: string;
+  readonly peerListenAddress: string;
   readonly http: string;
   readonly operators: string | null;
   readonly seeds: readonly string[];
   readonly data: string | null;
-  readonly fronts: number;
+  readonly gatewayCount: number;
   readonly bodyLimitBytes: number;
   readonly queueLimit: number;
   readonly drainMs: number;
@@ -36,17 +36,17 @@
 );
 const label = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
 
-const envShape = type({
+const gatewaySettingsSchema = type({
   '+': 'reject',
   name: label,
   zone: label,
-  coach: address,
-  'coachListen?': address,
+  peerAddress: address,
+  'peerListenAddress?': address,
   http: address,
   'operators?': address,
   seeds: address.array().narrow((seeds, context) => seeds.length === 3 || context.mustBe('exactly three addresses')),
   'data?': 'string > 0',
-  'fronts?': '1 <= number.integer <= 1000',
+  'gatewayCount?': '1 <= number.integer <= 1000',
   'bodyLimitBytes?': '1024 <= number.integer <= 67108864',
   'queueLimit?': '1 <= number.integer <= 100000',
   'drainMs?': '0 <= number.integer <= 600000',
@@ -63,16 +63,16 @@
   switch: (raw: string): unknown => (raw === 'on' ? true : raw === 'off' ? false : raw),
 };
 
-export const envFields = {
+export const settingsFields = {
   name: { form: forms.text, help: "this node's name, unlike any other node's" },
   zone: { form: forms.text, help: 'the zone this machine stands in' },
-  coach: { form: forms.text, help: "IP:PORT for the fleet's own connections" },
-  coachListen: { form: forms.text, help: 'IP:PORT to listen on where others dial another (connection)' },
+  peerAddress: { form: forms.text, help: "IP:PORT for the fleet's own connections" },
+  peerListenAddress: { form: forms.text, help: 'IP:PORT to listen on where others dial another (connection)' },
   http: { form: forms.text, help: 'IP:PORT for HTTP (callers, or operators and platform)' },
-  operators: { form: forms.text, help: "IP:PORT for operators' pages, on a private network (counter only; none)" },
+  operators: { form: forms.text, help: "IP:PORT for operators' pages, on a private network (gateway only; none)" },
   seeds: { form: forms.list, help: 'three IP:PORT of other nodes, parted by commas' },
-  data: { form: forms.text, help: 'data folder (postmaster only)' },
-  fronts: { form: forms.count, help: 'how many counters share the extra allowance (9)' },
+  data: { form: forms.text, help: 'data folder (control node only)' },
+  gatewayCount: { form: forms.count, help: 'how many gateways share the retry budget (9)' },
   bodyLimitBytes: { form: forms.count, help: 'largest request body (4194304)' },
   queueLimit: { form: forms.count, help: 'most requests waiting in one stage (512)' },
   drainMs: { form: forms.count, help: 'longest wait for running requests on SIGTERM (25000)' },
@@ -82,43 +82,69 @@
   index: { form: forms.switch, help: 'on or off: use the index of kept prompts (on)' },
 } as const;
 
-export const envs = {
+/** Keys of earlier releases and the keys that replaced them; a file or flag with an old key is taken with a warning. */
+export const deprecatedSettings: Readonly<Record<string, keyof typeof settingsFields>> = {
+  coach: 'peerAddress',
+  coachListen: 'peerListenAddress',
+  fronts: 'gatewayCount',
+};
+
+const withCurrentKeys = <T>(given: Readonly<Record<string, T>>): Record<string, T> =>
+  Object.fromEntries(
+    Object.entries(given).map(([key, value]) => [
+      Object.hasOwn(deprecatedSettings, key) ? (deprecatedSettings[key] as string) : key,
+      value,
+    ]),
+  );
+
+export const gatewaySettings = {
+  /** One note for each key of an earlier release among these, for a warning. */
+  deprecatedIn: (given: Readonly<Record<string, unknown>>): string[] =>
+    Object.keys(given)
+      .filter((key) => Object.hasOwn(deprecatedSettings, key))
+      .map((key) => `${key}: use ${deprecatedSettings[key]}`),
+
   check: (
     role: Role,
-    fromFile: Record<string, unknown>,
-    fromFlags: Record<string, string>,
-  ): Result<Env, Complaint[]> => {
+    file: Record<string, unknown>,
+    flags: Record<string, string>,
+  ): Result<GatewaySettings, ValidationIssue[]> => {
+    const fromFile = withCurrentKeys(file);
+    const fromFlags = withCurrentKeys(flags);
     const flagged = Object.fromEntries(
       Object.entries(fromFlags).map(([key, raw]) => [
         key,
-        (envFields as Record<string, { form: (raw: string) => unknown }>)[key]?.form(raw) ?? raw,
+        (settingsFields as Record<string, { form: (raw: string) => unknown }>)[key]?.form(raw) ?? raw,
       ]),
     );
-    const shaped = envShape({ ...fromFile, ...flagged });
-    const faults: Complaint[] =
+    const shaped = gatewaySettingsSchema({ ...fromFile, ...flagged });
+    const faults: ValidationIssue[] =
       shaped instanceof type.errors
         ? shaped.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }))
         : [];
     const data = (flagged.data ?? fromFile.data) as unknown;
-    if (role === 'postmaster' && data === undefined)
-      faults.push({ path: '/data', message: 'a postmaster needs a data folder' });
+    if (role === 'gateway-control' && data === undefined)
+      faults.push({ path: '/data', message: 'a control node needs a data folder' });
     const operators = (flagged.operators ?? fromFile.operators) as unknown;
-    if (role === 'postmaster' && operators !== undefined)
-      faults.push({ path: '/operators', message: "is for counters; a postmaster's http is the operators' already" });
-    if (operators !== undefined && [flagged.http ?? fromFile.http, flagged.coach ?? fromFile.coach].includes(operators))
-      faults.push({ path: '/operators', message: 'must be another address than http and coach' });
+    if (role === 'gateway-control' && operators !== undefined)
+      faults.push({ path: '/operators', message: "is for gateways; a control node's http is the operators' already" });
+    if (
+      operators !== undefined &&
+      [flagged.http ?? fromFile.http, flagged.peerAddress ?? fromFile.peerAddress].includes(operators)
+    )
+      faults.push({ path: '/operators', message: 'must be another address than http and peerAddress' });
     if (shaped instanceof type.errors || faults.length > 0) return err(faults);
     return ok({
       role,
       name: shaped.name,
       zone: shaped.zone,
-      coach: shaped.coach,
-      coachListen: shaped.coachListen ?? shaped.coach,
+      peerAddress: shaped.peerAddress,
+      peerListenAddress: shaped.peerListenAddress ?? shaped.peerAddress,
       http: shaped.http,
       operators: shaped.operators ?? null,
       seeds: shaped.seeds,
       data: shaped.data ?? null,
-      fronts: shaped.fronts ?? 9,
+      gatewayCount: shaped.gatewayCount ?? 9,
       bodyLimitBytes: shaped.bodyLimitBytes ?? 4 * 1024 * 1024,
       queueLimit: shaped.queueLimit ?? 512,
       drainMs: shaped.drainMs ?? 25_000,
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,3 +1,3 @@
-export * from './layoutCheck.js';
-export * from './env.js';
-export * from './wayEnv.js';
+export * from './gatewayConfigCheck.js';
+export * from './gatewaySettings.js';
+export * from './nodeSettings.js';
--- a/packages/test-fleet/src/capacity/estimates/assumptions.ts
+++ b/packages/test-fleet/src/capacity/estimates/assumptions.ts
@@ -9,7 +9,7 @@
   longShare: 0.09,
   /** Pings a second of one gateway to all control nodes: of the product's own API, and of the users' platform. */
   corePings: fleetSize.voters * 4,
-  wayPings: fleetSize.voters * 2,
+  edgePings: fleetSize.voters * 2,
   changesASecond: fleetSize.changesADay / secondsPerDay,
   /** Membership exchanges whose other side is a control node. */
   rosterShareToCores: 0.5,
@@ -21,7 +21,7 @@
 export const heavyNotices = fleetSize.requests * traffic.longShare * 2;
 
 /** Requests a second of one gateway. */
-export const requestsPerFront = fleetSize.requests / fleetSize.nodes;
+export const requestsPerEdge = fleetSize.requests / fleetSize.nodes;
 
 /** Cache events a second where each tells of a whole chain of blocks. */
 export const chainEvents = fleetSize.events / traffic.blocksInAChain;
--- a/packages/test-fleet/src/capacity/estimates/gatewayEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/gatewayEstimates.ts
@@ -1,6 +1,6 @@
 /** What one gateway of the product's own API spends. */
 import { fleetSize } from '../fleetSize.js';
-import { heavyNotices, requestsPerFront, traffic } from './assumptions.js';
+import { heavyNotices, requestsPerEdge, traffic } from './assumptions.js';
 import type { CapacityEstimate } from './capacityEstimate.js';
 
 /** In the order of the page. */
@@ -94,6 +94,6 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '3.75 a second x `index/place`',
-    value: (costOf) => (requestsPerFront * costOf('index/place')) / 1_000,
+    value: (costOf) => (requestsPerEdge * costOf('index/place')) / 1_000,
   },
 ];
--- a/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
@@ -1,9 +1,9 @@
 /** What designs that are not built would spend. */
 import { fleetSize } from '../fleetSize.js';
-import { chainEvents, traffic, requestsPerFront } from './assumptions.js';
+import { chainEvents, traffic, requestsPerEdge } from './assumptions.js';
 import type { CapacityEstimate, CostOf } from './capacityEstimate.js';
 
-const asksPerNode = requestsPerFront + (3 * fleetSize.requests * traffic.longShare) / fleetSize.nodes;
+const asksPerNode = requestsPerEdge + (3 * fleetSize.requests * traffic.longShare) / fleetSize.nodes;
 const askBytes = 300;
 const patchBytes = 1_000;
 const digestBytes = 2 * (13 * 16 + 60);
--- a/packages/test-fleet/src/capacity/estimates/routeEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/routeEstimates.ts
@@ -1,6 +1,6 @@
 /** What edges and control nodes of the users' platform spend. */
 import { fleetSize } from '../fleetSize.js';
-import { chainEvents, heavyNotices, requestsPerFront, traffic } from './assumptions.js';
+import { chainEvents, heavyNotices, requestsPerEdge, traffic } from './assumptions.js';
 import type { CapacityEstimate } from './capacityEstimate.js';
 
 /** In the order of the page. */
@@ -12,7 +12,7 @@
     unit: 'B/s',
     line: 'wireBytes',
     from: '6 a second x `way-push/ping-bytes`',
-    value: (costOf) => traffic.wayPings * costOf('way-push/ping-bytes'),
+    value: (costOf) => traffic.edgePings * costOf('way-push/ping-bytes'),
   },
   {
     id: 'W2',
@@ -90,7 +90,7 @@
     unit: 'ms/s',
     line: 'cpuMs',
     from: '3.75 a second x `way-place/cpu`',
-    value: (costOf) => (requestsPerFront * costOf('way-place/cpu')) / 1_000,
+    value: (costOf) => (requestsPerEdge * costOf('way-place/cpu')) / 1_000,
   },
   {
     id: 'W9',
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -24,7 +24,7 @@
 const secondsPerToken = 0.056;
 
 /** Requests that run at once through one gateway. */
-export const runningPerFront = Math.round(
+export const runningPerEdge = Math.round(
   (fleetSize.requests * (firstTokenSeconds + tokensAfterFirst * secondsPerToken)) / fleetSize.nodes,
 );
 
@@ -39,7 +39,7 @@
 
 /** The sizes that series run over. */
 export const dimensions = {
-  fronts: { over: 'fronts', target: fleetSize.nodes },
+  edges: { over: 'fronts', target: fleetSize.nodes },
   frontsServed: { over: 'fronts it serves', target: fleetSize.nodes / fleetSize.voters },
   nodes: { over: 'nodes', target: fleetSize.nodes },
   replicas: { over: 'replicas', target: fleetSize.replicas },
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -1,10 +1,10 @@
 /** A control node's state and publisher on a real loopback address, which the probes measure. */
 import type { Member, ReplicaRecord } from '@martenworks/core-types';
-import { PushDesk, acceptors } from '@martenworks/control-plane';
+import { GatewayPublisher, acceptors } from '@martenworks/control-plane';
 import type { Acceptor } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers } from '@martenworks/peer-transport';
-import type { Pigeonhole } from '@martenworks/prefix-index';
+import type { PrefixIndex } from '@martenworks/prefix-index';
 import { Meter, freeAddress } from './meteredNet.js';
 import type { PeerProcess } from './peerProcessClient.js';
 import { probePorts } from './probePorts.js';
@@ -15,7 +15,7 @@
   readonly address: string;
   readonly meter: Meter;
   readonly acceptor: Acceptor;
-  readonly push: PushDesk;
+  readonly push: GatewayPublisher;
   readonly close: () => Promise<void>;
 }
 
@@ -24,7 +24,7 @@
   readonly tenants?: number;
   readonly records?: readonly ReplicaRecord[];
   readonly handlers?: Partial<Handlers>;
-  readonly shelves?: () => ReturnType<Pigeonhole['checkpoint']>;
+  readonly prefixCaches?: () => ReturnType<PrefixIndex['snapshot']>;
 }
 
 const fewTenants = 10;
@@ -38,30 +38,31 @@
 /** The three members that sample states name. */
 export const sampleMembers = [1, 2, 3].map(memberOf);
 
-const handlersOf = (acceptor: Acceptor, push: PushDesk): Handlers => ({
+const handlersOf = (acceptor: Acceptor, push: GatewayPublisher): Handlers => ({
   joined: () => {},
   left: push.drop,
   told: (connection, topic, body) => {
     if (topic === 'subscribe')
-      push.subscribe(connection, body === null ? (acceptor.agreed()?.generation ?? -1) : (body as number));
+      push.subscribe(connection, body === null ? (acceptor.agreed()?.logIndex ?? -1) : (body as number));
     else if (topic === 'ack') push.acked(connection, body as number);
-    else if (topic === 'heavyNews') push.heavyNews(connection, body as Parameters<PushDesk['heavyNews']>[1]);
+    else if (topic === 'longPrompts')
+      push.longPrompts(connection, body as Parameters<GatewayPublisher['longPrompts']>[1]);
   },
   asked: async (connection, topic, body) =>
-    topic === 'ping' ? push.pong(connection, body as Parameters<PushDesk['pong']>[1]) : null,
+    topic === 'ping' ? push.pong(connection, body as Parameters<GatewayPublisher['pong']>[1]) : null,
 });
 
 /** Opens a node; the caller closes it. */
 export const openControlNode = async (options: ControlNodeOptions = {}): Promise<MeasuredControlNode> => {
-  const { tenants = fewTenants, records = [], shelves = () => [] } = options;
+  const { tenants = fewTenants, records = [], prefixCaches = () => [] } = options;
   const meter = new Meter();
   const ports = probePorts(meter);
   const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
   await acceptor.adopt(sampleData.stateOf(tenants, 0, sampleMembers));
   const stoppedClock = { ...ports.clock, now: () => 0 };
-  const push = new PushDesk(acceptor, stoppedClock, () => records, shelves);
+  const push = new GatewayPublisher(acceptor, stoppedClock, () => records, prefixCaches);
   const address = await freeAddress();
-  const hello = sampleData.helloOf('postmaster', 1, address);
+  const hello = sampleData.helloOf('control', 1, address);
   const handlers = { ...handlersOf(acceptor, push), ...options.handlers };
   const listener = (
     await peerConnections.listen(ports.net, ports.clock, ports.log, () => hello, address, handlers)
--- a/packages/test-fleet/src/capacity/measuredRuns.ts
+++ b/packages/test-fleet/src/capacity/measuredRuns.ts
@@ -4,16 +4,16 @@
 
 /** Units: `us` and `ms` of processor time unless said otherwise, bytes, cores, or a share from 0 to 1. */
 export const measuredRuns = {
-  'way-push/ping-cpu': ['core node: processor time a ping', 'us', dimensions.fronts],
-  'way-push/ping-bytes': ['a ping and its reply', 'bytes', dimensions.fronts],
+  'way-push/ping-cpu': ['core node: processor time a ping', 'us', dimensions.edges],
+  'way-push/ping-bytes': ['a ping and its reply', 'bytes', dimensions.edges],
   'way-push/content-cpu': [
     'core node: processor time to push a book of 1,000 customers to all it serves',
     'ms',
     dimensions.frontsServed,
   ],
   'way-push/content-bytes': ['one change to one front that it serves', 'bytes', dimensions.customers],
-  'way-push/bare-cpu': ['core node: processor time to tell the bare generation to all others', 'ms', dimensions.fronts],
-  'way-push/bare-bytes': ['a bare generation to one front', 'bytes', dimensions.fronts],
+  'way-push/bare-cpu': ['core node: processor time to tell the bare generation to all others', 'ms', dimensions.edges],
+  'way-push/bare-bytes': ['a bare generation to one front', 'bytes', dimensions.edges],
   'way-push/reading-cpu': [
     'core node: processor time to tell all it serves of one long prompt being read',
     'us',
@@ -49,15 +49,15 @@
   'way-weights/idle-cpu': ['holder of the rollout: processor time of one step, none behind', 'ms', dimensions.replicas],
   'way-place/cpu': ['front: processor time to place one prompt', 'us', dimensions.replicasInPool],
   'way-place/view': ['front: processor time to build the view of a new edition', 'ms', dimensions.customers],
-  'pings/core-cpu': ['core node: processor time a ping', 'us', dimensions.fronts],
-  'pings/front-cpu': ['front: processor time a ping, its report and loads', 'us', dimensions.fronts],
-  'pings/ask-bytes': ['a ping', 'bytes', dimensions.fronts],
-  'pings/pong-bytes': ['reply to a ping', 'bytes', dimensions.fronts],
+  'pings/core-cpu': ['core node: processor time a ping', 'us', dimensions.edges],
+  'pings/front-cpu': ['front: processor time a ping, its report and loads', 'us', dimensions.edges],
+  'pings/ask-bytes': ['a ping', 'bytes', dimensions.edges],
+  'pings/pong-bytes': ['reply to a ping', 'bytes', dimensions.edges],
   'pings/pong-bytes-by-replicas': ['reply to a ping, 100 fronts', 'bytes', dimensions.replicas],
-  'heavy/core-cpu': ['core node: processor time for one heavy-prefill notice', 'ms', dimensions.fronts],
-  'heavy/bytes': ['sent by a core node for one heavy-prefill notice', 'bytes', dimensions.fronts],
-  'pushes/core-cpu': ['core node: processor time to push one change, 1,000 tenants', 'ms', dimensions.fronts],
-  'pushes/all-acked': ['one change until every front acked, 1,000 tenants, loopback', 'ms', dimensions.fronts],
+  'heavy/core-cpu': ['core node: processor time for one heavy-prefill notice', 'ms', dimensions.edges],
+  'heavy/bytes': ['sent by a core node for one heavy-prefill notice', 'bytes', dimensions.edges],
+  'pushes/core-cpu': ['core node: processor time to push one change, 1,000 tenants', 'ms', dimensions.edges],
+  'pushes/all-acked': ['one change until every front acked, 1,000 tenants, loopback', 'ms', dimensions.edges],
   'pushes/core-cpu-by-tenants': ['core node: processor time to push one change, 100 fronts', 'ms', dimensions.tenants],
   'pushes/bytes': ['one change to one front from one core node', 'bytes', dimensions.tenants],
   'pushes/checkpoint-bytes': [
@@ -105,8 +105,8 @@
     'share',
     dimensions.blocksSent,
   ],
-  'relays/core-cpu': ['core node: processor time an event, read, kept and told to all fronts', 'us', dimensions.fronts],
-  'relays/core-cpu-full': ['the same with 400 events in each bundle', 'us', dimensions.fronts],
+  'relays/core-cpu': ['core node: processor time an event, read, kept and told to all fronts', 'us', dimensions.edges],
+  'relays/core-cpu-full': ['the same with 400 events in each bundle', 'us', dimensions.edges],
   'relays/bytes': ['one event to one front', 'bytes', dimensions.blocksAnEvent],
   'relays/follower-busy': [
     'follower that tells nobody: cores busy (read, parse, keep)',
@@ -140,5 +140,5 @@
   'replicas/first-list': ['core node: a first list of replicas kept on disk', 'ms', dimensions.replicas],
   'replicas/list-cpu': ['core node: processor time of a list without news', 'ms', dimensions.replicas],
   'replicas/bytes': ['the list of replicas to one front', 'bytes', dimensions.replicas],
-  'replicas/news-cpu': ['core node: processor time to tell all fronts one record', 'us', dimensions.fronts],
+  'replicas/news-cpu': ['core node: processor time to tell all fronts one record', 'us', dimensions.edges],
 } as const satisfies Record<string, readonly [what: string, unit: string, dimension: Dimension]>;
--- a/packages/test-fleet/src/capacity/meteredNet.ts
+++ b/packages/test-fleet/src/capacity/meteredNet.ts
@@ -1,6 +1,6 @@
 /** Networks of the probes: real loopback connections whose bytes are counted. */
 import { createServer } from 'node:net';
-import type { Net, Wire } from '@martenworks/core-types';
+import type { Net, RawConnection } from '@martenworks/core-types';
 
 /** Bytes that crossed the metered connections of one probe. */
 export class Meter {
@@ -10,7 +10,7 @@
 
 /** A network whose connections add what they send and receive to the meter. */
 export const metered = (net: Net, meter: Meter): Net => {
-  const over = (wire: Wire): Wire => ({
+  const over = (wire: RawConnection): RawConnection => ({
     ...wire,
     write: (bytes) => {
       meter.sent += bytes.length;
@@ -23,7 +23,7 @@
       }, onClose),
   });
   return {
-    dial: async (address, patienceMs) => (await net.dial(address, patienceMs)).map(over),
+    dial: async (address, timeoutMs) => (await net.dial(address, timeoutMs)).map(over),
     listen: (address, onWire) => net.listen(address, (wire) => onWire(over(wire))),
   };
 };
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -7,7 +7,7 @@
 import { membershipEstimates } from './estimates/membershipEstimates.js';
 import { plannedEstimates } from './estimates/plannedEstimates.js';
 import { routeEstimates } from './estimates/routeEstimates.js';
-import { runningPerFront } from './fleetSize.js';
+import { runningPerEdge } from './fleetSize.js';
 import { tables } from './table.js';
 import type { Measurement } from './table.js';
 
@@ -79,4 +79,4 @@
 };
 
 /** `evaluate` works all estimates out, `runsIn` names the runs of one, `markdown` writes the table. */
-export const capacityModel = { evaluate, runsIn, markdown, runningPerFront };
+export const capacityModel = { evaluate, runsIn, markdown, runningPerEdge };
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -1,10 +1,10 @@
 /** The child process that plays the peers of a measured node: many connections that answer and count, and do no more. */
 import { logs, machine } from '@martenworks/core-types';
-import type { KvNews, Loads, Pong, ReplicaRecord, StateMessage } from '@martenworks/core-types';
-import { Book, Tracks } from '@martenworks/counter';
+import type { KvCacheEvent, Loads, Pong, ReplicaRecord, EdgeStateMessage } from '@martenworks/core-types';
+import { StateView, ReplicaTracker } from '@martenworks/gateway';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
-import type { ShelfCheckpoint } from '@martenworks/prefix-index';
+import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { cpuUs, startWatch, until, upTo } from './measuring.js';
 import { Meter, metered } from './meteredNet.js';
 import type { PeerCommand, PeerReplies, PingCost, ReportedLoad } from './peerCommands.js';
@@ -12,24 +12,24 @@
 import { sampleData } from './sampleData.js';
 
 const ownAddress = '127.0.0.1:1';
-const patienceMs = 30_000;
-const noticePatienceMs = 20_000;
+const timeoutMs = 30_000;
+const noticeTimeoutMs = 20_000;
 const dialsAtOnce = 40;
 const pingsAtOnce = 20;
 const tokensARequest = 512;
 
 const meter = new Meter();
 const net = metered(machine.net(null), meter);
-const book = new Book(machine.clock, () => {});
-const tracks = new Tracks(machine.clock);
+const routingTable = new StateView(machine.clock, () => {});
+const replicaTracker = new ReplicaTracker(machine.clock);
 const connections: PeerConnection[] = [];
 const counted = { loads: 0, left: 0 };
 let isReal = false;
 
 const takeAsGateway = (topic: string, body: unknown): void => {
-  if (topic === 'replicas') book.takeReplicas(body as ReplicaRecord[]);
-  else if (topic === 'shelf') book.takeShelf(body as ShelfCheckpoint);
-  else if (topic === 'kv') book.takeKv(body as KvNews[]);
+  if (topic === 'replicas') routingTable.takeReplicas(body as ReplicaRecord[]);
+  else if (topic === 'indexSnapshot') routingTable.takeIndexSnapshot(body as PrefixIndexSnapshot);
+  else if (topic === 'kv') routingTable.takeKv(body as KvCacheEvent[]);
 };
 
 const handlers: Handlers = {
@@ -39,18 +39,17 @@
   },
   asked: async () => null,
   told: (connection, topic, body) => {
-    if (topic === 'change' || topic === 'checkpoint')
-      connection.tell('ack', (body as { generation: number }).generation);
+    if (topic === 'change' || topic === 'checkpoint') connection.tell('ack', (body as { logIndex: number }).logIndex);
     else if (topic === 'state') {
-      const { generation, edition } = body as StateMessage;
-      connection.tell('ack', { generation, edition });
+      const { logIndex, configVersion } = body as EdgeStateMessage;
+      connection.tell('ack', { logIndex, configVersion });
     } else if (topic === 'loads') counted.loads += 1;
     else if (isReal) takeAsGateway(topic, body);
   },
 };
 
 const dial = async (address: string, at: number): Promise<void> => {
-  const hello = sampleData.helloOf('counter', at, ownAddress);
+  const hello = sampleData.helloOf('edge', at, ownAddress);
   const dialed = await peerConnections.dial(net, machine.clock, logs.silent(), hello, address, handlers);
   if (dialed.isErr()) throw new Error(`peer ${at} cannot reach ${address}: ${dialed.error.code}`);
   connections.push(dialed.value);
@@ -82,7 +81,7 @@
   const spent = startWatch(meter);
   await atOnce(count, pingsAtOnce, async (at) => {
     const index = at % connections.length;
-    const pong = await (connections[index] as PeerConnection).ask('ping', bodies[index], patienceMs);
+    const pong = await (connections[index] as PeerConnection).ask('ping', bodies[index], timeoutMs);
     if (pong.isOk()) onPong(pong.value);
   });
   const { cpuUs: us, gotBytes, sentBytes } = spent();
@@ -93,13 +92,13 @@
   ping(
     count,
     connections.map((_, at) => reportOf(at, load)),
-    (pong) => tracks.toldOthers((pong as Pong).loads),
+    (pong) => replicaTracker.toldOthers((pong as Pong).loads),
   );
 
 const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
   const [loads, got] = [counted.loads, meter.got];
-  connections[0]?.tell('heavyNews', reportOf(0, load));
-  await until(() => counted.loads - loads >= connections.length - 1, noticePatienceMs);
+  connections[0]?.tell('longPrompts', reportOf(0, load));
+  await until(() => counted.loads - loads >= connections.length - 1, noticeTimeoutMs);
   return { got: meter.got - got };
 };
 
@@ -107,10 +106,10 @@
   const connection = connections[at % connections.length] as PeerConnection;
   const key = `tenant-0001/${from + at}`;
   const id = `id-${key}`;
-  const claimant = { id, counter: 'incarnation-00001', address: '10.0.0.1:7100', digest: key.padStart(32, '0') };
+  const claimant = { id, gateway: 'incarnation-00001', address: '10.0.0.1:7100', digest: key.padStart(32, '0') };
   const slot = { key, turn: 0, ballot: [1, id] };
-  await connection.ask('claimPrepare', slot, patienceMs);
-  await connection.ask('claimAccept', { ...slot, claimant }, patienceMs);
+  await connection.ask('claimPrepare', slot, timeoutMs);
+  await connection.ask('claimAccept', { ...slot, claimant }, timeoutMs);
 };
 
 const hangUp = (): void => {
@@ -142,7 +141,7 @@
       return {};
     case 'ask':
       await atOnce(command.count, 1, () =>
-        (connections[0] as PeerConnection).ask(command.topic, command.body, patienceMs),
+        (connections[0] as PeerConnection).ask(command.topic, command.body, timeoutMs),
       );
       return {};
     case 'readCounters':
--- a/packages/test-fleet/src/capacity/peerProcessClient.ts
+++ b/packages/test-fleet/src/capacity/peerProcessClient.ts
@@ -20,8 +20,8 @@
 
   /** Replies come in the order of the commands. */
   readonly run = <Command extends PeerCommand>(command: Command): Promise<PeerReplies[Command['verb']]> =>
-    new Promise((settle) => {
-      this.waiting.push(settle);
+    new Promise((resolve) => {
+      this.waiting.push(resolve);
       this.child.send(command);
     });
 
--- a/packages/test-fleet/src/capacity/probePorts.ts
+++ b/packages/test-fleet/src/capacity/probePorts.ts
@@ -25,8 +25,8 @@
   clock: machine.clock,
   random: machine.random,
   net: metered(machine.net(null), meter),
-  door: { open: async () => Promise.reject(new Error('no door')) },
-  carriage: { carry: async () => Promise.reject(new Error('no carriage')), close: async () => {} },
+  httpServer: { open: async () => Promise.reject(new Error('no door')) },
+  httpClient: { send: async () => Promise.reject(new Error('no carriage')), close: async () => {} },
   disk: temporaryDisk(),
   log: logs.silent(),
 });
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -2,7 +2,7 @@
 import { ok } from 'neverthrow';
 import type { Change, Member, Ports } from '@martenworks/core-types';
 import { Proposer, acceptors } from '@martenworks/control-plane';
-import type { Acceptor, Ballot, Position, Settled, Since, Vote } from '@martenworks/control-plane';
+import type { Acceptor, Ballot, Position, CommittedChange, Since, Vote } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, tenantCounts } from '../fleetSize.js';
@@ -13,9 +13,9 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const changesARepeat = 4;
-const patienceMs = 5_000;
+const timeoutMs = 5_000;
 
 const defineAll = () =>
   defineSeries({
@@ -44,10 +44,10 @@
   const handlers: Handlers = {
     joined: () => {},
     left: () => {},
-    told: (_connection, topic, body) => void (topic === 'settled' && acceptor.settle(body as Settled)),
+    told: (_connection, topic, body) => void (topic === 'committed' && acceptor.commit(body as CommittedChange)),
     asked: async (_connection, topic, body) => answerOf(acceptor, topic, body),
   };
-  const hello = sampleData.helloOf('postmaster', at, address);
+  const hello = sampleData.helloOf('control', at, address);
   const listener = (
     await peerConnections.listen(ports.net, ports.clock, ports.log, () => hello, address, handlers)
   )._unsafeUnwrap();
@@ -65,7 +65,7 @@
 
 const connect = async (ports: Ports, own: MemberNode, others: readonly MemberNode[]): Promise<Connections> => {
   const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
-  const hello = sampleData.helloOf('postmaster', 0, own.member.address);
+  const hello = sampleData.helloOf('control', 0, own.member.address);
   const connections = new Map<string, PeerConnection>();
   for (const { member } of others) {
     const dialed = await peerConnections.dial(ports.net, ports.clock, ports.log, hello, member.address, quiet);
@@ -77,7 +77,7 @@
 const proposerOf = (ports: Ports, own: Acceptor, connections: Connections): Proposer => {
   const ask = async <T>(member: Member, topic: string, body: unknown): Promise<T | null> => {
     const connection = connections.get(member.incarnation) as PeerConnection;
-    return (await connection.ask(topic, body, patienceMs)).unwrapOr(null) as T | null;
+    return (await connection.ask(topic, body, timeoutMs)).unwrapOr(null) as T | null;
   };
   const isOwn = (member: Member): boolean => member.incarnation === own.incarnation;
   return new Proposer(
@@ -88,11 +88,11 @@
       accept: (member, slot, ballot, change) =>
         isOwn(member) ? own.accept(slot, ballot, change) : ask<Vote>(member, 'accept', { slot, ballot, change }),
       position: (member) => ask<Position>(member, 'position', null),
-      settle: (settled) => {
-        for (const connection of connections.values()) connection.tell('settled', settled);
+      commit: (committed) => {
+        for (const connection of connections.values()) connection.tell('committed', committed);
       },
-      since: (member, generation) =>
-        isOwn(member) ? Promise.resolve(own.since(generation)) : ask<Since>(member, 'since', generation),
+      since: (member, logIndex) =>
+        isOwn(member) ? Promise.resolve(own.since(logIndex)) : ask<Since>(member, 'since', logIndex),
       supply: async () => {},
     },
     ports.clock,
@@ -101,12 +101,12 @@
   );
 };
 
-const propose = async (proposer: Proposer, tenants: number, edition: number): Promise<void> => {
+const propose = async (proposer: Proposer, tenants: number, configVersion: number): Promise<void> => {
   const outcome = await proposer.propose(
-    (state) => ok(sampleData.layoutChange(tenants, edition, state.layoutGeneration)),
-    `push-${edition}`,
-    edition.toString(16).padStart(32, '0'),
-    patienceMs,
+    (state) => ok(sampleData.configChange(tenants, configVersion, state.configLogIndex)),
+    `push-${configVersion}`,
+    configVersion.toString(16).padStart(32, '0'),
+    timeoutMs,
   );
   if (outcome.isErr()) throw new Error(`a change was not decided: ${JSON.stringify(outcome.error)}`);
 };
@@ -122,13 +122,13 @@
   const connections = await connect(ports, own, others);
   const proposer = proposerOf(ports, own.acceptor, connections);
   const isSettled = (): boolean =>
-    nodes.every(({ acceptor }) => acceptor.agreed()?.generation === own.acceptor.agreed()?.generation);
-  await repeated(repeats, 1, async (isKept, repeat) => {
+    nodes.every(({ acceptor }) => acceptor.agreed()?.logIndex === own.acceptor.agreed()?.logIndex);
+  await repeated(timers, 1, async (isKept, repeat) => {
     const spent = startWatch(meter);
     for (const at of upTo(changesARepeat)) await propose(proposer, tenants, repeat * changesARepeat + at + 1);
     if (!isKept) return;
     series.wall.add(tenants, spent().wallMs / changesARepeat);
-    await until(isSettled, patienceMs);
+    await until(isSettled, timeoutMs);
     const { cpuMs, sentBytes } = spent();
     series.cpu.add(tenants, cpuMs / changesARepeat / fleetSize.voters);
     series.bytes.add(tenants, sentBytes / changesARepeat);
--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -17,7 +17,7 @@
 const acceptedAtOnce = 5_000;
 const retentionMs = 3_600_000;
 const connectionCount = 8;
-const repeats = 3;
+const timers = 3;
 const msPerSecond = 1_000;
 
 const defineAll = () =>
@@ -61,7 +61,7 @@
   const options = { handlers: { asked: answering(table) } };
   await withConnectedNode(peers, { count: connectionCount }, options, async ({ meter }) => {
     await claim(width * 2);
-    await repeated(repeats, 0, async () => {
+    await repeated(timers, 0, async () => {
       const spent = startWatch(meter);
       await claim(count);
       const { cpuUs, wallMs, sentBytes, gotBytes } = spent();
@@ -76,7 +76,7 @@
 
 const claimantOf = (at: number): Claimant => ({
   id: `${at}`.padStart(32, '0'),
-  counter: `${at % 400}`.padStart(16, '0'),
+  gateway: `${at % 400}`.padStart(16, '0'),
   address: `10.0.0.${at % 256}:7100`,
   digest: `${at}`.padStart(32, 'd'),
 });
--- a/packages/test-fleet/src/capacity/probes/eventFeed.ts
+++ b/packages/test-fleet/src/capacity/probes/eventFeed.ts
@@ -1,6 +1,6 @@
 /** A carriage that serves cache events of replicas from memory, for probes of the event followers. */
 import { ok } from 'neverthrow';
-import type { Carriage, KvNews } from '@martenworks/core-types';
+import type { HttpClient, KvCacheEvent } from '@martenworks/core-types';
 
 interface Queue {
   readonly parts: Uint8Array[];
@@ -8,7 +8,7 @@
 }
 
 /** The bytes that a replica sends for one event. */
-export const eventBytes = ({ incarnation, seq, kind, tenant, blocks }: KvNews): string =>
+export const eventBytes = ({ incarnation, seq, kind, tenant, blocks }: KvCacheEvent): string =>
   `data: ${JSON.stringify({ incarnation, seq, kind, tenant, blocks })}\n\n`;
 
 /** Streams to whoever asks a replica what was given for its address. */
@@ -21,9 +21,9 @@
     queue.wake();
   };
 
-  readonly carriage: Carriage = {
+  readonly httpClient: HttpClient = {
     close: async () => {},
-    carry: async ({ url, signal }) => {
+    send: async ({ url, signal }) => {
       const queue = this.queueOf(new URL(url).host);
       signal.addEventListener('abort', () => queue.wake(), { once: true });
       return ok({ status: 200, headers: () => [], header: () => null, body: this.stream(queue, signal) });
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -1,6 +1,6 @@
 /** Membership: exchanges of the list between nodes, heartbeats, and who watches whom. */
-import { Roster, Watch, ring } from '@martenworks/cluster-membership';
-import type { RosterEntry } from '@martenworks/cluster-membership';
+import { MemberList, HeartbeatMonitor, ring } from '@martenworks/cluster-membership';
+import type { MemberEntry } from '@martenworks/cluster-membership';
 import { machine } from '@martenworks/core-types';
 import { nodeCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
@@ -32,50 +32,50 @@
 
 type GossipSeries = ReturnType<typeof defineAll>;
 
-const own = sampleData.helloOf('counter', 0, '10.0.0.0:7100');
+const own = sampleData.helloOf('edge', 0, '10.0.0.0:7100');
 
-const fullRoster = (nodes: number): Roster => {
-  const roster = new Roster(machine.clock, () => own);
+const fullRoster = (nodes: number): MemberList => {
+  const memberList = new MemberList(machine.clock, () => own);
   for (const at of upTo(nodes - 1)) {
     const address = `10.0.${(at + 1) >> 8}.${(at + 1) & 255}:7100`;
-    roster.heard(structuredClone(sampleData.helloOf('counter', at + 1, address)));
+    memberList.heard(structuredClone(sampleData.helloOf('edge', at + 1, address)));
   }
-  return roster;
+  return memberList;
 };
 
-const measureWatch = async (series: GossipSeries, roster: Roster, nodes: number): Promise<void> => {
-  const ringNodes = () => roster.entries().map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
-  const watch = new Watch(machine.clock, () => ({ name: own.name, zone: own.zone }), ringNodes);
+const measureWatch = async (series: GossipSeries, memberList: MemberList, nodes: number): Promise<void> => {
+  const ringNodes = () => memberList.entries().map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
+  const watch = new HeartbeatMonitor(machine.clock, () => ({ name: own.name, zone: own.zone }), ringNodes);
   await repeated(watchRepeats, 1, (isKept) => {
-    const beatMs = meanCpuMs(nodes > fewNodes ? beatsOfMany : beatsOfFew, () => {
+    const keepaliveIntervalMs = meanCpuMs(nodes > fewNodes ? beatsOfMany : beatsOfFew, () => {
       watch.watchers();
       watch.suspects();
     });
     const watchersMs = meanCpuMs(looksARepeat, () => void ring.watchersOf(own.name, ringNodes()));
     if (!isKept) return;
-    series.beat.add(nodes, beatMs);
+    series.beat.add(nodes, keepaliveIntervalMs);
     series.watchers.add(nodes, watchersMs);
   });
 };
 
-const knownAfterOneExchange = (roster: Roster): number => {
-  const newcomer = new Roster(machine.clock, () => sampleData.helloOf('counter', 9_999, '10.9.9.9:7100'));
-  newcomer.merge(roster.entries());
+const knownAfterOneExchange = (memberList: MemberList): number => {
+  const newcomer = new MemberList(machine.clock, () => sampleData.helloOf('edge', 9_999, '10.9.9.9:7100'));
+  newcomer.merge(memberList.entries());
   return newcomer.entries().length;
 };
 
 const measureExchange = async (
   peers: PeerProcess,
   series: GossipSeries,
-  roster: Roster,
+  memberList: MemberList,
   nodes: number,
 ): Promise<void> => {
-  const asked = async (_connection: unknown, topic: string, body: unknown): Promise<RosterEntry[] | null> => {
-    if (topic !== 'roster') return null;
-    roster.merge(body as RosterEntry[]);
-    return roster.entries();
+  const asked = async (_connection: unknown, topic: string, body: unknown): Promise<MemberEntry[] | null> => {
+    if (topic !== 'memberList') return null;
+    memberList.merge(body as MemberEntry[]);
+    return memberList.entries();
   };
-  const exchange = { verb: 'ask', topic: 'roster', body: roster.entries() } as const;
+  const exchange = { verb: 'ask', topic: 'memberList', body: memberList.entries() } as const;
   await withConnectedNode(peers, { count: 1, from: 500 }, { handlers: { asked } }, async ({ meter }) => {
     await peers.run({ ...exchange, count: warmUpExchanges });
     await repeated(exchangeRepeats, 0, async () => {
@@ -94,15 +94,15 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      const kept: Roster[] = [];
+      const kept: MemberList[] = [];
       for (const nodes of nodeCounts) {
         const empty = heapBytes();
-        const roster = fullRoster(nodes);
-        kept.push(roster);
+        const memberList = fullRoster(nodes);
+        kept.push(memberList);
         series.memory.add(nodes, heapBytes() - empty);
-        await measureWatch(series, roster, nodes);
-        series.known.add(nodes, knownAfterOneExchange(roster));
-        await measureExchange(peers, series, roster, nodes);
+        await measureWatch(series, memberList, nodes);
+        series.known.add(nodes, knownAfterOneExchange(memberList));
+        await measureExchange(peers, series, memberList, nodes);
       }
       return measurementsOf(series);
     }),
--- a/packages/test-fleet/src/capacity/probes/joins.ts
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -1,6 +1,6 @@
 /** Gateways that start: how much of the index arrives, and whether the connection survives it. */
 import type { ReplicaRecord } from '@martenworks/core-types';
-import { Pigeonhole } from '@martenworks/prefix-index';
+import { PrefixIndex } from '@martenworks/prefix-index';
 import { blocksPerReplica } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { pauseMs, repeated, upTo } from '../measuring.js';
@@ -13,7 +13,7 @@
 import type { Probe } from './probe.js';
 
 const blockCounts = [28_000, 280_000, 560_000, 840_000, 1_120_000];
-const repeats = 2;
+const timers = 2;
 const pollMs = 100;
 const mostPolls = 40;
 const suspectMs = 3_600_000;
@@ -24,7 +24,7 @@
     stays: 'joins/stays',
   });
 
-const fill = (index: Pigeonhole, records: readonly ReplicaRecord[]): void => {
+const fill = (index: PrefixIndex, records: readonly ReplicaRecord[]): void => {
   index.reconcile(records, () => 0);
   for (const [at, { name }] of records.entries()) {
     if (index.seqOf(name, 1) > 0) continue;
@@ -38,9 +38,9 @@
   let last = -1;
   for (let poll = 0; poll < mostPolls; poll += 1) {
     await pauseMs(pollMs);
-    const counters = await peers.run({ verb: 'readCounters' });
-    if (counters.got === last && poll > 1) break;
-    last = counters.got;
+    const gateways = await peers.run({ verb: 'readCounters' });
+    if (gateways.got === last && poll > 1) break;
+    last = gateways.got;
   }
   return peers.run({ verb: 'readCounters' });
 };
@@ -51,13 +51,13 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      const index = new Pigeonhole(suspectMs);
+      const index = new PrefixIndex(suspectMs);
       for (const target of blockCounts) {
         const records = sampleData.records(Math.ceil(target / blocksPerReplica));
         fill(index, records);
         const bytes = snapshotBytes(index);
-        const options = { records, shelves: () => index.checkpoint(1) };
-        await repeated(repeats, 0, () =>
+        const options = { records, prefixCaches: () => index.snapshot(1) };
+        await repeated(timers, 0, () =>
           withConnectedNode(peers, { count: 1 }, options, async () => {
             const before = await peers.run({ verb: 'readCounters' });
             await peers.run({ verb: 'tell', topic: 'subscribe' });
--- a/packages/test-fleet/src/capacity/probes/layout.ts
+++ b/packages/test-fleet/src/capacity/probes/layout.ts
@@ -1,5 +1,5 @@
 /** A gateway's view of the configuration: built anew for each change, and adjusted for each replica record. */
-import { Book } from '@martenworks/counter';
+import { StateView } from '@martenworks/gateway';
 import { machine } from '@martenworks/core-types';
 import type { Change, ReplicaRecord } from '@martenworks/core-types';
 import { fleetSize, replicaCounts, tenantCounts } from '../fleetSize.js';
@@ -9,7 +9,7 @@
 import type { Probe } from './probe.js';
 
 const isolatedShare = 0.01;
-const repeats = 3;
+const timers = 3;
 const changesARepeat = 3;
 const recordsARepeat = 4;
 
@@ -24,34 +24,34 @@
 type LayoutSeries = ReturnType<typeof defineAll>;
 
 /** Views stay referenced in `kept`, so that their memory is not collected between readings. */
-const measureView = (series: LayoutSeries, kept: Book[], tenants: number, isolated: number): void => {
+const measureView = (series: LayoutSeries, kept: StateView[], tenants: number, isolated: number): void => {
   const empty = heapBytes();
-  const book = new Book(machine.clock, () => {});
+  const routingTable = new StateView(machine.clock, () => {});
   const state = structuredClone(sampleData.stateOf(tenants, isolated, []));
-  book.takeCheckpoint(state);
-  kept.push(book);
+  routingTable.takeSnapshot(state);
+  kept.push(routingTable);
   if (isolated === 0) series.memory.add(tenants, heapBytes() - empty);
-  book.takeReplicas(sampleData.records(fleetSize.replicas));
-  const { generation } = state;
+  routingTable.takeReplicas(sampleData.records(fleetSize.replicas));
+  const { logIndex } = state;
   const changes = upTo(changesARepeat).map(
     (at): Change => ({
       id: `view-${at}`,
       digest: '0',
-      body: { kind: 'layout', layout: sampleData.layoutOf(tenants, isolated, at), base: generation + at },
+      body: { kind: 'config', config: sampleData.configOf(tenants, isolated, at), base: logIndex + at },
     }),
   );
-  const ms = meanCpuMs(changesARepeat, (at) => void book.takeChange(generation + 1 + at, changes[at] as Change));
+  const ms = meanCpuMs(changesARepeat, (at) => void routingTable.takeChange(logIndex + 1 + at, changes[at] as Change));
   (isolated === 0 ? series.view : series.viewIsolated).add(tenants, ms);
 };
 
 const measureRecord = async (series: LayoutSeries, replicas: number): Promise<void> => {
-  const book = new Book(machine.clock, () => {});
-  book.takeCheckpoint(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
+  const routingTable = new StateView(machine.clock, () => {});
+  routingTable.takeSnapshot(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
   const records = sampleData.records(replicas);
-  book.takeReplicas(records);
-  await repeated(repeats, 1, (isKept, repeat) => {
+  routingTable.takeReplicas(records);
+  await repeated(timers, 1, (isKept, repeat) => {
     const ms = meanCpuMs(recordsARepeat, (at) =>
-      book.takeReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
+      routingTable.takeReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
     );
     if (isKept) series.replicaRecord.add(replicas, ms);
   });
@@ -62,10 +62,10 @@
   name: 'layout',
   measure: async () => {
     const series = defineAll();
-    const kept: Book[] = [];
+    const kept: StateView[] = [];
     for (const tenants of tenantCounts)
       for (const isolated of [0, Math.round(tenants * isolatedShare)])
-        await repeated(repeats, 0, () => measureView(series, kept, tenants, isolated));
+        await repeated(timers, 0, () => measureView(series, kept, tenants, isolated));
     for (const replicas of replicaCounts) await measureRecord(series, replicas);
     return measurementsOf(series);
   },
--- a/packages/test-fleet/src/capacity/probes/leases.ts
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -1,7 +1,7 @@
 /** Leases of singleton roles, one for each replica, between three control nodes. */
-import { Duties } from '@martenworks/cluster-membership';
-import type { LeaseAsk, LeaseReply } from '@martenworks/cluster-membership';
-import { leaseBooks } from '@martenworks/control-plane';
+import { LeaseManager } from '@martenworks/cluster-membership';
+import type { LeaseRequest, LeaseReply } from '@martenworks/cluster-membership';
+import { leaseTables } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import type { Net } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
@@ -14,10 +14,10 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
-const settlePatienceMs = 8_000;
+const timers = 3;
+const settleTimeoutMs = 8_000;
 const settlePollMs = 50;
-const askPatienceMs = 5_000;
+const askTimeoutMs = 5_000;
 
 const defineAll = () =>
   defineSeries({
@@ -32,16 +32,16 @@
 interface LeaseNode {
   readonly name: string;
   readonly address: string;
-  readonly grant: (ask: LeaseAsk) => Promise<LeaseReply | null>;
+  readonly grant: (ask: LeaseRequest) => Promise<LeaseReply | null>;
   readonly close: () => Promise<void>;
 }
 
 const openLeaseNode = async (net: Net, at: number): Promise<LeaseNode> => {
-  const opened = (await leaseBooks.open(temporaryDisk(), machine.clock, logs.silent()))._unsafeUnwrap();
+  const opened = (await leaseTables.open(temporaryDisk(), machine.clock, logs.silent()))._unsafeUnwrap();
   const address = await freeAddress();
-  const hello = sampleData.helloOf('postmaster', at, address);
-  const grant = async (ask: LeaseAsk): Promise<LeaseReply | null> => (await opened.book.grant(ask)) ?? null;
-  const handlers: Handlers = { ...quiet, asked: (_connection, _topic, body) => grant(body as LeaseAsk) };
+  const hello = sampleData.helloOf('control', at, address);
+  const grant = async (ask: LeaseRequest): Promise<LeaseReply | null> => (await opened.table.grant(ask)) ?? null;
+  const handlers: Handlers = { ...quiet, asked: (_connection, _topic, body) => grant(body as LeaseRequest) };
   const listener = (
     await peerConnections.listen(net, machine.clock, logs.silent(), () => hello, address, handlers)
   )._unsafeUnwrap();
@@ -53,7 +53,7 @@
 };
 
 const dialOthers = async (net: Net, nodes: readonly LeaseNode[], own: number): Promise<PeerConnection[]> => {
-  const hello = sampleData.helloOf('postmaster', own, '');
+  const hello = sampleData.helloOf('control', own, '');
   const others = nodes.filter((_, at) => at !== own);
   const dialed: PeerConnection[] = [];
   for (const { address } of others)
@@ -66,16 +66,17 @@
   node: LeaseNode,
   connections: readonly PeerConnection[],
   wanted: readonly string[],
-): Duties => {
-  const askAll = async (ask: LeaseAsk): Promise<LeaseReply[]> => {
+): LeaseManager => {
+  const askAll = async (ask: LeaseRequest): Promise<LeaseReply[]> => {
     const asked = connections.map(
-      async (connection) => (await connection.ask('leaseAsk', ask, askPatienceMs)).unwrapOr(null) as LeaseReply | null,
+      async (connection) =>
+        (await connection.ask('leaseRequest', ask, askTimeoutMs)).unwrapOr(null) as LeaseReply | null,
     );
     const replies = await Promise.all([node.grant(ask), ...asked]);
     return replies.filter((reply) => reply !== null);
   };
   const names = nodes.map(({ name }) => name);
-  return new Duties(
+  return new LeaseManager(
     machine.clock,
     () => node.name,
     () => names,
@@ -87,12 +88,12 @@
   );
 };
 
-const tickAll = (duties: readonly Duties[]): Promise<unknown> => Promise.all(duties.map((one) => one.tick()));
+const tickAll = (duties: readonly LeaseManager[]): Promise<unknown> => Promise.all(duties.map((one) => one.tick()));
 
-const settle = async (duties: readonly Duties[], wanted: number): Promise<number> => {
+const settle = async (duties: readonly LeaseManager[], wanted: number): Promise<number> => {
   const spent = startWatch();
-  const heldCount = (): number => duties.reduce((sum, one) => sum + one.lines().length, 0);
-  while (heldCount() < wanted && spent().wallMs < settlePatienceMs) {
+  const heldCount = (): number => duties.reduce((sum, one) => sum + one.status().length, 0);
+  while (heldCount() < wanted && spent().wallMs < settleTimeoutMs) {
     await tickAll(duties);
     await pauseMs(settlePollMs);
   }
@@ -105,14 +106,14 @@
   const nodes = await Promise.all(upTo(fleetSize.voters).map((at) => openLeaseNode(net, at)));
   const wanted = sampleData.records(replicas).map((record) => `kv/${record.name}`);
   const dialed: PeerConnection[] = [];
-  const duties: Duties[] = [];
+  const duties: LeaseManager[] = [];
   for (const [at, node] of nodes.entries()) {
     const connections = await dialOthers(net, nodes, at);
     dialed.push(...connections);
     duties.push(dutiesOf(nodes, node, connections, wanted));
   }
   series.settle.add(replicas, await settle(duties, replicas));
-  await repeated(repeats, 1, async (isKept) => {
+  await repeated(timers, 1, async (isKept) => {
     const spent = startWatch(meter);
     await tickAll(duties);
     if (!isKept) return;
--- a/packages/test-fleet/src/capacity/probes/pings.ts
+++ b/packages/test-fleet/src/capacity/probes/pings.ts
@@ -1,5 +1,5 @@
 /** Pings between gateways and a control node: freshness, reports of load and notices of heavy prefills. */
-import { fleetSize, nodeCounts, replicaCounts, runningPerFront } from '../fleetSize.js';
+import { fleetSize, nodeCounts, replicaCounts, runningPerEdge } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
 import { repeated, startWatch } from '../measuring.js';
@@ -10,13 +10,13 @@
 import type { Probe } from './probe.js';
 
 const pingCount = 60;
-const repeats = 3;
+const timers = 3;
 const fixedFronts = 100;
 
 const defineAll = () =>
   defineSeries({
     nodeUs: 'pings/core-cpu',
-    frontUs: 'pings/front-cpu',
+    edgeUs: 'pings/front-cpu',
     pingBytes: 'pings/ask-bytes',
     replyBytes: 'pings/pong-bytes',
     replyBytesByReplicas: 'pings/pong-bytes-by-replicas',
@@ -29,13 +29,13 @@
 const measureNotice = async (
   peers: PeerProcess,
   series: PingSeries,
-  fronts: number,
+  edges: number,
   load: ReportedLoad,
 ): Promise<void> => {
   const spent = startWatch();
   const heavy = await peers.run({ verb: 'heavyPrefill', load });
-  series.noticeMs.add(fronts, spent().cpuMs);
-  series.noticeBytes.add(fronts, heavy.got);
+  series.noticeMs.add(edges, spent().cpuMs);
+  series.noticeBytes.add(edges, heavy.got);
 };
 
 /** Notices to many gateways are dear, so the last repeat leaves them out there. */
@@ -43,32 +43,32 @@
   peers: PeerProcess,
   node: MeasuredControlNode,
   series: PingSeries,
-  fronts: number,
+  edges: number,
 ): Promise<void> => {
-  const load = { running: runningPerFront, replicas: fleetSize.replicas };
-  await repeated(repeats, 0, async (_isKept, at) => {
+  const load = { running: runningPerEdge, replicas: fleetSize.replicas };
+  await repeated(timers, 0, async (_isKept, at) => {
     const spent = startWatch(node.meter);
     const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
-    series.nodeUs.add(fronts, spent().cpuUs / pingCount);
-    series.replyBytes.add(fronts, cost.got);
-    series.pingBytes.add(fronts, cost.sent);
-    series.frontUs.add(fronts, cost.us);
-    if (fronts <= fixedFronts || at < repeats - 1) await measureNotice(peers, series, fronts, load);
+    series.nodeUs.add(edges, spent().cpuUs / pingCount);
+    series.replyBytes.add(edges, cost.got);
+    series.pingBytes.add(edges, cost.sent);
+    series.edgeUs.add(edges, cost.us);
+    if (edges <= fixedFronts || at < timers - 1) await measureNotice(peers, series, edges, load);
   });
 };
 
 const measureReplicas = async (peers: PeerProcess, series: PingSeries, replicas: number): Promise<void> => {
-  const load = { running: runningPerFront, replicas };
-  await repeated(repeats, 0, async () => {
+  const load = { running: runningPerEdge, replicas };
+  await repeated(timers, 0, async () => {
     const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
     series.replyBytesByReplicas.add(replicas, cost.got);
   });
 };
 
 /** The first pings tell the node each gateway's load; they are not measured. */
-const subscribeAndWarmUp = async (peers: PeerProcess, fronts: number, replicas: number): Promise<void> => {
+const subscribeAndWarmUp = async (peers: PeerProcess, edges: number, replicas: number): Promise<void> => {
   await peers.run({ verb: 'tell', topic: 'subscribe' });
-  await peers.run({ verb: 'pingWithLoad', count: fronts, load: { running: runningPerFront, replicas } });
+  await peers.run({ verb: 'pingWithLoad', count: edges, load: { running: runningPerEdge, replicas } });
 };
 
 /** Measures pings by gateways and by replicas. */
@@ -77,10 +77,10 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const fronts of nodeCounts)
-        await withConnectedNode(peers, { count: fronts }, {}, async (node) => {
-          await subscribeAndWarmUp(peers, fronts, fleetSize.replicas);
-          await measureFronts(peers, node, series, fronts);
+      for (const edges of nodeCounts)
+        await withConnectedNode(peers, { count: edges }, {}, async (node) => {
+          await subscribeAndWarmUp(peers, edges, fleetSize.replicas);
+          await measureFronts(peers, node, series, edges);
         });
       for (const replicas of replicaCounts)
         await withConnectedNode(peers, { count: fixedFronts }, {}, async () => {
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -3,9 +3,9 @@
 import { heapBytes, meanCpuMs, meanCpuUs, repeated, upTo } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
-import type { KvNews, ReplicaRecord } from '@martenworks/core-types';
+import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
 import { Unpacker, frames } from '@martenworks/peer-transport';
-import { Pigeonhole, place } from '@martenworks/prefix-index';
+import { PrefixIndex, place } from '@martenworks/prefix-index';
 import type { Probe } from './probe.js';
 
 const blockCountsFromFrames = [10_000, 50_000, 100_000, 200_000, 400_000];
@@ -14,7 +14,7 @@
 const mostBlocksCounted = 500_000;
 const eventsInAFrame = 20;
 const eventsMeasured = 20_000;
-const repeats = 3;
+const timers = 3;
 const suspectMs = 3_600_000;
 const promptBlocks = 266;
 const cachedBlocks = 208;
@@ -36,15 +36,16 @@
 
 type IndexSeries = ReturnType<typeof defineAll>;
 
-const newIndex = (): Pigeonhole => new Pigeonhole(suspectMs);
+const newIndex = (): PrefixIndex => new PrefixIndex(suspectMs);
 const recordsFor = (blocks: number): ReplicaRecord[] => sampleData.records(Math.ceil(blocks / blocksPerReplica));
-const packed = (index: Pigeonhole): Uint8Array[] =>
-  index.checkpoint(1).map((body) => frames.pack({ f: 'tell', topic: 'shelf', body }));
+const packed = (index: PrefixIndex): Uint8Array[] =>
+  index.snapshot(1).map((body) => frames.pack({ f: 'tell', topic: 'indexSnapshot', body }));
 
 /** Bytes of an index on the wire. */
-export const snapshotBytes = (index: Pigeonhole): number => packed(index).reduce((sum, frame) => sum + frame.length, 0);
+export const snapshotBytes = (index: PrefixIndex): number =>
+  packed(index).reduce((sum, frame) => sum + frame.length, 0);
 
-const frameOf = (index: Pigeonhole, record: ReplicaRecord, firstBlock: number): Uint8Array => {
+const frameOf = (index: PrefixIndex, record: ReplicaRecord, firstBlock: number): Uint8Array => {
   const firstSeq = index.seqOf(record.name, 1) + 1;
   const body = upTo(eventsInAFrame).map((at) =>
     sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
@@ -58,7 +59,7 @@
   const index = newIndex();
   const unpacker = new Unpacker(
     (message) => {
-      for (const event of (message as { body: KvNews[] }).body) index.take(event, 0);
+      for (const event of (message as { body: KvCacheEvent[] }).body) index.take(event, 0);
     },
     () => {},
   );
@@ -74,7 +75,7 @@
   }
 };
 
-const fill = (index: Pigeonhole, from: number, to: number): void => {
+const fill = (index: PrefixIndex, from: number, to: number): void => {
   const records = recordsFor(to);
   index.reconcile(records, () => 0);
   for (let held = from; held < to; held += 1) {
@@ -85,7 +86,7 @@
 };
 
 /** Events that store a block and remove it again, spread over the replicas. */
-const storeAndRemoveEvents = (index: Pigeonhole, names: readonly string[]): KvNews[] => {
+const storeAndRemoveEvents = (index: PrefixIndex, names: readonly string[]): KvCacheEvent[] => {
   const lastSeqs = new Map<string, number>();
   return upTo(eventsMeasured / 2).flatMap((pair) => {
     const at = pair * 2;
@@ -109,15 +110,15 @@
     held = target;
     series.memory.add(target, heapBytes() - empty);
     const names = recordsFor(target).map((record) => record.name);
-    await repeated(repeats, 0, () => {
+    await repeated(timers, 0, () => {
       const events = storeAndRemoveEvents(index, names);
       series.event.add(
         target,
-        meanCpuUs(events.length, (at) => index.take(events[at] as KvNews, 1)),
+        meanCpuUs(events.length, (at) => index.take(events[at] as KvCacheEvent, 1)),
       );
     });
     if (target <= mostBlocksPacked)
-      await repeated(repeats, 0, () =>
+      await repeated(timers, 0, () =>
         series.snapshotMs.add(
           target,
           meanCpuMs(1, () => void packed(index)),
@@ -128,7 +129,7 @@
 };
 
 const measurePlacement = async (series: IndexSeries, replicas: number): Promise<void> => {
-  const [poolName, pool] = Object.entries(sampleData.layoutOf(1, 0).pools)[0] ?? [];
+  const [poolName, pool] = Object.entries(sampleData.configOf(1, 0).pools)[0] ?? [];
   if (pool === undefined) return;
   const records = sampleData.records(replicas * poolCount).filter((record) => record.pool === poolName);
   const blocks = upTo(promptBlocks).map((at) => sampleData.blockName(firstPromptBlock + at));
@@ -149,7 +150,7 @@
     tieBreak: 0.5,
     pullExcessMs: () => 0,
   };
-  await repeated(repeats, 1, (isKept) => {
+  await repeated(timers, 1, (isKept) => {
     const us = meanCpuUs(placementsARepeat, () => void place(index, question));
     if (isKept) series.placement.add(replicas, us);
   });
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -1,6 +1,6 @@
 /** Pushes of configuration changes from a control node to gateways, and what nodes that lag are sent. */
 import { frames } from '@martenworks/peer-transport';
-import type { Settled } from '@martenworks/control-plane';
+import type { CommittedChange } from '@martenworks/control-plane';
 import { fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
 import { sampleMembers, withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
@@ -11,12 +11,12 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const fixedFronts = 100;
 const fixedTenants = 1_000;
 const changesBehind = [1, 10, 30, 60];
-const subscribePatienceMs = 10_000;
-const ackPatienceMs = 30_000;
+const subscribeTimeoutMs = 10_000;
+const ackTimeoutMs = 30_000;
 const ackPollMs = 10;
 
 /** The cost of one change: processor time of the node, time until the last acknowledgement, bytes to each gateway. */
@@ -37,37 +37,41 @@
   });
 
 const catchUpBytes = (behind: number): number => {
-  const settled = upTo(behind).map((at) => ({
-    generation: at,
-    change: sampleData.layoutChange(fleetSize.tenants, at, at),
+  const committed = upTo(behind).map((at) => ({
+    logIndex: at,
+    change: sampleData.configChange(fleetSize.tenants, at, at),
   }));
-  return frames.pack({ f: 'reply', id: 1, body: { k: 'changes', settled } }).length;
+  return frames.pack({ f: 'reply', id: 1, body: { k: 'changes', committed } }).length;
 };
 
 const snapshotBytes = (tenants: number): number =>
   frames.pack({ f: 'tell', topic: 'checkpoint', body: sampleData.stateOf(tenants, 0, sampleMembers) }).length;
 
-const pushOne = async (node: MeasuredControlNode, change: Settled['change'], fronts: number): Promise<PushCost> => {
-  const generation = (node.acceptor.agreed()?.generation ?? 0) + 1;
+const pushOne = async (
+  node: MeasuredControlNode,
+  change: CommittedChange['change'],
+  edges: number,
+): Promise<PushCost> => {
+  const logIndex = (node.acceptor.agreed()?.logIndex ?? 0) + 1;
   const spent = startWatch(node.meter);
-  await node.acceptor.settle({ generation, change });
-  const isAcked = (): boolean => node.push.acks().every((ack) => ack.generation === generation);
-  await until(isAcked, ackPatienceMs, ackPollMs);
+  await node.acceptor.commit({ logIndex, change });
+  const isAcked = (): boolean => node.push.acks().every((ack) => ack.logIndex === logIndex);
+  await until(isAcked, ackTimeoutMs, ackPollMs);
   const { cpuMs, wallMs, sentBytes } = spent();
-  return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / fronts };
+  return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / edges };
 };
 
 /** Gives each push its own version of the configuration. */
 const pusher = (peers: PeerProcess) => {
-  let edition = 0;
-  return (fronts: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
-    withConnectedNode(peers, { count: fronts }, { tenants }, async (node) => {
+  let configVersion = 0;
+  return (edges: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
+    withConnectedNode(peers, { count: edges }, { tenants }, async (node) => {
       await peers.run({ verb: 'tell', topic: 'subscribe' });
-      await until(() => node.push.acks().length === fronts, subscribePatienceMs);
-      await repeated(repeats, 1, async (isKept) => {
-        edition += 1;
-        const base = node.acceptor.agreed()?.layoutGeneration ?? 0;
-        const cost = await pushOne(node, sampleData.layoutChange(tenants, edition, base), fronts);
+      await until(() => node.push.acks().length === edges, subscribeTimeoutMs);
+      await repeated(timers, 1, async (isKept) => {
+        configVersion += 1;
+        const base = node.acceptor.agreed()?.configLogIndex ?? 0;
+        const cost = await pushOne(node, sampleData.configChange(tenants, configVersion, base), edges);
         if (isKept) note(cost);
       });
     });
@@ -81,10 +85,10 @@
       const series = defineAll();
       for (const behind of changesBehind) series.catchUpBytes.add(behind, catchUpBytes(behind));
       const push = pusher(peers);
-      for (const fronts of nodeCounts)
-        await push(fronts, fixedTenants, ({ cpuMs, ackedMs }) => {
-          series.cpuMs.add(fronts, cpuMs);
-          series.ackedMs.add(fronts, ackedMs);
+      for (const edges of nodeCounts)
+        await push(edges, fixedTenants, ({ cpuMs, ackedMs }) => {
+          series.cpuMs.add(edges, cpuMs);
+          series.ackedMs.add(edges, ackedMs);
         });
       for (const tenants of tenantCounts) {
         await push(fixedFronts, tenants, ({ cpuMs, bytesEach }) => {
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -1,6 +1,6 @@
 /** Cache events on their way from replicas through a control node to gateways. */
 import type { Ports, ReplicaRecord } from '@martenworks/core-types';
-import { KvDesk } from '@martenworks/control-plane';
+import { KvEventFollower } from '@martenworks/control-plane';
 import { nodeCounts } from '../fleetSize.js';
 import { openControlNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
@@ -20,13 +20,13 @@
 const tickMs = msPerSecond / ticksASecond;
 const followersReadyMs = 50;
 const lastBundleMs = 60;
-const arrivalPatienceMs = 20_000;
-const repeats = 3;
+const arrivalTimeoutMs = 20_000;
+const timers = 3;
 const usPerSecond = 1e6;
 
 /** One run of events at a rate; with no gateways the node only follows them. */
 interface EventLoad {
-  readonly fronts: number;
+  readonly edges: number;
   readonly eventsPerSecond: number;
   readonly durationMs: number;
   readonly blocksAnEvent?: number;
@@ -40,7 +40,7 @@
   readonly bytes: number;
   readonly busy: number;
   readonly delivered: number;
-  readonly frontUs: number;
+  readonly edgeUs: number;
 }
 
 const defineAll = () =>
@@ -92,9 +92,9 @@
 const measurePlay = async (
   node: MeasuredControlNode,
   feed: EventFeed,
-  desk: KvDesk,
+  desk: KvEventFollower,
   load: EventLoad,
-): Promise<Omit<EventCost, 'frontUs'> & { readonly events: number }> => {
+): Promise<Omit<EventCost, 'edgeUs'> & { readonly events: number }> => {
   const ticks = ticksOf(load).map((texts) => texts.map((text) => Buffer.from(text)));
   const events = ticks.length * Math.max(1, Math.round(load.eventsPerSecond / ticksASecond));
   const heard = (): number => desk.sizes().reduce((sum, { seq }) => sum + seq, 0);
@@ -102,21 +102,21 @@
   await playTicks(feed, ticks);
   const offeredSoFar = (load.eventsPerSecond * spent().wallMs) / msPerSecond;
   const delivered = heard() / Math.max(events, offeredSoFar);
-  await until(() => heard() >= events, arrivalPatienceMs);
+  await until(() => heard() >= events, arrivalTimeoutMs);
   await pauseMs(lastBundleMs);
   const { cpuMs, cpuUs, wallMs, sentBytes } = spent();
   return {
     events,
     us: cpuUs / events,
-    bytes: sentBytes / events / Math.max(1, load.fronts),
+    bytes: sentBytes / events / Math.max(1, load.edges),
     busy: cpuMs / wallMs,
     delivered,
   };
 };
 
-const follow = (node: MeasuredControlNode, feed: EventFeed): KvDesk => {
-  const ports: Ports = { ...probePorts(new Meter()), carriage: feed.carriage };
-  return new KvDesk(
+const follow = (node: MeasuredControlNode, feed: EventFeed): KvEventFollower => {
+  const ports: Ports = { ...probePorts(new Meter()), httpClient: feed.httpClient };
+  return new KvEventFollower(
     ports,
     (events) => node.push.tellKv(events),
     () => {},
@@ -125,11 +125,11 @@
 };
 
 const play = async (peers: PeerProcess, load: EventLoad): Promise<EventCost> => {
-  const { fronts, isReal = false } = load;
+  const { edges, isReal = false } = load;
   const feed = new EventFeed();
   const node = await openControlNode({ records });
   const desk = follow(node, feed);
-  await peers.run({ verb: 'dial', address: node.address, from: 0, count: fronts, isReal });
+  await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges, isReal });
   await peers.run({ verb: 'tell', topic: 'subscribe' });
   desk.align(records);
   await pauseMs(followersReadyMs);
@@ -139,19 +139,19 @@
   desk.stop();
   await peers.run({ verb: 'hangUp' });
   await node.close();
-  return { ...cost, frontUs: (after.us - before.us) / events / Math.max(1, fronts) };
+  return { ...cost, edgeUs: (after.us - before.us) / events / Math.max(1, edges) };
 };
 
 const measureByFronts = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
-  for (const fronts of nodeCounts)
-    series.nodeUs.add(fronts, (await play(peers, { fronts, eventsPerSecond: 1_000, durationMs: 300 })).us);
-  for (const fronts of [5, 10, 20, 40])
-    series.bundledUs.add(fronts, (await play(peers, { fronts, eventsPerSecond: 20_000, durationMs: 200 })).us);
+  for (const edges of nodeCounts)
+    series.nodeUs.add(edges, (await play(peers, { edges, eventsPerSecond: 1_000, durationMs: 300 })).us);
+  for (const edges of [5, 10, 20, 40])
+    series.bundledUs.add(edges, (await play(peers, { edges, eventsPerSecond: 20_000, durationMs: 200 })).us);
 };
 
 const measureBytes = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
   for (const blocksAnEvent of [1, 4, 16, 64]) {
-    const load = { fronts: 3, eventsPerSecond: 1_000, durationMs: 200, blocksAnEvent };
+    const load = { edges: 3, eventsPerSecond: 1_000, durationMs: 200, blocksAnEvent };
     series.bytes.add(blocksAnEvent, (await play(peers, load)).bytes);
   }
 };
@@ -159,13 +159,13 @@
 const measureByRate = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
   for (const eventsPerSecond of [2_000, 10_000, 30_000, 60_000, 120_000]) {
     const load = { eventsPerSecond, durationMs: 300 };
-    const three = await play(peers, { ...load, fronts: 3 });
+    const three = await play(peers, { ...load, edges: 3 });
     series.nodeBusy.add(eventsPerSecond, three.busy);
     series.delivered.add(eventsPerSecond, three.delivered);
-    const alone = await play(peers, { ...load, fronts: 0 });
+    const alone = await play(peers, { ...load, edges: 0 });
     series.followerBusy.add(eventsPerSecond, (alone.us * eventsPerSecond) / usPerSecond);
-    const real = await play(peers, { ...load, fronts: 1, isReal: true });
-    series.frontBusy.add(eventsPerSecond, (real.frontUs * eventsPerSecond) / usPerSecond);
+    const real = await play(peers, { ...load, edges: 1, isReal: true });
+    series.frontBusy.add(eventsPerSecond, (real.edgeUs * eventsPerSecond) / usPerSecond);
   }
 };
 
@@ -175,7 +175,7 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      await repeated(repeats, 0, async (_isKept, repeat) => {
+      await repeated(timers, 0, async (_isKept, repeat) => {
         await measureByFronts(peers, series);
         if (repeat === 0) await measureBytes(peers, series);
         await measureByRate(peers, series);
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -12,11 +12,11 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const listsARepeat = 10;
 const recordsARepeat = 20;
 const sendMs = 30;
-const subscribePatienceMs = 10_000;
+const subscribeTimeoutMs = 10_000;
 
 const defineAll = () =>
   defineSeries({
@@ -41,16 +41,16 @@
   await table.close();
 };
 
-const measureRecord = (peers: PeerProcess, series: ListSeries, fronts: number): Promise<void> =>
-  withConnectedNode(peers, { count: fronts }, {}, async ({ push }) => {
+const measureRecord = (peers: PeerProcess, series: ListSeries, edges: number): Promise<void> =>
+  withConnectedNode(peers, { count: edges }, {}, async ({ push }) => {
     await peers.run({ verb: 'tell', topic: 'subscribe' });
-    await until(() => push.acks().length === fronts, subscribePatienceMs);
+    await until(() => push.acks().length === edges, subscribeTimeoutMs);
     const record = sampleData.records(1);
-    await repeated(repeats, 1, async (isKept) => {
+    await repeated(timers, 1, async (isKept) => {
       const spent = startWatch();
       for (const _ of upTo(recordsARepeat)) push.tellReplicas(record);
       await pauseMs(sendMs);
-      if (isKept) series.recordCpu.add(fronts, spent().cpuUs / recordsARepeat);
+      if (isKept) series.recordCpu.add(edges, spent().cpuUs / recordsARepeat);
     });
   });
 
@@ -60,8 +60,8 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const replicas of replicaCounts) await repeated(repeats, 0, () => measureTable(series, replicas));
-      for (const fronts of nodeCounts) await measureRecord(peers, series, fronts);
+      for (const replicas of replicaCounts) await repeated(timers, 0, () => measureTable(series, replicas));
+      for (const edges of nodeCounts) await measureRecord(peers, series, edges);
       return measurementsOf(series);
     }),
 };
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -1,8 +1,8 @@
 /** The prefix-cache index of the users' platform: followed by control nodes, held by edges. */
-import { ShelfDesk } from '@martenworks/control-plane';
+import { PrefixCacheFollower } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
-import type { BackEnds, KeptNews, ShelfNews } from '@martenworks/core-types';
-import { ShelfBook } from '@martenworks/edge-proxy';
+import type { BackendClient, PrefixCacheEvent, PrefixCacheUpdate } from '@martenworks/core-types';
+import { PrefixCacheIndex } from '@martenworks/edge-proxy';
 import { Unpacker, frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
 import { replicaCounts } from '../fleetSize.js';
@@ -11,13 +11,13 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const followMs = 500;
 const msPerSecond = 1_000;
 const replicaCount = 50;
 const partCounts = [10_000, 50_000, 100_000, 200_000];
 const partsAStep = 10_000;
-const stepPatienceMs = 5_000;
+const stepTimeoutMs = 5_000;
 const stepPollMs = 20;
 const lastBundleMs = 80;
 /** Bundles with fewer events are too short for the processor clock. */
@@ -30,7 +30,7 @@
     event: 'way-index/event-cpu',
     nodeMemory: 'way-index/core-memory',
     frontMemory: 'way-index/front-memory',
-    frontUs: 'way-index/front-cpu',
+    edgeUs: 'way-index/front-cpu',
     bytes: 'way-index/bytes',
   });
 
@@ -42,18 +42,24 @@
   readonly events: number;
 }
 
-const followerOf = (backEnds: BackEnds, onBundle: (bundle: readonly ShelfNews[]) => void): ShelfDesk =>
-  new ShelfDesk(backEnds, machine.clock, machine.random, logs.silent(), onBundle, () => {});
+const followerOf = (
+  backendClient: BackendClient,
+  onBundle: (bundle: readonly PrefixCacheUpdate[]) => void,
+): PrefixCacheFollower =>
+  new PrefixCacheFollower(backendClient, machine.clock, machine.random, logs.silent(), onBundle, () => {});
 
-const packed = (body: readonly ShelfNews[]): Uint8Array => frames.pack({ f: 'tell', topic: 'shelves', body });
+const packed = (body: readonly PrefixCacheUpdate[]): Uint8Array =>
+  frames.pack({ f: 'tell', topic: 'prefixCaches', body });
 
 const measureFollowing = async (series: IndexSeries, replicas: number): Promise<void> => {
-  const idle = routeSamples.backEnds({ keptNews: async () => ok({ epoch: 'e', next: 0, isLost: false, news: [] }) });
+  const idle = routeSamples.backendClient({
+    prefixCacheEvents: async () => ok({ epoch: 'e', next: 0, isLost: false, events: [] }),
+  });
   const desk = followerOf(idle, () => {});
   const addresses = routeSamples.endpoints(replicas).map(({ address }) => address);
   desk.align(new Set(addresses), () => true);
   await pauseMs(followMs);
-  await repeated(repeats, 0, async () => {
+  await repeated(timers, 0, async () => {
     const spent = startWatch();
     await pauseMs(followMs);
     const { cpuMs, wallMs } = spent();
@@ -63,29 +69,29 @@
 };
 
 /** Back ends whose replicas each hand out, once, the page of events that was put for them. */
-const pagedBackEnds = (pages: Map<string, KeptNews[]>): BackEnds => {
+const pagedBackEnds = (pages: Map<string, PrefixCacheEvent[]>): BackendClient => {
   let next = 0;
-  return routeSamples.backEnds({
-    keptNews: async (address) => {
-      const news = pages.get(address) ?? [];
+  return routeSamples.backendClient({
+    prefixCacheEvents: async (address) => {
+      const update = pages.get(address) ?? [];
       pages.delete(address);
-      next += news.length;
-      return ok({ epoch: 'e', next, isLost: false, news });
+      next += update.length;
+      return ok({ epoch: 'e', next, isLost: false, events: update });
     },
   });
 };
 
 const measureFront = (series: IndexSeries, parts: number, sent: readonly SentBundle[]): void => {
   const before = heapBytes();
-  const index = new ShelfBook(machine.clock);
+  const index = new PrefixCacheIndex(machine.clock);
   const unpacker = new Unpacker(
-    (message) => index.take((message as { body: ShelfNews[] }).body),
+    (message) => index.take((message as { body: PrefixCacheUpdate[] }).body),
     () => {},
   );
   for (const { frame, events } of sent) {
     const began = cpuUs();
     unpacker.take(frame);
-    if (events > leastEventsTimed) series.frontUs.add(parts, (cpuUs() - began) / events);
+    if (events > leastEventsTimed) series.edgeUs.add(parts, (cpuUs() - began) / events);
   }
   series.frontMemory.add(parts, heapBytes() - before);
   index.sizes();
@@ -94,8 +100,8 @@
 /** Feeds a follower step by step, and hands the bundles that it sends to `measureFront`. */
 const measureParts = async (series: IndexSeries): Promise<void> => {
   const addresses = routeSamples.endpoints(replicaCount).map(({ address }) => address);
-  const pages = new Map<string, KeptNews[]>();
-  const bundles: ShelfNews[][] = [];
+  const pages = new Map<string, PrefixCacheEvent[]>();
+  const bundles: PrefixCacheUpdate[][] = [];
   const sent: SentBundle[] = [];
   const empty = heapBytes();
   const desk = followerOf(pagedBackEnds(pages), (bundle) => void bundles.push([...bundle]));
@@ -112,11 +118,11 @@
       );
     const spent = startWatch();
     held += count;
-    await until(() => heldParts() >= held, stepPatienceMs, stepPollMs);
+    await until(() => heldParts() >= held, stepTimeoutMs, stepPollMs);
     await pauseMs(lastBundleMs);
     series.event.add(target, spent().cpuUs / count);
     for (const bundle of bundles.splice(0))
-      sent.push({ frame: packed(bundle), events: bundle.reduce((sum, { news }) => sum + news.length, 0) });
+      sent.push({ frame: packed(bundle), events: bundle.reduce((sum, { events: update }) => sum + update.length, 0) });
   };
   for (const target of partCounts) {
     while (held < target) await step(target);
@@ -128,8 +134,8 @@
 
 const bundleBytes = (events: number): number => {
   const [endpoint] = routeSamples.endpoints(1);
-  const news = upTo(events).map(routeSamples.cacheEvent);
-  return packed([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, news }]).length;
+  const update = upTo(events).map(routeSamples.cacheEvent);
+  return packed([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: update }]).length;
 };
 
 /** Measures by replicas followed and by parts held. */
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -1,8 +1,8 @@
 /** The endpoint list of the users' platform and the roll-out of weights. */
-import { CardReader, WeightsDesk } from '@martenworks/control-plane';
+import { EndpointListReader, WeightsRollout } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
-import type { Clock, ReplicaCard } from '@martenworks/core-types';
-import { ReplicaTracks } from '@martenworks/edge-proxy';
+import type { Clock, ReplicaEndpoint } from '@martenworks/core-types';
+import { ReplicaTracker } from '@martenworks/edge-proxy';
 import { frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
 import { poolCount, replicaCounts } from '../fleetSize.js';
@@ -11,19 +11,19 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const readingsARepeat = 10;
 const clonesTimed = 20;
 const stepsBehind = 10;
 const stepsIdle = 20;
 const changesARepeat = 10;
-const readerPatienceMs = 1_000;
+const readerTimeoutMs = 1_000;
 
 const defineAll = () =>
   defineSeries({
     reading: 'way-list/reading-cpu',
     bytes: 'way-list/bytes',
-    front: 'way-list/front-cpu',
+    edge: 'way-list/front-cpu',
     step: 'way-weights/step-cpu',
     idle: 'way-weights/idle-cpu',
   });
@@ -39,10 +39,10 @@
 };
 
 /** A reader of the list that asks again at once, and gets each answer only when told to. */
-const steppedReader = (list: readonly ReplicaCard[]): { read: () => Promise<void>; stop: () => void } => {
+const steppedReader = (list: readonly ReplicaEndpoint[]): { read: () => Promise<void>; stop: () => void } => {
   let answer: (() => void) | null = null;
-  const reader = new CardReader(
-    routeSamples.backEnds({
+  const reader = new EndpointListReader(
+    routeSamples.backendClient({
       replicas: () =>
         new Promise((give) => {
           answer = () => give(ok(structuredClone([...list])));
@@ -55,7 +55,7 @@
     () => {},
   );
   const read = async (): Promise<void> => {
-    await until(() => answer !== null, readerPatienceMs, 0);
+    await until(() => answer !== null, readerTimeoutMs, 0);
     const give = answer;
     answer = null;
     give?.();
@@ -65,11 +65,11 @@
 };
 
 /** The copy of the list that stands for the call's answer is taken off. */
-const measureReading = async (series: ListSeries, list: readonly ReplicaCard[]): Promise<void> => {
+const measureReading = async (series: ListSeries, list: readonly ReplicaEndpoint[]): Promise<void> => {
   const { read, stop } = steppedReader(list);
   await read();
   const cloneMs = meanCpuMs(clonesTimed, () => void structuredClone(list));
-  await repeated(repeats, 1, async (isKept) => {
+  await repeated(timers, 1, async (isKept) => {
     const spent = startWatch();
     for (const _ of upTo(readingsARepeat)) await read();
     if (isKept) series.reading.add(list.length, Math.max(0, spent().cpuMs / readingsARepeat - cloneMs));
@@ -77,9 +77,9 @@
   stop();
 };
 
-const rolloutTo = (version: number, list: readonly ReplicaCard[]): WeightsDesk =>
-  new WeightsDesk(
-    routeSamples.backEnds({}),
+const rolloutTo = (version: number, list: readonly ReplicaEndpoint[]): WeightsRollout =>
+  new WeightsRollout(
+    routeSamples.backendClient({}),
     { ...machine.clock, after: () => ({ cancel: () => {} }) },
     logs.silent(),
     () => list,
@@ -90,21 +90,21 @@
     () => {},
   );
 
-const measureSteps = (series: ListSeries, list: readonly ReplicaCard[]): Promise<void> =>
-  repeated(repeats, 1, (isKept) => {
+const measureSteps = (series: ListSeries, list: readonly ReplicaEndpoint[]): Promise<void> =>
+  repeated(timers, 1, (isKept) => {
     const [behind, done] = [rolloutTo(2, list), rolloutTo(1, list)];
     behind.step();
     const stepMs = meanCpuMs(stepsBehind, () => behind.step());
     const idleMs = meanCpuMs(stepsIdle, () => done.step());
-    const tracks = new ReplicaTracks(machine.clock);
-    tracks.take({ isWhole: true, put: list, gone: [] });
-    const frontMs = meanCpuMs(changesARepeat, (at) =>
-      tracks.take({ isWhole: false, put: [{ ...(list[at] as ReplicaCard), isLeaving: true }], gone: [] }),
+    const replicaTracker = new ReplicaTracker(machine.clock);
+    replicaTracker.take({ isWhole: true, put: list, gone: [] });
+    const edgeMs = meanCpuMs(changesARepeat, (at) =>
+      replicaTracker.take({ isWhole: false, put: [{ ...(list[at] as ReplicaEndpoint), isLeaving: true }], gone: [] }),
     );
     if (!isKept) return;
     series.step.add(list.length, stepMs);
     series.idle.add(list.length, idleMs);
-    series.front.add(list.length, frontMs);
+    series.edge.add(list.length, edgeMs);
   });
 
 /** Measures by the replicas of the list. */
@@ -115,7 +115,7 @@
     for (const replicas of replicaCounts) {
       const list = routeSamples.endpoints(replicas);
       const body = { isWhole: true, put: list, gone: [] };
-      series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'cards', body }).length);
+      series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'endpoints', body }).length);
       await measureReading(series, list);
       await measureSteps(series, list);
     }
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -1,9 +1,9 @@
 /** Choosing a replica on an edge of the users' platform, and building the view of a new routing table. */
 import { machine } from '@martenworks/core-types';
-import type { Part } from '@martenworks/core-types';
-import { ReplicaTracks, ShelfBook, WayPlacing } from '@martenworks/edge-proxy';
-import type { WayQuestion } from '@martenworks/edge-proxy';
-import { BookDoor, salts } from '@martenworks/route-table';
+import type { PromptPart } from '@martenworks/core-types';
+import { ReplicaTracker, PrefixCacheIndex, ReplicaSelector } from '@martenworks/edge-proxy';
+import type { PlacementQuery } from '@martenworks/edge-proxy';
+import { RoutingTableIndexer, salts } from '@martenworks/route-table';
 import { poolCount, poolSizes, tenantCounts } from '../fleetSize.js';
 import { meanCpuMs, meanCpuUs, repeated } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
@@ -16,8 +16,8 @@
 const viewsARepeat = 5;
 const fewCustomers = 10;
 const waitMs = 50;
-const largePart: Part = { id: 'a'.repeat(24), tokens: 13_300 };
-const smallPart: Part = { id: 'b'.repeat(24), tokens: 3_720 };
+const largePart: PromptPart = { id: 'a'.repeat(24), tokens: 13_300 };
+const smallPart: PromptPart = { id: 'b'.repeat(24), tokens: 3_720 };
 const model = routeSamples.modelOf(0);
 
 const defineAll = () =>
@@ -29,18 +29,24 @@
 type PlacementSeries = ReturnType<typeof defineAll>;
 
 /** One replica in three holds the large part of the prompt. */
-const selectorFor = (replicas: number): WayPlacing => {
+const selectorFor = (replicas: number): ReplicaSelector => {
   const list = routeSamples.endpoints(replicas * poolCount);
-  const tracks = new ReplicaTracks(machine.clock);
-  tracks.take({ isWhole: true, put: list, gone: [] });
-  const shelves = new ShelfBook(machine.clock);
+  const replicaTracker = new ReplicaTracker(machine.clock);
+  replicaTracker.take({ isWhole: true, put: list, gone: [] });
+  const prefixCaches = new PrefixCacheIndex(machine.clock);
   const event = { isKept: true, salt: salts.of(model, 1, null), part: largePart.id, tokens: largePart.tokens };
   for (const [at, { address }] of list.filter(({ pool }) => pool === model).entries())
-    if (at % 3 === 0) shelves.take([{ address, isWhole: false, isHeard: true, news: [event] }]);
-  return new WayPlacing(tracks, shelves, machine.clock, () => ({ version: 1, sinceMs: 10_000 }), 8_000);
+    if (at % 3 === 0) prefixCaches.take([{ address, isWhole: false, isHeard: true, events: [event] }]);
+  return new ReplicaSelector(
+    replicaTracker,
+    prefixCaches,
+    machine.clock,
+    () => ({ version: 1, sinceMs: 10_000 }),
+    8_000,
+  );
 };
 
-const question = (): WayQuestion => ({
+const question = (): PlacementQuery => ({
   pool: model,
   order: {
     id: 'order',
@@ -57,7 +63,7 @@
 
 const measurePlacement = (series: PlacementSeries, replicas: number): Promise<void> => {
   const selector = selectorFor(replicas);
-  const view = new BookDoor().view(1, routeSamples.routingTable(fewCustomers));
+  const view = new RoutingTableIndexer().view(1, routeSamples.routingTable(fewCustomers));
   const asked = question();
   return repeated(placementRepeats, 1, (isKept) => {
     const us = meanCpuUs(placementsARepeat, () => void selector.place(asked, view, waitMs));
@@ -67,7 +73,7 @@
 
 const measureView = (series: PlacementSeries, customers: number): Promise<void> => {
   const table = routeSamples.routingTable(customers);
-  const door = new BookDoor();
+  const door = new RoutingTableIndexer();
   return repeated(viewRepeats, 1, (isKept) => {
     const ms = meanCpuMs(viewsARepeat, (at) => void door.view(at, table));
     if (isKept) series.view.add(customers, ms);
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -1,7 +1,7 @@
 /** Control node to edges of the users' platform: pings, pushes of the routing table, bare generations and notices. */
 import { StatePublisher } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
-import type { Change, ReadingNews } from '@martenworks/core-types';
+import type { Change, PrefillNotice } from '@martenworks/core-types';
 import type { Handlers } from '@martenworks/peer-transport';
 import { nodeCounts, tenantCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
@@ -14,15 +14,15 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const repeats = 3;
+const timers = 3;
 const pingCount = 200;
 const noticesARepeat = 20;
 const sendMs = 20;
 const fixedCustomers = 1_000;
 const fewFronts = 10;
 const servedCounts = [10, 34, 67, 134];
-const subscribePatienceMs = 10_000;
-const ackPatienceMs = 20_000;
+const subscribeTimeoutMs = 10_000;
+const ackTimeoutMs = 20_000;
 const ackPollMs = 10;
 
 const defineAll = () =>
@@ -41,7 +41,7 @@
 interface Scenario {
   readonly node: MeasuredControlNode;
   readonly publisher: StatePublisher;
-  readonly fronts: number;
+  readonly edges: number;
   readonly wantsContent: boolean;
 }
 
@@ -67,7 +67,7 @@
 
 const withScenario = async (
   peers: PeerProcess,
-  fronts: number,
+  edges: number,
   wantsContent: boolean,
   work: (scenario: Scenario) => Promise<void>,
 ): Promise<void> => {
@@ -81,22 +81,22 @@
       () => {},
     );
     publisher = own;
-    await peers.run({ verb: 'dial', address: node.address, from: 0, count: fronts });
+    await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges });
     const body = { ...heldBy(node), wantsContent };
     await peers.run({ verb: 'tell', topic: 'subscribe', body });
-    await until(() => own.lines().length === fronts, subscribePatienceMs);
-    await work({ node, publisher: own, fronts, wantsContent });
+    await until(() => own.status().length === edges, subscribeTimeoutMs);
+    await work({ node, publisher: own, edges, wantsContent });
   });
 };
 
-const heldBy = ({ acceptor }: MeasuredControlNode): { generation: number; edition: number } => ({
-  generation: acceptor.agreed()?.generation ?? 0,
-  edition: 0,
+const heldBy = ({ acceptor }: MeasuredControlNode): { logIndex: number; configVersion: number } => ({
+  logIndex: acceptor.agreed()?.logIndex ?? 0,
+  configVersion: 0,
 });
 
 const measurePings = (peers: PeerProcess, { node }: Scenario, note: Cost): Promise<void> => {
   const body = { ...heldBy(node), isReady: true };
-  return repeated(repeats, 1, async (isKept) => {
+  return repeated(timers, 1, async (isKept) => {
     const spent = startWatch(node.meter);
     await peers.run({ verb: 'ping', count: pingCount, body });
     const { cpuUs, sentBytes, gotBytes } = spent();
@@ -104,40 +104,40 @@
   });
 };
 
-const measureNotices = ({ node, publisher, fronts }: Scenario, note: Cost): Promise<void> => {
-  const notice: ReadingNews = {
+const measureNotices = ({ node, publisher, edges }: Scenario, note: Cost): Promise<void> => {
+  const notice: PrefillNotice = {
     id: 'request-0000000000000001',
     replica: 'replica-0001-1',
     tokens: 13_300,
     salt: `${routeSamples.modelOf(1)}@1`,
     part: sampleData.blockName(1),
   };
-  return repeated(repeats, 1, async (isKept) => {
+  return repeated(timers, 1, async (isKept) => {
     const spent = startWatch(node.meter);
-    for (const _ of upTo(noticesARepeat)) publisher.tellContent('reading', notice);
+    for (const _ of upTo(noticesARepeat)) publisher.tellContent('prefill', notice);
     await pauseMs(sendMs);
     const { cpuUs, sentBytes } = spent();
-    if (isKept) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / fronts);
+    if (isKept) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / edges);
   });
 };
 
 const measureChanges = (scenario: Scenario, customers: number, note: Cost): Promise<void> => {
-  const { node, publisher, fronts, wantsContent } = scenario;
-  const book = routeSamples.routingTable(customers);
-  return repeated(repeats, 1, async (isKept, at) => {
-    const generation = heldBy(node).generation + 1;
+  const { node, publisher, edges, wantsContent } = scenario;
+  const routingTable = routeSamples.routingTable(customers);
+  return repeated(timers, 1, async (isKept, at) => {
+    const logIndex = heldBy(node).logIndex + 1;
     const change: Change = {
       id: `book-${at}`,
       digest: '0',
-      body: { kind: 'ways', base: at, ways: { edition: at + 1, book, source: '' } },
+      body: { kind: 'routing', base: at, routing: { configVersion: at + 1, table: routingTable, source: '' } },
     };
-    const isAcked = (): boolean => publisher.lines().every((line) => line.acked >= generation);
+    const isAcked = (): boolean => publisher.status().every((line) => line.acked >= logIndex);
     const spent = startWatch(node.meter);
-    await node.acceptor.settle({ generation, change });
-    if (wantsContent) await until(isAcked, ackPatienceMs, ackPollMs);
+    await node.acceptor.commit({ logIndex, change });
+    if (wantsContent) await until(isAcked, ackTimeoutMs, ackPollMs);
     else await pauseMs(sendMs);
     const { cpuMs, sentBytes } = spent();
-    if (isKept) note(cpuMs, sentBytes / fronts);
+    if (isKept) note(cpuMs, sentBytes / edges);
   });
 };
 
@@ -147,24 +147,24 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const fronts of nodeCounts)
-        await withScenario(peers, fronts, false, async (scenario) => {
+      for (const edges of nodeCounts)
+        await withScenario(peers, edges, false, async (scenario) => {
           await measurePings(peers, scenario, (us, bytes) => {
-            series.pingUs.add(fronts, us);
-            series.pingBytes.add(fronts, bytes);
+            series.pingUs.add(edges, us);
+            series.pingBytes.add(edges, bytes);
           });
           await measureChanges(scenario, fixedCustomers, (ms, bytes) => {
-            series.bareMs.add(fronts, ms);
-            series.bareBytes.add(fronts, bytes);
+            series.bareMs.add(edges, ms);
+            series.bareBytes.add(edges, bytes);
           });
         });
-      for (const fronts of servedCounts)
-        await withScenario(peers, fronts, true, async (scenario) => {
+      for (const edges of servedCounts)
+        await withScenario(peers, edges, true, async (scenario) => {
           await measureNotices(scenario, (us, bytes) => {
-            series.noticeUs.add(fronts, us);
-            series.noticeBytes.add(fronts, bytes);
+            series.noticeUs.add(edges, us);
+            series.noticeBytes.add(edges, bytes);
           });
-          await measureChanges(scenario, fixedCustomers, (ms) => series.contentMs.add(fronts, ms));
+          await measureChanges(scenario, fixedCustomers, (ms) => series.contentMs.add(edges, ms));
         });
       for (const customers of tenantCounts)
         await withScenario(peers, fewFronts, true, (scenario) =>
--- a/packages/test-fleet/src/capacity/routeSamples.ts
+++ b/packages/test-fleet/src/capacity/routeSamples.ts
@@ -1,5 +1,5 @@
 /** Routing tables, endpoint lists and prefix-cache events of any size, as the users' platform has them. */
-import type { BackEnds, KeptNews, ReplicaCard, WayBook } from '@martenworks/core-types';
+import type { BackendClient, PrefixCacheEvent, ReplicaEndpoint, RoutingTable } from '@martenworks/core-types';
 import { ok } from 'neverthrow';
 import { poolCount } from './fleetSize.js';
 import { upTo } from './measuring.js';
@@ -11,23 +11,23 @@
 
 const modelOf = (at: number): string => `model-${at % poolCount}`;
 
-const routes = (): WayBook['ways'] =>
+const routes = (): RoutingTable['routes'] =>
   upTo(routeCount).map((at) => ({
     name: `way-${at}`,
     host: `host-${at % 8}.example`,
-    pathStart: `/v1/${at}/`,
+    pathPrefix: `/v1/${at}/`,
     kind: 'stream' as const,
-    horizonMs: 6_000,
-    targetMs: 820,
+    timeoutMs: 6_000,
+    latencyTargetMs: 820,
     rank: at % 9,
     shares: [{ pool: modelOf(at), share: 1 }],
-    shots: 3,
-    isOpen: false,
-    mayResume: true,
-    gapMs: 56,
+    maxAttempts: 3,
+    isPublic: false,
+    isResumable: true,
+    maxEventGapMs: 56,
   }));
 
-const pools = (): WayBook['pools'] =>
+const pools = (): RoutingTable['pools'] =>
   upTo(poolCount).map((at) => ({
     name: modelOf(at),
     connectionLimit: 170,
@@ -41,7 +41,7 @@
     },
   }));
 
-const customers = (count: number): WayBook['customers'] =>
+const customers = (count: number): RoutingTable['customers'] =>
   upTo(count).map((at) => ({
     name: `tenant-${String(at).padStart(4, '0')}`,
     keyHashes: [at.toString(16).padStart(64, '0')],
@@ -49,15 +49,15 @@
     isIsolated: at % 100 === 0,
   }));
 
-const routingTable = (customerCount: number): WayBook => ({
-  ways: routes(),
+const routingTable = (customerCount: number): RoutingTable => ({
+  routes: routes(),
   pools: pools(),
   stores: [],
   customers: customers(customerCount),
   limits: { headerBytes: 16_384, bodyBytes: 1_048_576, headerMs: 5_000, idleMs: 30_000 },
 });
 
-const endpoints = (count: number): ReplicaCard[] =>
+const endpoints = (count: number): ReplicaEndpoint[] =>
   upTo(count).map((at) => ({
     id: `replica-${String(at).padStart(4, '0')}-1`,
     pool: modelOf(at),
@@ -69,16 +69,16 @@
   }));
 
 /** Back ends that never answer, but for the calls given. */
-const backEnds = (answering: Partial<BackEnds>): BackEnds => ({
+const backendClient = (answering: Partial<BackendClient>): BackendClient => ({
   replicas: async () => ok([]),
   order: () => new Promise(() => {}),
   report: async () => ok({ weights: {}, isBusy: true }),
-  keptNews: () => new Promise(() => {}),
-  keptList: () => new Promise(() => {}),
+  prefixCacheEvents: () => new Promise(() => {}),
+  prefixCacheListing: () => new Promise(() => {}),
   ...answering,
 });
 
-const cacheEvent = (at: number): KeptNews => ({
+const cacheEvent = (at: number): PrefixCacheEvent => ({
   isKept: true,
   salt: `${modelOf(at)}@1`,
   part: sampleData.blockName(at),
@@ -86,4 +86,4 @@
 });
 
 /** Each gives equal data for equal arguments. */
-export const routeSamples = { modelOf, routingTable, endpoints, backEnds, cacheEvent };
+export const routeSamples = { modelOf, routingTable, endpoints, backendClient, cacheEvent };
--- a/packages/test-fleet/src/capacity/sampleData.ts
+++ b/packages/test-fleet/src/capacity/sampleData.ts
@@ -1,6 +1,14 @@
 /** Data of any size that the probes feed to the parts they measure. */
-import { agreed as agreedState } from '@martenworks/core-types';
-import type { Agreed, Change, KvNews, Layout, Member, ReplicaRecord, Tenant } from '@martenworks/core-types';
+import { stateMachine } from '@martenworks/core-types';
+import type {
+  CommittedState,
+  Change,
+  KvCacheEvent,
+  GatewayConfig,
+  Member,
+  ReplicaRecord,
+  Tenant,
+} from '@martenworks/core-types';
 import { wireRelease } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
 import { poolCount } from './fleetSize.js';
@@ -29,13 +37,13 @@
     sides: ['*shared*'],
   }));
 
-const layoutOf = (tenantCount: number, isolated: number, edition = 0): Layout => {
+const configOf = (tenantCount: number, isolated: number, configVersion = 0): GatewayConfig => {
   const names = Array.from({ length: poolCount }, (_, at) => `model-${at}`);
   const tenantAt = (at: number): Tenant => ({
     tier: at % 3 === 0 ? 'prompt' : 'steady',
     isolated: at < isolated,
     lanes: [`lane-${at % poolCount}`, `lane-${(at + 1) % poolCount}`],
-    ratePerSecond: 10 + edition,
+    ratePerSecond: 10 + configVersion,
   });
   return {
     tiers: { prompt: { rank: 0, share: 1, horizonMs: 30_000 }, steady: { rank: 1, share: 0.8, horizonMs: 30_000 } },
@@ -61,11 +69,11 @@
 
 const rememberedChanges = 4_096;
 
-const stateOf = (tenantCount: number, isolated: number, members: readonly Member[]): Agreed => ({
-  ...agreedState.founded(members),
-  generation: 5_000,
-  layoutGeneration: 5_000,
-  layout: layoutOf(tenantCount, isolated),
+const stateOf = (tenantCount: number, isolated: number, members: readonly Member[]): CommittedState => ({
+  ...stateMachine.founded(members),
+  logIndex: 5_000,
+  configLogIndex: 5_000,
+  config: configOf(tenantCount, isolated),
   weightsSince: Object.fromEntries(Array.from({ length: poolCount }, (_, at) => [`model-${at}`, 0])),
   keys: Object.fromEntries(
     Array.from({ length: tenantCount }, (_, at) => [
@@ -76,14 +84,14 @@
   changeIds: Object.fromEntries(
     Array.from({ length: rememberedChanges }, (_, at) => [
       `change-${at}`,
-      { generation: at, digest: at.toString(16).padStart(32, '0') },
+      { logIndex: at, digest: at.toString(16).padStart(32, '0') },
     ]),
   ),
 });
 
 const blockName = (at: number): string => `5a5a5a5a5a5a${at.toString(16).padStart(12, '0')}`;
 
-const stored = (replica: string, seq: number, blocks: readonly string[]): KvNews => ({
+const stored = (replica: string, seq: number, blocks: readonly string[]): KvCacheEvent => ({
   replica,
   incarnation: 1,
   seq,
@@ -92,11 +100,11 @@
   blocks,
 });
 
-const layoutChange = (tenantCount: number, edition: number, base: number): Change => ({
-  id: `push-${edition}`,
-  digest: edition.toString(16).padStart(32, '0'),
-  body: { kind: 'layout', layout: layoutOf(tenantCount, 0, edition), base },
+const configChange = (tenantCount: number, configVersion: number, base: number): Change => ({
+  id: `push-${configVersion}`,
+  digest: configVersion.toString(16).padStart(32, '0'),
+  body: { kind: 'config', config: configOf(tenantCount, 0, configVersion), base },
 });
 
 /** Each gives equal data for equal arguments; `count` and the like set the size. */
-export const sampleData = { helloOf, records, layoutOf, layoutChange, stateOf, blockName, stored };
+export const sampleData = { helloOf, records, configOf, configChange, stateOf, blockName, stored };
--- a/packages/test-fleet/src/commands/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -56,14 +56,14 @@
 
 /** Each probe has a process of its own, so that none runs on the heap of another. Null: it failed or took too long. */
 const runProbe = (name: string, limitMs: number): Promise<ProbeOutcome | null> =>
-  new Promise((settle) => {
+  new Promise((resolve) => {
     const child = fork(probeFile, [name], { execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`] });
     let outcome: ProbeOutcome | null = null;
     const limit = setTimeout(() => child.kill('SIGKILL'), limitMs);
     child.on('message', (message) => (outcome = message as ProbeOutcome));
     child.on('exit', () => {
       clearTimeout(limit);
-      settle(outcome);
+      resolve(outcome);
     });
   });
 
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -4,22 +4,22 @@
 const noiseRounds = Number(process.argv[3] ?? '200');
 
 const startedFleet = async (seed: number): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, fronts: 9, replicas: 4 });
+  const fleet = new SimFleet({ seed, edges: 9, replicas: 4 });
   await fleet.up();
   await fleet.world.run(6_000);
   return fleet;
 };
 
 const isDown = (fleet: SimFleet, node: string, least: number): boolean =>
-  fleet.postmasters.filter((postmaster) => postmaster?.verdicts.isDown(node) === true).length >= least;
+  fleet.controlNodes.filter((controlNode) => controlNode?.verdicts.isDown(node) === true).length >= least;
 
 const fleet = await startedFleet(1);
 const detectionTimesMs: number[] = [];
 for (let at = 0; at < kills; at += 1) {
-  const counter = at % 9;
-  fleet.killCounter(counter);
-  detectionTimesMs.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${counter + 1}`, 2)));
-  await fleet.bootCounter(counter);
+  const gateway = at % 9;
+  fleet.killCounter(gateway);
+  detectionTimesMs.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${gateway + 1}`, 2)));
+  await fleet.bootCounter(gateway);
   await fleet.world.run(5_000);
 }
 detectionTimesMs.sort((a, b) => a - b);
@@ -32,22 +32,22 @@
   let alarms = 0;
   let single = 0;
   for (let round = 0; round < noiseRounds; round += 1) {
-    const hosts = [...noisyFleet.counterHosts, ...noisyFleet.postmasterHosts];
+    const hosts = [...noisyFleet.gatewayHosts, ...noisyFleet.controlNodeHosts];
     const pick = (): string => hosts[Math.floor(noisyFleet.world.random() * hosts.length)] as string;
     noisyFleet.world.blockLink(pick(), pick());
     noisyFleet.world.delayLink(pick(), pick(), freezeMs);
     const frozen = noisyFleet.world.machine(pick());
     frozen.freeze();
     await noisyFleet.world.run(freezeMs);
-    for (const postmaster of noisyFleet.postmasters)
-      for (const line of postmaster?.verdicts.lines() ?? []) {
+    for (const controlNode of noisyFleet.controlNodes)
+      for (const line of controlNode?.verdicts.status() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
     frozen.thaw();
     await noisyFleet.world.run(1_500);
-    for (const postmaster of noisyFleet.postmasters)
-      for (const line of postmaster?.verdicts.lines() ?? []) {
+    for (const controlNode of noisyFleet.controlNodes)
+      for (const line of controlNode?.verdicts.status() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
--- a/packages/test-fleet/src/commands/faultInjectionCommand.ts
+++ b/packages/test-fleet/src/commands/faultInjectionCommand.ts
@@ -131,7 +131,7 @@
     } else rules['the storm did not end'] = (rules['the storm did not end'] ?? 0) + 1;
     failing += 1;
     process.stdout.write(
-      `seed ${plan.seed}: ${JSON.stringify(injectedHere)} ${report === null ? fault : `${report.permanentLoss} ${JSON.stringify(report.tally)}`}\n`,
+      `seed ${plan.seed}: ${JSON.stringify(injectedHere)} ${report === null ? fault : `${report.permanentLoss} ${JSON.stringify(report.metrics)}`}\n`,
     );
     for (const violation of report?.violations.slice(0, 5) ?? [])
       process.stdout.write(`  ${violation.rule}: ${violation.detail}\n`);
--- a/packages/test-fleet/src/commands/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -58,7 +58,7 @@
   await fleet.up();
   process.stdout.write(`up in ${Math.round(performance.now() - begin)} ms\n`);
   process.stdout.write(
-    `operator and platform: http://${fleet.postmasterHosts[0]}:7101  callers: http://${fleet.counterHosts[0]}:7101 (and ${fleet.counterHosts.length - 1} more)\n`,
+    `operator and platform: http://${fleet.controlNodeHosts[0]}:7101  callers: http://${fleet.gatewayHosts[0]}:7101 (and ${fleet.gatewayHosts.length - 1} more)\n`,
   );
 } catch (cause) {
   process.stderr.write(`${String(cause)}\n`);
@@ -67,7 +67,7 @@
 const seconds = Number(values.seconds);
 if (seconds > 0) {
   const outcomes = await generateLoad({
-    hosts: fleet.counterHosts,
+    hosts: fleet.gatewayHosts,
     ratePerSecond: values.rate === undefined ? deployment.ratePerSecond : Number(values.rate),
     seconds,
     seed: Number(values.seed),
--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
-import { carriages } from '@martenworks/upstream';
+import { httpClients } from '@martenworks/upstream';
 import { sampleDeployments, keyOf, sampleWorkload, seeded } from '../workload/sampleDeployments.js';
 import { LocalFleet } from '../processes/localFleet.js';
 import type { Reply } from '../processes/localFleet.js';
@@ -12,18 +12,18 @@
   'counter killed',
   'counter frozen',
   'counters killed in a herd',
-  'postmaster killed',
-  'postmaster frozen',
-  'postmaster killed having confirmed',
-  'postmaster wiped',
-  'postmasters killed in a herd',
+  'control node killed',
+  'control node frozen',
+  'control node killed having confirmed',
+  'control node wiped',
+  'control nodes killed in a herd',
   'replica killed and replaced',
   'replica leaves and is replaced',
   'replica silent',
   'replica slow to reach',
-  'postmaster link cut',
-  'postmaster link slow',
-  'counter cut from two postmasters',
+  'control node link cut',
+  'control node link slow',
+  'counter cut from two control nodes',
   'whole fleet rolled out',
   'new weights',
   'many lanes',
@@ -31,7 +31,7 @@
   'key revoked from held streams',
 ] as const;
 type FaultKind = (typeof faultKinds)[number];
-const permanentLossKinds = ['counter lost', 'front of a zone lost', 'postmaster lost', 'replica lost'] as const;
+const permanentLossKinds = ['counter lost', 'front of a zone lost', 'control node lost', 'replica lost'] as const;
 
 const usage = `faults on a real local fleet under load: kills, freezes, wiped disks, roll-outs, and cuts through relays of ours;
 judged by the simulator's rules from the callers' side and the stand-ins' records
@@ -94,10 +94,10 @@
 const now = (): number => performance.timeOrigin + performance.now();
 
 const fleet = new LocalFleet(deployment, values.folder, numbers.net, 9, [], null, true);
-const outside = carriages.real(null);
+const outside = httpClients.real(null);
 let replicaIncarnations: readonly ReplicaIncarnation[] = [];
 const observed: ObservedFleet = {
-  counterHosts: fleet.counterHosts,
+  gatewayHosts: fleet.gatewayHosts,
   now,
   random,
   after: (delayMs, ring) => void setTimeout(ring, delayMs),
@@ -117,11 +117,11 @@
   headers: Record<string, string> = {},
 ): Promise<Reply> =>
   fleet
-    .call(`${fleet.postmasterHosts[at]}:7101`, method, path, body, headers)
+    .call(`${fleet.controlNodeHosts[at]}:7101`, method, path, body, headers)
     .catch((): Reply => ({ status: 0, body: {} }));
 
 const retryUntilAccepted = async (tell: (at: number) => Promise<Reply>): Promise<void> => {
-  for (let shot = 0; shot < 300; shot += 1) {
+  for (let attempt = 0; attempt < 300; attempt += 1) {
     if ((await tell(pick(3))).status === 200) return;
     await sleep(200);
   }
@@ -140,14 +140,14 @@
 const change = async (part: Record<string, unknown>, isLastWord = false): Promise<boolean> => {
   const { at, base } = await baseAt();
   const id = `real-${++changes}`;
-  for (let shot = 0; ; shot += 1) {
-    const violations = await callControlNode(shot === 0 ? at : pick(3), 'PATCH', '/operator/layout', part, {
+  for (let attempt = 0; ; attempt += 1) {
+    const violations = await callControlNode(attempt === 0 ? at : pick(3), 'PATCH', '/operator/layout', part, {
       'if-match': `"${base}"`,
       'change-id': id,
     });
     if (violations.status === 200) {
       checker.acceptedIds.set(id, Number(violations.body.generation));
-      if (isLastWord && shot === 0) await restartPostmaster(at, false);
+      if (isLastWord && attempt === 0) await restartControlNode(at, false);
       return true;
     }
     if (violations.status === 409 || violations.status === 422) {
@@ -158,13 +158,13 @@
   }
 };
 
-const restartPostmaster = async (at: number, isWiped: boolean): Promise<void> => {
+const restartControlNode = async (at: number, isWiped: boolean): Promise<void> => {
   await fleet.signal(`postmaster-${at + 1}`, 'SIGKILL');
-  if (isWiped) fleet.wipePostmaster(at);
+  if (isWiped) fleet.wipeControlNode(at);
   await sleep(randomBetween(300, 2_000));
-  fleet.startPostmaster(at);
+  fleet.startControlNode(at);
   await fleet.until(
-    `postmaster ${at + 1} votes`,
+    `control node ${at + 1} votes`,
     async () => (await callControlNode(at, 'GET', '/operator/status')).body.voter === true,
     40_000,
   );
@@ -227,7 +227,7 @@
 };
 
 const rollEach = async (
-  role: 'counter' | 'postmaster',
+  role: 'gateway' | 'gateway-control',
   hosts: readonly string[],
   start: (at: number) => unknown,
 ): Promise<void> => {
@@ -242,37 +242,37 @@
 };
 
 const rollOut = async (): Promise<void> => {
-  await rollEach('counter', fleet.counterHosts, fleet.startCounter);
-  await rollEach('postmaster', fleet.postmasterHosts, fleet.startPostmaster);
+  await rollEach('gateway', fleet.gatewayHosts, fleet.startCounter);
+  await rollEach('gateway-control', fleet.controlNodeHosts, fleet.startControlNode);
 };
 
 const inject = async (kind: FaultKind): Promise<void> => {
-  const counter = pick(9);
-  const postmaster = pick(3);
+  const gateway = pick(9);
+  const controlNode = pick(3);
   const name = `replica-${pick(deployment.replicaCount) + 1}`;
-  const [connection, replica] = [fleet.peerProxies[postmaster], fleet.replicaProxies.get(name)];
+  const [connection, replica] = [fleet.peerProxies[controlNode], fleet.replicaProxies.get(name)];
   switch (kind) {
     case 'counter killed':
-      await fleet.signal(`counter-${counter + 1}`, 'SIGKILL');
+      await fleet.signal(`counter-${gateway + 1}`, 'SIGKILL');
       await sleep(randomBetween(300, 2_000));
-      return void fleet.startCounter(counter);
+      return void fleet.startCounter(gateway);
     case 'counters killed in a herd':
-      await Promise.all(fleet.counterHosts.map((_, at) => fleet.signal(`counter-${at + 1}`, 'SIGKILL')));
+      await Promise.all(fleet.gatewayHosts.map((_, at) => fleet.signal(`counter-${at + 1}`, 'SIGKILL')));
       await sleep(randomBetween(300, 1_500));
-      return fleet.counterHosts.forEach((_, at) => void fleet.startCounter(at));
+      return fleet.gatewayHosts.forEach((_, at) => void fleet.startCounter(at));
     case 'counter frozen':
-      return freeze(`counter-${counter + 1}`, 6_000);
-    case 'postmaster killed':
-      return restartPostmaster(postmaster, false);
-    case 'postmaster wiped':
-      return restartPostmaster(postmaster, true);
-    case 'postmasters killed in a herd':
+      return freeze(`counter-${gateway + 1}`, 6_000);
+    case 'control node killed':
+      return restartControlNode(controlNode, false);
+    case 'control node wiped':
+      return restartControlNode(controlNode, true);
+    case 'control nodes killed in a herd':
       await Promise.all([0, 1, 2].map((at) => fleet.signal(`postmaster-${at + 1}`, 'SIGKILL')));
       await sleep(randomBetween(300, 1_500));
-      return [0, 1, 2].forEach((at) => void fleet.startPostmaster(at));
-    case 'postmaster frozen':
-      return freeze(`postmaster-${postmaster + 1}`, 4_000);
-    case 'postmaster killed having confirmed':
+      return [0, 1, 2].forEach((at) => void fleet.startControlNode(at));
+    case 'control node frozen':
+      return freeze(`postmaster-${controlNode + 1}`, 4_000);
+    case 'control node killed having confirmed':
       return void (await change({ tiers: { steady: { rank: 1, horizonMs: 20_000 + pick(1_000) } } }, true));
     case 'replica killed and replaced':
       await fleet.killReplica(name);
@@ -294,17 +294,17 @@
       if (replica !== undefined) replica.delayMs = randomBetween(100, 600);
       await sleep(randomBetween(500, 5_000));
       return replica?.heal();
-    case 'postmaster link cut':
+    case 'control node link cut':
       connection?.block('*');
       await sleep(randomBetween(500, 5_000));
       return connection?.heal();
-    case 'postmaster link slow':
+    case 'control node link slow':
       if (connection !== undefined) connection.delayMs = randomBetween(50, 400);
       await sleep(randomBetween(1_000, 5_000));
       return connection?.heal();
-    case 'counter cut from two postmasters':
+    case 'counter cut from two control nodes':
       for (const relay of fleet.peerProxies)
-        if (relay !== connection) relay.block(fleet.counterHosts[counter] as string);
+        if (relay !== connection) relay.block(fleet.gatewayHosts[gateway] as string);
       await sleep(randomBetween(1_000, 5_000));
       return fleet.peerProxies.forEach((relay) => {
         relay.heal();
@@ -335,7 +335,7 @@
   };
   if (final === 'counter lost') await lose(pick(9));
   else if (final === 'front of a zone lost') await Promise.all([0, 3, 6].map((at) => lose(at + zone)));
-  else if (final === 'postmaster lost') await fleet.signal(`postmaster-${zone + 1}`, 'SIGKILL');
+  else if (final === 'control node lost') await fleet.signal(`postmaster-${zone + 1}`, 'SIGKILL');
   else {
     const name = `replica-${pick(deployment.replicaCount) + 1}`;
     await fleet.killReplica(name);
@@ -348,12 +348,12 @@
   const violations: Violation[] = [];
   for (const at of [0, 1, 2]) {
     if ((await callControlNode(at, 'GET', '/healthz')).status !== 200) continue;
-    for (const [id, generation] of checker.acceptedIds) {
+    for (const [id, logIndex] of checker.acceptedIds) {
       const known = await callControlNode(at, 'GET', `/operator/changes/${id}`);
-      if (known.status !== 200 || known.body.generation !== generation)
+      if (known.status !== 200 || known.body.generation !== logIndex)
         violations.push({
           rule: 'an accepted change is lost',
-          detail: `${id} at postmaster ${at + 1}: ${known.status}`,
+          detail: `${id} at control node ${at + 1}: ${known.status}`,
         });
     }
     for (const id of checker.refusedIds)
@@ -365,12 +365,12 @@
 
 let exitCode = 1;
 try {
-  const layout = sampleWorkload.layout('weights-1');
+  const config = sampleWorkload.config('weights-1');
   const tenants = {
-    ...(layout.tenants as Record<string, unknown>),
+    ...(config.tenants as Record<string, unknown>),
     [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
   };
-  await fleet.up({ ...layout, tenants }, [...sampleWorkload.tenantNames, sampleWorkload.prober]);
+  await fleet.up({ ...config, tenants }, [...sampleWorkload.tenantNames, sampleWorkload.prober]);
   for (const tenant of [...sampleWorkload.tenantNames, sampleWorkload.prober]) checker.grant(keyOf(tenant), tenant);
   checker.traffic(numbers.rate, numbers.seconds * 1_000, undefined, true);
   checker.keyedTraffic(4, numbers.seconds * 1_000);
@@ -384,7 +384,7 @@
   const final = await injectPermanentLoss();
   const begin = now();
   await fleet.until('every counter ready', async () =>
-    (await Promise.all(checker.liveGateways().map((at) => fleet.isReady(fleet.counterHosts[at] as string)))).every(
+    (await Promise.all(checker.liveGateways().map((at) => fleet.isReady(fleet.gatewayHosts[at] as string)))).every(
       Boolean,
     ),
   );
@@ -409,7 +409,7 @@
     if (call.outcome === 'open') violations.push({ rule: 'a call never ended', detail: call.requestId });
   const allViolations = [...checker.violations(), ...violations, ...(await lostChanges())];
   process.stdout.write(
-    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${final}\ncalls: ${JSON.stringify(checker.tally())}\nready again ${Math.round(backMs)} ms after the last fault; 12 s after it ${whole} of ${after.length} whole\n`,
+    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${final}\ncalls: ${JSON.stringify(checker.metrics())}\nready again ${Math.round(backMs)} ms after the last fault; 12 s after it ${whole} of ${after.length} whole\n`,
   );
   for (const { rule, detail } of allViolations.slice(0, 20)) process.stdout.write(`${rule}: ${detail}\n`);
   process.stdout.write(allViolations.length === 0 ? 'no rule broken\n' : `${allViolations.length} breaches\n`);
--- a/packages/test-fleet/src/faults/clockFaults.ts
+++ b/packages/test-fleet/src/faults/clockFaults.ts
@@ -9,7 +9,7 @@
 
 const jump = (context: FaultContext): Promise<void> => {
   const { fleet, world } = context;
-  const hosts = [...fleet.postmasterHosts, ...fleet.counterHosts];
+  const hosts = [...fleet.controlNodeHosts, ...fleet.gatewayHosts];
   const machine = world.machine(hosts[context.pick(hosts.length)] as string);
   machine.wallClockOffset += randomJump(context);
   return context.wait(1);
@@ -19,7 +19,7 @@
 const jumpOverPause = (context: FaultContext): Promise<void> | null => {
   const isGateway = context.random() < 0.6;
   const work = async (at: number): Promise<void> => {
-    const machine = context.fleet.machineOf(isGateway ? 'counter' : 'postmaster', at);
+    const machine = context.fleet.machineOf(isGateway ? 'gateway' : 'control', at);
     machine.freeze();
     await context.waitBetween(300, 8_000);
     const keepsWallClock = context.random() < 0.5;
@@ -27,7 +27,7 @@
     machine.thaw(keepsWallClock);
     await context.wait(1_000);
   };
-  return isGateway ? context.onCounter(work) : context.onPostmaster(work);
+  return isGateway ? context.onCounter(work) : context.onControlNode(work);
 };
 
 /** Wall clocks stay wrong to the end of the run. */
--- a/packages/test-fleet/src/faults/crashes.ts
+++ b/packages/test-fleet/src/faults/crashes.ts
@@ -51,18 +51,18 @@
 };
 
 const crashControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    context.fleet.killPostmaster(at);
+  context.onControlNode(async (at) => {
+    context.fleet.killControlNode(at);
     await context.waitBetween(100, 4_000);
-    await context.fleet.bootPostmaster(at);
+    await context.fleet.bootControlNode(at);
   });
 
 const crashAllControlNodes = async (context: FaultContext): Promise<void> => {
   const nodes = context.claimControlNodes();
-  for (const at of nodes) context.fleet.killPostmaster(at);
+  for (const at of nodes) context.fleet.killControlNode(at);
   await context.waitBetween(100, 3_000);
   for (const at of nodes) {
-    await context.fleet.bootPostmaster(at);
+    await context.fleet.bootControlNode(at);
     context.releaseControlNode(at);
   }
 };
@@ -76,9 +76,9 @@
 ): Promise<void> => {
   const { fleet } = context;
   for (const at of gateways) fleet.killCounter(at);
-  for (const at of controlNodes) fleet.killPostmaster(at);
+  for (const at of controlNodes) fleet.killControlNode(at);
   await context.waitBetween(...outage);
-  for (const at of controlNodes) await fleet.bootPostmaster(at);
+  for (const at of controlNodes) await fleet.bootControlNode(at);
   for (const at of gateways) await fleet.bootCounter(at);
   controlNodes.forEach(context.releaseControlNode);
   gateways.forEach(context.releaseGateway);
@@ -102,8 +102,8 @@
   'whole pool dies': crashPool,
   'counter dies': crashGateway,
   'counters die in a herd': crashAllGateways,
-  'postmaster dies': crashControlNode,
-  'postmasters die in a herd': crashAllControlNodes,
+  'control node dies': crashControlNode,
+  'control nodes die in a herd': crashAllControlNodes,
   'all machines die': crashAllMachines,
   'a zone is lost': crashZone,
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
+++ b/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
@@ -7,14 +7,14 @@
 
 const acknowledgeChange = async (context: FaultContext, at: number): Promise<void> => {
   const { fleet, operator } = context;
-  const layout = await fleet.onPostmaster(at, 'GET', '/operator/layout');
+  const config = await fleet.onControlNode(at, 'GET', '/operator/layout');
   const id = `last-word-${operator.countChange()}`;
-  const response = await fleet.onPostmaster(
+  const response = await fleet.onControlNode(
     at,
     'PATCH',
     '/operator/layout',
     { tiers: { steady: { rank: 1, horizonMs: 20_000 + context.pick(1_000) } } },
-    { 'if-match': `"${Number(layout.body.generation)}"`, 'change-id': id },
+    { 'if-match': `"${Number(config.body.generation)}"`, 'change-id': id },
   );
   if (response.status === 200) operator.noteAccepted(id, Number(response.body.generation));
 };
@@ -50,17 +50,17 @@
 const acknowledgements = [acknowledgeChange, acknowledgeRevocation, acknowledgeDraining];
 
 const crashAfterAcknowledgement = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
+  context.onControlNode(async (at) => {
     const { fleet } = context;
     const losesDisk = context.random() < 0.4;
     await acknowledgements[context.pick(acknowledgements.length)]?.(context, at);
-    fleet.killPostmaster(at, losesDisk);
+    fleet.killControlNode(at, losesDisk);
     await context.waitBetween(100, 3_000);
-    await fleet.bootPostmaster(at);
+    await fleet.bootControlNode(at);
     if (losesDisk) await context.untilVoter(at, votePolls);
   }, true);
 
 /** What was acknowledged must outlast the crash. */
 export const crashesAfterAcknowledgement = {
-  'postmaster dies having confirmed': crashAfterAcknowledgement,
+  'control node dies having confirmed': crashAfterAcknowledgement,
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/diskFaults.ts
+++ b/packages/test-fleet/src/faults/diskFaults.ts
@@ -4,16 +4,16 @@
 const votePolls = 300;
 
 const loseDisk = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    context.fleet.killPostmaster(at, true);
+  context.onControlNode(async (at) => {
+    context.fleet.killControlNode(at, true);
     await context.waitBetween(100, 3_000);
-    await context.fleet.bootPostmaster(at);
+    await context.fleet.bootControlNode(at);
     await context.untilVoter(at, votePolls);
   }, true);
 
 const stall = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    const { disk } = context.fleet.machineOf('postmaster', at);
+  context.onControlNode(async (at) => {
+    const { disk } = context.fleet.machineOf('control', at);
     disk.faults.isStalled = true;
     await context.waitBetween(500, 5_000);
     disk.unstall();
@@ -21,8 +21,8 @@
 
 /** A restart in between clears both faults as well. */
 const failWrites = (context: FaultContext, fault: 'isFull' | 'failsSync'): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    const { disk } = context.fleet.machineOf('postmaster', at);
+  context.onControlNode(async (at) => {
+    const { disk } = context.fleet.machineOf('control', at);
     disk.faults[fault] = true;
     await context.waitBetween(500, 5_000);
     disk.faults.isFull = false;
@@ -30,8 +30,8 @@
   });
 
 const slowDown = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    const { disk } = context.fleet.machineOf('postmaster', at);
+  context.onControlNode(async (at) => {
+    const { disk } = context.fleet.machineOf('control', at);
     disk.faults.delayMs = context.randomBetween(20, 400);
     await context.waitBetween(1_000, 8_000);
     disk.faults.delayMs = 0;
@@ -39,7 +39,7 @@
 
 /** A lost disk comes back empty; the others recover with what they hold. */
 export const diskFaults = {
-  'postmaster loses its disk': loseDisk,
+  'control node loses its disk': loseDisk,
   'disk stalls': stall,
   'disk is full': (context) => failWrites(context, 'isFull'),
   'disk fails to sync': (context) => failWrites(context, 'failsSync'),
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -9,7 +9,7 @@
 const votePollMs = 100;
 const controlNodes = [0, 1, 2];
 
-/** Counters from which injections make names that no other uses. */
+/** Gateways from which injections make names that no other uses. */
 interface RunState {
   weights: number;
   probes: number;
@@ -73,14 +73,14 @@
 
   /** Claims those of the control nodes that are free. */
   readonly claimControlNodes = (among: readonly number[] = controlNodes): number[] =>
-    among.filter((at) => this.claim(`postmaster ${at}`));
+    among.filter((at) => this.claim(`control node ${at}`));
 
   readonly releaseGateway = (at: number): void => this.release(`counter ${at}`);
 
-  readonly releaseControlNode = (at: number): void => this.release(`postmaster ${at}`);
+  readonly releaseControlNode = (at: number): void => this.release(`control node ${at}`);
 
   /** The index of every gateway. */
-  readonly gateways = (): number[] => this.fleet.counterHosts.map((_, at) => at);
+  readonly gateways = (): number[] => this.fleet.gatewayHosts.map((_, at) => at);
 
   /** Disturbs a random replica of any pool. */
   readonly onReplica = (work: (name: string) => Promise<void>): Promise<void> | null => {
@@ -91,15 +91,15 @@
 
   /** Disturbs a random gateway. */
   readonly onCounter = (work: (at: number) => Promise<void>): Promise<void> | null => {
-    const at = this.pick(this.fleet.options.fronts);
+    const at = this.pick(this.fleet.options.edges);
     return this.withClaim(`counter ${at}`, () => work(at));
   };
 
   /** Disturbs a random control node; with `needsCalm` only while no other fault disturbs any of them. */
-  readonly onPostmaster = (work: (at: number) => Promise<void>, needsCalm = false): Promise<void> | null => {
+  readonly onControlNode = (work: (at: number) => Promise<void>, needsCalm = false): Promise<void> | null => {
     const at = this.pick(controlNodes.length);
-    if (!needsCalm) return this.withClaim(`postmaster ${at}`, () => work(at));
-    if (controlNodes.some((one) => this.claimed.has(`postmaster ${one}`))) return null;
+    if (!needsCalm) return this.withClaim(`control node ${at}`, () => work(at));
+    if (controlNodes.some((one) => this.claimed.has(`control node ${one}`))) return null;
     this.claimControlNodes();
     return work(at).finally(() => controlNodes.forEach(this.releaseControlNode));
   };
@@ -112,7 +112,7 @@
 
   /** @throws Error where the control node does not vote within that many polls of 100 ms */
   readonly untilVoter = async (at: number, polls: number): Promise<void> => {
-    const isVoter = (): boolean => this.fleet.postmasters[at]?.acceptor.isVoter() === true;
+    const isVoter = (): boolean => this.fleet.controlNodes[at]?.acceptor.isVoter() === true;
     for (let poll = 0; poll < polls && !isVoter(); poll += 1) await this.wait(votePollMs);
     if (!isVoter()) throw new Error('the empty control node was never swapped in');
   };
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -12,7 +12,7 @@
 import { recoveredIntervals, servedShares, settleMs } from './serviceReport.js';
 import type { FaultInterval, RecoveredInterval, ServedShare } from './serviceReport.js';
 
-const defaults = { fronts: 4, replicas: 6, spanMs: 20_000, faults: 6, ratePerSecond: 25, longShare: 0.1 };
+const defaults = { edges: 4, replicas: 6, spanMs: 20_000, faults: 6, ratePerSecond: 25, longShare: 0.1 };
 const tenants = [...sampleWorkload.tenantNames, sampleWorkload.prober];
 const keyedRatePerSecond = 4;
 const extraTrafficMs = 3_000;
@@ -34,7 +34,7 @@
   readonly injected: Record<string, number>;
   readonly violations: Violation[];
   /** How many calls ended in which way. */
-  readonly tally: Record<string, number>;
+  readonly metrics: Record<string, number>;
   readonly calls: number;
   readonly permanentLoss: PermanentLossKind;
   readonly intervals: readonly RecoveredInterval[];
@@ -54,10 +54,10 @@
   constructor(private readonly schedule: FaultSchedule) {
     this.fleet = new SimFleet({
       seed: schedule.seed,
-      fronts: schedule.fronts ?? defaults.fronts,
+      edges: schedule.edges ?? defaults.edges,
       replicas: schedule.replicas ?? defaults.replicas,
       hasStore: true,
-      layout: initialLayout(schedule.seed),
+      config: initialLayout(schedule.seed),
       tenants,
       ...schedule.overrides,
     });
@@ -84,7 +84,7 @@
         ...this.context.violations,
         ...recovery,
       ],
-      tally: checker.tally(),
+      metrics: checker.metrics(),
       calls: checker.calls.length,
       permanentLoss,
       intervals: recoveredIntervals(checker.calls, this.intervals),
@@ -156,8 +156,8 @@
       .map((call) => ({ rule: 'a call never ended', detail: call.requestId }));
 
   private readonly generationViolations = (): Violation[] => {
-    const { counters } = this.fleet;
-    const generations = new Set(this.checker.liveGateways().map((at) => counters[at]?.book.generation()));
+    const { gateways } = this.fleet;
+    const generations = new Set(this.checker.liveGateways().map((at) => gateways[at]?.stateView.logIndex()));
     if (generations.size === 1) return [];
     const detail = `counters hold generations ${[...generations].join(', ')}`;
     return [{ rule: 'an accepted change is not in force', detail }];
--- a/packages/test-fleet/src/faults/faultSchedule.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -22,12 +22,12 @@
   'counter freezes',
   'counter is isolated',
   'counter hears a minority',
-  'postmaster dies',
-  'postmasters die in a herd',
-  'postmaster loses its disk',
-  'postmaster freezes',
-  'postmaster is isolated',
-  'postmasters are cut apart',
+  'control node dies',
+  'control nodes die in a herd',
+  'control node loses its disk',
+  'control node freezes',
+  'control node is isolated',
+  'control nodes are cut apart',
   'one-way cut',
   'disk stalls',
   'disk is full',
@@ -41,15 +41,15 @@
   'kv news is late',
   'kv news is lost',
   'disk is slow',
-  'postmaster dies having confirmed',
-  'postmaster returns empty elsewhere',
-  'postmaster is swapped for a stranger',
+  'control node dies having confirmed',
+  'control node returns empty elsewhere',
+  'control node is swapped for a stranger',
   'replicas are replaced in turn',
   'replica is cut from some counters',
   'cache store is lost',
   'new client with a new tenant',
   'counter is told to stop',
-  'postmaster is told to stop',
+  'control node is told to stop',
   'clock jumps over a freeze',
   'layout is probed',
 ] as const;
@@ -58,7 +58,7 @@
 export const permanentLossKinds = [
   'counter lost for good',
   'front of a zone lost for good',
-  'postmaster lost for good',
+  'control node lost for good',
   'replica lost for good',
   'replica silent for good',
   'none',
@@ -79,7 +79,7 @@
   readonly ratePerSecond?: number;
   /** Virtual milliseconds in the first part of which faults begin. */
   readonly spanMs?: number;
-  readonly fronts?: number;
+  readonly edges?: number;
   readonly replicas?: number;
   /** The share of requests with long prompts. */
   readonly longShare?: number;
@@ -91,19 +91,19 @@
 /** A small fleet, and the users' two sites at their full size. */
 export const deploymentSizes = {
   small: {},
-  stations: { fronts: 9, replicas: 13, ratePerSecond: 190, longShare: 0.06 },
-  sawmill: { fronts: 9, replicas: 8, ratePerSecond: 180, longShare: 0.06 },
+  stations: { edges: 9, replicas: 13, ratePerSecond: 190, longShare: 0.06 },
+  sawmill: { edges: 9, replicas: 8, ratePerSecond: 180, longShare: 0.06 },
 } as const satisfies Record<string, Partial<FaultSchedule>>;
 
 const isolationEvery = 3;
 
-/** The layout that runs begin with; with one seed in three no tenant is isolated. */
+/** The configuration that runs begin with; with one seed in three no tenant is isolated. */
 export const initialLayout = (seed: number): Record<string, unknown> => {
-  const layout = sampleWorkload.layout('weights-1');
-  const tenants = layout.tenants as Record<string, Record<string, unknown>>;
+  const config = sampleWorkload.config('weights-1');
+  const tenants = config.tenants as Record<string, Record<string, unknown>>;
   const isApart = seed % isolationEvery !== 0;
   return {
-    ...layout,
+    ...config,
     pools: { main: { weights: 'weights-1', slots: 8, store: 'store-1' }, app: { weights: 'app-1', slots: 32 } },
     tenants: {
       ...Object.fromEntries(
--- a/packages/test-fleet/src/faults/gracefulShutdowns.ts
+++ b/packages/test-fleet/src/faults/gracefulShutdowns.ts
@@ -34,19 +34,19 @@
   context.onCounter(async (at) => {
     const { fleet } = context;
     if (context.random() < 0.5) return fleet.rollCounter(at);
-    void fleet.counters[at]?.drain();
+    void fleet.gateways[at]?.drain();
     await context.waitBetween(50, 1_500);
     fleet.killCounter(at);
     await fleet.bootCounter(at);
   });
 
 const stopControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster((at) => context.fleet.rollPostmaster(at));
+  context.onControlNode((at) => context.fleet.rollControlNode(at));
 
 /** What stops is started again. */
 export const gracefulShutdowns = {
   'replica leaves': drainReplica,
   'replicas are replaced in turn': replaceReplicasInTurn,
   'counter is told to stop': stopGateway,
-  'postmaster is told to stop': stopControlNode,
+  'control node is told to stop': stopControlNode,
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/memberReplacements.ts
+++ b/packages/test-fleet/src/faults/memberReplacements.ts
@@ -4,15 +4,15 @@
 const votePolls = 600;
 
 const replace = (context: FaultContext, isRenamed: boolean): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
+  context.onControlNode(async (at) => {
     const count = ++context.state.moves;
-    const name = isRenamed ? `postmaster-new-${count}` : (context.fleet.postmasterNames[at] as string);
-    await context.fleet.movePostmaster(at, `10.0.7.${count}`, name);
+    const name = isRenamed ? `postmaster-new-${count}` : (context.fleet.controlNodeNames[at] as string);
+    await context.fleet.moveControlNode(at, `10.0.7.${count}`, name);
     await context.untilVoter(at, votePolls);
   }, true);
 
 /** The newcomer must be voted in. */
 export const memberReplacements = {
-  'postmaster returns empty elsewhere': (context) => replace(context, false),
-  'postmaster is swapped for a stranger': (context) => replace(context, true),
+  'control node returns empty elsewhere': (context) => replace(context, false),
+  'control node is swapped for a stranger': (context) => replace(context, true),
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/networkPartitions.ts
+++ b/packages/test-fleet/src/faults/networkPartitions.ts
@@ -3,7 +3,7 @@
 
 const isolateGateway = (context: FaultContext): Promise<void> | null =>
   context.onCounter(async (at) => {
-    const host = context.fleet.counterHosts[at] as string;
+    const host = context.fleet.gatewayHosts[at] as string;
     context.world.isolate(host);
     await context.waitBetween(500, 6_000);
     context.world.reconnect(host);
@@ -22,24 +22,24 @@
 
 const partitionGatewayFromMajority = (context: FaultContext): Promise<void> | null =>
   context.onCounter((at) => {
-    const { counterHosts, postmasterHosts } = context.fleet;
-    const reached = context.pick(postmasterHosts.length);
-    const others = postmasterHosts.filter((_, index) => index !== reached);
-    return partitionFrom(context, counterHosts[at] as string, others, [1_000, 6_000]);
+    const { gatewayHosts, controlNodeHosts } = context.fleet;
+    const reached = context.pick(controlNodeHosts.length);
+    const others = controlNodeHosts.filter((_, index) => index !== reached);
+    return partitionFrom(context, gatewayHosts[at] as string, others, [1_000, 6_000]);
   });
 
 const isolateControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
-    const host = context.fleet.postmasterHosts[at] as string;
+  context.onControlNode(async (at) => {
+    const host = context.fleet.controlNodeHosts[at] as string;
     context.world.isolate(host);
     await context.waitBetween(500, 8_000);
     context.world.reconnect(host);
   });
 
 const partitionControlNodes = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async () => {
+  context.onControlNode(async () => {
     const { world, fleet } = context;
-    const [a, b, c] = fleet.postmasterHosts as [string, string, string];
+    const [a, b, c] = fleet.controlNodeHosts as [string, string, string];
     world.partition(a, b);
     if (context.random() < 0.5) world.partition(b, c);
     if (context.random() < 0.3) world.partition(a, c);
@@ -50,10 +50,10 @@
   }, true);
 
 const blockOneDirection = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster(async (at) => {
+  context.onControlNode(async (at) => {
     const { fleet, world } = context;
-    const own = fleet.postmasterHosts[at] as string;
-    const hosts = [...fleet.postmasterHosts, ...fleet.counterHosts].filter((host) => host !== own);
+    const own = fleet.controlNodeHosts[at] as string;
+    const hosts = [...fleet.controlNodeHosts, ...fleet.gatewayHosts].filter((host) => host !== own);
     const other = hosts[context.pick(hosts.length)] as string;
     const [from, to] = context.random() < 0.5 ? [own, other] : [other, own];
     world.blockLink(from, to);
@@ -64,7 +64,7 @@
 const partitionReplica = (context: FaultContext): Promise<void> | null =>
   context.onReplica((name) => {
     const { fleet } = context;
-    const others = fleet.counterHosts.filter(() => context.random() < 0.5);
+    const others = fleet.gatewayHosts.filter(() => context.random() < 0.5);
     return partitionFrom(context, fleet.hostOfReplica(name), others, [500, 6_000]);
   });
 
@@ -80,8 +80,8 @@
 export const networkPartitions = {
   'counter is isolated': isolateGateway,
   'counter hears a minority': partitionGatewayFromMajority,
-  'postmaster is isolated': isolateControlNode,
-  'postmasters are cut apart': partitionControlNodes,
+  'control node is isolated': isolateControlNode,
+  'control nodes are cut apart': partitionControlNodes,
   'one-way cut': blockOneDirection,
   'replica is cut from some counters': partitionReplica,
   'links between replicas slow': slowReplicaLinks,
--- a/packages/test-fleet/src/faults/operatorClient.ts
+++ b/packages/test-fleet/src/faults/operatorClient.ts
@@ -12,7 +12,7 @@
 const changeRetryMs = 150;
 const rejectedStatuses = new Set([409, 422]);
 
-/** A version of the layout and the control node that told it. */
+/** A version of the configuration and the control node that told it. */
 export interface LayoutBase {
   readonly at: number;
   readonly base: number;
@@ -54,8 +54,8 @@
   readonly readLayout = async (): Promise<LayoutBase> => {
     for (;;) {
       const at = this.anyNode();
-      const layout = await this.fleet.onPostmaster(at, 'GET', '/operator/layout');
-      if (layout.status === 200) return { at, base: Number(layout.body.generation) };
+      const config = await this.fleet.onControlNode(at, 'GET', '/operator/layout');
+      if (config.status === 200) return { at, base: Number(config.body.generation) };
       await this.world.sleep(retryMs);
     }
   };
@@ -65,7 +65,7 @@
     const id = `change-${this.countChange()}`;
     const headers = { 'if-match': `"${base}"`, 'change-id': id };
     for (let node = at; ; node = this.anyNode()) {
-      const response = await this.fleet.onPostmaster(node, 'PATCH', '/operator/layout', part, headers);
+      const response = await this.fleet.onControlNode(node, 'PATCH', '/operator/layout', part, headers);
       if (response.status === 200) {
         this.noteAccepted(id, Number(response.body.generation));
         return true;
@@ -79,22 +79,22 @@
   };
 
   /** Notes an accepted change and checks in time whether gateways serve under it. */
-  readonly noteAccepted = (id: string, generation: number): void => {
-    this.checker.acceptedIds.set(id, generation);
-    this.world.schedule(null, propagationMs, () => this.checkInForce(id, generation));
+  readonly noteAccepted = (id: string, logIndex: number): void => {
+    this.checker.acceptedIds.set(id, logIndex);
+    this.world.schedule(null, propagationMs, () => this.checkInForce(id, logIndex));
   };
 
-  private readonly checkInForce = (id: string, generation: number): void => {
-    this.fleet.counters.forEach((counter, at) => {
-      if (counter === null || !counter.freshness.isFresh() || counter.book.generation() >= generation) return;
+  private readonly checkInForce = (id: string, logIndex: number): void => {
+    this.fleet.gateways.forEach((gateway, at) => {
+      if (gateway === null || !gateway.freshness.isFresh() || gateway.stateView.logIndex() >= logIndex) return;
       this.violations.push({
         rule: 'an accepted change is not in force',
-        detail: `${id}: counter ${at + 1} serves under ${counter.book.generation()}, not ${generation}, after ${propagationMs} ms`,
+        detail: `${id}: counter ${at + 1} serves under ${gateway.stateView.logIndex()}, not ${logIndex}, after ${propagationMs} ms`,
       });
     });
   };
 
-  /** Grants a key; `entry` makes a tenant of the layout for it, `prefix` tells a repeated grant apart. */
+  /** Grants a key; `entry` makes a tenant of the configuration for it, `prefix` tells a repeated grant apart. */
   readonly grant = async (
     key: string,
     tenant: string,
@@ -104,17 +104,17 @@
     const grant = this.checker.grant(key, tenant);
     const body = { tenant, key, ...(entry === null ? {} : { grant: entry }) };
     const headers = { 'change-id': `grant-${prefix}${key}` };
-    await this.retryUntilAccepted((at) => this.fleet.onPostmaster(at, 'POST', '/platform/clients', body, headers));
+    await this.retryUntilAccepted((at) => this.fleet.onControlNode(at, 'POST', '/platform/clients', body, headers));
     return grant;
   };
 
   /** Asks one control node to revoke a key. */
   readonly revokeAt = (at: number, key: string): Promise<{ readonly status: number }> =>
-    this.fleet.onPostmaster(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` });
+    this.fleet.onControlNode(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` });
 
   /** Asks one control node to drain a replica. */
   readonly drainAt = (at: number, name: string): Promise<{ readonly status: number }> =>
-    this.fleet.onPostmaster(at, 'POST', `/platform/replicas/${name}/leaving`);
+    this.fleet.onControlNode(at, 'POST', `/platform/replicas/${name}/leaving`);
 
   /** Notes that the running incarnation of a replica drains from now on. */
   readonly noteDraining = (name: string, incarnation = this.fleet.incarnationOf(name)): void =>
@@ -122,5 +122,5 @@
 
   /** Takes a replica off the list. */
   readonly removeReplica = (name: string): Promise<void> =>
-    this.retryUntilAccepted((at) => this.fleet.onPostmaster(at, 'DELETE', `/platform/replicas/${name}`));
+    this.retryUntilAccepted((at) => this.fleet.onControlNode(at, 'DELETE', `/platform/replicas/${name}`));
 }
--- a/packages/test-fleet/src/faults/permanentLosses.ts
+++ b/packages/test-fleet/src/faults/permanentLosses.ts
@@ -22,16 +22,16 @@
   const { fleet, pick } = context;
   switch (kind) {
     case 'counter lost for good':
-      return loseGateways(context, [pick(fleet.options.fronts)]);
+      return loseGateways(context, [pick(fleet.options.edges)]);
     case 'front of a zone lost for good': {
-      const zone = pick(fleet.options.fronts) % zoneCount;
+      const zone = pick(fleet.options.edges) % zoneCount;
       return loseGateways(
         context,
         context.gateways().filter((at) => at % zoneCount === zone),
       );
     }
-    case 'postmaster lost for good':
-      return fleet.killPostmaster(pick(fleet.postmasterHosts.length), context.random() < 0.5);
+    case 'control node lost for good':
+      return fleet.killControlNode(pick(fleet.controlNodeHosts.length), context.random() < 0.5);
     case 'replica lost for good':
       return context.operator.removeReplica(vanishReplica(context));
     case 'replica silent for good':
--- a/packages/test-fleet/src/faults/processPauses.ts
+++ b/packages/test-fleet/src/faults/processPauses.ts
@@ -12,14 +12,14 @@
   context.onReplica((name) => pause(context, context.world.machine(context.fleet.hostOfReplica(name)), 6_000));
 
 const pauseGateway = (context: FaultContext): Promise<void> | null =>
-  context.onCounter((at) => pause(context, context.fleet.machineOf('counter', at), 20_000));
+  context.onCounter((at) => pause(context, context.fleet.machineOf('gateway', at), 20_000));
 
 const pauseControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onPostmaster((at) => pause(context, context.fleet.machineOf('postmaster', at), 8_000));
+  context.onControlNode((at) => pause(context, context.fleet.machineOf('control', at), 8_000));
 
 /** The process goes on afterwards as if no time had passed. */
 export const processPauses = {
   'replica freezes': pauseReplica,
   'counter freezes': pauseGateway,
-  'postmaster freezes': pauseControlNode,
+  'control node freezes': pauseControlNode,
 } satisfies Injections;
--- a/packages/test-fleet/src/invariants/invariantChecker.ts
+++ b/packages/test-fleet/src/invariants/invariantChecker.ts
@@ -75,7 +75,7 @@
 
   /** The indices of the gateways that are not lost for good. */
   readonly liveGateways = (): number[] =>
-    this.fleet.counterHosts.map((_, at) => at).filter((at) => !this.lostGateways.has(at));
+    this.fleet.gatewayHosts.map((_, at) => at).filter((at) => !this.lostGateways.has(at));
 
   /** Every run that any replica recorded so far. */
   readonly allRuns = (): ObservedRun[] => observedRuns(this.fleet);
@@ -120,7 +120,7 @@
   };
 
   /** How many calls ended in which way. */
-  readonly tally = (): Record<string, number> => {
+  readonly metrics = (): Record<string, number> => {
     const counts: Record<string, number> = {};
     for (const call of this.calls) {
       const key = call.outcome === 'denied' ? `denied ${call.code} ran=${call.ran}` : call.outcome;
--- a/packages/test-fleet/src/invariants/observedFleet.ts
+++ b/packages/test-fleet/src/invariants/observedFleet.ts
@@ -1,5 +1,5 @@
 /** What callers, operators and replicas see of a fleet under test, simulated or of real processes. */
-import type { Carriage } from '@martenworks/core-types';
+import type { HttpClient } from '@martenworks/core-types';
 import type { Arrival, Breach, Run } from '../replica/emulatedReplica.js';
 import type { RequestKind } from '../workload/sampleDeployments.js';
 
@@ -20,14 +20,14 @@
 
 /** The fleet as seen from outside; the simulator gives virtual time, a fleet of processes the machine's clock. */
 export interface ObservedFleet {
-  readonly counterHosts: readonly string[];
+  readonly gatewayHosts: readonly string[];
   /** Milliseconds since a fixed start. */
   readonly now: () => number;
   /** A seeded number from 0 up to 1. */
   readonly random: () => number;
   readonly after: (delayMs: number, callback: () => void) => void;
   /** The HTTP client of a machine that is no part of the fleet. */
-  readonly outside: () => Carriage;
+  readonly outside: () => HttpClient;
   readonly replicaIncarnations: () => readonly ReplicaIncarnation[];
 }
 
--- a/packages/test-fleet/src/invariants/stateInvariants.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -6,19 +6,19 @@
 /** Checks that every control node that runs knows each accepted change at its log position, and no rejected one. */
 export const stateViolations = (fleet: SimFleet, checker: InvariantChecker): Violation[] => {
   const violations: Violation[] = [];
-  fleet.postmasters.forEach((postmaster, at) => {
-    const state = postmaster?.acceptor.agreed();
-    if (postmaster === null || state === null || state === undefined) return;
-    for (const [id, generation] of checker.acceptedIds) {
+  fleet.controlNodes.forEach((controlNode, at) => {
+    const state = controlNode?.acceptor.agreed();
+    if (controlNode === null || state === null || state === undefined) return;
+    for (const [id, logIndex] of checker.acceptedIds) {
       const known = state.changeIds[id];
       if (known === undefined)
-        violations.push({ rule: 'an accepted change is lost', detail: `${id} at postmaster ${at + 1}` });
-      else if (known.generation !== generation)
-        violations.push({ rule: 'an accepted change moved', detail: `${id}: ${known.generation} for ${generation}` });
+        violations.push({ rule: 'an accepted change is lost', detail: `${id} at control node ${at + 1}` });
+      else if (known.logIndex !== logIndex)
+        violations.push({ rule: 'an accepted change moved', detail: `${id}: ${known.logIndex} for ${logIndex}` });
     }
     for (const id of checker.refusedIds)
       if (state.changeIds[id] !== undefined)
-        violations.push({ rule: 'a losing change took effect', detail: `${id} at postmaster ${at + 1}` });
+        violations.push({ rule: 'a losing change took effect', detail: `${id} at control node ${at + 1}` });
   });
   return violations;
 };
--- a/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
+++ b/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
@@ -1,12 +1,12 @@
-import { carriages } from '@martenworks/upstream';
+import { httpClients } from '@martenworks/upstream';
 import { machine } from '@martenworks/core-types';
 import type { Clock, WebHandler } from '@martenworks/core-types';
-import { realDoor } from '@martenworks/postrider';
+import { realHttpServer } from '@martenworks/cli';
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
 import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
 
 export interface EmulatedReplicaSpec {
-  readonly env: EmulatedReplicaSettings;
+  readonly settings: EmulatedReplicaSettings;
   readonly listen: string;
 }
 
@@ -16,13 +16,13 @@
 const replicas: EmulatedReplica[] = [];
 
 const opened = async (address: string, handler: WebHandler): Promise<boolean> => {
-  const door = await realDoor.open(address, handler);
+  const door = await realHttpServer.open(address, handler);
   if (door.isErr()) process.stderr.write(`${address}: ${door.error.code}\n`);
   return door.isOk();
 };
 
-const startReplica = async ({ env, listen }: EmulatedReplicaSpec): Promise<boolean> => {
-  const replica = new EmulatedReplica(env, clock, carriages.real(null));
+const startReplica = async ({ settings, listen }: EmulatedReplicaSpec): Promise<boolean> => {
+  const replica = new EmulatedReplica(settings, clock, httpClients.real(null));
   replicas.push(replica);
   return opened(listen, replica.app.fetch);
 };
@@ -33,9 +33,9 @@
       status: (await startReplica((await request.json()) as EmulatedReplicaSpec)) ? 200 : 500,
     });
   return Response.json({
-    replicas: replicas.map(({ env, runs, arrivals, breaches }) => ({
-      name: env.name,
-      incarnation: env.incarnation,
+    replicas: replicas.map(({ settings, runs, arrivals, breaches }) => ({
+      name: settings.name,
+      incarnation: settings.incarnation,
       runs,
       arrivals,
       breaches,
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -16,11 +16,11 @@
   ) {}
 
   readonly open = (): Promise<void> =>
-    new Promise((settle, fail) => {
+    new Promise((resolve, fail) => {
       const { host, port } = addresses.split(this.at);
       const server = createServer({ allowHalfOpen: false }, this.join);
       server.once('error', fail);
-      server.listen(port, host, 1024, () => settle());
+      server.listen(port, host, 1024, () => resolve());
       this.server = server;
     });
 
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -15,7 +15,7 @@
 import { addresses } from '@martenworks/core-types';
 
 const here = dirname(fileURLToPath(import.meta.url));
-const program = join(dirname(createRequire(import.meta.url).resolve('@martenworks/postrider')), 'postrider.js');
+const program = join(dirname(createRequire(import.meta.url).resolve('@martenworks/cli')), 'martenworks.js');
 const zones = ['a', 'b', 'c'];
 
 export interface Reply {
@@ -25,8 +25,8 @@
 
 export class LocalFleet {
   readonly children = new Map<string, ChildProcess>();
-  readonly postmasterHosts: string[];
-  readonly counterHosts: string[];
+  readonly controlNodeHosts: string[];
+  readonly gatewayHosts: string[];
   readonly replicaHosts: string[];
   readonly appHost: string;
   readonly peerProxies: FaultProxy[] = [];
@@ -39,19 +39,19 @@
     readonly deployment: SampleDeployment,
     readonly folder: string,
     readonly net: number,
-    readonly frontCount = 9,
+    readonly edgeCount = 9,
     readonly extraFlags: readonly string[] = [],
     private readonly profiled: string | null = null,
     hasProxies = false,
   ) {
     const host = (group: number, at: number): string => `127.${net}.${group}.${at}`;
-    this.postmasterHosts = [1, 2, 3].map((at) => host(0, at));
-    this.counterHosts = Array.from({ length: frontCount }, (_, at) => host(1, at + 1));
+    this.controlNodeHosts = [1, 2, 3].map((at) => host(0, at));
+    this.gatewayHosts = Array.from({ length: edgeCount }, (_, at) => host(1, at + 1));
     this.replicaHosts = Array.from({ length: deployment.replicaCount }, (_, at) => host(2, at + 1));
     this.appHost = host(3, 1);
     this.controls = [host(9, 1), host(9, 2)].map((one) => `${one}:9000`);
     if (!hasProxies) return;
-    this.peerProxies = this.postmasterHosts.map((one, at) => new FaultProxy(`${host(5, at + 1)}:7100`, `${one}:7100`));
+    this.peerProxies = this.controlNodeHosts.map((one, at) => new FaultProxy(`${host(5, at + 1)}:7100`, `${one}:7100`));
     for (const [at, name] of this.replicaNames().entries())
       this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.directOf(name)));
   }
@@ -61,7 +61,8 @@
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
   readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.at ?? this.directOf(name);
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 1;
-  private readonly coachOf = (at: number): string => this.peerProxies[at]?.at ?? `${this.postmasterHosts[at]}:7100`;
+  private readonly peerAddressOf = (at: number): string =>
+    this.peerProxies[at]?.at ?? `${this.controlNodeHosts[at]}:7100`;
 
   private readonly nodeFlags = (name: string): string[] =>
     name === this.profiled ? ['--cpu-prof', `--cpu-prof-dir=${this.folder}`] : [];
@@ -78,27 +79,27 @@
     return child;
   };
 
-  private readonly commonFlags = (name: string, host: string, at: number, coach: string): string[] => [
+  private readonly commonFlags = (name: string, host: string, at: number, connection: string): string[] => [
     ...[
       '--name',
       name,
       '--zone',
       zones[at % 3] as string,
-      '--coach',
-      coach,
-      '--coach-listen',
+      '--peer-address',
+      connection,
+      '--peer-listen-address',
       `${host}:7100`,
       '--http',
       `${host}:7101`,
     ],
-    ...['--seeds', this.postmasterHosts.map((_, one) => this.coachOf(one)).join(',')],
+    ...['--seeds', this.controlNodeHosts.map((_, one) => this.peerAddressOf(one)).join(',')],
   ];
 
-  readonly startPostmaster = (at: number): ChildProcess => {
+  readonly startControlNode = (at: number): ChildProcess => {
     const name = `postmaster-${at + 1}`;
     return this.start(name, [
-      'postmaster',
-      ...this.commonFlags(name, this.postmasterHosts[at] as string, at, this.coachOf(at)),
+      'gateway-control',
+      ...this.commonFlags(name, this.controlNodeHosts[at] as string, at, this.peerAddressOf(at)),
       '--data',
       join(this.folder, name),
     ]);
@@ -107,12 +108,12 @@
   readonly startCounter = (at: number): ChildProcess => {
     const name = `counter-${at + 1}`;
     return this.start(name, [
-      'counter',
-      ...this.commonFlags(name, this.counterHosts[at] as string, at, `${this.counterHosts[at]}:7100`),
+      'gateway',
+      ...this.commonFlags(name, this.gatewayHosts[at] as string, at, `${this.gatewayHosts[at]}:7100`),
       '--operators',
-      `${this.counterHosts[at]}:7102`,
-      '--fronts',
-      String(this.frontCount),
+      `${this.gatewayHosts[at]}:7102`,
+      '--gateway-count',
+      String(this.edgeCount),
       ...this.extraFlags,
     ]);
   };
@@ -131,7 +132,7 @@
 
   readonly startReplicas = async (): Promise<void> => {
     const seats = this.replicaNames().map(
-      (name): EmulatedReplicaSpec => ({ env: this.replicaSettings(name), listen: this.directOf(name) }),
+      (name): EmulatedReplicaSpec => ({ settings: this.replicaSettings(name), listen: this.directOf(name) }),
     );
     const half = Math.ceil(seats.length / 2);
     await Promise.all(
@@ -168,9 +169,9 @@
     };
   };
 
-  readonly until = async (what: string, test: () => Promise<boolean>, patienceMs = 15_000): Promise<number> => {
+  readonly until = async (what: string, test: () => Promise<boolean>, timeoutMs = 15_000): Promise<number> => {
     const begin = performance.now();
-    while (performance.now() - begin < patienceMs) {
+    while (performance.now() - begin < timeoutMs) {
       if (await test().catch(() => false)) return performance.now() - begin;
       await sleep(25);
     }
@@ -181,32 +182,32 @@
     (await this.call(`${host}:7101`, 'GET', '/readyz')).status === 200;
 
   readonly up = async (
-    layout: Record<string, unknown> = sampleWorkload.layout('weights-1'),
+    config: Record<string, unknown> = sampleWorkload.config('weights-1'),
     tenants: readonly string[] = sampleWorkload.tenantNames,
   ): Promise<void> => {
     rmSync(this.folder, { recursive: true, force: true });
     await this.startReplicas();
     await Promise.all([...this.peerProxies, ...this.replicaProxies.values()].map((proxy) => proxy.open()));
-    this.postmasterHosts.forEach((_, at) => {
-      this.startPostmaster(at);
+    this.controlNodeHosts.forEach((_, at) => {
+      this.startControlNode(at);
     });
-    this.counterHosts.forEach((_, at) => {
+    this.gatewayHosts.forEach((_, at) => {
       this.startCounter(at);
     });
     await this.until('the founding', async () =>
-      (await Promise.all(this.postmasterHosts.map(this.isReady))).every(Boolean),
+      (await Promise.all(this.controlNodeHosts.map(this.isReady))).every(Boolean),
     );
     await this.registerReplicas();
-    await this.putLayout(layout);
+    await this.putLayout(config);
     for (const tenant of tenants) {
-      const granted = await this.call(`${this.postmasterHosts[0]}:7101`, 'POST', '/platform/clients', {
+      const granted = await this.call(`${this.controlNodeHosts[0]}:7101`, 'POST', '/platform/clients', {
         tenant,
         key: keyOf(tenant),
       });
       if (granted.status !== 200) throw new Error(`grant: ${granted.status} ${JSON.stringify(granted.body)}`);
     }
     await this.until('every counter ready', async () =>
-      (await Promise.all(this.counterHosts.map(this.isReady))).every(Boolean),
+      (await Promise.all(this.gatewayHosts.map(this.isReady))).every(Boolean),
     );
   };
 
@@ -225,7 +226,7 @@
     this.incarnations.set(name, this.incarnationOf(name) + 1);
     const listen = `${addresses.split(this.directOf(name)).host}:${10_000 + ++this.restarted}`;
     const restarted = await this.call(this.controls[0] as string, 'POST', '/start', {
-      env: this.replicaSettings(name),
+      settings: this.replicaSettings(name),
       listen,
     } satisfies EmulatedReplicaSpec);
     if (restarted.status !== 200) throw new Error(`${name} did not start`);
@@ -238,18 +239,18 @@
       ({ body }) => body.replicas as ReplicaIncarnation[],
     );
 
-  readonly wipePostmaster = (at: number): void =>
+  readonly wipeControlNode = (at: number): void =>
     rmSync(join(this.folder, `postmaster-${at + 1}`), { recursive: true, force: true });
 
   private readonly registerReplicas = async (): Promise<void> => {
     const replicas = this.replicaNames().map(this.announcement);
-    const announced = await this.call(`${this.postmasterHosts[1]}:7101`, 'POST', '/platform/replicas', replicas);
+    const announced = await this.call(`${this.controlNodeHosts[1]}:7101`, 'POST', '/platform/replicas', replicas);
     if (announced.status !== 200) throw new Error(`announce: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
-  readonly putLayout = async (layout: Record<string, unknown>, at = 0): Promise<Reply> => {
-    const held = await this.call(`${this.postmasterHosts[at]}:7101`, 'GET', '/operator/layout');
-    const put = await this.call(`${this.postmasterHosts[at]}:7101`, 'PUT', '/operator/layout', layout, {
+  readonly putLayout = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
+    const held = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
+    const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
       'if-match': `"${String(held.body.generation)}"`,
     });
     if (put.status !== 200) throw new Error(`layout: ${put.status} ${JSON.stringify(put.body)}`);
@@ -259,10 +260,10 @@
   readonly signal = (name: string, signal: NodeJS.Signals): Promise<number | null> => {
     const child = this.children.get(name);
     if (child === undefined) return Promise.resolve(null);
-    const ended = new Promise<number | null>((settle) =>
+    const ended = new Promise<number | null>((resolve) =>
       child.exitCode !== null || child.signalCode !== null
-        ? settle(child.exitCode)
-        : child.once('exit', (code) => settle(code)),
+        ? resolve(child.exitCode)
+        : child.once('exit', (code) => resolve(code)),
     );
     child.kill(signal);
     return signal === 'SIGSTOP' || signal === 'SIGCONT' ? Promise.resolve(null) : ended;
@@ -280,8 +281,8 @@
   readonly processMetrics = async (): Promise<string[]> => {
     const rows: string[] = [];
     for (const address of [
-      ...this.postmasterHosts.map((host) => `${host}:7101`),
-      ...this.counterHosts.map((host) => `${host}:7102`),
+      ...this.controlNodeHosts.map((host) => `${host}:7101`),
+      ...this.gatewayHosts.map((host) => `${host}:7102`),
     ]) {
       const text = String((await this.call(address, 'GET', '/metrics')).body.text);
       const read = (name: string): string => new RegExp(`^martenworks_${name} (.*)$`, 'm').exec(text)?.[1] ?? '-';
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { Hono } from 'hono';
 import { pause, prompts } from '@martenworks/core-types';
-import type { Carriage, Clock } from '@martenworks/core-types';
+import type { HttpClient, Clock } from '@martenworks/core-types';
 
 export interface EmulatedReplicaSettings {
   readonly name: string;
@@ -135,9 +135,9 @@
   private prefilling: BlockingPrefill | null = null;
 
   constructor(
-    readonly env: EmulatedReplicaSettings,
+    readonly settings: EmulatedReplicaSettings,
     private readonly clock: Clock,
-    private readonly carriage: Carriage,
+    private readonly httpClient: HttpClient,
   ) {
     this.app.post('/v1/completions', (c) => this.complete(c.req.raw, '/v1/completions'));
     this.app.post('/v1/chat/completions', (c) => this.complete(c.req.raw, '/v1/chat/completions'));
@@ -172,7 +172,7 @@
 
   private readonly publish = (kind: CacheEvent['kind'], tenant: string | null, blocks: readonly string[]): void => {
     if (this.faults.hidesEvents) return;
-    const line: CacheEvent = { incarnation: this.env.incarnation, seq: ++this.seq, kind, tenant, blocks };
+    const line: CacheEvent = { incarnation: this.settings.incarnation, seq: ++this.seq, kind, tenant, blocks };
     this.events.push(line);
     if (this.events.length > eventLimit) this.events.shift();
     if (this.faults.dropsEvents) return;
@@ -196,7 +196,7 @@
             leave();
           }
         };
-        const hello = { incarnation: this.env.incarnation, seq: this.seq, kind: 'hello' };
+        const hello = { incarnation: this.settings.incarnation, seq: this.seq, kind: 'hello' };
         controller.enqueue(encoder.encode(`data: ${JSON.stringify(hello)}\n\n`));
         for (const line of this.events) if (line.seq > after) listener(line);
         this.listeners.add(listener);
@@ -241,7 +241,7 @@
     if (fresh.length > 0) this.publish('stored', copy.scope, fresh);
     const evicted: string[] = [];
     for (const block of this.copies.keys()) {
-      if (this.copies.size <= this.env.capacityBlocks) break;
+      if (this.copies.size <= this.settings.capacityBlocks) break;
       this.copies.delete(block);
       evicted.push(block);
     }
@@ -249,7 +249,7 @@
   };
 
   private readonly offload = async (store: string, blocks: readonly string[], copy: CachedCopy): Promise<void> => {
-    await this.carriage.carry({
+    await this.httpClient.send({
       method: 'POST',
       url: `http://${store}/kv-keep`,
       headers: { 'content-type': 'application/json' },
@@ -267,7 +267,7 @@
   ): Promise<number> => {
     const quit = new AbortController();
     this.clock.after(2_000, () => quit.abort());
-    const receipt = await this.carriage.carry({
+    const response = await this.httpClient.send({
       method: 'POST',
       url: `http://${holder}/kv-parts`,
       headers: { 'content-type': 'application/json' },
@@ -275,10 +275,10 @@
       signal: quit.signal,
       gate: () => true,
     });
-    if (receipt.isErr() || receipt.value.status !== 200) return 0;
+    if (response.isErr() || response.value.status !== 200) return 0;
     const bytes: Uint8Array[] = [];
     try {
-      for await (const part of receipt.value.body) bytes.push(part);
+      for await (const part of response.value.body) bytes.push(part);
     } catch {
       return 0;
     }
@@ -294,12 +294,12 @@
       const isForeign = part.scope !== null ? part.scope !== run.tenant : run.isIsolated;
       if (isForeign) this.breaches.push({ rule: 'tenant', requestId: run.requestId, holder, block });
     });
-    await pause.for(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.env.pullTokensPerMs);
+    await pause.for(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.settings.pullTokensPerMs);
     return taken.length;
   };
 
   private readonly acquireSlot = (priority: number): Promise<void> => {
-    if (this.running < this.env.slots) {
+    if (this.running < this.settings.slots) {
       this.running += 1;
       return Promise.resolve();
     }
@@ -355,7 +355,7 @@
     const tenant = request.headers.get('x-tenant') ?? '';
     const run: Run = {
       requestId: request.headers.get('x-request-id') ?? '',
-      runId: `run-${this.env.name}-${this.env.incarnation}-${++this.runCount}`,
+      runId: `run-${this.settings.name}-${this.settings.incarnation}-${++this.runCount}`,
       tenant,
       isIsolated,
       weights,
@@ -406,7 +406,7 @@
       const copy: CachedCopy = { weights: run.weights, scope: run.isIsolated ? run.tenant : null };
       const localBefore = this.localBlocks(blocks, copy);
       const pulled =
-        run.cacheFrom === null || run.cacheFrom === this.env.address
+        run.cacheFrom === null || run.cacheFrom === this.settings.address
           ? 0
           : await this.pull(run, run.cacheFrom, blocks, localBefore);
       run.blockedBy = this.isPrefilling ? this.prefilling : null;
@@ -419,9 +419,9 @@
         run.pulledTokens = pulled * prompts.blockTokens;
         run.prefilledTokens = Math.max(0, prompts.tokens(prompt) - run.localTokens - run.pulledTokens);
         this.prefilling = { requestId: run.requestId, tokens: run.prefilledTokens, beganAt: this.clock.now() };
-        await pause.for(this.clock, run.prefilledTokens / this.env.prefillTokensPerMs);
+        await pause.for(this.clock, run.prefilledTokens / this.settings.prefillTokensPerMs);
         this.store(blocks, copy);
-        if (this.env.store !== null) void this.offload(this.env.store, blocks, copy);
+        if (this.settings.store !== null) void this.offload(this.settings.store, blocks, copy);
       } finally {
         this.releasePrefill();
       }
@@ -434,7 +434,7 @@
           if (this.faults.omitsEnd) return;
           throw new Error('cut by a fault');
         }
-        await pause.for(this.clock, this.env.decodeMs);
+        await pause.for(this.clock, this.settings.decodeMs);
         const text = generatedText.piece(digest, run.weights, run.runId, at);
         this.piecesSaid += 1;
         const chunk = {
--- a/packages/test-fleet/src/simulator/simConnection.ts
+++ b/packages/test-fleet/src/simulator/simConnection.ts
@@ -1,5 +1,5 @@
 /** Simulated connections: bytes arrive in order; a blocked link holds them back, as TCP's retransmissions would. */
-import type { NetFault, Wire } from '@martenworks/core-types';
+import type { NetworkError, RawConnection } from '@martenworks/core-types';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { SimSender } from './simLink.js';
@@ -79,7 +79,7 @@
   receive: OrderedChannel,
   owner: SimulatedMachine,
   ownerIncarnation: number,
-): Wire => {
+): RawConnection => {
   const { world } = owner;
   const sender = new SimSender(
     () => owner.outbound,
@@ -121,7 +121,11 @@
   };
 };
 
-const connectionBetween = (near: SimulatedMachine, nearIncarnation: number, far: SimulatedMachine): [Wire, Wire] => {
+const connectionBetween = (
+  near: SimulatedMachine,
+  nearIncarnation: number,
+  far: SimulatedMachine,
+): [RawConnection, RawConnection] => {
   const outward = new OrderedChannel(near.world, near, far);
   const inward = new OrderedChannel(near.world, far, near);
   return [wireOf(outward, inward, near, nearIncarnation), wireOf(inward, outward, far, far.incarnation)];
@@ -135,19 +139,19 @@
   own: SimulatedMachine,
   incarnation: number,
   address: string,
-  patienceMs: number,
-): Promise<Result<Wire, NetFault>> =>
-  new Promise((settle) => {
+  timeoutMs: number,
+): Promise<Result<RawConnection, NetworkError>> =>
+  new Promise((resolve) => {
     if (own.incarnation !== incarnation) return;
     const { world } = own;
     const target = world.machine(hostOf(address));
     let isDone = false;
-    const finish = (outcome: Result<Wire, NetFault>): void => {
-      if (!isDone) settle(outcome);
+    const finish = (outcome: Result<RawConnection, NetworkError>): void => {
+      if (!isDone) resolve(outcome);
       isDone = true;
     };
     const fail = (code: string): void => finish(err({ kind: 'net', code, isUnsent: true }));
-    world.schedule(own, patienceMs, () => fail('ETIMEDOUT'));
+    world.schedule(own, timeoutMs, () => fail('ETIMEDOUT'));
     if (world.isBlocked(own.host, target.host)) return;
     world.schedule(target, world.latency(own.host, target.host), () => {
       if (isDone || world.isBlocked(target.host, own.host)) return;
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -1,6 +1,6 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Disk, DiskFault, DiskFile } from '@martenworks/core-types';
+import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
 
 interface FileBytes {
   synced: Uint8Array;
@@ -21,7 +21,7 @@
   return whole;
 };
 
-const fault = (code: string): DiskFault => ({ kind: 'disk', code, detail: code });
+const fault = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
 /** One operation that changes the disk, told right before it takes effect. */
 export interface DiskStep {
@@ -74,11 +74,11 @@
 
   readonly view = (isLive: () => boolean): Disk => {
     const never = new Promise<never>(() => {});
-    const step = async <T>(work: () => Result<T, DiskFault>): Promise<Result<T, DiskFault>> => {
+    const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> => {
       await this.hold();
       return isLive() ? work() : never;
     };
-    const change = <T>(operation: DiskStep['operation'], name: string, work: () => Result<T, DiskFault>) =>
+    const change = <T>(operation: DiskStep['operation'], name: string, work: () => Result<T, DiskError>) =>
       step(() => {
         this.beforeStep({ operation, name });
         return work();
