--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -1,10 +1,10 @@
-import { callerWire, counters, operatorPages } from '@martenworks/counter';
-import type { Counter } from '@martenworks/counter';
-import { operatorWire, platformWire, postmasters } from '@martenworks/control-plane';
-import type { Postmaster } from '@martenworks/control-plane';
-import type { Carriage, Ports } from '@martenworks/core-types';
-import type { Env, Role } from '@martenworks/settings';
-import { envs } from '@martenworks/settings';
+import { callerApi, gateways, operatorPages } from '@martenworks/gateway';
+import type { Gateway } from '@martenworks/gateway';
+import { operatorApi, replicaApi, gatewayControlNodes } from '@martenworks/control-plane';
+import type { GatewayControlNode } from '@martenworks/control-plane';
+import type { HttpClient, Ports } from '@martenworks/core-types';
+import type { GatewaySettings, Role } from '@martenworks/settings';
+import { gatewaySettings } from '@martenworks/settings';
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
 import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
@@ -14,17 +14,17 @@
 
 export interface SimFleetOptions {
   readonly seed: number;
-  readonly fronts: number;
+  readonly edges: number;
   readonly replicas: number;
-  readonly layout?: Record<string, unknown>;
+  readonly config?: Record<string, unknown>;
   readonly replicaSettings?: Partial<EmulatedReplicaSettings>;
-  readonly counterEnv?: Record<string, unknown>;
-  readonly postmasterEnv?: Record<string, unknown>;
+  readonly gatewaySettings?: Record<string, unknown>;
+  readonly controlNodeSettings?: Record<string, unknown>;
   readonly tenants?: readonly string[];
   readonly hasStore?: boolean;
-  readonly onCounter?: (counter: Counter) => void;
-  readonly onPostmaster?: (postmaster: Postmaster) => void;
-  readonly portsFor?: (role: Role, ports: Ports) => Ports;
+  readonly onCounter?: (gateway: Gateway) => void;
+  readonly onControlNode?: (controlNode: GatewayControlNode) => void;
+  readonly portsFor?: (role: 'gateway' | 'control', ports: Ports) => Ports;
 }
 
 export interface HttpReply {
@@ -44,11 +44,11 @@
 
 export class SimFleet implements ObservedFleet {
   readonly world: SimWorld;
-  readonly postmasters: (Postmaster | null)[] = [null, null, null];
-  readonly postmasterHosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3'];
-  readonly postmasterNames = ['postmaster-1', 'postmaster-2', 'postmaster-3'];
-  readonly counters: (Counter | null)[];
-  readonly counterHosts: string[];
+  readonly controlNodes: (GatewayControlNode | null)[] = [null, null, null];
+  readonly controlNodeHosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3'];
+  readonly controlNodeNames = ['postmaster-1', 'postmaster-2', 'postmaster-3'];
+  readonly gateways: (Gateway | null)[];
+  readonly gatewayHosts: string[];
   readonly replicaHosts: string[];
   readonly appHost = '10.3.0.1';
   readonly storeHost = '10.4.0.1';
@@ -58,8 +58,8 @@
 
   constructor(readonly options: SimFleetOptions) {
     this.world = new SimWorld(options.seed);
-    this.counters = Array.from({ length: options.fronts }, () => null);
-    this.counterHosts = Array.from({ length: options.fronts }, (_, at) => `10.1.0.${at + 1}`);
+    this.gateways = Array.from({ length: options.edges }, () => null);
+    this.gatewayHosts = Array.from({ length: options.edges }, (_, at) => `10.1.0.${at + 1}`);
     this.replicaHosts = Array.from({ length: options.replicas }, (_, at) => `10.2.0.${at + 1}`);
     this.world.machine(outsideHost);
   }
@@ -67,26 +67,32 @@
   readonly now = (): number => this.world.time;
   readonly random = (): number => this.world.random();
   readonly after = (delayMs: number, callback: () => void): void => void this.world.schedule(null, delayMs, callback);
-  readonly outside = (): Carriage => this.world.machine(outsideHost).carriage();
+  readonly outside = (): HttpClient => this.world.machine(outsideHost).httpClient();
   readonly replicaIncarnations = (): ReplicaIncarnation[] =>
     this.startedReplicas.map(({ replica, name }) => ({
       name,
-      incarnation: replica.env.incarnation,
+      incarnation: replica.settings.incarnation,
       runs: replica.runs,
       arrivals: replica.arrivals,
       breaches: replica.breaches,
     }));
 
-  private readonly env = (role: Role, name: string, host: string, at: number, more: Record<string, unknown>): Env => {
-    const checked = envs.check(
+  private readonly settings = (
+    role: Role,
+    name: string,
+    host: string,
+    at: number,
+    more: Record<string, unknown>,
+  ): GatewaySettings => {
+    const checked = gatewaySettings.check(
       role,
       {
         name,
         zone: zoneNames[at % 3],
-        coach: `${host}:7100`,
+        peerAddress: `${host}:7100`,
         http: `${host}:7101`,
-        seeds: this.postmasterHosts.slice(0, 3).map((one) => `${one}:7100`),
-        fronts: this.options.fronts,
+        seeds: this.controlNodeHosts.slice(0, 3).map((one) => `${one}:7100`),
+        gatewayCount: this.options.edges,
         ...more,
       },
       {},
@@ -94,39 +100,42 @@
     return checked._unsafeUnwrap();
   };
 
-  private readonly portsOf = (role: Role, machine: SimMachine): Ports => {
+  private readonly portsOf = (role: 'gateway' | 'control', machine: SimMachine): Ports => {
     const ports = machine.ports();
     return this.options.portsFor?.(role, ports) ?? ports;
   };
 
-  readonly startPostmaster = async (at: number): Promise<void> => {
-    const host = this.postmasterHosts[at] as string;
+  readonly startControlNode = async (at: number): Promise<void> => {
+    const host = this.controlNodeHosts[at] as string;
     const machine = this.world.machine(host);
-    const started = await postmasters.start(
-      this.env('postmaster', this.postmasterNames[at] as string, host, at, {
+    const started = await gatewayControlNodes.start(
+      this.settings('gateway-control', this.controlNodeNames[at] as string, host, at, {
         data: 'sim',
-        ...this.options.postmasterEnv,
+        ...this.options.controlNodeSettings,
       }),
-      this.portsOf('postmaster', machine),
+      this.portsOf('control', machine),
     );
-    if (started.isErr()) throw new Error(`postmaster ${at}: ${JSON.stringify(started.error)}`);
-    this.postmasters[at] = started.value;
-    this.options.onPostmaster?.(started.value);
-    const app = operatorWire(started.value).route('/', platformWire(started.value));
+    if (started.isErr()) throw new Error(`control node ${at}: ${JSON.stringify(started.error)}`);
+    this.controlNodes[at] = started.value;
+    this.options.onControlNode?.(started.value);
+    const app = operatorApi(started.value).route('/', replicaApi(started.value));
     machine.openDoor(`${host}:7101`, app.fetch);
   };
 
   readonly startCounter = async (at: number): Promise<void> => {
-    const host = this.counterHosts[at] as string;
+    const host = this.gatewayHosts[at] as string;
     const machine = this.world.machine(host);
-    const started = await counters.start(
-      this.env('counter', `counter-${at + 1}`, host, at, { operators: `${host}:7102`, ...this.options.counterEnv }),
-      this.portsOf('counter', machine),
+    const started = await gateways.start(
+      this.settings('gateway', `counter-${at + 1}`, host, at, {
+        operators: `${host}:7102`,
+        ...this.options.gatewaySettings,
+      }),
+      this.portsOf('gateway', machine),
     );
     if (started.isErr()) throw new Error(`counter ${at}: ${JSON.stringify(started.error)}`);
-    this.counters[at] = started.value;
+    this.gateways[at] = started.value;
     this.options.onCounter?.(started.value);
-    machine.openDoor(`${host}:7101`, callerWire(started.value).fetch);
+    machine.openDoor(`${host}:7101`, callerApi(started.value).fetch);
     machine.openDoor(`${host}:7102`, operatorPages(started.value).fetch);
   };
 
@@ -150,7 +159,7 @@
         ...more,
       },
       machine.clock(),
-      machine.carriage(),
+      machine.httpClient(),
     );
     machine.openDoor(`${host}:8000`, replica.app.fetch);
     this.runningReplicas.set(name, replica);
@@ -180,8 +189,8 @@
   ): Promise<HttpReply> => {
     const response = await this.world
       .machine(outsideHost)
-      .carriage()
-      .carry({
+      .httpClient()
+      .send({
         method: method as 'POST',
         url,
         headers: { 'content-type': 'application/json', ...headers },
@@ -205,28 +214,28 @@
     };
   };
 
-  readonly onPostmaster = (
+  readonly onControlNode = (
     at: number,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
     path: string,
     body?: unknown,
     headers?: Record<string, string>,
-  ): Promise<HttpReply> => this.call(`http://${this.postmasterHosts[at]}:7101${path}`, method, body, headers);
+  ): Promise<HttpReply> => this.call(`http://${this.controlNodeHosts[at]}:7101${path}`, method, body, headers);
 
-  readonly finish = async <T>(work: Promise<T>, patienceMs = 30_000): Promise<T> => {
+  readonly finish = async <T>(work: Promise<T>, timeoutMs = 30_000): Promise<T> => {
     let outcome: { value: T } | null = null;
     let fault: unknown = null;
     work.then(
       (value) => (outcome = { value }),
       (cause: unknown) => (fault = cause),
     );
-    await this.world.until('a call to end', () => outcome !== null || fault !== null, patienceMs);
+    await this.world.until('a call to end', () => outcome !== null || fault !== null, timeoutMs);
     if (fault !== null) throw fault;
     return (outcome as unknown as { value: T }).value;
   };
 
   readonly announceAll = (at = 0): Promise<HttpReply> =>
-    this.onPostmaster(at, 'POST', '/platform/replicas', [
+    this.onControlNode(at, 'POST', '/platform/replicas', [
       ...this.replicaHosts.map((host, index) => ({
         name: this.replicaName(index),
         address: `${host}:8000`,
@@ -248,7 +257,7 @@
     ]);
 
   readonly announce = (name: string, at = 0): Promise<HttpReply> =>
-    this.onPostmaster(at, 'POST', '/platform/replicas', [
+    this.onControlNode(at, 'POST', '/platform/replicas', [
       {
         name,
         address: `${this.hostOfReplica(name)}:8000`,
@@ -264,15 +273,15 @@
     });
     this.startReplica('app-1', this.appHost);
     if (this.options.hasStore === true) this.startReplica('store-1', this.storeHost);
-    await Promise.all(this.postmasterHosts.map((_, at) => this.startPostmaster(at)));
-    await Promise.all(this.counterHosts.map((_, at) => this.startCounter(at)));
+    await Promise.all(this.controlNodeHosts.map((_, at) => this.startControlNode(at)));
+    await Promise.all(this.gatewayHosts.map((_, at) => this.startCounter(at)));
   };
 
   readonly up = async (): Promise<void> => {
     await this.startAll();
-    await this.world.until('the founding', () => this.postmasters.every((one) => one?.isReady() === true));
+    await this.world.until('the founding', () => this.controlNodes.every((one) => one?.isReady() === true));
     const put = await this.finish(
-      this.onPostmaster(0, 'PUT', '/operator/layout', this.options.layout ?? sampleWorkload.layout('weights-1'), {
+      this.onControlNode(0, 'PUT', '/operator/layout', this.options.config ?? sampleWorkload.config('weights-1'), {
         'if-match': '"0"',
         'change-id': 'first-layout',
       }),
@@ -283,7 +292,7 @@
     const tenants = this.options.tenants ?? sampleWorkload.tenantNames;
     for (const tenant of tenants) {
       const granted = await this.finish(
-        this.onPostmaster(
+        this.onControlNode(
           0,
           'POST',
           '/platform/clients',
@@ -294,48 +303,48 @@
       if (granted.status !== 200) throw new Error(`grant: ${JSON.stringify(granted)}`);
     }
     await this.world.until('every counter ready', () =>
-      this.counters.every((one) => one?.freshness.isFresh() === true && one.book.generation() >= 1 + tenants.length),
+      this.gateways.every((one) => one?.freshness.isFresh() === true && one.stateView.logIndex() >= 1 + tenants.length),
     );
   };
 
-  readonly machineOf = (kind: 'postmaster' | 'counter', at: number): SimMachine =>
-    this.world.machine((kind === 'postmaster' ? this.postmasterHosts[at] : this.counterHosts[at]) as string);
+  readonly machineOf = (kind: 'control' | 'gateway', at: number): SimMachine =>
+    this.world.machine((kind === 'control' ? this.controlNodeHosts[at] : this.gatewayHosts[at]) as string);
 
-  readonly killPostmaster = (at: number, losesDisk = false): void => {
-    const machine = this.machineOf('postmaster', at);
+  readonly killControlNode = (at: number, losesDisk = false): void => {
+    const machine = this.machineOf('control', at);
     machine.kill(this.world.random());
     if (losesDisk) machine.disk.lose();
-    this.postmasters[at] = null;
+    this.controlNodes[at] = null;
   };
 
-  readonly bootPostmaster = async (at: number): Promise<void> => {
-    this.machineOf('postmaster', at).boot();
-    await this.startPostmaster(at);
+  readonly bootControlNode = async (at: number): Promise<void> => {
+    this.machineOf('control', at).boot();
+    await this.startControlNode(at);
   };
 
   readonly killCounter = (at: number): void => {
-    this.machineOf('counter', at).kill();
-    this.counters[at] = null;
+    this.machineOf('gateway', at).kill();
+    this.gateways[at] = null;
   };
 
   readonly bootCounter = async (at: number): Promise<void> => {
-    this.machineOf('counter', at).boot();
+    this.machineOf('gateway', at).boot();
     await this.startCounter(at);
   };
 
   readonly rollCounter = async (at: number): Promise<void> => {
-    const counter = this.counters[at];
-    await counter?.drain();
-    await counter?.stop();
-    await this.machineOf('counter', at).closeDoors();
+    const gateway = this.gateways[at];
+    await gateway?.drain();
+    await gateway?.stop();
+    await this.machineOf('gateway', at).closeDoors();
     this.killCounter(at);
     await this.bootCounter(at);
   };
 
-  readonly rollPostmaster = async (at: number): Promise<void> => {
-    await this.postmasters[at]?.stop();
-    this.killPostmaster(at);
-    await this.bootPostmaster(at);
+  readonly rollControlNode = async (at: number): Promise<void> => {
+    await this.controlNodes[at]?.stop();
+    this.killControlNode(at);
+    await this.bootControlNode(at);
   };
 
   readonly killReplica = (name: string): void => {
@@ -343,11 +352,11 @@
     this.runningReplicas.delete(name);
   };
 
-  readonly movePostmaster = async (at: number, host: string, name: string): Promise<void> => {
-    this.killPostmaster(at, true);
-    this.postmasterHosts[at] = host;
-    this.postmasterNames[at] = name;
-    await this.bootPostmaster(at);
+  readonly moveControlNode = async (at: number, host: string, name: string): Promise<void> => {
+    this.killControlNode(at, true);
+    this.controlNodeHosts[at] = host;
+    this.controlNodeNames[at] = name;
+    await this.bootControlNode(at);
   };
 
   readonly bootReplica = (name: string): void => {
--- a/packages/test-fleet/src/simulator/simHttpExchange.ts
+++ b/packages/test-fleet/src/simulator/simHttpExchange.ts
@@ -1,13 +1,13 @@
-/** One simulated HTTP request and its response, with the ways in which machines and links may fail under it. */
-import type { Carriage, CarriageReceipt, NetFault } from '@martenworks/core-types';
+/** One simulated HTTP request and its response, with the routes in which machines and links may fail under it. */
+import type { HttpClient, HttpClientResponse, NetworkError } from '@martenworks/core-types';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { hostOf, resendMs } from './simConnection.js';
 import type { SimulatedMachine, Simulation } from './simulation.js';
 
-type CarriageRequest = Parameters<Carriage['carry']>[0];
+type HttpClientRequest = Parameters<HttpClient['send']>[0];
 
-const connectPatienceMs = 1_000;
+const connectTimeoutMs = 1_000;
 
 const pairsOf = (list: readonly string[]): [string, string][] =>
   list.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, list[at + 1] ?? '']] : []));
@@ -36,8 +36,8 @@
 
   constructor(
     private readonly caller: SimulatedMachine,
-    private readonly request: CarriageRequest,
-    private readonly settle: (outcome: Result<CarriageReceipt, NetFault>) => void,
+    private readonly request: HttpClientRequest,
+    private readonly resolve: (outcome: Result<HttpClientResponse, NetworkError>) => void,
   ) {
     this.world = caller.world;
     this.url = new URL(request.url);
@@ -52,7 +52,7 @@
       return;
     }
     request.signal.addEventListener('abort', this.giveUp, { once: true });
-    world.schedule(caller, connectPatienceMs, () => {
+    world.schedule(caller, connectTimeoutMs, () => {
       if (!this.isConnected) this.fail('ETIMEDOUT', true);
     });
     if (!target.isUp && !target.isVanished) {
@@ -69,11 +69,11 @@
   private readonly isWayBackBlocked = (): boolean => this.world.isBlocked(this.target.host, this.caller.host);
   private readonly isTargetSame = (): boolean => this.target.incarnation === this.targetIncarnation;
 
-  private readonly finish = (outcome: Result<CarriageReceipt, NetFault>): void => {
+  private readonly finish = (outcome: Result<HttpClientResponse, NetworkError>): void => {
     if (this.isSettled) return;
     this.isSettled = true;
     if (outcome.isErr()) this.request.signal.removeEventListener('abort', this.giveUp);
-    this.settle(outcome);
+    this.resolve(outcome);
   };
 
   private readonly fail = (code: string, isUnsent: boolean): void => this.finish(err({ kind: 'net', code, isUnsent }));
@@ -145,7 +145,7 @@
     else this.world.schedule(this.caller, this.latencyBack(), () => this.finish(ok(this.receivedResponse(response))));
   };
 
-  private readonly receivedResponse = (response: Response): CarriageReceipt => ({
+  private readonly receivedResponse = (response: Response): HttpClientResponse => ({
     status: response.status,
     header: (name) => response.headers.get(name),
     headers: () => [...response.headers].flat(),
@@ -154,13 +154,13 @@
 
   /** Resolves once a piece of the body has crossed the network; false where it never will. */
   private readonly crossing = (): Promise<boolean> =>
-    new Promise((settle) => {
+    new Promise((resolve) => {
       const leave = (): void => {
-        if (this.handlerAbort.signal.aborted) settle(false);
+        if (this.handlerAbort.signal.aborted) resolve(false);
         else if (this.isWayBackBlocked()) this.world.schedule(null, resendMs, leave);
         else
           this.world.schedule(this.caller, this.latencyBack(), () =>
-            settle(!this.handlerAbort.signal.aborted || this.isTargetSame()),
+            resolve(!this.handlerAbort.signal.aborted || this.isTargetSame()),
           );
       };
       leave();
--- a/packages/test-fleet/src/simulator/simMachine.ts
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -1,5 +1,15 @@
 /** A simulated machine: its process may crash, restart, pause, and see its clocks jump. */
-import type { Carriage, Clock, Door, Log, Net, Ports, Random, WebHandler, Wire } from '@martenworks/core-types';
+import type {
+  HttpClient,
+  Clock,
+  HttpServer,
+  Log,
+  Net,
+  Ports,
+  Random,
+  WebHandler,
+  RawConnection,
+} from '@martenworks/core-types';
 import { logs } from '@martenworks/core-types';
 import { ok } from 'neverthrow';
 import { connectTo } from './simConnection.js';
@@ -32,7 +42,7 @@
   readonly crashListeners = new Set<(isReset: boolean) => void>();
   readonly answering = new Set<() => void>();
   private frozenAt: number | null = null;
-  private readonly listeners = new Map<string, (wire: Wire) => void>();
+  private readonly listeners = new Map<string, (wire: RawConnection) => void>();
   private readonly doors = new Map<string, WebHandler>();
 
   constructor(
@@ -42,7 +52,7 @@
     this.disk = new SimDisk((delayMs) => world.sleep(delayMs, this));
   }
 
-  readonly listenerAt = (address: string): ((wire: Wire) => void) | undefined => this.listeners.get(address);
+  readonly listenerAt = (address: string): ((wire: RawConnection) => void) | undefined => this.listeners.get(address);
 
   readonly handlerAt = (address: string): WebHandler | undefined => this.doors.get(address);
 
@@ -89,22 +99,22 @@
       clock: this.clock(),
       random: this.randomPort(),
       net: this.net(incarnation),
-      door: this.door(incarnation),
-      carriage: this.carriage(incarnation),
+      httpServer: this.door(incarnation),
+      httpClient: this.httpClient(incarnation),
       disk: this.disk.view(() => this.incarnation === incarnation && this.isUp),
       log: isLogging ? this.log({}) : logs.silent(),
     };
   };
 
   private readonly net = (incarnation: number): Net => ({
-    dial: (address, patienceMs) => connectTo(this, incarnation, address, patienceMs),
+    dial: (address, timeoutMs) => connectTo(this, incarnation, address, timeoutMs),
     listen: async (address, onWire) => {
       this.listeners.set(address, onWire);
       return ok({ close: async () => void this.listeners.delete(address) });
     },
   });
 
-  private readonly door = (incarnation: number): Door => ({
+  private readonly door = (incarnation: number): HttpServer => ({
     open: async (address, handler) => {
       if (this.incarnation === incarnation) this.doors.set(address, handler);
       return ok({ close: async () => void this.doors.delete(address) });
@@ -123,11 +133,11 @@
   };
 
   /** The HTTP client of a process; requests of an incarnation that is gone never settle. */
-  readonly carriage = (incarnation = this.incarnation): Carriage => ({
+  readonly httpClient = (incarnation = this.incarnation): HttpClient => ({
     close: async () => {},
-    carry: (request) =>
-      new Promise((settle) => {
-        if (this.incarnation === incarnation) new SimHttpExchange(this, request, settle).start();
+    send: (request) =>
+      new Promise((resolve) => {
+        if (this.incarnation === incarnation) new SimHttpExchange(this, request, resolve).start();
       }),
   });
 
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -9,7 +9,7 @@
 import { SimMachine } from './simMachine.js';
 import type { LogLine, ScheduledEvent, SimulatedMachine, Simulation } from './simulation.js';
 
-const patienceMs = 30_000;
+const timeoutMs = 30_000;
 const pollMs = 20;
 
 const byTime = (a: ScheduledEvent, b: ScheduledEvent): number => a.at - b.at || a.order - b.order;
@@ -107,7 +107,7 @@
    *
    * @throws Error with the seed, where it does not hold within `limitMs`
    */
-  readonly until = async (what: string, test: () => boolean, limitMs = patienceMs): Promise<number> => {
+  readonly until = async (what: string, test: () => boolean, limitMs = timeoutMs): Promise<number> => {
     const begin = this.time;
     while (!test()) {
       if (this.time - begin > limitMs)
--- a/packages/test-fleet/src/simulator/simulation.ts
+++ b/packages/test-fleet/src/simulator/simulation.ts
@@ -1,5 +1,5 @@
 /** What the parts of the simulator need of the world and of machines; the classes are in `simWorld` and `simMachine`. */
-import type { WebHandler, Wire } from '@martenworks/core-types';
+import type { WebHandler, RawConnection } from '@martenworks/core-types';
 import type { SimLink } from './simLink.js';
 
 /** Something that happens at a virtual time, unless its machine crashed by then. */
@@ -56,7 +56,7 @@
   /** Responses under way. */
   readonly answering: Set<() => void>;
   /** What accepts connections at the address, if anything does. */
-  readonly listenerAt: (address: string) => ((wire: Wire) => void) | undefined;
+  readonly listenerAt: (address: string) => ((wire: RawConnection) => void) | undefined;
   /** What answers HTTP requests at the address, if anything does. */
   readonly handlerAt: (address: string) => WebHandler | undefined;
 }
--- a/packages/test-fleet/src/workload/callSender.ts
+++ b/packages/test-fleet/src/workload/callSender.ts
@@ -1,5 +1,5 @@
 /** Sends sample requests to gateways as an outside caller, and records what became of each. */
-import type { Carriage } from '@martenworks/core-types';
+import type { HttpClient } from '@martenworks/core-types';
 import { CompletionStream, completionBodies } from './completionResponse.js';
 import type { SampleRequest } from './sampleDeployments.js';
 
@@ -28,7 +28,7 @@
 /** How a request is sent; by default without a key, streamed and with no deadline of the caller. */
 export interface SendOptions {
   readonly idempotencyKey?: string;
-  readonly horizonMs?: number;
+  readonly deadlineMs?: number;
   readonly signal?: AbortSignal;
   /** Asks for one body in place of a stream. */
   readonly whole?: boolean;
@@ -36,12 +36,12 @@
 
 /** What the sender needs of the fleet. */
 export interface CallTarget {
-  readonly counterHosts: readonly string[];
+  readonly gatewayHosts: readonly string[];
   readonly now: () => number;
-  readonly outside: () => Carriage;
+  readonly outside: () => HttpClient;
 }
 
-type Request = Parameters<Carriage['carry']>[0];
+type Request = Parameters<HttpClient['send']>[0];
 type Body = AsyncIterable<Uint8Array>;
 
 /** Keeps all calls in the order in which they were sent. */
@@ -60,7 +60,7 @@
     const call: Call = {
       requestId: `call-${this.salt}${++this.sentCount}`,
       request,
-      host: this.target.counterHosts[gatewayIndex] as string,
+      host: this.target.gatewayHosts[gatewayIndex] as string,
       sentAt: this.target.now(),
       idempotencyKey: options.idempotencyKey ?? null,
       outcome: 'open',
@@ -87,7 +87,7 @@
       authorization: `Bearer ${call.request.key}`,
       'x-request-id': call.requestId,
       ...(call.idempotencyKey === null ? {} : { 'idempotency-key': call.idempotencyKey }),
-      ...(options.horizonMs === undefined ? {} : { 'x-horizon-ms': String(options.horizonMs) }),
+      ...(options.deadlineMs === undefined ? {} : { 'x-horizon-ms': String(options.deadlineMs) }),
     },
     body: JSON.stringify({
       model: call.request.kind,
@@ -100,7 +100,7 @@
   });
 
   private readonly follow = async (call: Call, options: SendOptions): Promise<void> => {
-    const response = await this.target.outside().carry(this.requestOf(call, options));
+    const response = await this.target.outside().send(this.requestOf(call, options));
     if (response.isErr()) {
       call.outcome = 'lost';
       call.code = response.error.code;
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -62,7 +62,7 @@
   tenantNames,
   tiers,
   prober: 'prober',
-  layout: (weights: string): Record<string, unknown> => ({
+  config: (weights: string): Record<string, unknown> => ({
     tiers: {
       prompt: { rank: 0, horizonMs: 10_000 },
       steady: { rank: 1, horizonMs: 20_000 },
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import type { Counter } from '@martenworks/counter';
-import type { Carriage, Disk, Ports } from '@martenworks/core-types';
+import type { Gateway } from '@martenworks/gateway';
+import type { HttpClient, Disk, Ports } from '@martenworks/core-types';
 import { FaultInjectionRun } from '@martenworks/test-fleet';
 import type { FaultKind, FaultSchedule } from '@martenworks/test-fleet';
 
@@ -10,24 +10,24 @@
   held as Open<T> & Record<string, unknown>;
 
 const carriageBroken =
-  (wrap: (carriage: Carriage) => Partial<Carriage>) =>
+  (wrap: (httpClient: HttpClient) => Partial<HttpClient>) =>
   (role: string, ports: Ports): Ports =>
-    role === 'counter' ? { ...ports, carriage: { ...ports.carriage, ...wrap(ports.carriage) } } : ports;
+    role === 'gateway' ? { ...ports, httpClient: { ...ports.httpClient, ...wrap(ports.httpClient) } } : ports;
 
 const diskBroken =
   (wrap: (disk: Disk) => Partial<Disk>) =>
   (role: string, ports: Ports): Ports =>
-    role === 'postmaster' ? { ...ports, disk: { ...ports.disk, ...wrap(ports.disk) } } : ports;
+    role === 'control' ? { ...ports, disk: { ...ports.disk, ...wrap(ports.disk) } } : ports;
 
 const deafTo =
   (topic: 'change', from: number) =>
-  (counter: Counter): void => {
-    const take = counter.book.takeChange;
-    loosened(counter.book).takeChange = (generation, change) =>
-      generation > from && topic === 'change' ? false : take(generation, change);
-    const whole = counter.book.takeCheckpoint;
-    loosened(counter.book).takeCheckpoint = (state) => (state.generation > from ? false : whole(state));
-    loosened(counter.freshness).isFresh = () => counter.book.generation() >= 0;
+  (gateway: Gateway): void => {
+    const take = gateway.stateView.takeChange;
+    loosened(gateway.stateView).takeChange = (logIndex, change) =>
+      logIndex > from && topic === 'change' ? false : take(logIndex, change);
+    const whole = gateway.stateView.takeSnapshot;
+    loosened(gateway.stateView).takeSnapshot = (state) => (state.logIndex > from ? false : whole(state));
+    loosened(gateway.freshness).isFresh = () => gateway.stateView.logIndex() >= 0;
   };
 
 const upGeneration = 10;
@@ -56,11 +56,11 @@
       ratePerSecond: 45,
       faults: 16,
       overrides: {
-        portsFor: carriageBroken((carriage) => ({
-          carry: async (request) => (await carriage.carry(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
+        portsFor: carriageBroken((httpClient) => ({
+          send: async (request) => (await httpClient.send(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
         })),
-        onCounter: (counter) => {
-          loosened(counter.stages.sending).again = (parcel: never) => counter.stages.placing.queue(parcel);
+        onCounter: (gateway) => {
+          loosened(gateway.stages.sending).again = (parcel: never) => gateway.stages.placementStage.queue(parcel);
         },
       },
     },
@@ -72,10 +72,10 @@
     plan: {
       faults: 2,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.claims).take = async (key, digest) => ({
-            k: 'claimed',
-            claim: { key, turn: 0, claimant: { id: key, counter: '', address: '', digest } },
+        onCounter: (gateway) => {
+          loosened(gateway.claims).take = async (key, digest) => ({
+            kind: 'claimed',
+            claim: { key, turn: 0, claimant: { id: key, gateway: '', address: '', digest } },
           });
         },
       },
@@ -87,8 +87,8 @@
     kinds: ['counter dies', 'counters die in a herd'],
     plan: {
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.claims).inquire = async () => ({ k: 'not run' });
+        onCounter: (gateway) => {
+          loosened(gateway.claims).inquire = async () => ({ kind: 'not run' });
         },
       },
     },
@@ -100,9 +100,9 @@
     plan: {
       longShare: 0.4,
       overrides: {
-        onCounter: (counter) => {
-          const refuse = counter.stages.denying.refuse;
-          loosened(counter.stages.denying).refuse = (parcel, code, detail) => {
+        onCounter: (gateway) => {
+          const refuse = gateway.stages.rejector.refuse;
+          loosened(gateway.stages.rejector).refuse = (parcel, code, detail) => {
             parcel.mayHaveRun = false;
             refuse(parcel, code, detail);
           };
@@ -116,9 +116,9 @@
     kinds: ['replica cuts streams'],
     plan: {
       overrides: {
-        onCounter: (counter) => {
-          const next = loosened(counter.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
-          loosened(counter.stages.relaying).nextPiece = async (...args: unknown[]) => {
+        onCounter: (gateway) => {
+          const next = loosened(gateway.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
+          loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
             const piece = await next(...args);
             return piece.kind === 'cut' ? { kind: 'done' } : piece;
           };
@@ -132,10 +132,10 @@
     kinds: ['layout changes'],
     plan: {
       overrides: {
-        onCounter: (counter) => {
+        onCounter: (gateway) => {
           let count = 0;
-          const next = loosened(counter.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
-          loosened(counter.stages.relaying).nextPiece = async (...args: unknown[]) => {
+          const next = loosened(gateway.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
+          loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
             const piece = await next(...args);
             count += 1;
             return count % 100 === 0 && piece.kind === 'piece' ? next(...args) : piece;
@@ -150,8 +150,8 @@
     kinds: ['layout changes'],
     plan: {
       overrides: {
-        portsFor: carriageBroken((carriage) => ({
-          carry: (request) => carriage.carry({ ...request, headers: { ...request.headers, 'x-tenant': 'north' } }),
+        portsFor: carriageBroken((httpClient) => ({
+          send: (request) => httpClient.send({ ...request, headers: { ...request.headers, 'x-tenant': 'north' } }),
         })),
       },
     },
@@ -170,11 +170,11 @@
     plan: {
       longShare: 0.5,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.book.quarters).mayName = () => true;
-          loosened(counter.book.quarters).mayRun = () => true;
-          const kept = counter.book.index.kept;
-          loosened(counter.book.index).kept = (...args) => ({ ...kept(...args), isNameable: true });
+        onCounter: (gateway) => {
+          loosened(gateway.stateView.tenantPartitions).mayName = () => true;
+          loosened(gateway.stateView.tenantPartitions).mayRun = () => true;
+          const kept = gateway.stateView.index.kept;
+          loosened(gateway.stateView.index).kept = (...args) => ({ ...kept(...args), isNameable: true });
         },
       },
     },
@@ -187,12 +187,12 @@
       longShare: 0.5,
       faults: 3,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.book).holdersIn = (poolName) => counter.book.inPool(poolName);
-          loosened(counter.book.index).reconcile = (
+        onCounter: (gateway) => {
+          loosened(gateway.stateView).holdersIn = (poolName) => gateway.stateView.inPool(poolName);
+          loosened(gateway.stateView.index).reconcile = (
             (reconcile) => (records: Parameters<typeof reconcile>[0]) =>
               reconcile(records, () => 0)
-          )(counter.book.index.reconcile);
+          )(gateway.stateView.index.reconcile);
         },
       },
     },
@@ -203,8 +203,8 @@
     kinds: ['layout changes', 'many lanes'],
     plan: {
       overrides: {
-        onCounter: (counter) =>
-          counter.env.name === 'counter-2' ? deafTo('change', upGeneration)(counter) : undefined,
+        onCounter: (gateway) =>
+          gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
       },
     },
   },
@@ -215,15 +215,15 @@
     plan: {
       faults: 2,
       overrides: {
-        onCounter: (counter) =>
-          counter.env.name === 'counter-2' ? deafTo('change', upGeneration)(counter) : undefined,
+        onCounter: (gateway) =>
+          gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
       },
     },
   },
   {
     what: 'the disk lies about syncing',
     rule: 'an accepted change is lost',
-    kinds: ['postmasters die in a herd', 'layout changes', 'many lanes'],
+    kinds: ['control nodes die in a herd', 'layout changes', 'many lanes'],
     plan: {
       faults: 10,
       overrides: {
@@ -239,12 +239,12 @@
     kinds: ['rival changes'],
     plan: {
       overrides: {
-        onPostmaster: (postmaster) => {
-          const layout = postmaster.changes.layout;
-          loosened(postmaster.changes).layout = async (id, base, edit) => {
-            const outcome = await layout(id, base, edit);
+        onControlNode: (controlNode) => {
+          const config = controlNode.changes.config;
+          loosened(controlNode.changes).config = async (id, base, edit) => {
+            const outcome = await config(id, base, edit);
             if (outcome.isErr() && outcome.error.kind === 'conflict')
-              void layout(id, outcome.error.layoutGeneration, edit);
+              void config(id, outcome.error.configLogIndex, edit);
             return outcome;
           };
         },
@@ -257,11 +257,11 @@
     kinds: ['rival changes'],
     plan: {
       overrides: {
-        onPostmaster: (postmaster) => {
-          const layout = postmaster.changes.layout;
-          loosened(postmaster.changes).layout = async (id, base, edit) =>
-            (await layout(id, base, edit)).orElse((fault) =>
-              fault.kind === 'conflict' ? ok({ generation: base + 1, isRepeat: false }) : err(fault),
+        onControlNode: (controlNode) => {
+          const config = controlNode.changes.config;
+          loosened(controlNode.changes).config = async (id, base, edit) =>
+            (await config(id, base, edit)).orElse((fault) =>
+              fault.kind === 'conflict' ? ok({ logIndex: base + 1, isRepeat: false }) : err(fault),
             );
         },
       },
@@ -273,11 +273,11 @@
     kinds: ['replica leaves'],
     plan: {
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.book).takeReplicas = (
+        onCounter: (gateway) => {
+          loosened(gateway.stateView).takeReplicas = (
             (take) => (records: Parameters<typeof take>[0]) =>
               take(records.map((record) => ({ ...record, state: 'ready' as const })))
-          )(counter.book.takeReplicas);
+          )(gateway.stateView.takeReplicas);
         },
       },
     },
@@ -290,10 +290,10 @@
       ratePerSecond: 60,
       faults: 3,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.stages.sending).budgetOf = () => ({
+        onCounter: (gateway) => {
+          loosened(gateway.stages.sending).budgetOf = () => ({
             take: () => true,
-            firstShot: () => {},
+            firstAttempt: () => {},
             left: () => 1,
           });
         },
@@ -301,25 +301,25 @@
     },
   },
   {
-    what: 'a counter that lost its postmasters never dials again',
+    what: 'a counter that lost its control nodes never dials again',
     rule: 'service still mostly absent',
-    kinds: ['all machines die', 'postmasters die in a herd'],
+    kinds: ['all machines die', 'control nodes die in a herd'],
     plan: {
       faults: 3,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.lines).stop = () => {};
+        onCounter: (gateway) => {
+          loosened(gateway.peerPool).stop = () => {};
         },
         portsFor: (role, ports) =>
-          role === 'counter'
+          role === 'gateway'
             ? {
                 ...ports,
                 net: {
                   ...ports.net,
-                  dial: (address, patienceMs) =>
+                  dial: (address, timeoutMs) =>
                     ports.clock.now() > 6_000
                       ? Promise.resolve(err({ kind: 'net' as const, code: 'BROKEN', isUnsent: true }))
-                      : ports.net.dial(address, patienceMs),
+                      : ports.net.dial(address, timeoutMs),
                 },
               }
             : ports,
@@ -330,19 +330,19 @@
 
 const promptIn = (body: string | null): string => String((JSON.parse(body ?? '{}') as { prompt?: unknown }).prompt);
 
-const replaying = (splicesAt: number): ((carriage: Carriage) => Partial<Carriage>) => {
+const replaying = (splicesAt: number): ((httpClient: HttpClient) => Partial<HttpClient>) => {
   const heard = new Map<string, Uint8Array[]>();
-  return (carriage) => ({
-    carry: async (request) => {
-      const receipt = await carriage.carry(request);
-      if (receipt.isErr() || receipt.value.status !== 200 || !request.url.includes('/v1/')) return receipt;
+  return (httpClient) => ({
+    send: async (request) => {
+      const response = await httpClient.send(request);
+      if (response.isErr() || response.value.status !== 200 || !request.url.includes('/v1/')) return response;
       const prompt = promptIn(request.body as string | null);
       const own: Uint8Array[] = [];
       const other = heard.get(prompt) ?? own;
       heard.set(prompt, other);
       const body = async function* (): AsyncGenerator<Uint8Array> {
         let id = '';
-        for await (const bytes of receipt.value.body) {
+        for await (const bytes of response.value.body) {
           own.push(bytes);
           const text = Buffer.from(bytes).toString('utf8');
           id = /"id":"([^"]+)"/.exec(text)?.[1] ?? id;
@@ -356,7 +356,7 @@
               );
         }
       };
-      return ok({ ...receipt.value, body: body() });
+      return ok({ ...response.value, body: body() });
     },
   });
 };
@@ -381,9 +381,9 @@
     plan: {
       faults: 2,
       overrides: {
-        portsFor: carriageBroken((carriage) => ({
-          carry: (request) =>
-            carriage.carry(
+        portsFor: carriageBroken((httpClient) => ({
+          send: (request) =>
+            httpClient.send(
               request.body === null
                 ? request
                 : { ...request, body: String(request.body).replace(/"priority":\d+/, '"priority":0') },
@@ -399,9 +399,9 @@
     plan: {
       faults: 3,
       overrides: {
-        onCounter: (counter) => {
-          const view = counter.book.view;
-          loosened(counter.book).view = () => {
+        onCounter: (gateway) => {
+          const view = gateway.stateView.view;
+          loosened(gateway.stateView).view = () => {
             const held = view();
             const query = held?.lanes.get('query');
             if (held === null || query === undefined) return held;
@@ -432,10 +432,10 @@
     plan: {
       faults: 4,
       overrides: {
-        onCounter: (counter) => {
+        onCounter: (gateway) => {
           const first = new Map<string, string>();
-          const view = counter.book.view;
-          loosened(counter.book).view = () => {
+          const view = gateway.stateView.view;
+          loosened(gateway.stateView).view = () => {
             const held = view();
             if (held === null) return null;
             for (const [hash, grant] of Object.entries(held.keys)) if (!first.has(hash)) first.set(hash, grant.tenant);
@@ -457,9 +457,9 @@
     plan: {
       faults: 1,
       overrides: {
-        onCounter: (counter) => {
-          const view = counter.book.view;
-          loosened(counter.book).view = () => {
+        onCounter: (gateway) => {
+          const view = gateway.stateView.view;
+          loosened(gateway.stateView).view = () => {
             const held = view();
             return held === null
               ? null
@@ -490,12 +490,12 @@
       spanMs: 24_000,
       longShare: 0,
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.stages.sending).budgetOf = ((budgetOf) => (pool: string) => {
+        onCounter: (gateway) => {
+          loosened(gateway.stages.sending).budgetOf = ((budgetOf) => (pool: string) => {
             const budget = budgetOf(pool) as { tokens: number; isFilled?: boolean };
-            if (budget.isFilled !== true) Object.assign(budget, { isFilled: true, tokens: 40, firstShot: () => {} });
+            if (budget.isFilled !== true) Object.assign(budget, { isFilled: true, tokens: 40, firstAttempt: () => {} });
             return budget;
-          })(loosened(counter.stages.sending).budgetOf as (pool: string) => unknown);
+          })(loosened(gateway.stages.sending).budgetOf as (pool: string) => unknown);
         },
       },
     },
@@ -506,10 +506,10 @@
     kinds: ['layout changes'],
     plan: {
       faults: 1,
-      permanentLoss: 'postmaster lost for good',
+      permanentLoss: 'control node lost for good',
       overrides: {
-        onCounter: (counter) => {
-          loosened(counter.freshness).isFresh = () => counter.freshness.voiceCount() === 3;
+        onCounter: (gateway) => {
+          loosened(gateway.freshness).isFresh = () => gateway.freshness.voiceCount() === 3;
         },
       },
     },
--- a/packages/test-fleet/test/testClaims.test.ts
+++ b/packages/test-fleet/test/testClaims.test.ts
@@ -15,10 +15,10 @@
 `;
 
 const claimedBy = (memory: SharedArrayBuffer): Promise<number[]> =>
-  new Promise((settle, fail) => {
+  new Promise((resolve, fail) => {
     const code = new URL(`data:text/javascript,${encodeURIComponent(claimAll)}`);
     const worker = new Worker(code, { workerData: memory });
-    worker.once('message', settle);
+    worker.once('message', resolve);
     worker.once('error', fail);
   });
 
--- a/packages/upstream/src/carriage.ts
+++ b/packages/upstream/src/httpClient.ts
@@ -1,5 +1,5 @@
 import { err, ok } from 'neverthrow';
-import type { Carriage } from '@martenworks/core-types';
+import type { HttpClient } from '@martenworks/core-types';
 import { GatedAgent } from './gatedAgent.js';
 import type { Gates } from './gatedAgent.js';
 
@@ -25,15 +25,15 @@
 };
 
 /** Connections to one address at most, and milliseconds until a connection counts as not to be had. */
-export interface CarriageTerms {
+export interface HttpClientOptions {
   readonly connections: number;
   readonly connectMs: number;
 }
 
-const usualTerms: CarriageTerms = { connections: 256, connectMs: 1_000 };
+const usualTerms: HttpClientOptions = { connections: 256, connectMs: 1_000 };
 
-export const carriages = {
-  real: (localHost: string | null, terms: CarriageTerms = usualTerms): Carriage => {
+export const httpClients = {
+  real: (localHost: string | null, terms: HttpClientOptions = usualTerms): HttpClient => {
     const agent = new GatedAgent({
       connections: terms.connections,
       pipelining: 1,
@@ -43,7 +43,7 @@
       connect: { timeout: terms.connectMs, ...(localHost === null ? {} : { localAddress: localHost }) },
     });
     return {
-      carry: async ({ method, url, headers, body, signal, gate, accepts }) => {
+      send: async ({ method, url, headers, body, signal, gate, accepts }) => {
         const bytes = typeof body === 'string' ? Buffer.from(body, 'utf8') : body;
         let isSent = false;
         let receivedHeaders: readonly string[] = [];
@@ -67,15 +67,15 @@
           gates,
         };
         try {
-          const receipt = await agent.request(options);
+          const response = await agent.request(options);
           return ok({
-            status: receipt.statusCode,
+            status: response.statusCode,
             headers: () => receivedHeaders,
             header: (name) => {
-              const held = receipt.headers[name.toLowerCase()];
+              const held = response.headers[name.toLowerCase()];
               return Array.isArray(held) ? (held[0] ?? null) : (held ?? null);
             },
-            body: receipt.body,
+            body: response.body,
           });
         } catch (cause) {
           return err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: !isSent });
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -1,3 +1,3 @@
-export * from './backWire.js';
-export * from './kvFollow.js';
-export * from './carriage.js';
+export * from './replicaClient.js';
+export * from './kvEvents.js';
+export * from './httpClient.js';
--- a/packages/upstream/src/kvFollow.ts
+++ b/packages/upstream/src/kvEvents.ts
@@ -1,10 +1,10 @@
 import { background, pause } from '@martenworks/core-types';
-import type { Carriage, Clock, KvNews, Log, Random } from '@martenworks/core-types';
-import { backWire } from './backWire.js';
+import type { HttpClient, Clock, KvCacheEvent, Log, Random } from '@martenworks/core-types';
+import { backWire } from './replicaClient.js';
 
 const newsKinds = new Set(['hello', 'stored', 'removed', 'cleared']);
 
-const newsOf = (replica: string, data: string): KvNews | null => {
+const newsOf = (replica: string, data: string): KvCacheEvent | null => {
   let told: Record<string, unknown>;
   try {
     told = JSON.parse(data) as Record<string, unknown>;
@@ -18,7 +18,7 @@
     replica,
     incarnation: incarnation as number,
     seq: seq as number,
-    kind: kind as KvNews['kind'],
+    kind: kind as KvCacheEvent['kind'],
     tenant: tenant === null || typeof tenant === 'string' ? tenant : undefined,
     blocks: Array.isArray(blocks) ? blocks.filter((block): block is string => typeof block === 'string') : [],
   };
@@ -30,20 +30,20 @@
 
 export const kvFollow = {
   follow: (
-    carriage: Carriage,
+    httpClient: HttpClient,
     clock: Clock,
     random: Random,
     log: Log,
     replica: string,
     address: string,
     after: () => number,
-    take: (news: KvNews) => void,
+    take: (update: KvCacheEvent) => void,
   ): Follower => {
     const quit = new AbortController();
     const run = async (): Promise<void> => {
       let waitMs = 100;
       while (!quit.signal.aborted) {
-        const receipt = await carriage.carry({
+        const response = await httpClient.send({
           method: 'GET',
           url: `http://${address}/kv-events?after=${after()}`,
           headers: { accept: 'text/event-stream' },
@@ -51,12 +51,12 @@
           signal: quit.signal,
           gate: () => true,
         });
-        if (receipt.isOk() && receipt.value.status === 200) {
+        if (response.isOk() && response.value.status === 200) {
           waitMs = 100;
           try {
-            for await (const data of backWire.events(receipt.value.body)) {
-              const news = newsOf(replica, data);
-              if (news !== null) take(news);
+            for await (const data of backWire.events(response.value.body)) {
+              const update = newsOf(replica, data);
+              if (update !== null) take(update);
             }
           } catch {
             log.info('kv-events stream broke', { replica });
--- a/packages/upstream/src/backWire.ts
+++ b/packages/upstream/src/replicaClient.ts
@@ -1,11 +1,11 @@
 import { createParser } from 'eventsource-parser';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { Carriage, CarriageReceipt } from '@martenworks/core-types';
+import type { HttpClient, HttpClientResponse } from '@martenworks/core-types';
 
 export type CompletionPath = '/v1/completions' | '/v1/chat/completions';
 
-export interface Shot {
+export interface ReplicaAttempt {
   readonly requestId: string;
   readonly replica: string;
   readonly path: CompletionPath;
@@ -25,7 +25,7 @@
   | { readonly kind: 'cut'; readonly cause: string }
   | { readonly kind: 'wrong'; readonly cause: string };
 
-export interface ShotFault {
+export interface ReplicaAttemptError {
   readonly kind: 'shot';
   readonly isUnsent: boolean;
   readonly status: number | null;
@@ -35,8 +35,8 @@
 
 const noRetry = { retryAfterSeconds: null };
 
-const retryAfterIn = (receipt: CarriageReceipt): number | null => {
-  const told = receipt.header('retry-after');
+const retryAfterIn = (response: HttpClientResponse): number | null => {
+  const told = response.header('retry-after');
   return told !== null && /^\d{1,6}$/.test(told) ? Number(told) : null;
 };
 
@@ -93,10 +93,10 @@
   }
 };
 
-const drainQuietly = async (receipt: CarriageReceipt): Promise<void> => {
+const drainQuietly = async (response: HttpClientResponse): Promise<void> => {
   let size = 0;
   try {
-    for await (const bytes of receipt.body) {
+    for await (const bytes of response.body) {
       size += bytes.length;
       if (size > 65_536) return;
     }
@@ -144,46 +144,49 @@
 
 export const backWire = {
   assemble,
-  send: async (carriage: Carriage, shot: Shot): Promise<Result<AsyncGenerator<Piece>, ShotFault>> => {
-    const receipt = await carriage.carry({
+  send: async (
+    httpClient: HttpClient,
+    attempt: ReplicaAttempt,
+  ): Promise<Result<AsyncGenerator<Piece>, ReplicaAttemptError>> => {
+    const response = await httpClient.send({
       method: 'POST',
-      url: `http://${shot.replica}${shot.path}`,
+      url: `http://${attempt.replica}${attempt.path}`,
       headers: {
         'content-type': 'application/json',
         accept: 'text/event-stream',
-        'x-request-id': shot.requestId,
-        'x-tenant': shot.tenant,
-        'x-priority': String(shot.priority),
-        ...(shot.isIsolated ? { 'x-isolated': '1' } : {}),
-        ...(shot.cacheFrom === null ? {} : { 'cache-from': shot.cacheFrom }),
+        'x-request-id': attempt.requestId,
+        'x-tenant': attempt.tenant,
+        'x-priority': String(attempt.priority),
+        ...(attempt.isIsolated ? { 'x-isolated': '1' } : {}),
+        ...(attempt.cacheFrom === null ? {} : { 'cache-from': attempt.cacheFrom }),
       },
-      body: JSON.stringify({ ...shot.body, model: shot.weights, stream: true, priority: shot.priority }),
-      signal: shot.signal,
-      gate: shot.gate,
+      body: JSON.stringify({ ...attempt.body, model: attempt.weights, stream: true, priority: attempt.priority }),
+      signal: attempt.signal,
+      gate: attempt.gate,
     });
-    if (receipt.isErr())
+    if (response.isErr())
       return err({
         kind: 'shot',
-        isUnsent: receipt.error.isUnsent,
+        isUnsent: response.error.isUnsent,
         status: null,
-        cause: receipt.error.code,
+        cause: response.error.code,
         ...noRetry,
       });
-    if (receipt.value.status !== 200) {
-      await drainQuietly(receipt.value);
+    if (response.value.status !== 200) {
+      await drainQuietly(response.value);
       return err({
         kind: 'shot',
         isUnsent: false,
-        status: receipt.value.status,
-        cause: `status ${receipt.value.status}`,
-        retryAfterSeconds: retryAfterIn(receipt.value),
+        status: response.value.status,
+        cause: `status ${response.value.status}`,
+        retryAfterSeconds: retryAfterIn(response.value),
       });
     }
-    if (!(receipt.value.header('content-type') ?? '').startsWith('text/event-stream')) {
-      await drainQuietly(receipt.value);
+    if (!(response.value.header('content-type') ?? '').startsWith('text/event-stream')) {
+      await drainQuietly(response.value);
       return err({ kind: 'shot', isUnsent: false, status: 200, cause: 'the receipt is no event stream', ...noRetry });
     }
-    return ok(pieces(receipt.value.body, shot.weights));
+    return ok(pieces(response.value.body, attempt.weights));
   },
   events: eventsIn,
   promptOf: (path: CompletionPath, body: Record<string, unknown>): string | null => {
--- a/packages/upstream/test/carriage.test.ts
+++ b/packages/upstream/test/httpClient.test.ts
@@ -2,39 +2,39 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { carriages } from '@martenworks/upstream';
-import type { CarriageReceipt, NetFault } from '@martenworks/core-types';
+import { httpClients } from '@martenworks/upstream';
+import type { HttpClientResponse, NetworkError } from '@martenworks/core-types';
 import type { Result } from 'neverthrow';
 
 const opened = (
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<{ server: Server; url: string }> =>
-  new Promise((settle) => {
+  new Promise((resolve) => {
     const server = createServer(handle);
     server.listen(0, '127.0.0.1', () =>
-      settle({ server, url: `http://127.0.0.1:${(server.address() as AddressInfo).port}/` }),
+      resolve({ server, url: `http://127.0.0.1:${(server.address() as AddressInfo).port}/` }),
     );
   });
 
 const closed = (server: Server): Promise<void> =>
-  new Promise((settle) => {
-    server.close(() => settle());
+  new Promise((resolve) => {
+    server.close(() => resolve());
     server.closeAllConnections();
   });
 
-const textOf = async (receipt: CarriageReceipt): Promise<string> => {
+const textOf = async (response: HttpClientResponse): Promise<string> => {
   const parts: Uint8Array[] = [];
-  for await (const part of receipt.body) parts.push(part);
+  for await (const part of response.body) parts.push(part);
   return Buffer.concat(parts).toString('utf8');
 };
 
-const carriage = carriages.real(null);
+const httpClient = httpClients.real(null);
 const ask = (
   method: string,
   url: string,
   more: { body?: string | null; gate?: () => boolean; accepts?: () => boolean } = {},
-): Promise<Result<CarriageReceipt, NetFault>> =>
-  carriage.carry({
+): Promise<Result<HttpClientResponse, NetworkError>> =>
+  httpClient.send({
     method,
     url,
     headers: {},
@@ -43,8 +43,8 @@
     gate: more.gate ?? (() => true),
     ...(more.accepts === undefined ? {} : { accepts: more.accepts }),
   });
-const carry = (url: string, gate: () => boolean = () => true): Promise<Result<CarriageReceipt, NetFault>> =>
-  carriage.carry({
+const carry = (url: string, gate: () => boolean = () => true): Promise<Result<HttpClientResponse, NetworkError>> =>
+  httpClient.send({
     method: 'POST',
     url,
     headers: { 'content-type': 'text/plain' },
@@ -54,7 +54,7 @@
   });
 
 describe('the carriage to back ends, over real sockets', () => {
-  after(() => carriage.close());
+  after(() => httpClient.close());
 
   it('given a port that refuses, when a request is carried, then it is known to be unsent', async () => {
     const { server, url } = await opened(() => {});
--- a/packages/write-ahead-log/src/writeAheadLog.ts
+++ b/packages/write-ahead-log/src/writeAheadLog.ts
@@ -2,8 +2,8 @@
 import { Encoder } from 'cbor-x';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { background, Owner } from '@martenworks/core-types';
-import type { Disk, DiskFault, DiskFile } from '@martenworks/core-types';
+import { background, CommandQueue } from '@martenworks/core-types';
+import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
 
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 const headBytes = 8;
@@ -18,11 +18,11 @@
   readonly detail: string;
 }
 
-export type WriteAheadLogFault = DiskFault | CorruptFault;
+export type WriteAheadLogError = DiskError | CorruptFault;
 
 export interface Opened {
   readonly wal: WriteAheadLog;
-  readonly checkpoint: unknown;
+  readonly snapshot: unknown;
   readonly records: readonly unknown[];
   readonly cutBytes: number;
 }
@@ -105,11 +105,11 @@
 
 interface Waiting {
   readonly record: unknown;
-  readonly settle: (receipt: Result<void, WriteAheadLogFault>) => void;
+  readonly settle: (result: Result<void, WriteAheadLogError>) => void;
 }
 
 export class WriteAheadLog {
-  private readonly writer = new Owner();
+  private readonly writer = new CommandQueue();
   private waiting: Waiting[] = [];
   private file: DiskFile | null = null;
   private goodSize = 0;
@@ -126,9 +126,9 @@
   private readonly nameOf = (kind: 'segment' | 'checkpoint', number: number): string =>
     names.of(this.prefix, kind, number);
 
-  readonly append = (record: unknown): Promise<Result<void, WriteAheadLogFault>> =>
-    new Promise((settle) => {
-      this.waiting.push({ record, settle });
+  readonly append = (record: unknown): Promise<Result<void, WriteAheadLogError>> =>
+    new Promise((resolve) => {
+      this.waiting.push({ record, settle: resolve });
       if (this.waiting.length === 1) background.run('flush the write-ahead log', this.writer.run(this.flush));
     });
 
@@ -140,7 +140,7 @@
     for (const one of batch) one.settle(written);
   };
 
-  private readonly write = async (records: readonly unknown[]): Promise<Result<void, WriteAheadLogFault>> => {
+  private readonly write = async (records: readonly unknown[]): Promise<Result<void, WriteAheadLogError>> => {
     if (this.isSuspect) {
       const mended = await this.mend();
       if (mended.isErr()) return mended;
@@ -165,7 +165,7 @@
     return ok(undefined);
   };
 
-  private readonly mend = async (): Promise<Result<void, WriteAheadLogFault>> => {
+  private readonly mend = async (): Promise<Result<void, WriteAheadLogError>> => {
     const cut = await this.disk.truncate(this.nameOf('segment', this.segment), this.goodSize);
     if (cut.isErr()) return cut;
     await this.roll();
@@ -181,7 +181,7 @@
     this.goodSize = 0;
   };
 
-  readonly checkpoint = (capture: () => unknown): Promise<Result<void, WriteAheadLogFault>> =>
+  readonly snapshot = (capture: () => unknown): Promise<Result<void, WriteAheadLogError>> =>
     this.writer.run(async () => {
       if (this.isSuspect) {
         const mended = await this.mend();
@@ -205,7 +205,7 @@
 
   readonly currentSegment = (): number => this.segment;
 
-  readonly dropBefore = (segment: number): Promise<Result<void, WriteAheadLogFault>> =>
+  readonly dropBefore = (segment: number): Promise<Result<void, WriteAheadLogError>> =>
     this.writer.run(async () => {
       for (; this.firstSegment < Math.min(segment, this.segment); this.firstSegment += 1) {
         const removed = await this.disk.remove(this.nameOf('segment', this.firstSegment));
@@ -236,7 +236,7 @@
 
 /** A log as it is read, before anything on disk is changed. */
 interface ReadLog {
-  readonly checkpoint: unknown;
+  readonly snapshot: unknown;
   readonly records: readonly unknown[];
   readonly firstSegment: number;
   readonly nextSegment: number;
@@ -274,7 +274,7 @@
   disk: Disk,
   prefix: string,
   number: number,
-): Promise<Result<ReadSnapshot, WriteAheadLogFault>> => {
+): Promise<Result<ReadSnapshot, WriteAheadLogError>> => {
   const name = names.of(prefix, 'checkpoint', number);
   const bytes = await disk.read(name);
   if (bytes.isErr()) return err(bytes.error);
@@ -293,7 +293,7 @@
   disk: Disk,
   prefix: string,
   { isTrimmed = false }: LogOptions,
-): Promise<Result<ReadLog, WriteAheadLogFault>> => {
+): Promise<Result<ReadLog, WriteAheadLogError>> => {
   const listed = await disk.list();
   if (listed.isErr()) return err(listed.error);
   const newest = fileNumbers(prefix, listed.value, 'checkpoint').at(-1);
@@ -330,7 +330,7 @@
   }
   const last = segments.at(-1);
   return ok({
-    checkpoint: base === null ? null : base.state,
+    snapshot: base === null ? null : base.state,
     records,
     firstSegment: segments[0] ?? first,
     nextSegment: last === undefined ? first : last + 1,
@@ -341,24 +341,24 @@
 
 export const writeAheadLogs = {
   /** Opens the log of this prefix: its newest snapshot, the records after it, and its end, from which a torn tail is cut. A file that is damaged before its tail, or follows one that is missing, is a `corrupt` fault. */
-  open: async (disk: Disk, prefix: string, options: LogOptions = {}): Promise<Result<Opened, WriteAheadLogFault>> => {
+  open: async (disk: Disk, prefix: string, options: LogOptions = {}): Promise<Result<Opened, WriteAheadLogError>> => {
     const read = await readLog(disk, prefix, options);
     if (read.isErr()) return err(read.error);
-    const { checkpoint, records, firstSegment, nextSegment, tip, tornTail } = read.value;
+    const { snapshot, records, firstSegment, nextSegment, tip, tornTail } = read.value;
     if (tornTail !== null) {
       const cut = await disk.truncate(tornTail.file, tornTail.goodSize);
       if (cut.isErr()) return err(cut.error);
     }
     const wal = new WriteAheadLog(disk, prefix, nextSegment, firstSegment, tip);
-    return ok({ wal, checkpoint, records, cutBytes: tornTail?.bytes ?? 0 });
+    return ok({ wal, snapshot, records, cutBytes: tornTail?.bytes ?? 0 });
   },
 
   /** Reads the log of this prefix and changes nothing. */
-  check: async (disk: Disk, prefix: string, options: LogOptions = {}): Promise<Result<void, WriteAheadLogFault>> =>
+  check: async (disk: Disk, prefix: string, options: LogOptions = {}): Promise<Result<void, WriteAheadLogError>> =>
     (await readLog(disk, prefix, options)).map(() => undefined),
 
   /** Removes all files of the log, snapshots and then segments, the oldest first: what a loss of power leaves in between has lost its beginning. */
-  discard: async (disk: Disk, prefix: string): Promise<Result<readonly string[], WriteAheadLogFault>> => {
+  discard: async (disk: Disk, prefix: string): Promise<Result<readonly string[], WriteAheadLogError>> => {
     const listed = await disk.list();
     if (listed.isErr()) return err(listed.error);
     const files = (['checkpoint', 'segment'] as const).flatMap((kind) =>
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import type { Result } from 'neverthrow';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { Opened, WriteAheadLogFault } from '@martenworks/write-ahead-log';
+import type { Opened, WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { SimDisk } from '@martenworks/test-fleet';
 
 const live = (): boolean => true;
@@ -12,14 +12,14 @@
   readonly text: string;
 }
 
-const open = (disk: SimDisk): Promise<Result<Opened, WriteAheadLogFault>> =>
+const open = (disk: SimDisk): Promise<Result<Opened, WriteAheadLogError>> =>
   writeAheadLogs.open(disk.view(live), 'book');
 
 const opened = async (disk: SimDisk): Promise<Opened> => (await open(disk))._unsafeUnwrap();
 
 /** The numbers that a log holds: of its snapshot, which counts them, and of its records. */
-const heldBy = ({ checkpoint, records }: Opened): number[] => [
-  ...Array.from({ length: (checkpoint as { count: number } | null)?.count ?? 0 }, (_, at) => at),
+const heldBy = ({ snapshot, records }: Opened): number[] => [
+  ...Array.from({ length: (snapshot as { count: number } | null)?.count ?? 0 }, (_, at) => at),
   ...(records as Entry[]).map(({ at }) => at),
 ];
 
@@ -63,7 +63,7 @@
     const disk = new SimDisk();
     const log = await opened(disk);
     await append(log, 0, 3);
-    await log.wal.checkpoint(() => ({ count: 3 }));
+    await log.wal.snapshot(() => ({ count: 3 }));
     await append(log, 3, 11);
     const [snapshot] = named(disk, 'checkpoint') as [string];
     const segments = named(disk, 'segment');
@@ -80,7 +80,7 @@
     const log = await opened(disk);
     await append(log, 11, 12);
     const before = disk.copy();
-    await log.wal.checkpoint(() => ({ count: 12 }));
+    await log.wal.snapshot(() => ({ count: 12 }));
     await append(log, 12, 14);
     const stale = [...before.files.keys()].filter((name) => !disk.files.has(name));
     expect(stale.length).to.be.at.least(4);
@@ -115,10 +115,10 @@
     expect((await first.wal.append({ at: 99, text: filler })).isErr()).to.equal(true);
     disk.faults.isFull = false;
     await write(first, 2);
-    await first.wal.checkpoint(() => ({ count: acknowledged }));
+    await first.wal.snapshot(() => ({ count: acknowledged }));
     const second = await opened(disk);
     await write(second, 4);
-    await second.wal.checkpoint(() => ({ count: acknowledged }));
+    await second.wal.snapshot(() => ({ count: acknowledged }));
     await write(second, 1);
     disk.faults.failsSync = true;
     expect((await second.wal.append({ at: 98, text: 'short' })).isErr()).to.equal(true);
@@ -150,7 +150,7 @@
     };
     const log = (await writeAheadLogs.open({ ...view, replace: replaced }, 'book'))._unsafeUnwrap();
     await append(log, 0, 4);
-    expect((await log.wal.checkpoint(() => ({ count: 4 }))).isErr()).to.equal(true);
+    expect((await log.wal.snapshot(() => ({ count: 4 }))).isErr()).to.equal(true);
     await append(log, 4, 8);
     expect(heldBy(await opened(disk))).to.deep.equal(upTo(8));
   });
--- a/packages/write-ahead-log/test/ledger.test.ts
+++ b/packages/write-ahead-log/test/writeAheadLog.test.ts
@@ -21,7 +21,7 @@
 const segmentsOf = (disk: SimDisk): string[] =>
   [...disk.files.keys()].filter((name) => name.includes('segment')).sort();
 
-describe('a ledger', () => {
+describe('a log', () => {
   it('given records kept one by one, when its last file is cut at any byte, then it opens with a prefix that holds every record wholly before the cut', async () => {
     const disk = new SimDisk();
     const { wal } = await opened(disk);
@@ -88,14 +88,14 @@
     }
   });
 
-  it('given a checkpoint, when it is opened again, then older files are gone and state is checkpoint plus later records', async () => {
+  it('given a snapshot, when it is opened again, then older files are gone and state is snapshot plus later records', async () => {
     const disk = new SimDisk();
     const { wal } = await opened(disk);
     for (let at = 0; at < 5; at += 1) await wal.append({ at });
-    expect((await wal.checkpoint(() => ({ sum: 10 }))).isOk()).to.equal(true);
+    expect((await wal.snapshot(() => ({ sum: 10 }))).isOk()).to.equal(true);
     await wal.append({ at: 5 });
     const again = await opened(disk);
-    expect(again.checkpoint).to.deep.equal({ sum: 10 });
+    expect(again.snapshot).to.deep.equal({ sum: 10 });
     expect(again.records).to.deep.equal([{ at: 5 }]);
     expect(segmentsOf(disk).length).to.equal(1);
   });
