--- a/packages/dev-tools/src/docsCheckCommand.ts
+++ b/packages/dev-tools/src/docsCheckCommand.ts
@@ -6,7 +6,7 @@
  * `--list` prints what is missing in one package as `file:line kind name` and checks nothing. `--lower` writes the
  * settings file anew with each ceiling at the count found. Exit code 0: passed; 1: failed; 2: bad arguments or settings.
  */
-import { readFileSync, readdirSync, writeFileSync } from 'node:fs';
+import { existsSync, readFileSync, readdirSync, writeFileSync } from 'node:fs';
 import { dirname, join, relative } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
@@ -22,12 +22,9 @@
 const usageExitCode = 2;
 
 const packageFolders = (): string[] => {
-  const manifests = readdirSync(join(root, 'packages')).map((name) => `packages/${name}`);
-  const platform = ['platform', ...readdirSync(join(root, 'platform')).map((name) => `platform/${name}`)];
-  const project = new Project({ skipAddingFilesFromTsConfig: true });
-  return [...manifests, ...platform].filter((folder) =>
-    project.getFileSystem().fileExistsSync(join(root, folder, 'package.json')),
-  );
+  const packages = readdirSync(join(root, 'packages')).map((name) => `packages/${name}`);
+  const platform = readdirSync(join(root, 'platform')).map((name) => `platform/${name}`);
+  return [...packages, 'platform', ...platform].filter((folder) => existsSync(join(root, folder, 'package.json')));
 };
 
 const openProject = (folders: readonly string[]): Project => {
