--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -91,6 +91,7 @@
     await Promise.all(upTo(Math.min(acceptedAtOnce, to - begin)).map((at) => accept(begin + at)));
 };
 
+/** Runs first, on a heap that holds nothing of the other measurements. */
 const measureMemory = async (series: ClaimSeries): Promise<void> => {
   const opened = await claimTables.open(temporaryDisk(), machine.clock, logs.silent(), retentionMs);
   const table = opened._unsafeUnwrap();
@@ -110,9 +111,9 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
+      await measureMemory(series);
       let from = 0;
       for (const width of widths) from = await measureWidth(peers, series, width, from);
-      await measureMemory(series);
       return measurementsOf(series);
     }),
 };
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -16,6 +16,8 @@
 
 const timers = 3;
 const pingCount = 200;
+/** Let the compiler optimize the connections' code before anything is measured. */
+const warmUpPings = 800;
 const noticesARepeat = 20;
 const sendMs = 20;
 const fixedCustomers = 1_000;
@@ -85,6 +87,7 @@
     const body = { ...heldBy(node), wantsContent };
     await peers.run({ verb: 'tell', topic: 'subscribe', body });
     await until(() => own.status().length === edges, subscribeTimeoutMs);
+    await peers.run({ verb: 'ping', count: warmUpPings, body: { ...heldBy(node), isReady: true } });
     await work({ node, publisher: own, edges, wantsContent });
   });
 };
--- /dev/null
+++ b/packages/test-fleet/src/commands/usageError.ts
@@ -0,0 +1,9 @@
+/** How commands end that were called with arguments they cannot take. */
+
+const usageExitCode = 2;
+
+/** Writes the message to standard error and ends the process with code 2. */
+export const exitWithUsageError = (message: string): never => {
+  process.stderr.write(`${message}\n`);
+  process.exit(usageExitCode);
+};
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -1,68 +1,86 @@
+/** A TCP proxy on loopback that can hold back or delay what passes through it, by the address it came from. */
 import { createConnection, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 import { addresses } from '@martenworks/core-types';
 
 const blockedPollMs = 20;
+const backlog = 1_024;
+const anySource = '*';
 
+/** Bytes that are held back are not lost: they go on once the link is healed. */
 export class FaultProxy {
   private readonly blockedSources = new Set<string>();
   private readonly sockets = new Set<Socket>();
   private server: Server | null = null;
-  delayMs = 0;
+  private delayMs = 0;
 
+  /**
+   * @param at the address `IP:PORT` that callers use
+   * @param target the address that it passes on to; a change holds for connections opened after it
+   */
   constructor(
     readonly at: string,
     public target: string,
   ) {}
 
+  /** Rejects where the address cannot be bound. */
   readonly open = (): Promise<void> =>
     new Promise((resolve, fail) => {
       const { host, port } = addresses.split(this.at);
       const server = createServer({ allowHalfOpen: false }, this.join);
       server.once('error', fail);
-      server.listen(port, host, 1024, () => resolve());
+      server.listen(port, host, backlog, () => resolve());
       this.server = server;
     });
 
   private readonly join = (inbound: Socket): void => {
-    const from = inbound.remoteAddress ?? '';
+    const source = inbound.remoteAddress ?? '';
     const { host, port } = addresses.split(this.target);
     const outbound = createConnection({ host, port });
-    for (const [one, other] of [
-      [inbound, outbound],
-      [outbound, inbound],
-    ] as const) {
-      one.setNoDelay(true);
-      this.sockets.add(one);
-      one.on('error', () => {});
-      one.on('close', () => {
-        this.sockets.delete(one);
-        other.destroy();
-      });
-      one.on('data', (bytes) => {
-        if (this.delayMs === 0 && !this.isBlocked(from)) return void other.write(bytes);
-        one.pause();
-        this.forwardAfter(from, this.delayMs, () => {
-          if (!other.destroyed) other.write(bytes);
-          one.resume();
-        });
+    this.forward(source, inbound, outbound);
+    this.forward(source, outbound, inbound);
+  };
+
+  private readonly forward = (source: string, from: Socket, to: Socket): void => {
+    from.setNoDelay(true);
+    this.sockets.add(from);
+    from.on('error', () => {});
+    from.on('close', () => {
+      this.sockets.delete(from);
+      to.destroy();
+    });
+    from.on('data', (bytes) => {
+      if (this.delayMs === 0 && !this.isBlocked(source)) return void to.write(bytes);
+      from.pause();
+      this.afterDelay(source, this.delayMs, () => {
+        if (!to.destroyed) to.write(bytes);
+        from.resume();
       });
-    }
+    });
   };
 
-  private readonly forwardAfter = (from: string, delayMs: number, act: () => void): void => {
-    setTimeout(() => (this.isBlocked(from) ? this.forwardAfter(from, blockedPollMs, act) : act()), delayMs);
+  private readonly afterDelay = (source: string, delayMs: number, act: () => void): void => {
+    setTimeout(() => (this.isBlocked(source) ? this.afterDelay(source, blockedPollMs, act) : act()), delayMs);
   };
 
-  private readonly isBlocked = (from: string): boolean => this.blockedSources.has(from) || this.blockedSources.has('*');
+  private readonly isBlocked = (source: string): boolean =>
+    this.blockedSources.has(source) || this.blockedSources.has(anySource);
+
+  /** Holds back both directions of connections from that IP, or of all with `*`. */
+  readonly block = (source: string): void => void this.blockedSources.add(source);
 
-  readonly block = (from: string): void => void this.blockedSources.add(from);
+  /** Delays everything by milliseconds. */
+  readonly delay = (delayMs: number): void => {
+    this.delayMs = delayMs;
+  };
 
+  /** Ends all blocks and the delay. */
   readonly heal = (): void => {
     this.blockedSources.clear();
     this.delayMs = 0;
   };
 
+  /** Stops listening and breaks all connections; `open` may follow. */
   readonly close = async (): Promise<void> => {
     const { server } = this;
     this.server = null;
--- /dev/null
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -0,0 +1,166 @@
+/** What faults on a fleet of real processes work with: the fleet, the checker, and operator requests that are retried. */
+import { setTimeout as sleep } from 'node:timers/promises';
+import { httpClients } from '@martenworks/upstream';
+import { InvariantChecker } from '../invariants/invariantChecker.js';
+import type { ObservedFleet, ReplicaIncarnation } from '../invariants/observedFleet.js';
+import type { Violation } from '../invariants/violation.js';
+import { seeded } from '../workload/sampleDeployments.js';
+import type { LocalFleet, Reply } from './localFleet.js';
+
+const controlNodeCount = 3;
+const mostAttempts = 300;
+const acceptRetryMs = 200;
+const readRetryMs = 100;
+const changeRetryMs = 150;
+const voteTimeoutMs = 40_000;
+const rejectedStatuses = new Set([409, 422]);
+/** Spreads neighbouring seeds over the generator's sequence. */
+const seedFactor = 7_919;
+
+type Method = 'GET' | 'POST' | 'PATCH' | 'DELETE';
+
+/** Milliseconds on the clock that emulated replicas record with. */
+export const now = (): number => performance.timeOrigin + performance.now();
+
+/** The draws of a seed are the same, but processes are not: a seed does not repeat its run. */
+export class ProcessFaultRun {
+  readonly checker: InvariantChecker;
+  readonly random: () => number;
+  /** Violations that faults saw themselves. */
+  readonly violations: Violation[] = [];
+  private replicas: readonly ReplicaIncarnation[] = [];
+  private changeCount = 0;
+
+  constructor(
+    readonly fleet: LocalFleet,
+    seed: number,
+  ) {
+    this.random = seeded(seed * seedFactor);
+    const outside = httpClients.real(null);
+    const observed: ObservedFleet = {
+      gatewayHosts: fleet.gatewayHosts,
+      now,
+      random: this.random,
+      after: (delayMs, callback) => void setTimeout(callback, delayMs),
+      outside: () => outside,
+      replicaIncarnations: () => this.replicas,
+    };
+    this.checker = new InvariantChecker(observed, `${seed}-`);
+  }
+
+  /** A whole number from 0 up to `count`. */
+  readonly pick = (count: number): number => Math.floor(this.random() * count);
+
+  /** Waits for a random span of milliseconds. */
+  readonly waitBetween = (lowMs: number, highMs: number): Promise<void> =>
+    sleep(lowMs + this.random() * (highMs - lowMs));
+
+  /** A number for names that no other change has. */
+  readonly countChange = (): number => ++this.changeCount;
+
+  /** Reads what the emulated replicas recorded, for the checker. */
+  readonly collectReplicas = async (): Promise<void> => {
+    this.replicas = await this.fleet.replicaIncarnations();
+  };
+
+  /** Asks one control node; status 0 where it cannot be reached. */
+  readonly call = (
+    at: number,
+    method: Method,
+    path: string,
+    body?: unknown,
+    headers: Record<string, string> = {},
+  ): Promise<Reply> =>
+    this.fleet
+      .call(`${this.fleet.controlNodeHosts[at]}:7101`, method, path, body, headers)
+      .catch((): Reply => ({ status: 0, body: {} }));
+
+  /** @throws Error where no control node accepts within 300 attempts */
+  readonly retryUntilAccepted = async (send: (at: number) => Promise<Reply>): Promise<void> => {
+    for (let attempt = 0; attempt < mostAttempts; attempt += 1) {
+      if ((await send(this.pick(controlNodeCount))).status === 200) return;
+      await sleep(acceptRetryMs);
+    }
+    throw new Error('no control node accepted the request');
+  };
+
+  private readonly readLayout = async (): Promise<{ at: number; base: number }> => {
+    for (;;) {
+      const at = this.pick(controlNodeCount);
+      const config = await this.call(at, 'GET', '/operator/layout');
+      if (config.status === 200) return { at, base: Number(config.body.generation) };
+      await sleep(readRetryMs);
+    }
+  };
+
+  /**
+   * Sends a change until it is accepted (true) or rejected (false).
+   *
+   * @param onFirstAccepted called with the control node, where that accepted the change at the first attempt
+   */
+  readonly change = async (
+    part: Record<string, unknown>,
+    onFirstAccepted: (at: number) => Promise<void> = async () => {},
+  ): Promise<boolean> => {
+    const { at, base } = await this.readLayout();
+    const id = `real-${this.countChange()}`;
+    const headers = { 'if-match': `"${base}"`, 'change-id': id };
+    for (let attempt = 0; ; attempt += 1) {
+      const node = attempt === 0 ? at : this.pick(controlNodeCount);
+      const response = await this.call(node, 'PATCH', '/operator/layout', part, headers);
+      if (response.status === 200) {
+        this.checker.acceptedIds.set(id, Number(response.body.generation));
+        if (attempt === 0) await onFirstAccepted(at);
+        return true;
+      }
+      if (rejectedStatuses.has(response.status)) {
+        this.checker.refusedIds.add(id);
+        return false;
+      }
+      await sleep(changeRetryMs);
+    }
+  };
+
+  /** Kills a control node, in part with its data, starts it and waits until it votes. */
+  readonly restartControlNode = async (at: number, losesData: boolean): Promise<void> => {
+    await this.fleet.signal(this.fleet.controlNodeName(at), 'SIGKILL');
+    if (losesData) this.fleet.wipeControlNode(at);
+    await this.waitBetween(300, 2_000);
+    this.fleet.startControlNode(at);
+    const isVoter = async (): Promise<boolean> => (await this.call(at, 'GET', '/operator/status')).body.voter === true;
+    await this.fleet.until(`control node ${at + 1} votes`, isVoter, voteTimeoutMs);
+  };
+
+  /** Starts a new incarnation of a replica and announces it. */
+  readonly replaceReplica = async (name: string): Promise<void> => {
+    await this.fleet.restartReplica(name);
+    const announcement = [this.fleet.announcement(name)];
+    await this.retryUntilAccepted((at) => this.call(at, 'POST', '/platform/replicas', announcement));
+  };
+
+  /** Checks that every control node that runs knows each accepted change, and no rejected one. */
+  readonly stateViolations = async (): Promise<Violation[]> => {
+    const violations: Violation[] = [];
+    for (let at = 0; at < controlNodeCount; at += 1) {
+      if ((await this.call(at, 'GET', '/healthz')).status === 200)
+        violations.push(...(await this.stateViolationsAt(at)));
+    }
+    return violations;
+  };
+
+  private readonly stateViolationsAt = async (at: number): Promise<Violation[]> => {
+    const violations: Violation[] = [];
+    const find = (id: string): Promise<Reply> => this.call(at, 'GET', `/operator/changes/${id}`);
+    for (const [id, logIndex] of this.checker.acceptedIds) {
+      const known = await find(id);
+      if (known.status !== 200 || known.body.generation !== logIndex)
+        violations.push({
+          rule: 'an accepted change is lost',
+          detail: `${id} at control node ${at + 1}: ${known.status}`,
+        });
+    }
+    for (const id of this.checker.refusedIds)
+      if ((await find(id)).status === 200) violations.push({ rule: 'a losing change took effect', detail: id });
+    return violations;
+  };
+}
--- /dev/null
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -0,0 +1,241 @@
+/** The faults that real processes are put under: kills, pauses, wiped data, roll-outs, cut and slow links, and changes. */
+import { setTimeout as sleep } from 'node:timers/promises';
+import { propagationMs } from '../invariants/observations.js';
+import { sampleWorkload } from '../workload/sampleDeployments.js';
+import type { FaultProxy } from './faultProxy.js';
+import { now } from './processFaultRun.js';
+import type { ProcessFaultRun } from './processFaultRun.js';
+
+const zoneCount = 3;
+const keyTrafficMs = 9_000;
+const keyRequestEveryMs = 200;
+const keyHeldMs = 3_000;
+const longAnswerTokens = 300;
+const drainMs = 4_000;
+const probeRounds = 2;
+const laneCount = 200;
+const tierCount = 3;
+
+/** The parts of the fleet that one fault disturbs, drawn anew for each. */
+interface Targets {
+  readonly gateway: number;
+  readonly controlNode: number;
+  readonly replica: string;
+}
+
+type ProcessFault = (run: ProcessFaultRun, targets: Targets) => Promise<unknown>;
+
+const pause = async (run: ProcessFaultRun, name: string, longestMs: number): Promise<void> => {
+  await run.fleet.signal(name, 'SIGSTOP');
+  await run.waitBetween(500, longestMs);
+  await run.fleet.signal(name, 'SIGCONT');
+};
+
+const throughProxy = async (
+  run: ProcessFaultRun,
+  proxy: FaultProxy | undefined,
+  disturb: (proxy: FaultProxy) => void,
+  lowMs: number,
+): Promise<void> => {
+  if (proxy !== undefined) disturb(proxy);
+  await run.waitBetween(lowMs, 5_000);
+  proxy?.heal();
+};
+
+const killGateway: ProcessFault = async (run, { gateway }) => {
+  await run.fleet.signal(run.fleet.gatewayName(gateway), 'SIGKILL');
+  await run.waitBetween(300, 2_000);
+  run.fleet.startCounter(gateway);
+};
+
+const killAll = async (
+  run: ProcessFaultRun,
+  hosts: readonly string[],
+  nameOf: (at: number) => string,
+  start: (at: number) => unknown,
+): Promise<void> => {
+  await Promise.all(hosts.map((_, at) => run.fleet.signal(nameOf(at), 'SIGKILL')));
+  await run.waitBetween(300, 1_500);
+  hosts.forEach((_, at) => void start(at));
+};
+
+const killAcknowledged: ProcessFault = (run) =>
+  run.change({ tiers: { steady: { rank: 1, horizonMs: 20_000 + run.pick(1_000) } } }, (at) =>
+    run.restartControlNode(at, false),
+  );
+
+const killReplica: ProcessFault = async (run, { replica }) => {
+  await run.fleet.killReplica(replica);
+  await run.waitBetween(300, 2_500);
+  await run.replaceReplica(replica);
+};
+
+const drainReplica: ProcessFault = async (run, { replica }) => {
+  const incarnation = run.fleet.incarnationOf(replica);
+  await run.retryUntilAccepted((at) => run.call(at, 'POST', `/platform/replicas/${replica}/leaving`));
+  run.checker.drainingSince.push({ name: replica, incarnation, at: now() });
+  await sleep(drainMs);
+  await run.fleet.killReplica(replica);
+  await run.replaceReplica(replica);
+};
+
+const partitionGateway: ProcessFault = async (run, { gateway, controlNode }) => {
+  const { gatewayHosts, peerProxies } = run.fleet;
+  const host = gatewayHosts[gateway] as string;
+  for (const [at, proxy] of peerProxies.entries()) if (at !== controlNode) proxy.block(host);
+  await run.waitBetween(1_000, 5_000);
+  for (const proxy of peerProxies) proxy.heal();
+};
+
+const rollOut = async (
+  run: ProcessFaultRun,
+  hosts: readonly string[],
+  nameOf: (at: number) => string,
+  start: (at: number) => unknown,
+): Promise<void> => {
+  const { fleet, violations } = run;
+  for (const [at, host] of hosts.entries()) {
+    const name = nameOf(at);
+    await fleet.until(`${name} is up`, () => fleet.isReady(host));
+    const exitCode = await fleet.signal(name, 'SIGTERM');
+    if (exitCode !== 0) violations.push({ rule: 'a roll-out was not clean', detail: `${name} ended with ${exitCode}` });
+    start(at);
+    await fleet.until(`${name} is back`, () => fleet.isReady(host));
+  }
+};
+
+const rollOutAll: ProcessFault = async (run) => {
+  const { fleet } = run;
+  await rollOut(run, fleet.gatewayHosts, fleet.gatewayName, fleet.startCounter);
+  await rollOut(run, fleet.controlNodeHosts, fleet.controlNodeName, fleet.startControlNode);
+};
+
+const changeWeights: ProcessFault = async ({ change, checker: { weightsChanges } }) => {
+  const weights = `weights-${weightsChanges.length}`;
+  const marker = { offeredAt: now(), at: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  weightsChanges.push(marker);
+  if (await change({ pools: { main: { weights } } })) marker.at = now();
+  else weightsChanges.splice(weightsChanges.indexOf(marker), 1);
+};
+
+const addManyLanes: ProcessFault = (run) => {
+  const count = run.countChange();
+  const lanes = Array.from({ length: laneCount }, (_, at) => [
+    `lane-${count}-${at}`,
+    { pool: 'main', repeat: 'freely' },
+  ]);
+  return run.change({ lanes: Object.fromEntries(lanes) });
+};
+
+const probeLayout: ProcessFault = async ({ change, checker, countChange, pick, random }) => {
+  const name = `probe-${countChange()}`;
+  const tier = Object.keys(sampleWorkload.tiers)[pick(tierCount)] as string;
+  const repeat = random() < 0.5 ? 'once' : 'freely';
+  const isAccepted = await change(checker.probeChange(name, tier, repeat));
+  for (let round = 0; round < probeRounds; round += 1) {
+    await sleep(propagationMs);
+    checker.probeEveryGateway(name, name, isAccepted, tier, repeat);
+  }
+};
+
+const startKeyTraffic = ({ checker, fleet, pick, random }: ProcessFaultRun, key: string, tenant: string): void => {
+  const stopAt = now() + keyTrafficMs;
+  const sendNext = (): void => {
+    if (now() >= stopAt) return;
+    const sample = sampleWorkload.request(random, checker.calls.length, 0);
+    checker.send({ ...sample, key, tenant, maxTokens: longAnswerTokens }, pick(fleet.gatewayHosts.length));
+    setTimeout(sendNext, keyRequestEveryMs);
+  };
+  sendNext();
+};
+
+const revokeKey: ProcessFault = async (run) => {
+  const { checker, pick } = run;
+  const tenant = sampleWorkload.tenantNames[pick(sampleWorkload.tenantNames.length)] as string;
+  const key = `held-key-${run.countChange()}`;
+  const grant = checker.grant(key, tenant);
+  const send = (path: string, body: unknown, changeId: string): Promise<void> =>
+    run.retryUntilAccepted((at) => run.call(at, 'POST', path, body, { 'change-id': changeId }));
+  await send('/platform/clients', { tenant, key }, `grant-${key}`);
+  startKeyTraffic(run, key, tenant);
+  await sleep(keyHeldMs);
+  await send('/platform/keys/revoke', { key }, `revoke-${key}`);
+  grant.to = now();
+  const open = checker.calls.filter((call) => call.request.key === key && call.outcome === 'open');
+  await sleep(propagationMs);
+  for (const call of open)
+    if (call.outcome === 'open' || call.outcome === 'whole')
+      run.violations.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.outcome}` });
+};
+
+/** Every fault by the name that the user gives in `--only`. */
+const processFaults = {
+  'counter killed': killGateway,
+  'counters killed in a herd': (run) =>
+    killAll(run, run.fleet.gatewayHosts, run.fleet.gatewayName, run.fleet.startCounter),
+  'counter frozen': (run, { gateway }) => pause(run, run.fleet.gatewayName(gateway), 6_000),
+  'control node killed': (run, { controlNode }) => run.restartControlNode(controlNode, false),
+  'control node wiped': (run, { controlNode }) => run.restartControlNode(controlNode, true),
+  'control nodes killed in a herd': (run) =>
+    killAll(run, run.fleet.controlNodeHosts, run.fleet.controlNodeName, run.fleet.startControlNode),
+  'control node frozen': (run, { controlNode }) => pause(run, run.fleet.controlNodeName(controlNode), 4_000),
+  'control node killed having confirmed': killAcknowledged,
+  'replica killed and replaced': killReplica,
+  'replica leaves and is replaced': drainReplica,
+  'replica silent': (run, { replica }) =>
+    throughProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.block('*'), 500),
+  'replica slow to reach': (run, { replica }) =>
+    throughProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.delay(100 + run.random() * 500), 500),
+  'control node link cut': (run, { controlNode }) =>
+    throughProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.block('*'), 500),
+  'control node link slow': (run, { controlNode }) =>
+    throughProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.delay(50 + run.random() * 350), 1_000),
+  'counter cut from two control nodes': partitionGateway,
+  'whole fleet rolled out': rollOutAll,
+  'new weights': changeWeights,
+  'many lanes': addManyLanes,
+  'layout probed': probeLayout,
+  'key revoked from held streams': revokeKey,
+} satisfies Record<string, ProcessFault>;
+
+/** See `processFaultKinds`. */
+export type ProcessFaultKind = keyof typeof processFaults;
+
+/** The names of all faults. */
+export const processFaultKinds = Object.keys(processFaults) as ProcessFaultKind[];
+
+/** Brings a fault about on random targets and undoes it. */
+export const injectProcessFault = async (run: ProcessFaultRun, kind: ProcessFaultKind): Promise<void> => {
+  const { fleet, pick } = run;
+  const targets = {
+    gateway: pick(fleet.gatewayHosts.length),
+    controlNode: pick(fleet.controlNodeHosts.length),
+    replica: `replica-${pick(fleet.replicaHosts.length) + 1}`,
+  };
+  await processFaults[kind](run, targets);
+};
+
+const permanentLosses = ['counter lost', 'front of a zone lost', 'control node lost', 'replica lost'] as const;
+
+const loseGateways = async ({ checker, fleet }: ProcessFaultRun, lost: readonly number[]): Promise<void> => {
+  await Promise.all(lost.map((at) => fleet.signal(fleet.gatewayName(at), 'SIGKILL')));
+  for (const at of lost) checker.lostGateways.add(at);
+};
+
+/** Loses a random part for good, and names it. */
+export const injectRandomLoss = async (run: ProcessFaultRun): Promise<string> => {
+  const { fleet, pick } = run;
+  const loss = permanentLosses[pick(permanentLosses.length)] as (typeof permanentLosses)[number];
+  const zone = pick(zoneCount);
+  if (loss === 'counter lost') await loseGateways(run, [pick(fleet.gatewayHosts.length)]);
+  else if (loss === 'front of a zone lost') {
+    const inZone = fleet.gatewayHosts.map((_, at) => at).filter((at) => at % zoneCount === zone);
+    await loseGateways(run, inZone);
+  } else if (loss === 'control node lost') await fleet.signal(fleet.controlNodeName(zone), 'SIGKILL');
+  else {
+    const name = `replica-${pick(fleet.replicaHosts.length) + 1}`;
+    await fleet.killReplica(name);
+    await run.retryUntilAccepted((at) => run.call(at, 'DELETE', `/platform/replicas/${name}`));
+  }
+  return loss;
+};
