--- /dev/null
+++ b/packages/test-fleet/src/commands/faultInjectionSummary.ts
@@ -0,0 +1,115 @@
+/** Sums fault-injection runs up and prints what a user reads. */
+import type { FaultInjectionReport } from '../faults/faultInjectionRun.js';
+import type { FaultSchedule } from '../faults/faultSchedule.js';
+import type { Violation } from '../invariants/violation.js';
+import { quantile } from '../workload/quantile.js';
+
+const violationsPrinted = 5;
+const kindWidth = 40;
+const tierWidth = 8;
+
+/** What a worker tells of one run; the report is null where the run itself failed. */
+export interface RunResult {
+  readonly schedule: FaultSchedule;
+  readonly report: FaultInjectionReport | null;
+  readonly injected: Record<string, number>;
+  /** The error that ended the run. */
+  readonly error: string;
+  /** The log, where a rule was broken or the run failed. */
+  readonly logLines: readonly string[];
+}
+
+type Counts = Record<string, number>;
+
+/** Calls of a tier answered whole and all of them, during faults and after. */
+interface TierTotals {
+  duringWhole: number;
+  duringAll: number;
+  afterWhole: number;
+  afterAll: number;
+}
+
+const count = (counts: Counts, name: string, by = 1): void => {
+  counts[name] = (counts[name] ?? 0) + by;
+};
+
+const print = (text: string): void => void process.stdout.write(`${text}\n`);
+
+/** Prints failing runs as they are added and the totals at the end. */
+export class FaultInjectionSummary {
+  private readonly seeds: readonly number[];
+  private readonly total: number;
+  private readonly injected: Counts = {};
+  private readonly rules: Counts = {};
+  private readonly losses: Counts = {};
+  private readonly recoveries = new Map<string, (number | null)[]>();
+  private readonly tiers = new Map<string, TierTotals>();
+  private failing = 0;
+  private calls = 0;
+
+  constructor(
+    schedules: readonly FaultSchedule[],
+    private readonly size: string,
+    private readonly isVerbose: boolean,
+  ) {
+    this.seeds = schedules.map(({ seed }) => seed);
+    this.total = schedules.length;
+  }
+
+  readonly add = (result: RunResult): void => {
+    for (const [kind, times] of Object.entries(result.injected)) count(this.injected, kind, times);
+    if (result.report === null) count(this.rules, 'the storm did not end');
+    else this.addReport(result.report);
+    if (result.report !== null && result.report.violations.length === 0) return;
+    this.failing += 1;
+    this.printFailure(result);
+  };
+
+  readonly hasFailures = (): boolean => this.failing > 0;
+
+  private readonly addReport = (report: FaultInjectionReport): void => {
+    this.calls += report.calls;
+    count(this.losses, report.permanentLoss);
+    for (const { rule } of report.violations) count(this.rules, rule);
+    for (const { kind, recoveryMs } of report.intervals)
+      this.recoveries.set(kind, [...(this.recoveries.get(kind) ?? []), recoveryMs]);
+    for (const { tier, during, after } of report.shares) {
+      const totals = this.tiers.get(tier) ?? { duringWhole: 0, duringAll: 0, afterWhole: 0, afterAll: 0 };
+      this.tiers.set(tier, {
+        duringWhole: totals.duringWhole + during[0],
+        duringAll: totals.duringAll + during[1],
+        afterWhole: totals.afterWhole + after[0],
+        afterAll: totals.afterAll + after[1],
+      });
+    }
+  };
+
+  private readonly printFailure = ({ schedule, report, injected, error, logLines }: RunResult): void => {
+    const what = report === null ? error : `${report.permanentLoss} ${JSON.stringify(report.metrics)}`;
+    print(`seed ${schedule.seed}: ${JSON.stringify(injected)} ${what}`);
+    const violations: readonly Violation[] = report?.violations ?? [];
+    for (const { rule, detail } of violations.slice(0, violationsPrinted)) print(`  ${rule}: ${detail}`);
+    if (this.isVerbose) print(logLines.join('\n'));
+  };
+
+  readonly print = (): void => {
+    const span = `${Math.min(...this.seeds)}..${Math.max(...this.seeds)}`;
+    print(`seeds ${span}, ${this.size}: ${this.total} storms, ${this.calls} calls, ${this.failing} failing`);
+    print(`brought: ${JSON.stringify(this.injected)}`);
+    print(`lost for good: ${JSON.stringify(this.losses)}`);
+    print(`rules: ${JSON.stringify(this.rules)}`);
+    for (const [kind, times] of [...this.recoveries].sort()) this.printRecovery(kind, times);
+    for (const [tier, { duringWhole, duringAll, afterWhole, afterAll }] of this.tiers)
+      print(
+        `  tier ${tier.padEnd(tierWidth)} whole during faults ${duringWhole} of ${duringAll}, after ${afterWhole} of ${afterAll}`,
+      );
+  };
+
+  private readonly printRecovery = (kind: string, all: readonly (number | null)[]): void => {
+    const times = all.filter((time) => time !== null).sort((a, b) => a - b);
+    const [p50, p95] = [quantile(times, 0.5), quantile(times, 0.95)].map(Math.round);
+    print(
+      `  ${kind.padEnd(kindWidth)} n=${all.length} back after p50=${p50} p95=${p95} max=${times.at(-1) ?? '-'} ms, not within 12 s: ${all.length - times.length}`,
+    );
+  };
+}
--- a/packages/test-fleet/src/commands/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -28,7 +28,7 @@
   --rate N                  requests a second (the firm's)
   --seed N                  seed of the load (1)
   --long SHARE              share of long prompts (0.06)
-  --profile NAME            a CPU profile of that node, such as counter-1, into the folder
+  --profile NAME            a CPU profile of that node, such as gateway-1, into the folder
   --index on|off            whether counters use the index of kept prompts (on)
 `);
   process.exit(0);
@@ -75,7 +75,7 @@
     longShare: Number(values.long),
   });
   process.stdout.write(
-    `${JSON.stringify(summaries.verdicts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nstand-ins: ${JSON.stringify(await fleet.replicaTotals())}\n`,
+    `${JSON.stringify(summaries.counts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nstand-ins: ${JSON.stringify(await fleet.replicaTotals())}\n`,
   );
   process.stdout.write(`${(await fleet.processMetrics()).join('\n')}\n`);
   if (values.profile !== undefined) await fleet.signal(values.profile, 'SIGTERM');
--- a/packages/test-fleet/src/faults/cacheFaults.ts
+++ b/packages/test-fleet/src/faults/cacheFaults.ts
@@ -1,5 +1,5 @@
 /** Faults of the cache events that replicas send, and of the store that keeps offloaded cache. */
-import type { ReplicaFaults } from '../replica/emulatedReplica.js';
+import type { ReplicaFaults } from '../replica/replicaRecords.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
 const store = 'store-1';
--- a/packages/test-fleet/src/faults/responseFaults.ts
+++ b/packages/test-fleet/src/faults/responseFaults.ts
@@ -1,5 +1,5 @@
 /** Faults in what replicas answer: error statuses, truncated streams, missing end markers, wrong weights. */
-import type { ReplicaFaults } from '../replica/emulatedReplica.js';
+import type { ReplicaFaults } from '../replica/replicaRecords.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
 const shortestMs = 500;
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -22,4 +22,4 @@
 export { FaultInjectionRun } from './faults/faultInjectionRun.js';
 export { faultKinds, permanentLossKinds, deploymentSizes } from './faults/faultSchedule.js';
 export type { FaultKind, PermanentLossKind, FaultSchedule } from './faults/faultSchedule.js';
-export type { Run } from './replica/emulatedReplica.js';
+export type { Run } from './replica/replicaRecords.js';
--- a/packages/test-fleet/src/invariants/observedFleet.ts
+++ b/packages/test-fleet/src/invariants/observedFleet.ts
@@ -1,6 +1,6 @@
 /** What callers, operators and replicas see of a fleet under test, simulated or of real processes. */
 import type { HttpClient } from '@martenworks/core-types';
-import type { Arrival, Breach, Run } from '../replica/emulatedReplica.js';
+import type { Arrival, Breach, Run } from '../replica/replicaRecords.js';
 import type { RequestKind } from '../workload/sampleDeployments.js';
 
 /** All that one incarnation of an emulated replica recorded. */
--- a/packages/test-fleet/src/invariants/responseIntegrity.ts
+++ b/packages/test-fleet/src/invariants/responseIntegrity.ts
@@ -1,6 +1,6 @@
 /** Response integrity: callers get exactly what one run produced, and rejections tell when to retry. */
-import { generatedText } from '../replica/emulatedReplica.js';
-import type { Run } from '../replica/emulatedReplica.js';
+import { generatedText } from '../replica/generatedText.js';
+import type { Run } from '../replica/replicaRecords.js';
 import type { Call } from '../workload/callSender.js';
 import { labelOf } from './observations.js';
 import type { Evidence } from './observations.js';
--- a/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
+++ b/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
@@ -3,7 +3,7 @@
 import type { Clock, WebHandler } from '@martenworks/core-types';
 import { realHttpServer } from '@martenworks/cli';
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
-import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
+import type { EmulatedReplicaSettings } from '../replica/replicaRecords.js';
 
 export interface EmulatedReplicaSpec {
   readonly settings: EmulatedReplicaSettings;
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -10,7 +10,7 @@
 import type { SampleDeployment } from '../workload/sampleDeployments.js';
 import { FaultProxy } from './faultProxy.js';
 import type { ReplicaIncarnation } from '../invariants/observedFleet.js';
-import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
+import type { EmulatedReplicaSettings } from '../replica/replicaRecords.js';
 import type { EmulatedReplicaSpec } from './emulatedReplicasProcess.js';
 import { addresses } from '@martenworks/core-types';
 
@@ -56,6 +56,12 @@
       this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.directOf(name)));
   }
 
+  /** The name of a gateway's process, node and log. */
+  readonly gatewayName = (at: number): string => `gateway-${at + 1}`;
+
+  /** The name of a control node's process, node, log and data folder. */
+  readonly controlNodeName = (at: number): string => `control-${at + 1}`;
+
   readonly replicaNames = (): string[] => [...this.replicaHosts.map((_, at) => `replica-${at + 1}`), 'app-1'];
   readonly directOf = (name: string): string =>
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
@@ -96,7 +102,7 @@
   ];
 
   readonly startControlNode = (at: number): ChildProcess => {
-    const name = `postmaster-${at + 1}`;
+    const name = this.controlNodeName(at);
     return this.start(name, [
       'gateway-control',
       ...this.commonFlags(name, this.controlNodeHosts[at] as string, at, this.peerAddressOf(at)),
@@ -106,7 +112,7 @@
   };
 
   readonly startCounter = (at: number): ChildProcess => {
-    const name = `counter-${at + 1}`;
+    const name = this.gatewayName(at);
     return this.start(name, [
       'gateway',
       ...this.commonFlags(name, this.gatewayHosts[at] as string, at, `${this.gatewayHosts[at]}:7100`),
@@ -240,7 +246,7 @@
     );
 
   readonly wipeControlNode = (at: number): void =>
-    rmSync(join(this.folder, `postmaster-${at + 1}`), { recursive: true, force: true });
+    rmSync(join(this.folder, this.controlNodeName(at)), { recursive: true, force: true });
 
   private readonly registerReplicas = async (): Promise<void> => {
     const replicas = this.replicaNames().map(this.announcement);
--- /dev/null
+++ b/packages/test-fleet/src/replica/cacheEventLog.ts
@@ -0,0 +1,75 @@
+/** The events by which an emulated replica tells what cache it keeps, as a stream of server-sent events. */
+import type { Clock } from '@martenworks/core-types';
+import type { ReplicaFaults } from './replicaRecords.js';
+
+const eventLimit = 50_000;
+const encoder = new TextEncoder();
+
+/** One change of the cache; `tenant` null: shared by all tenants that are not isolated. */
+interface CacheEvent {
+  readonly incarnation: number;
+  readonly seq: number;
+  readonly kind: 'stored' | 'removed' | 'cleared';
+  readonly tenant: string | null;
+  readonly blocks: readonly string[];
+}
+
+const frameOf = (event: object): Uint8Array => encoder.encode(`data: ${JSON.stringify(event)}\n\n`);
+
+/** Events are numbered from 1 within an incarnation. */
+export class CacheEventLog {
+  private readonly events: CacheEvent[] = [];
+  private readonly listeners = new Set<(event: CacheEvent) => void>();
+  private seq = 0;
+
+  constructor(
+    private readonly incarnation: number,
+    private readonly faults: ReplicaFaults,
+    private readonly clock: Clock,
+  ) {}
+
+  /** The number of the last event. */
+  readonly lastSeq = (): number => this.seq;
+
+  readonly publish = (kind: CacheEvent['kind'], tenant: string | null, blocks: readonly string[]): void => {
+    if (this.faults.hidesEvents) return;
+    const event: CacheEvent = { incarnation: this.incarnation, seq: ++this.seq, kind, tenant, blocks };
+    this.events.push(event);
+    if (this.events.length > eventLimit) this.events.shift();
+    if (this.faults.dropsEvents) return;
+    for (const listener of this.listeners) {
+      if (this.faults.eventDelayMs === 0) listener(event);
+      else this.clock.after(this.faults.eventDelayMs, () => listener(event));
+    }
+  };
+
+  /** The events behind that number and all that follow, until the signal or the reader ends the stream. */
+  readonly stream = (after: number, signal: AbortSignal): Response => {
+    let listener: ((event: CacheEvent) => void) | null = null;
+    const leave = (): void => {
+      if (listener !== null) this.listeners.delete(listener);
+    };
+    const body = new ReadableStream<Uint8Array>({
+      start: (controller) => {
+        listener = this.listenerFor(controller, leave);
+        controller.enqueue(frameOf({ incarnation: this.incarnation, seq: this.seq, kind: 'hello' }));
+        for (const event of this.events) if (event.seq > after) listener(event);
+        this.listeners.add(listener);
+        signal.addEventListener('abort', leave, { once: true });
+      },
+      cancel: leave,
+    });
+    return new Response(body, { headers: { 'content-type': 'text/event-stream' } });
+  };
+
+  /** A stream whose reader is gone takes no more. */
+  private readonly listenerFor =
+    (controller: ReadableStreamDefaultController<Uint8Array>, leave: () => void) =>
+    (event: CacheEvent): void => {
+      try {
+        controller.enqueue(frameOf(event));
+      } catch {
+        leave();
+      }
+    };
+}
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -7,7 +7,7 @@
 import { gatewaySettings } from '@martenworks/settings';
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
-import type { EmulatedReplicaSettings } from '../replica/emulatedReplica.js';
+import type { EmulatedReplicaSettings } from '../replica/replicaRecords.js';
 import type { ReplicaIncarnation, ObservedFleet } from '../invariants/observedFleet.js';
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simMachine.js';
--- a/packages/test-fleet/src/workload/loadGenerator.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -1,17 +1,34 @@
+/** Drives a fleet of real processes with open-loop traffic, and checks the text of every response. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Agent, request } from 'undici';
+import type { Dispatcher } from 'undici';
+import { generatedText } from '../replica/generatedText.js';
 import { CompletionStream, completionBodies } from './completionResponse.js';
+import { quantile } from './quantile.js';
 import { sampleWorkload, seeded } from './sampleDeployments.js';
 import type { SampleRequest } from './sampleDeployments.js';
-import { generatedText } from '../replica/emulatedReplica.js';
 
+const connectionsAHost = 64;
+const msPerSecond = 1_000;
+const leastWaitMs = 1;
+const requestsASeed = 1_000_000;
+const appWeights = 'app-1';
+const groupWidth = 18;
+
+/** How a request ended: `cut` before its end, `wrong` with a text that no run gave, `broken` without a response. */
+type Ending = 'whole' | 'denied' | 'cut' | 'wrong' | 'broken';
+
+/** One request and how it ended. Times are milliseconds of the local monotonic clock. */
 export interface Outcome {
   readonly kind: SampleRequest['kind'];
   readonly tier: string;
+  /** The HTTP status; 0 without a response. */
   readonly status: number;
+  /** The error code of a rejection or of the network; empty without one. */
   readonly code: string;
   readonly ran: string;
-  readonly outcome: 'whole' | 'denied' | 'cut' | 'wrong' | 'broken';
+  readonly outcome: Ending;
+  /** Time to the first token; 0 without one. */
   readonly firstMs: number;
   readonly totalMs: number;
   readonly requestId: string;
@@ -19,117 +36,140 @@
   readonly runId: string;
 }
 
+/** What is sent, where and how often. */
 export interface LoadPlan {
   readonly hosts: readonly string[];
   readonly ratePerSecond: number;
   readonly seconds: number;
   readonly seed: number;
+  /** The weights that replicas may answer with. */
   readonly weights: () => readonly string[];
+  /** The share of requests with long prompts. */
   readonly longShare?: number;
 }
 
-const sendOne = async (
+type Result = Pick<Outcome, 'status' | 'outcome'> & Partial<Pick<Outcome, 'code' | 'ran' | 'firstMs' | 'runId'>>;
+
+const codeOf = (cause: unknown): string => (cause instanceof Error && 'code' in cause ? String(cause.code) : 'UNKNOWN');
+
+const post = (agent: Agent, host: string, sample: SampleRequest, requestId: string): Promise<Dispatcher.ResponseData> =>
+  request(`http://${host}:7101/v1/completions`, {
+    dispatcher: agent,
+    method: 'POST',
+    headers: { 'content-type': 'application/json', authorization: `Bearer ${sample.key}`, 'x-request-id': requestId },
+    body: JSON.stringify({ model: sample.kind, prompt: sample.prompt, max_tokens: sample.maxTokens, stream: true }),
+  });
+
+const readStream = async (
+  body: AsyncIterable<Uint8Array>,
+  sample: SampleRequest,
+  weights: readonly string[],
+  sentAt: number,
+): Promise<Result> => {
+  let firstMs = 0;
+  const stream = new CompletionStream(() => {
+    if (firstMs === 0) firstMs = performance.now() - sentAt;
+  });
+  let isBroken = false;
+  try {
+    for await (const bytes of body) stream.feed(bytes);
+  } catch {
+    isBroken = true;
+  }
+  const { runId, text, isEnded, error } = stream;
+  if (isBroken || !isEnded) return { status: 200, outcome: 'cut', code: 'cut', ran: 'unknown', firstMs, runId };
+  if (error !== null) return { status: 200, outcome: 'wrong', code: 'cut', ran: 'unknown', firstMs, runId };
+  const isRight = [...weights, appWeights].some(
+    (name) => generatedText.whole(sample.prompt, name, runId, sample.maxTokens) === text,
+  );
+  return { status: 200, outcome: isRight ? 'whole' : 'wrong', firstMs, runId };
+};
+
+const send = async (
   agent: Agent,
   host: string,
   sample: SampleRequest,
   requestId: string,
-  weights: () => readonly string[],
+  plan: LoadPlan,
 ): Promise<Outcome> => {
-  const begin = performance.now();
-  let runId = '';
-  const done = (status: number, outcome: Outcome['outcome'], code = '', ran = '', firstMs = 0): Outcome => ({
-    kind: sample.kind,
-    tier: sample.tier,
-    status,
-    code,
-    ran,
-    outcome,
-    firstMs,
-    totalMs: performance.now() - begin,
-    requestId,
-    sentAt: begin,
-    runId,
-  });
-  try {
-    const response = await request(`http://${host}:7101/v1/completions`, {
-      dispatcher: agent,
-      method: 'POST',
-      headers: { 'content-type': 'application/json', authorization: `Bearer ${sample.key}`, 'x-request-id': requestId },
-      body: JSON.stringify({ model: sample.kind, prompt: sample.prompt, max_tokens: sample.maxTokens, stream: true }),
-    });
-    if (response.statusCode !== 200) {
-      const error = completionBodies.error(await response.body.text());
-      return done(response.statusCode, 'denied', error.type, error.ran);
-    }
-    let firstMs = 0;
-    const stream = new CompletionStream(() => {
-      if (firstMs === 0) firstMs = performance.now() - begin;
-      runId = stream.runId;
-    });
-    try {
-      for await (const bytes of response.body) stream.feed(bytes as Uint8Array);
-    } catch {
-      return done(200, 'cut', 'cut', 'unknown', firstMs);
-    }
-    if (!stream.isEnded || stream.error !== null)
-      return done(200, stream.isEnded ? 'wrong' : 'cut', 'cut', 'unknown', firstMs);
-    const isRight = [...weights(), 'app-1'].some(
-      (name) => generatedText.whole(sample.prompt, name, stream.runId, sample.maxTokens) === stream.text,
-    );
-    return done(200, isRight ? 'whole' : 'wrong', '', '', firstMs);
-  } catch (cause) {
-    return done(0, 'broken', (cause as { code?: string }).code ?? 'UNKNOWN');
-  }
+  const sentAt = performance.now();
+  const resultOf = async (): Promise<Result> => {
+    const { statusCode, body } = await post(agent, host, sample, requestId);
+    if (statusCode === 200) return readStream(body, sample, plan.weights(), sentAt);
+    const { type, ran } = completionBodies.error(await body.text());
+    return { status: statusCode, outcome: 'denied', code: type, ran };
+  };
+  const result = await resultOf().catch(
+    (cause: unknown): Result => ({ status: 0, outcome: 'broken', code: codeOf(cause) }),
+  );
+  const { kind, tier } = sample;
+  const totalMs = performance.now() - sentAt;
+  return { code: '', ran: '', firstMs: 0, runId: '', ...result, kind, tier, totalMs, requestId, sentAt };
 };
 
+/** Sends at Poisson times whatever the fleet does, and resolves once every request has ended. */
 export const generateLoad = async (plan: LoadPlan): Promise<Outcome[]> => {
-  const agent = new Agent({ connections: 64, pipelining: 1 });
+  const agent = new Agent({ connections: connectionsAHost, pipelining: 1 });
   const random = seeded(plan.seed);
   const count = Math.floor(plan.ratePerSecond * plan.seconds);
-  const begin = performance.now();
+  const beganAt = performance.now();
   const pending: Promise<Outcome>[] = [];
   let dueMs = 0;
   for (let at = 0; at < count; at += 1) {
-    dueMs += (-Math.log(1 - random()) * 1000) / plan.ratePerSecond;
-    const sample = sampleWorkload.request(random, plan.seed * 1_000_000 + at, plan.longShare);
+    dueMs += (-Math.log(1 - random()) * msPerSecond) / plan.ratePerSecond;
+    const sample = sampleWorkload.request(random, plan.seed * requestsASeed + at, plan.longShare);
     const host = plan.hosts[Math.floor(random() * plan.hosts.length)] as string;
-    const waitMs = dueMs - (performance.now() - begin);
-    if (waitMs > 1) await sleep(waitMs);
-    pending.push(sendOne(agent, host, sample, `load-${plan.seed}-${at}`, plan.weights));
+    const waitMs = dueMs - (performance.now() - beganAt);
+    if (waitMs > leastWaitMs) await sleep(waitMs);
+    pending.push(send(agent, host, sample, `load-${plan.seed}-${at}`, plan));
   }
   const outcomes = await Promise.all(pending);
   await agent.close();
   return outcomes;
 };
 
-const quantile = (sorted: readonly number[], share: number): number =>
-  Math.round((sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0) * 10) / 10;
-
-export const summaries = {
-  lines: (outcomes: readonly Outcome[]): string[] => {
-    const groups = new Map<string, Outcome[]>();
-    for (const outcome of outcomes) {
-      const key = `${outcome.kind}/${outcome.tier}`;
-      groups.set(key, [...(groups.get(key) ?? []), outcome]);
-    }
-    return [...groups]
-      .sort(([a], [b]) => (a < b ? -1 : 1))
-      .map(([key, some]) => {
-        const whole = some.filter((outcome) => outcome.outcome === 'whole');
-        const first = whole.map((outcome) => outcome.firstMs).sort((a, b) => a - b);
-        const total = whole.map((outcome) => outcome.totalMs).sort((a, b) => a - b);
-        return `${key.padEnd(18)} n=${some.length} whole=${whole.length} first p50=${quantile(first, 0.5)} p95=${quantile(first, 0.95)} p99=${quantile(first, 0.99)} total p50=${quantile(total, 0.5)} p99=${quantile(total, 0.99)}`;
-      });
-  },
-  verdicts: (outcomes: readonly Outcome[]): Record<string, number> => {
-    const counts: Record<string, number> = {};
-    for (const outcome of outcomes) {
-      const key =
-        outcome.outcome === 'denied'
-          ? `denied ${outcome.status} ${outcome.code} ran=${outcome.ran}`
-          : `${outcome.outcome}${outcome.code === '' ? '' : ` ${outcome.code}`}`;
-      counts[key] = (counts[key] ?? 0) + 1;
-    }
-    return counts;
-  },
+const oneDecimal = (value: number): number => Math.round(value * 10) / 10;
+
+const quantiles = (times: readonly number[], shares: readonly number[]): string => {
+  const sorted = [...times].sort((a, b) => a - b);
+  return shares.map((share) => `p${share * 100}=${oneDecimal(quantile(sorted, share))}`).join(' ');
+};
+
+const line = (group: string, outcomes: readonly Outcome[]): string => {
+  const whole = outcomes.filter(({ outcome }) => outcome === 'whole');
+  const first = quantiles(
+    whole.map(({ firstMs }) => firstMs),
+    [0.5, 0.95, 0.99],
+  );
+  const total = quantiles(
+    whole.map(({ totalMs }) => totalMs),
+    [0.5, 0.99],
+  );
+  return `${group.padEnd(groupWidth)} n=${outcomes.length} whole=${whole.length} first ${first} total ${total}`;
+};
+
+const lines = (outcomes: readonly Outcome[]): string[] => {
+  const groups = new Map<string, Outcome[]>();
+  for (const outcome of outcomes) {
+    const group = `${outcome.kind}/${outcome.tier}`;
+    groups.set(group, [...(groups.get(group) ?? []), outcome]);
+  }
+  return [...groups].sort(([a], [b]) => (a < b ? -1 : 1)).map(([group, some]) => line(group, some));
 };
+
+const endingOf = ({ outcome, status, code, ran }: Outcome): string => {
+  if (outcome === 'denied') return `denied ${status} ${code} ran=${ran}`;
+  return code === '' ? outcome : `${outcome} ${code}`;
+};
+
+const counts = (outcomes: readonly Outcome[]): Record<string, number> => {
+  const totals: Record<string, number> = {};
+  for (const outcome of outcomes) {
+    const ending = endingOf(outcome);
+    totals[ending] = (totals[ending] ?? 0) + 1;
+  }
+  return totals;
+};
+
+/** `lines` gives latencies by kind and tier in milliseconds, `counts` how many requests ended in which way. */
+export const summaries = { lines, counts };
