--- a/packages/control-plane/src/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -1,9 +1,9 @@
 import { Hono } from 'hono';
 import type { Context } from 'hono';
-import { drawPlan, planIds } from './plan.js';
-import type { GatewayConfigEdit } from './plan.js';
-import type { GatewayControlNode } from './gatewayControlNode.js';
-import type { Applied, ProposeFault } from './proposer.js';
+import { drawPlan, planIds } from '../configuration/plan.js';
+import type { GatewayConfigEdit } from '../configuration/plan.js';
+import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
+import type { Applied, ProposeFault } from '../consensus/proposer.js';
 import type { Result } from 'neverthrow';
 
 export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposeFault>): Response => {
--- a/packages/control-plane/src/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -5,7 +5,7 @@
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
 import { gatewayConfigs } from '@martenworks/settings';
 import { bodyOf, changeIdOf, replyTo } from './operatorApi.js';
-import type { GatewayControlNode } from './gatewayControlNode.js';
+import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 
 const label = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
 const address = type(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/);
--- a/packages/control-plane/src/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -5,7 +5,7 @@
 import { gatewayConfigs } from '@martenworks/settings';
 import { editConfig } from './plan.js';
 import type { GatewayConfigEdit } from './plan.js';
-import type { Proposer, Applied, ProposeFault } from './proposer.js';
+import type { Proposer, Applied, ProposeFault } from '../consensus/proposer.js';
 
 const timeoutMs = 3_000;
 
--- a/packages/control-plane/src/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -4,7 +4,7 @@
 import type { CommittedState, Change, ChangeBody, ConfigurationChange, ActiveRouting } from '@martenworks/core-types';
 import { routingTables } from '@martenworks/route-table';
 import type { RoutingTableError } from '@martenworks/route-table';
-import type { Applied, ProposeFault, Proposer } from './proposer.js';
+import type { Applied, ProposeFault, Proposer } from '../consensus/proposer.js';
 
 const timeoutMs = 700;
 const bytesPerExtraMs = 4_000;
--- a/packages/control-plane/src/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -1,7 +1,7 @@
 import type { Clock, KvCacheEvent, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
-import type { Acceptor, CommittedChange } from './acceptor.js';
+import type { Acceptor, CommittedChange } from '../consensus/acceptor.js';
 
 const reportAgeMs = 2_000;
 const silentMs = 6_000;
--- a/packages/control-plane/src/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -9,7 +9,7 @@
   Subscription,
 } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { Acceptor } from './acceptor.js';
+import type { Acceptor } from '../consensus/acceptor.js';
 import { RoutingTableHistory } from './routingTableHistory.js';
 
 const silentMs = 4_000;
--- a/packages/control-plane/src/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -2,7 +2,7 @@
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
 import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
 import type { Accepted, Ballot, CompressedCommit, Vote } from './acceptor.js';
-import type { MemberStatus, FoundingVoteReply } from './foundingMessages.js';
+import type { MemberStatus, FoundingVoteReply } from '../membership/foundingMessages.js';
 import type { Position } from './quorumCall.js';
 
 type Shape = Record<string, unknown>;
--- a/packages/control-plane/src/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -13,8 +13,8 @@
 } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
-import { earlierRecords } from './earlierRecords.js';
-import { claimLogOptions, logPrefixes } from './memberLogs.js';
+import { earlierRecords } from '../consensus/earlierRecords.js';
+import { claimLogOptions, logPrefixes } from '../consensus/memberLogs.js';
 
 const pageSize = 4_000;
 const empty: ClaimState = { turn: 0, promised: null, accepted: null };
--- a/packages/control-plane/src/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -4,8 +4,8 @@
 import type { ClaimPage, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { ClaimTable } from './claims.js';
-import type { Acceptor } from './acceptor.js';
-import { majorityOf } from './quorumCall.js';
+import type { Acceptor } from '../consensus/acceptor.js';
+import { majorityOf } from '../consensus/quorumCall.js';
 import type { ReplicaTable } from './replicaTable.js';
 
 export type ReplicaFault = { readonly kind: 'disk' } | { readonly kind: 'unknown' };
--- a/packages/control-plane/src/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -4,7 +4,7 @@
 import type { Disk, Log, ReplicaRecord } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
-import { logPrefixes } from './memberLogs.js';
+import { logPrefixes } from '../consensus/memberLogs.js';
 
 const segmentsBeforeSnapshot = 4;
 
--- a/packages/control-plane/src/founding.ts
+++ b/packages/control-plane/src/membership/founding.ts
@@ -2,8 +2,8 @@
 import type { Log, Member } from '@martenworks/core-types';
 import type { PeerConnection, Hello } from '@martenworks/peer-transport';
 import type { PeerPool } from '@martenworks/cluster-membership';
-import type { Acceptor } from './acceptor.js';
-import { consensusMessages } from './consensusMessages.js';
+import type { Acceptor } from '../consensus/acceptor.js';
+import { consensusMessages } from '../consensus/consensusMessages.js';
 import type { MemberStatus } from './foundingMessages.js';
 
 const usualCoreSize = 3;
--- a/packages/control-plane/src/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -5,11 +5,11 @@
 import { stateMachine, digests, pause } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PeerPool } from '@martenworks/cluster-membership';
-import type { Acceptor } from './acceptor.js';
-import { consensusMessages } from './consensusMessages.js';
+import type { Acceptor } from '../consensus/acceptor.js';
+import { consensusMessages } from '../consensus/consensusMessages.js';
 import type { MemberStatus } from './foundingMessages.js';
-import type { ProposeFault, Proposer } from './proposer.js';
-import { majorityOf } from './quorumCall.js';
+import type { ProposeFault, Proposer } from '../consensus/proposer.js';
+import { majorityOf } from '../consensus/quorumCall.js';
 
 const usualStrangerWaitMs = 12_000;
 const timeoutMs = 1_000;
