--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -1,13 +1,13 @@
 import type { RequestMetadata, Customer, Ports, HeaderCodec } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
-import type { Call } from './call.js';
-import type { ControlConnection } from './controlConnection.js';
-import type { RetryBudget } from './retryBudget.js';
-import type { ReplicaTracker } from './replicaTracker.js';
-import type { PrefixCacheIndex } from './prefixCacheIndex.js';
-import type { AnswerTiming } from './staleEntryDetector.js';
+import type { Call } from './ingress/call.js';
+import type { ControlConnection } from './control/controlConnection.js';
+import type { RetryBudget } from './forwarding/retryBudget.js';
+import type { ReplicaTracker } from './routing/replicaTracker.js';
+import type { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
+import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
 import type { MetricCounters } from './metricCounters.js';
-import type { Placement, PlacementQuery } from './replicaSelector.js';
+import type { Placement, PlacementQuery } from './routing/replicaSelector.js';
 
 /** A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it is hashed once). */
 export interface Admission {
--- a/packages/edge-proxy/src/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/answerRelay.ts
@@ -1,5 +1,5 @@
-import { headerLists } from './call.js';
-import type { Call, Reply } from './call.js';
+import { headerLists } from '../ingress/call.js';
+import type { Call, Reply } from '../ingress/call.js';
 import { EventCutter } from './events.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
 
--- a/packages/edge-proxy/src/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,12 +1,12 @@
 import { background } from '@martenworks/core-types';
 import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
-import { headerLists } from './call.js';
-import type { Admission, EdgeContext } from './edgeContext.js';
-import { PromptTiming, placementNames } from './promptTiming.js';
+import { headerLists } from '../ingress/call.js';
+import type { Admission, EdgeContext } from '../edgeContext.js';
+import { PromptTiming, placementNames } from '../prefixcache/promptTiming.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
-import type { Placement } from './replicaSelector.js';
+import type { Placement } from '../routing/replicaSelector.js';
 
 const fullRestMs = 150;
 const largestDrainedBytes = 65_536;
--- a/packages/edge-proxy/src/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -1,10 +1,10 @@
 import { AnswerRelay } from './answerRelay.js';
 import { Attempt } from './attempt.js';
 import type { RequestProgress } from './attempt.js';
-import type { Admission, EdgeContext } from './edgeContext.js';
+import type { Admission, EdgeContext } from '../edgeContext.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { StopCause } from './retryPolicy.js';
-import type { Placement } from './replicaSelector.js';
+import type { Placement } from '../routing/replicaSelector.js';
 
 const waitShare = 0.2;
 const waitStepMs = 15;
--- a/packages/edge-proxy/src/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -1,8 +1,8 @@
 import type { PrefillNotice } from '@martenworks/core-types';
-import type { Admission, EdgeContext } from './edgeContext.js';
-import { heavyTokens } from './replicaTracker.js';
+import type { Admission, EdgeContext } from '../edgeContext.js';
+import { heavyTokens } from '../routing/replicaTracker.js';
 import type { ExpectedHit } from './staleEntryDetector.js';
-import type { Placement } from './replicaSelector.js';
+import type { Placement } from '../routing/replicaSelector.js';
 
 export const placementNames = {
   /** The gateway that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
--- a/packages/edge-proxy/src/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -3,8 +3,8 @@
 import { salts } from '@martenworks/route-table';
 import type { RoutingTableView } from '@martenworks/route-table';
 import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
-import type { PrefixCacheIndex } from './prefixCacheIndex.js';
-import type { ExpectedHit } from './staleEntryDetector.js';
+import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
+import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
 
 const trackedTokens = 256;
 const runCostMs = 4;
