--- a/packages/gateway/src/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -5,8 +5,8 @@
 import type { Rejection } from '@martenworks/core-types';
 import { backWire } from '@martenworks/upstream';
 import type { CompletionPath, Piece } from '@martenworks/upstream';
-import type { Gateway } from './gateway.js';
-import type { StreamResponse } from './gatewayRequest.js';
+import type { Gateway } from '../gateway.js';
+import type { StreamResponse } from '../gatewayRequest.js';
 
 const wholeLimit = 8 * 1024 * 1024;
 const flushMs = 25;
--- a/packages/gateway/src/operatorPages.ts
+++ b/packages/gateway/src/api/operatorPages.ts
@@ -1,6 +1,6 @@
 import { Hono } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
-import type { Gateway } from './gateway.js';
+import type { Gateway } from '../gateway.js';
 
 export const operatorPages = (gateway: Gateway, vitals: () => string[] = () => []): Hono => {
   const app = new Hono();
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -21,14 +21,14 @@
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { PeerPool, MemberList, FailureDetector } from '@martenworks/cluster-membership';
 import type { MemberEntry } from '@martenworks/cluster-membership';
-import { StateView } from './stateView.js';
-import { Claims } from './claims.js';
-import { Freshness } from './freshness.js';
+import { StateView } from './state/stateView.js';
+import { Claims } from './claims/claims.js';
+import { Freshness } from './state/freshness.js';
 import { GatewayRequest } from './gatewayRequest.js';
 import type { Order, GatewayResponse } from './gatewayRequest.js';
-import { Stages } from './stages.js';
+import { Stages } from './pipeline/stages.js';
 import { MetricCounters } from './metricCounters.js';
-import { ReplicaTracker } from './replicaTracker.js';
+import { ReplicaTracker } from './replicas/replicaTracker.js';
 
 const pingMs = 250;
 const pingTimeoutMs = 2_000;
--- a/packages/gateway/src/gatewayRequest.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -1,7 +1,7 @@
 import type { Rejection } from '@martenworks/core-types';
 import type { CompletionPath, Piece } from '@martenworks/upstream';
-import type { Claim } from './claims.js';
-import type { LaneView, TenantView } from './gatewayConfigView.js';
+import type { Claim } from './claims/claims.js';
+import type { LaneView, TenantView } from './state/gatewayConfigView.js';
 
 export interface Order {
   readonly requestId: string;
--- a/packages/gateway/src/admissionStage.ts
+++ b/packages/gateway/src/pipeline/admissionStage.ts
@@ -1,8 +1,8 @@
 import { keys } from '@martenworks/core-types';
 import type { StageContext } from './stageContext.js';
 import type { Rejector } from './rejector.js';
-import type { GatewayRequest } from './gatewayRequest.js';
-import { grants } from './grants.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
+import { grants } from '../state/grants.js';
 
 export class AdmissionStage {
   isDraining = false;
--- a/packages/gateway/src/lookupStage.ts
+++ b/packages/gateway/src/pipeline/lookupStage.ts
@@ -2,10 +2,10 @@
 import { backWire } from '@martenworks/upstream';
 import type { Piece } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
-import { RateShare } from './budget.js';
-import type { StoredResponseState } from './claims.js';
+import { RateShare } from '../limits/retryBudget.js';
+import type { StoredResponseState } from '../claims/claims.js';
 import type { Rejector } from './rejector.js';
-import type { GatewayRequest } from './gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
 
 const longestDeadlineMs = 600_000;
 
--- a/packages/gateway/src/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -4,10 +4,10 @@
 import type { Placement, PlaceQuestion } from '@martenworks/prefix-index';
 import type { StageContext } from './stageContext.js';
 import type { Rejector } from './rejector.js';
-import { GatewayRequest, scopes } from './gatewayRequest.js';
-import { Tray } from './pipe.js';
-import { grants } from './grants.js';
-import { TransferTracker } from './replicaTracker.js';
+import { GatewayRequest, scopes } from '../gatewayRequest.js';
+import { Tray } from './boundedQueue.js';
+import { grants } from '../state/grants.js';
+import { TransferTracker } from '../replicas/replicaTracker.js';
 
 const forecastSafety = 0.5;
 const urgentHeadroom = 0.5;
--- a/packages/gateway/src/rejector.ts
+++ b/packages/gateway/src/pipeline/rejector.ts
@@ -1,7 +1,7 @@
 import { rejections } from '@martenworks/core-types';
 import type { Rejection, RejectionCode } from '@martenworks/core-types';
 import type { StageContext } from './stageContext.js';
-import type { GatewayRequest } from './gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
 
 const largestRetryAfterSeconds = 30;
 
--- a/packages/gateway/src/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,7 +1,7 @@
 import { background, pause } from '@martenworks/core-types';
 import type { Piece } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
-import type { GatewayRequest } from './gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
 
 export class RelayStage {
   constructor(private readonly context: StageContext) {}
--- a/packages/gateway/src/stageContext.ts
+++ b/packages/gateway/src/pipeline/stageContext.ts
@@ -1,10 +1,10 @@
 import type { Ports } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
-import type { StateView } from './stateView.js';
-import type { Claims } from './claims.js';
-import type { Freshness } from './freshness.js';
-import type { MetricCounters } from './metricCounters.js';
-import type { ReplicaTracker } from './replicaTracker.js';
+import type { StateView } from '../state/stateView.js';
+import type { Claims } from '../claims/claims.js';
+import type { Freshness } from '../state/freshness.js';
+import type { MetricCounters } from '../metricCounters.js';
+import type { ReplicaTracker } from '../replicas/replicaTracker.js';
 
 export interface StageContext {
   readonly settings: GatewaySettings;
--- a/packages/gateway/src/stages.ts
+++ b/packages/gateway/src/pipeline/stages.ts
@@ -3,12 +3,12 @@
 import type { StageContext } from './stageContext.js';
 import { Rejector } from './rejector.js';
 import { LookupStage } from './lookupStage.js';
-import type { GatewayRequest } from './gatewayRequest.js';
-import { Stage } from './pipe.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
+import { Stage } from './boundedQueue.js';
 import { PlacementStage } from './placementStage.js';
 import { RelayStage } from './relayStage.js';
 import { SendStage } from './sendStage.js';
-import { grants } from './grants.js';
+import { grants } from '../state/grants.js';
 
 export class Stages {
   readonly live = new Set<GatewayRequest>();
--- a/packages/gateway/src/grants.ts
+++ b/packages/gateway/src/state/grants.ts
@@ -2,7 +2,7 @@
 import type { Result } from 'neverthrow';
 import type { RejectionCode } from '@martenworks/core-types';
 import type { LaneView, GatewayConfigView, TenantView } from './gatewayConfigView.js';
-import type { GatewayRequest } from './gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
 
 export interface Grant {
   readonly lane: LaneView;
