--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -1,11 +1,7 @@
 import type { Result } from 'neverthrow';
+import type { BackendError } from './errors.js';
 import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
 
-export interface BackendError {
-  readonly kind: 'backend';
-  readonly code: string;
-}
-
 interface WeightsOrder {
   readonly model: string;
   readonly version: number;
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -1,4 +1,4 @@
-import type { Member } from './stateMachine.js';
+import type { Member } from './committedState.js';
 import type { Customer, PrefixCacheEvent, ReplicaEndpoint, Route, RoutingTable } from './routing.js';
 
 /** Entries put, by name, and names taken away. */
--- /dev/null
+++ b/packages/core-types/src/errors.ts
@@ -0,0 +1,55 @@
+/** The errors of this package. Each has a `kind` that tells its type, and a `code` that stays the same between releases. */
+
+/** A disk call that failed. `code` is that of the operating system (`ENOSPC`, `EIO`), or `NODATA` on a node without a data folder. */
+export interface DiskError {
+  readonly kind: 'disk';
+  readonly code: string;
+  readonly detail: string;
+}
+
+/** A connection or request that failed. `isUnsent` tells that no byte of it reached the network, so that it may be repeated. `code` is that of the operating system or of the HTTP client. */
+export interface NetworkError {
+  readonly kind: 'net';
+  readonly code: string;
+  readonly isUnsent: boolean;
+}
+
+/** A call to the platform or to a replica's management endpoints that failed. */
+export interface BackendError {
+  readonly kind: 'backend';
+  readonly code: string;
+}
+
+/** Whether a rejected request may have run on a replica. */
+export type Ran = 'no' | 'unknown';
+
+export type RejectionCode =
+  | 'bad_request'
+  | 'unknown_key'
+  | 'lane_not_granted'
+  | 'unknown_lane'
+  | 'too_large'
+  | 'over_share'
+  | 'no_capacity'
+  | 'not_fresh'
+  | 'draining'
+  | 'key_revoked'
+  | 'horizon_passed'
+  | 'replica_failed'
+  | 'cut_stream'
+  | 'wrong_weights'
+  | 'in_progress'
+  | 'outcome_unknown'
+  | 'key_reused'
+  | 'no_claim'
+  | 'caller_left'
+  | 'no_such_page';
+
+/** The response to a request that a gateway doesn't answer with a replica's response. `retryAfterSeconds` is null where repeating it is of no use. */
+export interface Rejection {
+  readonly kind: 'rejection';
+  readonly code: RejectionCode;
+  readonly ran: Ran;
+  readonly detail: string;
+  readonly retryAfterSeconds: number | null;
+}
--- a/packages/core-types/src/incarnationMatcher.ts
+++ b/packages/core-types/src/incarnationMatcher.ts
@@ -1,4 +1,4 @@
-import type { Clock } from './ports.js';
+import type { Clock } from './ports/ports.js';
 
 const matchMs = 10_000;
 
--- a/packages/core-types/src/log.ts
+++ b/packages/core-types/src/log.ts
@@ -1,6 +1,6 @@
 import './logSwitch.js';
 import { ROARR, Roarr } from 'roarr';
-import type { Log } from './ports.js';
+import type { Log } from './ports/ports.js';
 
 type Fields = Record<string, unknown>;
 
--- a/packages/core-types/src/ports.ts
+++ b/packages/core-types/src/ports/ports.ts
@@ -1,4 +1,6 @@
+/** What a node needs of the machine it runs on; the simulation gives its own in the machine's place. */
 import type { Result } from 'neverthrow';
+import type { DiskError, NetworkError } from '../errors.js';
 
 export interface Timer {
   readonly cancel: () => void;
@@ -15,12 +17,6 @@
   readonly token: (byteCount: number) => string;
 }
 
-export interface DiskError {
-  readonly kind: 'disk';
-  readonly code: string;
-  readonly detail: string;
-}
-
 export interface DiskFile {
   readonly append: (bytes: Uint8Array) => Promise<Result<void, DiskError>>;
   readonly sync: () => Promise<Result<void, DiskError>>;
@@ -36,12 +32,6 @@
   readonly remove: (name: string) => Promise<Result<void, DiskError>>;
 }
 
-export interface NetworkError {
-  readonly kind: 'net';
-  readonly code: string;
-  readonly isUnsent: boolean;
-}
-
 export interface RawConnection {
   readonly remote: string;
   readonly write: (bytes: Uint8Array) => void;
@@ -56,7 +46,10 @@
 
 export interface Net {
   readonly dial: (address: string, timeoutMs: number) => Promise<Result<RawConnection, NetworkError>>;
-  readonly listen: (address: string, onWire: (wire: RawConnection) => void) => Promise<Result<Listener, NetworkError>>;
+  readonly listen: (
+    address: string,
+    onConnection: (connection: RawConnection) => void,
+  ) => Promise<Result<Listener, NetworkError>>;
 }
 
 export type WebHandler = (request: Request) => Response | Promise<Response>;
--- /dev/null
+++ b/packages/core-types/src/ports/realRandom.ts
@@ -0,0 +1,9 @@
+/** The randomness port over this process's generators. */
+import { randomBytes } from 'node:crypto';
+import type { Random } from './ports.js';
+
+/** Fractions from `Math.random`, and tokens in hexadecimal from the cryptographic generator. */
+export const realRandom: Random = {
+  fraction: () => Math.random(),
+  token: (byteCount) => randomBytes(byteCount).toString('hex'),
+};
--- a/packages/core-types/src/rejection.ts
+++ b/packages/core-types/src/rejection.ts
@@ -1,26 +1,5 @@
-export type Ran = 'no' | 'unknown';
-
-export type RejectionCode =
-  | 'bad_request'
-  | 'unknown_key'
-  | 'lane_not_granted'
-  | 'unknown_lane'
-  | 'too_large'
-  | 'over_share'
-  | 'no_capacity'
-  | 'not_fresh'
-  | 'draining'
-  | 'key_revoked'
-  | 'horizon_passed'
-  | 'replica_failed'
-  | 'cut_stream'
-  | 'wrong_weights'
-  | 'in_progress'
-  | 'outcome_unknown'
-  | 'key_reused'
-  | 'no_claim'
-  | 'caller_left'
-  | 'no_such_page';
+/** Rejections and the HTTP statuses they are sent with. */
+import type { Ran, Rejection, RejectionCode } from './errors.js';
 
 const statusByCode: Record<RejectionCode, number> = {
   bad_request: 400,
@@ -45,15 +24,7 @@
   no_such_page: 404,
 };
 
-export interface Rejection {
-  readonly kind: 'rejection';
-  readonly code: RejectionCode;
-  readonly ran: Ran;
-  readonly detail: string;
-  readonly retryAfterSeconds: number | null;
-}
-
-const isRetryable = new Set<RejectionCode>([
+const retryableCodes = new Set<RejectionCode>([
   'over_share',
   'no_capacity',
   'not_fresh',
@@ -67,13 +38,14 @@
   'no_claim',
 ]);
 
+/** Builds rejections, and tells their HTTP status. Codes that pass by themselves are retried after a second unless told otherwise. */
 export const rejections = {
   of: (code: RejectionCode, ran: Ran, detail: string, retryAfterSeconds?: number): Rejection => ({
     kind: 'rejection',
     code,
     ran,
     detail,
-    retryAfterSeconds: retryAfterSeconds ?? (isRetryable.has(code) ? 1 : null),
+    retryAfterSeconds: retryAfterSeconds ?? (retryableCodes.has(code) ? 1 : null),
   }),
   status: (rejection: Rejection): number => statusByCode[rejection.code],
 };
--- a/packages/core-types/src/timers.ts
+++ b/packages/core-types/src/timers.ts
@@ -1,4 +1,4 @@
-import type { Clock } from './ports.js';
+import type { Clock } from './ports/ports.js';
 
 export const pause = {
   for: (clock: Clock, delayMs: number): Promise<void> => new Promise((wake) => void clock.after(delayMs, wake)),
--- a/packages/core-types/src/uncaughtExceptions.ts
+++ b/packages/core-types/src/uncaughtExceptions.ts
@@ -1,6 +1,6 @@
 /** Ends a role on an exception that nobody caught, after one report to the log. */
 import { BackgroundTaskError } from './background.js';
-import type { Log } from './ports.js';
+import type { Log } from './ports/ports.js';
 
 /** The fields of the log line for an uncaught exception. */
 interface UncaughtReport extends Record<string, unknown> {
