--- /dev/null
+++ b/packages/dev-tools/test/onCallPage.test.ts
@@ -0,0 +1,64 @@
+import { expect } from 'chai';
+import { repository } from './repository.js';
+
+const developmentPackages = /^packages\/(dev-tools|model-check|test-fleet)\//;
+const logCall = /\blog\.(?:info|warn|error)\(\s*(?:'([^']*)'|"([^"]*)"|(?=([\s\S]{0,40})))/g;
+const metricCall = /\bmetrics\.add\(([^;]*?)\);/g;
+const metricName = /['`]([a-z][a-z0-9_]*)(\$\{[^}]*\})?/g;
+const placementName = /['`](placed_[a-z_]+)/g;
+const metricLine = /\bmartenworks_[a-z0-9_]+/g;
+
+interface Found {
+  readonly text: string;
+  readonly path: string;
+}
+
+const productSources = repository.sources().filter((path) => !developmentPackages.test(path));
+
+const find = (
+  pattern: RegExp,
+  textOf: (found: RegExpMatchArray) => readonly string[],
+  paths: readonly string[] = productSources,
+): Found[] =>
+  paths.flatMap((path) =>
+    [...repository.read(path).matchAll(pattern)].flatMap((found) => textOf(found).map((text) => ({ text, path }))),
+  );
+
+const logMessages = find(logCall, (found) => [found[1] ?? found[2] ?? `not a literal: ${found[3]}`]);
+const metricNames = [
+  ...find(metricCall, (found) => [...(found[1] as string).matchAll(metricName)].map((name) => name[1] as string)),
+  ...find(placementName, (found) => [found[1] as string]),
+];
+const metricLines = find(metricLine, (found) => [found[0]]);
+
+const missingOn = (page: string, found: readonly Found[], isOn: (page: string, text: string) => boolean): Found[] =>
+  found.filter(({ text }) => !isOn(page, text));
+
+const standsAlone = (page: string, text: string): boolean => page.includes(`\`${text}\``);
+const standsOrBegins = (page: string, text: string): boolean =>
+  standsAlone(page, text) || (text.endsWith('_') && page.includes(`\`${text}`));
+
+describe('the on-call page', () => {
+  const page = repository.read('docs/on-call.md');
+
+  it('given each log message of the programs, when the page is searched, then it is described there', () => {
+    expect(logMessages).to.have.length.above(30);
+    expect(missingOn(page, logMessages, standsAlone)).to.deep.equal([]);
+  });
+
+  it('given each counter of the programs, when the page is searched, then it is described there', () => {
+    expect(metricNames).to.have.length.above(20);
+    expect(missingOn(page, metricNames, standsOrBegins)).to.deep.equal([]);
+  });
+
+  it('given each line of the pages /metrics, when the page is searched, then it is described there', () => {
+    expect(metricLines).to.have.length.above(10);
+    expect(missingOn(page, metricLines, standsOrBegins)).to.deep.equal([]);
+  });
+
+  it('given a message that no page describes, when it is looked up, then it is found missing', () => {
+    expect(standsAlone(page, 'a message of no program')).to.equal(false);
+    expect(standsOrBegins(page, 'denied_')).to.equal(true);
+    expect(standsOrBegins(page, 'denie_')).to.equal(false);
+  });
+});
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -125,7 +125,7 @@
   private readonly send = (topic: string, frame: PeerFrame): boolean => {
     if (!this.isOpen) return false;
     if (this.isStalled()) {
-      this.drop('peer reads too slowlyly');
+      this.drop('peer reads too slowly');
       return false;
     }
     const message = frames.encode(frame);
