--- a/packages/core-types/src/index.ts
+++ b/packages/core-types/src/index.ts
@@ -21,3 +21,4 @@
 export * from './controlMessages.js';
 export * from './incarnationMatcher.js';
 export * from './uncaughtExceptions.js';
+export * from './cbor.js';
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,9 +1,8 @@
 /** Frames between nodes: a length of four bytes, big end first, and a message in CBOR. */
-import { Encoder } from 'cbor-x';
+import { cbor } from '@martenworks/core-types';
 
 export const frameLimit = 16 * 1024 * 1024;
 const headBytes = 4;
-const coder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 /** A bounded piece of a large message; pieces of one stream follow each other in order. */
 export interface PartFrame {
@@ -21,10 +20,6 @@
   | PartFrame
   | { readonly f: 'got' };
 
-const encode = (message: unknown): Uint8Array => coder.encode(message);
-
-const decode = (bytes: Uint8Array): unknown => coder.decode(bytes);
-
 const withLength = (body: Uint8Array): Uint8Array => {
   const frame = new Uint8Array(headBytes + body.length);
   new DataView(frame.buffer).setUint32(0, body.length);
@@ -32,7 +27,7 @@
   return frame;
 };
 
-const pack = (message: unknown): Uint8Array => withLength(encode(message));
+const pack = (message: unknown): Uint8Array => withLength(cbor.encode(message));
 
 /** The parts as one array of bytes. */
 export const joined = (parts: readonly Uint8Array[]): Uint8Array => {
@@ -76,7 +71,7 @@
       rest = rest.subarray(this.wanted);
       let message: unknown;
       try {
-        message = coder.decode(body);
+        message = cbor.decode(body);
       } catch {
         this.complain('frame is not CBOR');
         return;
@@ -93,4 +88,4 @@
 const isFrame = (message: unknown): boolean =>
   typeof message === 'object' && message !== null && kinds.includes((message as { f?: unknown }).f);
 
-export const frames = { isFrame, pack, encode, decode, withLength };
+export const frames = { isFrame, pack, encode: cbor.encode, decode: cbor.decode, withLength };
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import type { Result } from 'neverthrow';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { Opened, WriteAheadLogError } from '@martenworks/write-ahead-log';
+import type { OpenedLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { SimDisk } from '@martenworks/test-fleet';
 
 const live = (): boolean => true;
@@ -12,20 +12,20 @@
   readonly text: string;
 }
 
-const open = (disk: SimDisk): Promise<Result<Opened, WriteAheadLogError>> =>
+const open = (disk: SimDisk): Promise<Result<OpenedLog, WriteAheadLogError>> =>
   writeAheadLogs.open(disk.view(live), 'book');
 
-const opened = async (disk: SimDisk): Promise<Opened> => (await open(disk))._unsafeUnwrap();
+const opened = async (disk: SimDisk): Promise<OpenedLog> => (await open(disk))._unsafeUnwrap();
 
 /** The numbers that a log holds: of its snapshot, which counts them, and of its records. */
-const heldBy = ({ snapshot, records }: Opened): number[] => [
+const heldBy = ({ snapshot, records }: OpenedLog): number[] => [
   ...Array.from({ length: (snapshot as { count: number } | null)?.count ?? 0 }, (_, at) => at),
   ...(records as Entry[]).map(({ at }) => at),
 ];
 
 const upTo = (count: number): number[] => Array.from({ length: count }, (_, at) => at);
 
-const append = async (log: Opened, from: number, to: number): Promise<void> => {
+const append = async (log: OpenedLog, from: number, to: number): Promise<void> => {
   for (let at = from; at < to; at += 1) expect((await log.wal.append({ at, text: filler })).isOk()).to.equal(true);
 };
 
@@ -102,7 +102,7 @@
     let offered = 0;
     const images: { disk: SimDisk; acknowledged: number; offered: number }[] = [];
     disk.beforeStep = () => void images.push({ disk: disk.copy(), acknowledged, offered });
-    const write = async (log: Opened, count: number): Promise<void> => {
+    const write = async (log: OpenedLog, count: number): Promise<void> => {
       for (let end = acknowledged + count; acknowledged < end; ) {
         offered = acknowledged + 1;
         await append(log, acknowledged, acknowledged + 1);
--- a/packages/write-ahead-log/test/writeAheadLog.test.ts
+++ b/packages/write-ahead-log/test/writeAheadLog.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
-import type { Opened } from '@martenworks/write-ahead-log';
+import type { OpenedLog } from '@martenworks/write-ahead-log';
 import { SimDisk } from '@martenworks/test-fleet';
 
 const live = (): boolean => true;
 
-const opened = async (disk: SimDisk): Promise<Opened> => {
+const opened = async (disk: SimDisk): Promise<OpenedLog> => {
   const outcome = await writeAheadLogs.open(disk.view(live), 'book');
   if (outcome.isErr()) throw new Error(JSON.stringify(outcome.error));
   return outcome.value;
