--- a/packages/core-types/src/index.ts
+++ b/packages/core-types/src/index.ts
@@ -22,3 +22,5 @@
 export * from './incarnationMatcher.js';
 export * from './uncaughtExceptions.js';
 export * from './cbor.js';
+export * from './rendezvousHash.js';
+export * from './replicaEndpoints.js';
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -7,7 +7,7 @@
 import type { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
 import type { MetricCounters } from './metricCounters.js';
-import type { Placement, PlacementQuery } from './routing/replicaSelector.js';
+import type { Placement, PlacementQuery } from './routing/placement.js';
 
 /** A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it is hashed once). */
 export interface Admission {
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -25,7 +25,7 @@
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
 import { MetricCounters } from './metricCounters.js';
 import { ReplicaSelector } from './routing/replicaSelector.js';
-import type { WeightsTarget, Placement, PlacementQuery } from './routing/replicaSelector.js';
+import type { WeightsTarget, Placement, PlacementQuery } from './routing/placement.js';
 
 const connectionShare = 0.8;
 const usualConnections = 64;
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -6,7 +6,7 @@
 import { PromptTiming, placementNames } from '../prefixcache/promptTiming.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
-import type { Placement } from '../routing/replicaSelector.js';
+import type { Placement } from '../routing/placement.js';
 
 const fullRestMs = 150;
 const largestDrainedBytes = 65_536;
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -4,7 +4,7 @@
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { StopCause } from './retryPolicy.js';
-import type { Placement } from '../routing/replicaSelector.js';
+import type { Placement } from '../routing/placement.js';
 
 const waitShare = 0.2;
 const waitStepMs = 15;
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -7,6 +7,7 @@
 export * from './prefixcache/prefixCacheIndex.js';
 export * from './routing/replicaTracker.js';
 export * from './routing/replicaSelector.js';
+export * from './routing/placement.js';
 export * from './forwarding/retryBudget.js';
 export * from './forwarding/events.js';
 export * from './prefixcache/staleEntryDetector.js';
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -2,14 +2,14 @@
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import { heavyTokens } from '../routing/replicaTracker.js';
 import type { ExpectedHit } from './staleEntryDetector.js';
-import type { Placement } from '../routing/replicaSelector.js';
+import type { Placement } from '../routing/placement.js';
 
 export const placementNames = {
   /** The gateway that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
-  of: ({ affinityPart, isKept, isSoon, isPreferred, holder }: Placement): string => {
+  of: ({ affinityPart, isCached, isBeingPrefilled, isPreferred, holder }: Placement): string => {
     if (affinityPart === null || affinityPart.tokens < heavyTokens)
       return isPreferred ? 'placed_short_home' : 'placed_short_elsewhere';
-    const source = isKept ? 'kept' : isSoon ? 'soon' : holder !== null ? 'pull' : 'read';
+    const source = isCached ? 'kept' : isBeingPrefilled ? 'soon' : holder !== null ? 'pull' : 'read';
     return `placed_long_${source}${isPreferred ? '_home' : ''}`;
   },
 };
@@ -29,12 +29,12 @@
     private readonly placed: Placement,
     isResumption: boolean,
   ) {
-    const { tracked, isSoon } = placed;
+    const { tracked, isBeingPrefilled } = placed;
     this.sentAt = context.ports.clock.now();
     this.pendingBefore = tracked.pendingTokens + tracked.othersTokens;
     this.isIdle =
       tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.isSuspect(tracked);
-    this.isAlone = this.pendingBefore === 0 && !isSoon;
+    this.isAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
   readonly spentMs = (): number => this.context.ports.clock.now() - this.sentAt;
--- /dev/null
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -0,0 +1,93 @@
+/** Estimates what a request costs on each replica that may run it. */
+import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
+import type { ScoredCandidate } from './placement.js';
+import type { PlacementRound } from './placementRound.js';
+import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
+import type { WeightsEligibility } from './weightsEligibility.js';
+
+const runCostMs = 4;
+const affinityBonusMs = 60;
+const secondChoiceBonusMs = 20;
+const crowdingShare = 0.8;
+const oldWeightsMs = 15;
+const suspicionMs = 2_000;
+const readTwiceMs = 800;
+const errorPenaltyMs = 800;
+const negligibleErrorRate = 0.05;
+
+/** How a candidate can get at the tracked prefix: from its own cache, from a prefill that runs there, from another replica, or not. */
+type PrefixAvailability = 'cached' | 'being prefilled' | 'transferable' | 'missing';
+
+/** Scores the candidates of one placement by estimated milliseconds; the lowest cost wins. */
+export class CandidateScorer {
+  constructor(
+    private readonly replicaTracker: ReplicaTracker,
+    private readonly prefixCaches: PrefixCacheIndex,
+    private readonly weights: WeightsEligibility,
+  ) {}
+
+  /** The cheapest candidate; among equals the first from `offset` on. Null where there is none. */
+  readonly cheapest = (
+    round: PlacementRound,
+    candidates: readonly TrackedReplica[],
+    offset: number,
+  ): ScoredCandidate | null => {
+    let cheapest: ScoredCandidate | null = null;
+    for (let step = 0; step < candidates.length; step += 1) {
+      const candidate = this.score(round, candidates[(step + offset) % candidates.length] as TrackedReplica);
+      if (cheapest === null || candidate.costMs < cheapest.costMs) cheapest = candidate;
+    }
+    return cheapest;
+  };
+
+  private readonly score = (round: PlacementRound, tracked: TrackedReplica): ScoredCandidate => {
+    const { query, affinity, preferred } = round;
+    const { version, salt } = this.weights.servedBy(tracked, query);
+    const rank = preferred.indexOf(tracked);
+    const availability = this.availability(round, tracked, salt);
+    const isMissing = availability === 'missing';
+    const readTokens = Math.max(0, query.order.tokensIn - (isMissing ? 0 : affinity.prefixTokens));
+    const pullMs = availability === 'transferable' ? round.pullMs(affinity.prefixTokens) : 0;
+    const transferMs =
+      availability === 'transferable' ? this.replicaTracker.readMs(affinity.prefixTokens) * crowdingShare + pullMs : 0;
+    const costMs =
+      this.replicaTracker.readMs(tracked.pendingTokens + tracked.othersTokens + readTokens) +
+      tracked.running * runCostMs +
+      transferMs +
+      (round.isPrefillRunning && isMissing ? readTwiceMs : 0) -
+      this.bonusMs(round, rank, isMissing) +
+      (this.replicaTracker.isSuspect(tracked) ? suspicionMs : 0) +
+      this.errorPenaltyMs(tracked) +
+      this.oldWeightsPenaltyMs(round, version);
+    const [isCached, isBeingPrefilled] = [availability === 'cached', availability === 'being prefilled'];
+    return { tracked, costMs, readTokens, version, salt, isCached, isBeingPrefilled, isPreferred: rank === 0, pullMs };
+  };
+
+  private readonly availability = (
+    { affinity: { trackedPart }, lookup, replicas }: PlacementRound,
+    tracked: TrackedReplica,
+    salt: string | null,
+  ): PrefixAvailability => {
+    if (trackedPart === null || salt === null) return 'missing';
+    if (lookup.isCachedBy(tracked, salt)) return 'cached';
+    if (this.prefixCaches.isReading(tracked.endpoint.address, salt, trackedPart.id)) return 'being prefilled';
+    const isHolder = (other: TrackedReplica): boolean =>
+      other !== tracked && this.replicaTracker.mayHandOver(other) && lookup.isCachedBy(other, salt);
+    return replicas.some(isHolder) ? 'transferable' : 'missing';
+  };
+
+  /** What a preferred replica may cost more before another one is taken; more where the prefix has to be prefilled anyway, so that it is cached at its preferred replica. */
+  private readonly bonusMs = ({ affinity }: PlacementRound, rank: number, isMissing: boolean): number => {
+    if (rank === 1) return secondChoiceBonusMs;
+    if (rank !== 0) return 0;
+    return affinityBonusMs + (isMissing ? this.replicaTracker.readMs(affinity.prefixTokens) * crowdingShare : 0);
+  };
+
+  private readonly errorPenaltyMs = (tracked: TrackedReplica): number => {
+    const errorRate = this.replicaTracker.errorRate(tracked);
+    return errorRate < negligibleErrorRate ? 0 : errorRate * errorPenaltyMs;
+  };
+
+  private readonly oldWeightsPenaltyMs = ({ target }: PlacementRound, version: number | null): number =>
+    target !== null && version !== null && version < target.version ? oldWeightsMs : 0;
+}
--- /dev/null
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -0,0 +1,114 @@
+/** Chooses where a placed request's replica pulls the cached prefix from, and which cache store takes its prompt. */
+import type { CacheStore, PromptPart, RendezvousHash } from '@martenworks/core-types';
+import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
+import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
+import type { Placement, ScoredCandidate } from './placement.js';
+import type { PlacementRound } from './placementRound.js';
+import { promptAffinity } from './promptAffinity.js';
+import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
+
+/** Cache stores for one prompt: the one that has it, and the one that should. */
+interface StoreChoice {
+  readonly caching: CacheStore | null;
+  readonly preferredStore: CacheStore | null;
+}
+
+/** Addresses that may have the prefix: `known` by the index, and `holder`, which may be a guess. */
+interface HolderChoice {
+  readonly known: string | null;
+  readonly holder: string | null;
+}
+
+/** Completes a scored candidate to a placement. */
+export class HolderSelector {
+  constructor(
+    private readonly replicaTracker: ReplicaTracker,
+    private readonly prefixCaches: PrefixCacheIndex,
+    private readonly affinityHash: RendezvousHash,
+  ) {}
+
+  /** The placement of a request on the chosen candidate. */
+  readonly complete = (round: PlacementRound, chosen: ScoredCandidate): Placement => {
+    const { affinity, query } = round;
+    const { salt } = chosen;
+    if (affinity.trackedPart === null || salt === null) return this.withoutPrefix(round, chosen);
+    const stores = this.storesFor(affinity.trackedPart, salt, round.stores);
+    const { known, holder } = this.holderFor(round, chosen, salt, stores);
+    const { caching, preferredStore } = stores;
+    const expectedHit = this.expectedHit(round, chosen, salt, known);
+    const isStored = chosen.isCached && caching !== null && holder === caching.address;
+    const isStorable = caching === null && promptAffinity.isWorthStoring(query.order.parts, affinity);
+    const mayFindNothing = holder === null || holder === preferredStore?.address;
+    return {
+      ...chosen,
+      holder,
+      store: isStorable ? (preferredStore?.address ?? null) : null,
+      affinityPart: affinity.part,
+      expectedHit,
+      secondExpectedHit: isStored ? round.lookup.expectedHit(caching.address, salt, round.pullMs) : null,
+      readsAll: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
+    };
+  };
+
+  private readonly withoutPrefix = ({ affinity }: PlacementRound, chosen: ScoredCandidate): Placement => ({
+    ...chosen,
+    holder: null,
+    store: null,
+    affinityPart: affinity.part,
+    expectedHit: null,
+    secondExpectedHit: null,
+    readsAll: true,
+  });
+
+  private readonly storesFor = (part: PromptPart, salt: string, stores: readonly CacheStore[]): StoreChoice => {
+    const heard = stores.filter((store) => this.prefixCaches.isHeard(store.address));
+    const ranked = this.affinityHash.ranked(part.id, heard, (store) => store.name);
+    const isCaching = (store: CacheStore): boolean =>
+      this.prefixCaches.keeps(store.address, salt, part.id, part.tokens);
+    return { caching: ranked.find(isCaching) ?? null, preferredStore: ranked[0] ?? null };
+  };
+
+  private readonly holderFor = (
+    round: PlacementRound,
+    chosen: ScoredCandidate,
+    salt: string,
+    { caching, preferredStore }: StoreChoice,
+  ): HolderChoice => {
+    const known = this.nearestHolder(round, chosen, salt)?.endpoint.address ?? caching?.address ?? null;
+    if (known !== null || chosen.isCached) return { known, holder: known };
+    return { known, holder: preferredStore?.address ?? this.likelyHolder(round, chosen.tracked) };
+  };
+
+  /** A replica that has the prefix by the index: a healthy one in the candidate's zone, else a healthy one, else any. */
+  private readonly nearestHolder = (
+    { replicas, lookup }: PlacementRound,
+    { tracked, isCached }: ScoredCandidate,
+    salt: string,
+  ): TrackedReplica | undefined => {
+    if (isCached) return undefined;
+    const { isSuspect, mayHandOver } = this.replicaTracker;
+    const holders = replicas
+      .filter((other) => other !== tracked && mayHandOver(other) && lookup.isCachedBy(other, salt))
+      .sort((a, b) => Number(isSuspect(a)) - Number(isSuspect(b)));
+    const isNear = (other: TrackedReplica): boolean =>
+      other.endpoint.zone === tracked.endpoint.zone && !isSuspect(other);
+    return holders.find(isNear) ?? holders[0];
+  };
+
+  /** Another edge may have placed the prefix already where rendezvous hashing ranks it first. */
+  private readonly likelyHolder = ({ preferred }: PlacementRound, tracked: TrackedReplica): string | null => {
+    if (preferred[0] === tracked) return null;
+    const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.isSuspect(other));
+    return likely?.endpoint.address ?? null;
+  };
+
+  private readonly expectedHit = (
+    { lookup, pullMs }: PlacementRound,
+    { tracked, isCached, isBeingPrefilled }: ScoredCandidate,
+    salt: string,
+    known: string | null,
+  ): ExpectedHit | null => {
+    if (isCached) return lookup.expectedHit(tracked.endpoint.address, salt, null);
+    return isBeingPrefilled || known === null ? null : lookup.expectedHit(known, salt, pullMs);
+  };
+}
--- /dev/null
+++ b/packages/edge-proxy/src/routing/placement.ts
@@ -0,0 +1,57 @@
+/** The question that replica selection answers, and its answer. */
+import type { Customer, PromptPart, RequestMetadata } from '@martenworks/core-types';
+import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
+import type { TrackedReplica } from './replicaTracker.js';
+
+/** A candidate with its estimated cost; the cheapest one runs the request. */
+export interface ScoredCandidate {
+  readonly tracked: TrackedReplica;
+  /** Version of the request's model that the replica runs; null where the request names no model or the replica none. */
+  readonly version: number | null;
+  /** Scope of prefix cache keys for this model, version and customer; null where nothing may be shared. */
+  readonly salt: string | null;
+  /** True if the replica's own prefix cache has the affinity part. */
+  readonly isCached: boolean;
+  /** True if the replica is prefilling the affinity part for another request. */
+  readonly isBeingPrefilled: boolean;
+  /** True if rendezvous hashing ranks the replica first for the prompt. */
+  readonly isPreferred: boolean;
+  /** Tokens that the replica is expected to prefill. */
+  readonly readTokens: number;
+  /** Estimated milliseconds to pull the cached prefix from another address; 0 where nothing is pulled. */
+  readonly pullMs: number;
+  /** Estimated milliseconds to the first token, plus penalties and less bonuses. */
+  readonly costMs: number;
+}
+
+/** Where one attempt goes, and where the replica gets the prompt's cached prefix from. */
+export interface Placement extends ScoredCandidate {
+  /** Address to pull the prefix from; null where the replica has it or nobody may. */
+  readonly holder: string | null;
+  /** Address of the cache store that the prompt is uploaded to; null for none. */
+  readonly store: string | null;
+  readonly affinityPart: PromptPart | null;
+  /** The index entry that the placement relies on, checked against the time to the first piece. */
+  readonly expectedHit: ExpectedHit | null;
+  /** The entry of the cache store that is named besides the replica's own. */
+  readonly secondExpectedHit: ExpectedHit | null;
+  /** True if the replica is expected to prefill the whole prompt. */
+  readonly readsAll: boolean;
+}
+
+/** A request that has to be placed within a replica pool. */
+export interface PlacementQuery {
+  readonly pool: string;
+  readonly order: RequestMetadata;
+  readonly customer: Customer | null;
+  /** Ids of replicas that earlier attempts went to. */
+  readonly avoided: ReadonlySet<string>;
+}
+
+/** The weights version that a model is being moved to, and for how many milliseconds that has been known. */
+export interface WeightsTarget {
+  readonly version: number;
+  readonly sinceMs: number;
+  /** Targets before this one, the latest first. */
+  readonly earlier?: readonly WeightsTarget[];
+}
--- /dev/null
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -0,0 +1,53 @@
+/** What the prefix index has of one prompt, asked once per replica and salt. */
+import type { PromptPart } from '@martenworks/core-types';
+import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
+import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
+import { promptAffinity, trackedTokens } from './promptAffinity.js';
+import type { TrackedReplica } from './replicaTracker.js';
+
+const isTracked = (part: PromptPart): boolean => part.tokens >= trackedTokens;
+
+/** The prefix index as seen by one prompt, up to its affinity part. Lives as long as one placement. */
+export class PrefixLookup {
+  private readonly prefix: readonly PromptPart[];
+  private readonly cachedByReplica = new Map<string, boolean>();
+
+  constructor(
+    private readonly prefixCaches: PrefixCacheIndex,
+    parts: readonly PromptPart[],
+    affinityIndex: number,
+  ) {
+    this.prefix = parts.slice(0, affinityIndex + 1);
+  }
+
+  /** Whether the replica has any tracked part of the prefix cached. */
+  readonly isCachedBy = (tracked: TrackedReplica, salt: string): boolean => {
+    const label = `${tracked.endpoint.id} ${salt}`;
+    const known = this.cachedByReplica.get(label);
+    if (known !== undefined) return known;
+    const isCached = promptAffinity.tokens(this.cachedParts(tracked.endpoint.address, salt)) > 0;
+    this.cachedByReplica.set(label, isCached);
+    return isCached;
+  };
+
+  /** The entry of the index that a request relies on which is sent to or pulls from the address; null where there is none. `pullMs` estimates a transfer, null where the replica itself has the parts. */
+  readonly expectedHit = (
+    address: string,
+    salt: string,
+    pullMs: ((tokens: number) => number) | null,
+  ): ExpectedHit | null => {
+    const cached = this.cachedParts(address, salt);
+    const tokens = promptAffinity.tokens(cached);
+    if (tokens === 0) return null;
+    const parts = cached.filter(isTracked).map((part) => part.id);
+    return { address, salt, parts, tokens, pullMs: pullMs === null ? null : pullMs(tokens) };
+  };
+
+  private readonly cachedParts = (address: string, salt: string): readonly PromptPart[] => {
+    const firstMissing = this.prefix.findIndex(
+      (part) => isTracked(part) && !this.prefixCaches.keeps(address, salt, part.id, part.tokens),
+    );
+    const cached = firstMissing < 0 ? this.prefix : this.prefix.slice(0, firstMissing);
+    return cached.some(isTracked) ? cached : [];
+  };
+}
--- /dev/null
+++ b/packages/edge-proxy/src/routing/promptAffinity.ts
@@ -0,0 +1,36 @@
+/** Which part of a prompt decides where the prompt is cached. */
+import type { PromptPart } from '@martenworks/core-types';
+
+/** Tokens from which on the prefix index follows a part. */
+export const trackedTokens = 256;
+const uploadShare = 0.35;
+
+/** The affinity part of a prompt and the prefix that ends with it. */
+export interface PromptAffinity {
+  readonly part: PromptPart | null;
+  readonly index: number;
+  /** The affinity part where it is long enough for the prefix index, else null. */
+  readonly trackedPart: PromptPart | null;
+  /** Tokens from the beginning of the prompt to the end of the tracked part; 0 where there is none. */
+  readonly prefixTokens: number;
+}
+
+const sum = (parts: readonly PromptPart[]): number => parts.reduce((total, part) => total + part.tokens, 0);
+
+export const promptAffinity = {
+  tokens: sum,
+
+  /** The last shareable part that is long enough to be worth caching, else the last shareable one: a prompt's last part is its own or its session's. */
+  of: (parts: readonly PromptPart[]): PromptAffinity => {
+    const shareable = parts.length > 1 ? parts.slice(0, -1) : parts;
+    const lastLong = shareable.findLastIndex((part) => part.tokens >= trackedTokens);
+    const index = lastLong >= 0 ? lastLong : shareable.length - 1;
+    const part = shareable[index] ?? null;
+    const trackedPart = part !== null && part.tokens >= trackedTokens ? part : null;
+    return { part, index, trackedPart, prefixTokens: trackedPart === null ? 0 : sum(parts.slice(0, index + 1)) };
+  },
+
+  /** Whether a cache store should take the prompt. It is sent every part, and a long rest would fill it with tokens that no other prompt shares. */
+  isWorthStoring: (parts: readonly PromptPart[], { index }: PromptAffinity): boolean =>
+    sum(parts.slice(index + 1)) <= sum(parts.slice(0, index + 1)) * uploadShare,
+};
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -1,3 +1,4 @@
+import { replicaEndpoints } from '@martenworks/core-types';
 import type { EndpointListUpdate, Clock, PrefillNotice, ReplicaEndpoint, WeightsUpdate } from '@martenworks/core-types';
 
 const firstSuspicionMs = 400;
@@ -42,12 +43,6 @@
   readonly notes: { readonly at: number; readonly tokens: number }[];
 }
 
-const newest = (told: ReplicaEndpoint, held: ReplicaEndpoint): ReplicaEndpoint => {
-  const weights = { ...held.weights };
-  for (const [model, version] of Object.entries(told.weights)) weights[model] = Math.max(version, weights[model] ?? 0);
-  return { ...told, weights, isLeaving: told.isLeaving || held.isLeaving };
-};
-
 /** What this edge knows of each replica's life: its endpoint, what it runs there, and how far it is trusted. */
 export class ReplicaTracker {
   private readonly replicaTracker = new Map<string, TrackedReplica>();
@@ -83,7 +78,7 @@
           samples: [],
           notes: [],
         });
-      else Object.assign(held, { endpoint: newest(endpoint, held.endpoint), doubtedAt: null });
+      else Object.assign(held, { endpoint: replicaEndpoints.merge(endpoint, held.endpoint), doubtedAt: null });
     }
     for (const id of gone) this.remove(id);
     if (isWhole)
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -192,7 +192,7 @@
       },
     ]);
     expect(place(long('manual'))?.tracked).to.equal(home.tracked);
-    expect(place(long('manual'))?.isKept).to.equal(true);
+    expect(place(long('manual'))?.isCached).to.equal(true);
     replicaTracker.began(home.tracked, 60_000);
     const left = place(long('manual'));
     expect(left?.tracked).to.not.equal(home.tracked);
@@ -214,11 +214,11 @@
       ]);
     kept('m@0');
     kept('m@1/walled');
-    expect(place(long('manual'), customers[0])?.isKept).to.equal(false);
+    expect(place(long('manual'), customers[0])?.isCached).to.equal(false);
     expect(place(long('manual'), customers[0])?.salt).to.equal('m@1');
     const walled = place(long('manual'), customers[1]);
     expect(walled?.salt).to.equal('m@1/walled');
-    expect(walled?.isKept === true || walled?.holder === holder.endpoint.address).to.equal(true);
+    expect(walled?.isCached === true || walled?.holder === holder.endpoint.address).to.equal(true);
   });
 
   it('given replicas that leave, rest or hold old weights for too long, when prompts are placed, then none of them is chosen', async () => {
@@ -255,7 +255,7 @@
         { id: 'own', tokens: 3_645 },
       ],
     };
-    expect(place(prompt)?.isKept).to.equal(false);
+    expect(place(prompt)?.isCached).to.equal(false);
   });
 
   it('given a long prompt that another edge has read at the home, when a second one of that anchor comes, then it goes there and waits rather than have it read twice', () => {
--- a/packages/prefix-index/src/placement.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -1,6 +1,5 @@
-import { createHash } from 'node:crypto';
 import type { Pool, ReplicaRecord } from '@martenworks/core-types';
-import { prompts } from '@martenworks/core-types';
+import { prompts, RendezvousHash } from '@martenworks/core-types';
 import type { PrefixIndex } from './prefixIndex.js';
 
 interface Candidate {
@@ -45,19 +44,15 @@
   readonly blockCount: number;
 }
 
+const affinityHash = new RendezvousHash({ algorithm: 'sha256', separator: '' });
+
 const preferredReplicaOf = (blocks: readonly string[], candidates: readonly Candidate[]): string | null => {
-  const anchor = blocks[leastColdBlocks - 1];
-  if (anchor === undefined) return null;
-  let home: string | null = null;
-  let highest = '';
-  for (const { record } of candidates) {
-    const score = createHash('sha256').update(anchor).update(record.name).digest('hex');
-    if (score > highest) {
-      highest = score;
-      home = record.name;
-    }
-  }
-  return home;
+  const affinityBlock = blocks[leastColdBlocks - 1];
+  if (affinityBlock === undefined) return null;
+  return affinityHash.highest(
+    affinityBlock,
+    candidates.map(({ record }) => record.name),
+  );
 };
 
 interface Pull {
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -1,4 +1,4 @@
-import { createHash } from 'node:crypto';
+import { RendezvousHash } from '@martenworks/core-types';
 import type { CommittedState, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 
 const usedGraceMs = 9_000;
@@ -14,21 +14,7 @@
   readonly openAt: Map<string, number>;
 }
 
-const score = (label: string, replica: string): string =>
-  createHash('sha256').update(`${label}\n${replica}`).digest('hex');
-
-const draw = (label: string, free: Set<string>): string | undefined => {
-  let best: string | undefined;
-  let bestScore = '';
-  for (const name of free) {
-    const scored = score(label, name);
-    if (best === undefined || scored > bestScore) {
-      best = name;
-      bestScore = scored;
-    }
-  }
-  return best;
-};
+const partitionHash = new RendezvousHash({ algorithm: 'sha256', separator: '\n' });
 
 const tenantPartitionPlan = {
   roles: (replicaNames: readonly string[], isolatedTenants: readonly string[]): Map<string, string> => {
@@ -37,8 +23,8 @@
     const count = replicaNames.length;
     const free = new Set(replicaNames);
     const seat = (label: string, role: string): void => {
-      const name = draw(label, free);
-      if (name === undefined) return;
+      const name = partitionHash.highest(label, free);
+      if (name === null) return;
       free.delete(name);
       roles.set(name, role);
     };
