--- a/packages/inspector/src/index.ts
+++ b/packages/inspector/src/index.ts
@@ -1,11 +1,12 @@
+/** The command `martenworks inspector`: asks a running fleet and shows what it tells. */
 import { createInterface } from 'node:readline/promises';
 import { parseArgs } from 'node:util';
 import { print } from './print.js';
 import { codes, help, query } from './queries.js';
-import { askOverHttp } from './reader.js';
+import { askOverHttp } from './statusReader.js';
 
 export * from './queries.js';
-export * from './reader.js';
+export * from './statusReader.js';
 export * from './print.js';
 
 const usage = `martenworks inspector --at IP:PORT[,IP:PORT...] [--json] [QUERY]
@@ -26,12 +27,13 @@
     },
   });
 
+/** Runs the command with its arguments and gives the exit code; without a query it is a shell. */
 export const runInspector = async (args: string[]): Promise<number> => {
   let parsed: ReturnType<typeof readFlags>;
   try {
     parsed = readFlags(args);
   } catch (cause) {
-    process.stderr.write(`${String((cause as Error).message)}\n`);
+    process.stderr.write(`${cause instanceof Error ? cause.message : String(cause)}\n`);
     return codes.usage;
   }
   const { values, positionals } = parsed;
--- a/packages/inspector/src/print.ts
+++ b/packages/inspector/src/print.ts
@@ -1,8 +1,10 @@
-import type { Row } from './reader.js';
+/** Writes rows for people and for programs. */
+import type { Row } from './statusReader.js';
 
 const cell = (value: unknown): string =>
   value === null || value === undefined ? '-' : typeof value === 'object' ? JSON.stringify(value) : String(value);
 
+/** `table` aligns columns, `json` writes a row a line. */
 export const print = {
   table: (rows: readonly Row[]): string => {
     if (rows.length === 0) return '(nothing)\n';
--- a/packages/inspector/src/queries.ts
+++ b/packages/inspector/src/queries.ts
@@ -1,155 +1,21 @@
+/** The queries of the inspector: tables over the fleet, and requests to one node. */
 import { readFileSync } from 'node:fs';
-import type { Ask, Row, Seen, Told } from './reader.js';
-import { look } from './reader.js';
+import { readFleet, rowsOf } from './statusReader.js';
+import type { Ask, NodeReply, Row } from './statusReader.js';
+import { reachable, unreachable, views } from './views.js';
+import type { View } from './views.js';
 
+/** What a query answers; `note` is for the standard error stream, `code` the exit code. */
 export interface Outcome {
   readonly rows: readonly Row[];
   readonly code: number;
   readonly note: string | null;
 }
 
+/** Exit codes: all reached, some nodes not reached, wrong words, nothing reached, refused. */
 export const codes = { fine: 0, partly: 1, usage: 2, unreachable: 3, refused: 4 } as const;
 
-const list = (value: unknown): Row[] => (Array.isArray(value) ? (value as Row[]) : []);
-const table = (value: unknown): [string, Row][] => Object.entries((value ?? {}) as Record<string, Row>);
-const down = (seen: Seen): string[] =>
-  [...seen.controlNodes, ...seen.gateways].filter(([, status]) => status === null).map(([name]) => name);
-
-const live = (nodes: ReadonlyMap<string, Row | null>): [string, Row][] =>
-  [...nodes].flatMap(([name, status]) => (status === null ? [] : [[name, status] as [string, Row]]));
-
-const newest = (seen: Seen): Row =>
-  live(seen.controlNodes)
-    .map(([, status]) => status)
-    .sort((a, b) => Number(b.generation ?? -1) - Number(a.generation ?? -1))[0] ?? {};
-
-const nodes = (seen: Seen): Row[] => [
-  ...[...seen.controlNodes].map(([name, status]) => ({
-    node: name,
-    role: 'gateway-control',
-    zone: status?.zone ?? '',
-    state: status === null ? 'unreachable' : status.voter === true ? 'voter' : 'no vote',
-    generation: status?.generation ?? null,
-    detail: status === null ? '' : `reaches ${String(status.reachable)} members`,
-  })),
-  ...[...seen.gateways].map(([name, status]) => ({
-    node: name,
-    role: 'gateway',
-    zone: status?.zone ?? '',
-    state: status === null ? 'unreachable' : status.fresh === true ? 'fresh' : 'not fresh',
-    generation: status?.generation ?? null,
-    detail: status === null ? '' : `${String(status.live)} live, ${String(status.voices)} voices`,
-  })),
-];
-
-const acks = (seen: Seen): Row[] =>
-  live(seen.controlNodes).flatMap(([name, status]) =>
-    list(status.counters).map((ack) => ({
-      controlNode: name,
-      holds: status.generation,
-      counter: ack.gateway,
-      acked: ack.logIndex,
-      ackAgeMs: ack.ackAgeMs,
-    })),
-  );
-
-const replicas = (seen: Seen): Row[] =>
-  list(newest(seen).replicas).map((record) => {
-    const views = live(seen.gateways).flatMap(([, status]) =>
-      list(status.replicas).filter((one) => one.replica === record.name),
-    );
-    return {
-      replica: record.name,
-      pool: record.pool,
-      state: record.state,
-      incarnation: record.incarnation,
-      born: record.born,
-      sides: list(record.sides).map(String).join(' '),
-      address: record.address,
-      running: views.reduce((sum, one) => sum + Number(one.running), 0),
-      suspectedBy: views.filter((one) => one.isSuspect === true).length,
-    };
-  });
-
-const index = (seen: Seen): Row[] =>
-  list(newest(seen).index).map((stored) => {
-    const seqs = live(seen.gateways).flatMap(([, status]) =>
-      list(status.index)
-        .filter((one) => one.replica === stored.replica)
-        .map((one) => Number(one.seq)),
-    );
-    return {
-      replica: stored.replica,
-      incarnation: stored.incarnation,
-      seq: stored.seq,
-      blocks: stored.blocks,
-      whole: stored.isWhole,
-      scopes: list(stored.scopes)
-        .map((scope) => (String(scope) === '' ? 'shared' : String(scope)))
-        .join(' '),
-      countersBehind: seqs.filter((seq) => seq < Number(stored.seq)).length,
-    };
-  });
-
-const queues = (seen: Seen): Row[] =>
-  live(seen.gateways).flatMap(([name, status]) =>
-    table(status.queues).map(([pool, queue]) => ({
-      counter: name,
-      pool,
-      waiting: queue.waiting,
-      byTier: Object.entries((queue.byTier ?? {}) as Record<string, number>)
-        .filter(([, count]) => count > 0)
-        .map(([tier, count]) => `${tier}=${count}`)
-        .join(' '),
-    })),
-  );
-
-const budgets = (seen: Seen): Row[] =>
-  live(seen.gateways).flatMap(([name, status]) =>
-    Object.entries((status.budgets ?? {}) as Record<string, number>).map(([pool, left]) => ({
-      counter: name,
-      pool,
-      extraShotsLeft: Math.round(left * 100) / 100,
-    })),
-  );
-
-const members = (seen: Seen): Row[] =>
-  live(seen.controlNodes).flatMap(([name, status]) =>
-    list(status.members).map((member) => ({ seenBy: name, ...member })),
-  );
-
-const leases = (seen: Seen): Row[] =>
-  live(seen.controlNodes).flatMap(([name, status]) =>
-    list(status.leases).map((lease) => ({
-      duty: lease.duty,
-      holder: name,
-      fence: lease.fence,
-      leftMs: lease.leftMs,
-    })),
-  );
-
-const watchers = (seen: Seen): Row[] =>
-  live(seen.controlNodes).flatMap(([name, status]) =>
-    list(status.watch).map((line) => ({
-      toldBy: name,
-      node: line.node,
-      suspectedBy: list(line.suspectedBy).join(' '),
-      down: line.isDown,
-    })),
-  );
-
-const views: Record<string, (seen: Seen) => Row[]> = {
-  nodes,
-  acks,
-  replicas,
-  index,
-  queues,
-  budgets,
-  members,
-  leases,
-  watchers,
-};
-
+/** The queries and what each answers. */
 export const help = `queries:
   nodes                        every node: role, zone, state, generation
   acks                         what each counter acknowledged to each control node
@@ -166,11 +32,39 @@
   apply FILE PLAN-ID           applies that plan, on the base it was made for
 `;
 
-const replyOf = (told: Told | null): Outcome => {
-  if (told === null) return { rows: [], code: codes.unreachable, note: 'no control node answers' };
-  return { rows: [told.body], code: told.status < 300 ? codes.fine : codes.refused, note: null };
+const patchHeaders = { 'content-type': 'application/json-patch+json' };
+
+/** How one query reaches the fleet. */
+interface Connection {
+  readonly ask: Ask;
+  readonly addresses: readonly string[];
+}
+
+type Query = (connection: Connection, words: readonly string[]) => Promise<Outcome>;
+
+const usage = (note: string): Outcome => ({ rows: [], code: codes.usage, note });
+
+const noAnswer = (role: string): Outcome => ({ rows: [], code: codes.unreachable, note: `no ${role} answers` });
+
+const outcomeOf = (reply: NodeReply | null): Outcome => {
+  if (reply === null) return noAnswer('control node');
+  return { rows: [reply.body], code: reply.status < 300 ? codes.fine : codes.refused, note: null };
 };
 
+/** Asks the control nodes in turn until one answers. */
+const askFirst = async (
+  { ask, addresses }: Connection,
+  path: string,
+  options?: Parameters<Ask>[2],
+): Promise<NodeReply | null> => {
+  for (const address of addresses) {
+    const reply = await ask(address, path, options);
+    if (reply !== null) return reply;
+  }
+  return null;
+};
+
+/** The text of the file, or what was given where there is no such file. */
 const textOf = (given: string): string => {
   try {
     return readFileSync(given, 'utf8');
@@ -179,7 +73,9 @@
   }
 };
 
-const opsOf = (path: string): unknown => {
+/** The JSON in the file; null where it cannot be read. */
+const jsonOf = (path: string | undefined): unknown => {
+  if (path === undefined) return null;
   try {
     return JSON.parse(readFileSync(path, 'utf8')) as unknown;
   } catch {
@@ -187,79 +83,70 @@
   }
 };
 
-const patchHeaders = { 'content-type': 'application/json-patch+json' };
+const askForPlan = (connection: Connection, patch: unknown): Promise<NodeReply | null> =>
+  askFirst(connection, '/operator/plans', { method: 'POST', body: patch, headers: patchHeaders });
+
+const layout: Query = async (connection) => outcomeOf(await askFirst(connection, '/operator/layout'));
+
+const change: Query = async (connection, [id]) =>
+  id === undefined ? usage(help) : outcomeOf(await askFirst(connection, `/operator/changes/${encodeURIComponent(id)}`));
 
+const why: Query = async ({ ask, addresses }, [lane, tenant, ...prompt]) => {
+  if (lane === undefined || tenant === undefined || prompt.length === 0) return usage(help);
+  const fleet = await readFleet(ask, addresses);
+  const [gateway] = fleet === null ? [] : reachable(fleet.gateways);
+  if (gateway === undefined) return noAnswer('counter');
+  const [name, status] = gateway;
+  const body = { lane, tenant, prompt: textOf(prompt.join(' ')) };
+  const reply = await ask(String(status.http), '/why', { method: 'POST', body });
+  if (reply?.status !== 200) return { rows: reply === null ? [] : [reply.body], code: codes.refused, note: null };
+  return { rows: rowsOf(reply.body.candidates), code: codes.fine, note: `as ${name} sees it` };
+};
+
+const plan: Query = async (connection, [file]) => {
+  const patch = jsonOf(file);
+  if (patch === null) return usage('plan FILE: a JSON Patch');
+  const reply = await askForPlan(connection, patch);
+  if (reply?.status !== 200) return outcomeOf(reply);
+  const { planId, base, touches, changes } = reply.body;
+  const note = `plan ${String(planId)} on generation ${String(base)}; touches ${JSON.stringify(touches)}`;
+  return { rows: rowsOf(changes), code: codes.fine, note };
+};
+
+/** Plans again and applies only if that gives the plan that was named, so that nothing changed in between. */
+const apply: Query = async (connection, [file, planId]) => {
+  const patch = jsonOf(file);
+  if (patch === null || planId === undefined) return usage('apply FILE PLAN-ID');
+  const planned = await askForPlan(connection, patch);
+  if (planned?.status !== 200) return outcomeOf(planned);
+  if (planned.body.planId !== planId) {
+    const note = 'that plan was made for another base or another change; this is the plan now';
+    return { rows: [planned.body], code: codes.refused, note };
+  }
+  const headers = {
+    ...patchHeaders,
+    'if-match': `"${String(planned.body.base)}"`,
+    'plan-id': planId,
+    'change-id': `plan-${planId}`,
+  };
+  return outcomeOf(await askFirst(connection, '/operator/layout', { method: 'PATCH', body: patch, headers }));
+};
+
+const queries = new Map<string, Query>(Object.entries({ layout, change, why, plan, apply }));
+
+const showView = async ({ ask, addresses }: Connection, view: View): Promise<Outcome> => {
+  const fleet = await readFleet(ask, addresses);
+  if (fleet === null) return noAnswer('control node');
+  const absent = unreachable(fleet);
+  if (absent.length === 0) return { rows: view(fleet), code: codes.fine, note: null };
+  return { rows: view(fleet), code: codes.partly, note: `not reached: ${absent.join(', ')}` };
+};
+
+/** Answers the query that the words name, `nodes` where there are none. */
 export const query = async (ask: Ask, addresses: readonly string[], words: readonly string[]): Promise<Outcome> => {
   const [name = 'nodes', ...rest] = words;
-  const first = async (path: string, more?: Parameters<Ask>[2]): Promise<Told | null> => {
-    for (const address of addresses) {
-      const told = await ask(address, path, more);
-      if (told !== null) return told;
-    }
-    return null;
-  };
-  const view = views[name];
-  if (view !== undefined) {
-    const seen = await look(ask, addresses);
-    if (seen === null) return { rows: [], code: codes.unreachable, note: 'no control node answers' };
-    const absent = down(seen);
-    return {
-      rows: view(seen),
-      code: absent.length === 0 ? codes.fine : codes.partly,
-      note: absent.length === 0 ? null : `not reached: ${absent.join(', ')}`,
-    };
-  }
-  switch (name) {
-    case 'layout':
-      return replyOf(await first('/operator/layout'));
-    case 'change':
-      if (rest[0] === undefined) break;
-      return replyOf(await first(`/operator/changes/${encodeURIComponent(rest[0])}`));
-    case 'why': {
-      const [lane, tenant, ...prompt] = rest;
-      if (lane === undefined || tenant === undefined || prompt.length === 0) break;
-      const seen = await look(ask, addresses);
-      const gateway = seen === null ? undefined : live(seen.gateways)[0];
-      if (gateway === undefined) return { rows: [], code: codes.unreachable, note: 'no counter answers' };
-      const told = await ask(String(gateway[1].http), '/why', {
-        method: 'POST',
-        body: { lane, tenant, prompt: textOf(prompt.join(' ')) },
-      });
-      if (told?.status !== 200) return { rows: told === null ? [] : [told.body], code: codes.refused, note: null };
-      return { rows: list(told.body.candidates), code: codes.fine, note: `as ${gateway[0]} sees it` };
-    }
-    case 'plan': {
-      const ops = rest[0] === undefined ? null : opsOf(rest[0]);
-      if (ops === null) return { rows: [], code: codes.usage, note: 'plan FILE: a JSON Patch' };
-      const told = await first('/operator/plans', { method: 'POST', body: ops, headers: patchHeaders });
-      if (told?.status !== 200) return replyOf(told);
-      const note = `plan ${String(told.body.planId)} on generation ${String(told.body.base)}; touches ${JSON.stringify(told.body.touches)}`;
-      return { rows: list(told.body.changes), code: codes.fine, note };
-    }
-    case 'apply': {
-      const ops = rest[0] === undefined ? null : opsOf(rest[0]);
-      if (ops === null || rest[1] === undefined) return { rows: [], code: codes.usage, note: 'apply FILE PLAN-ID' };
-      const plan = await first('/operator/plans', { method: 'POST', body: ops, headers: patchHeaders });
-      if (plan?.status !== 200) return replyOf(plan);
-      if (plan.body.planId !== rest[1])
-        return {
-          rows: [plan.body],
-          code: codes.refused,
-          note: 'that plan was made for another base or another change; this is the plan now',
-        };
-      return replyOf(
-        await first('/operator/layout', {
-          method: 'PATCH',
-          body: ops,
-          headers: {
-            ...patchHeaders,
-            'if-match': `"${String(plan.body.base)}"`,
-            'plan-id': rest[1],
-            'change-id': `plan-${rest[1]}`,
-          },
-        }),
-      );
-    }
-  }
-  return { rows: [], code: codes.usage, note: help };
+  const connection = { ask, addresses };
+  const view = views.get(name);
+  if (view !== undefined) return showView(connection, view);
+  return queries.get(name)?.(connection, rest) ?? usage(help);
 };
--- /dev/null
+++ b/packages/inspector/src/statusReader.ts
@@ -0,0 +1,78 @@
+/** Reads the status pages of control nodes, and through them those of gateways, over HTTP. */
+import { request } from 'undici';
+
+/** One row of an answer: cells by column, as the node told them. */
+export type Row = Record<string, unknown>;
+
+/** A node's answer; a body that is no JSON object stands under `text`. */
+export interface NodeReply {
+  readonly status: number;
+  readonly body: Row;
+}
+
+/** Asks a node at `IP:PORT`; null where it cannot be reached. */
+export type Ask = (
+  address: string,
+  path: string,
+  more?: { method?: 'GET' | 'POST' | 'PATCH'; body?: unknown; headers?: Record<string, string> },
+) => Promise<NodeReply | null>;
+
+/** Longest wait for the head of an answer, and again for its body. */
+const timeoutMs = 2_000;
+
+/** The way to ask that the command uses. */
+export const askOverHttp: Ask = async (address, path, more = {}) => {
+  try {
+    const response = await request(`http://${address}${path}`, {
+      method: more.method ?? 'GET',
+      headers: { 'content-type': 'application/json', ...more.headers },
+      ...(more.body === undefined ? {} : { body: JSON.stringify(more.body) }),
+      headersTimeout: timeoutMs,
+      bodyTimeout: timeoutMs,
+    });
+    const text = await response.body.text();
+    return { status: response.statusCode, body: text.startsWith('{') ? (JSON.parse(text) as Row) : { text } };
+  } catch {
+    return null;
+  }
+};
+
+/** The status of every node that was found, by name; null where it cannot be reached. */
+export interface FleetStatus {
+  readonly controlNodes: ReadonlyMap<string, Row | null>;
+  readonly gateways: ReadonlyMap<string, Row | null>;
+}
+
+/** The value as rows; none where it is no list. */
+export const rowsOf = (value: unknown): Row[] => (Array.isArray(value) ? (value as Row[]) : []);
+
+const readEach = async (
+  ask: Ask,
+  addresses: ReadonlyMap<string, string>,
+  path: string,
+): Promise<Map<string, Row | null>> => {
+  const read = async ([name, address]: [string, string]): Promise<[string, Row | null]> => {
+    const reply = await ask(address, path);
+    return [name, reply?.status === 200 ? { ...reply.body, http: address } : null];
+  };
+  return new Map(await Promise.all([...addresses].sort().map(read)));
+};
+
+/** Finds all nodes from the control nodes at the addresses and reads their status; null where none of them answers. */
+export const readFleet = async (ask: Ask, addresses: readonly string[]): Promise<FleetStatus | null> => {
+  const controlNodeAt = new Map<string, string>();
+  const gatewayAt = new Map<string, string>();
+  const addGateways = (status: Row | null): void => {
+    for (const one of rowsOf(status?.counters)) gatewayAt.set(String(one.gateway), String(one.http));
+  };
+  for (const address of addresses) {
+    const reply = await ask(address, '/operator/status');
+    if (reply?.status !== 200) continue;
+    for (const one of rowsOf(reply.body.controlNodes)) controlNodeAt.set(String(one.name), String(one.http));
+    addGateways(reply.body);
+  }
+  if (controlNodeAt.size === 0) return null;
+  const controlNodes = await readEach(ask, controlNodeAt, '/operator/status');
+  for (const status of controlNodes.values()) addGateways(status);
+  return { controlNodes, gateways: await readEach(ask, gatewayAt, '/status') };
+};
