--- a/packages/test-fleet/src/capacity/curveFit.ts
+++ b/packages/test-fleet/src/capacity/curveFit.ts
@@ -1,3 +1,6 @@
+/** Fits measured points to a line, and forecasts a size that was not measured. */
+
+/** The values that were measured at one size. */
 export interface Point {
   readonly x: number;
   readonly values: readonly number[];
@@ -85,4 +88,5 @@
   return { value: median(last.values) * (target / last.x) ** found.exponent, how };
 };
 
+/** `fit` finds line and shape, `forecast` gives the value at a size, `median` and `leastSquares` are their parts. */
 export const fits = { median, leastSquares, fit, forecast };
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -28,10 +28,15 @@
   (fleetSize.requests * (firstTokenSeconds + tokensAfterFirst * secondsPerToken)) / fleetSize.nodes,
 );
 
+/** Sizes that probes measure at, up to that of the planned fleet. */
 export const nodeCounts = [10, 50, 100, 200, 400];
+/** See `nodeCounts`. */
 export const replicaCounts = [50, 100, 250, 500, 1_000];
+/** See `nodeCounts`. */
 export const tenantCounts = [10, 100, 1_000, 2_000, 3_100];
+/** Replicas in one pool. */
 export const poolSizes = [10, 25, 50, 100, 250];
+/** Blocks of KV cache that one replica keeps in the planned fleet. */
 export const blocksPerReplica = fleetSize.blocks / fleetSize.replicas;
 
 /** How many pools, and models, the sample configurations have. */
--- a/packages/test-fleet/src/capacity/measuring.ts
+++ b/packages/test-fleet/src/capacity/measuring.ts
@@ -25,6 +25,7 @@
 /** Mean processor time of `work` in milliseconds. */
 export const meanCpuMs = (times: number, work: (at: number) => void): number => meanCpuUs(times, work) / usPerMs;
 
+/** Resolves after real milliseconds. */
 export const pauseMs = (ms: number): Promise<void> => new Promise((wake) => setTimeout(wake, ms));
 
 /** Waits until the condition holds; false where it did not within `limitMs`. */
--- a/packages/test-fleet/src/capacity/meteredNet.ts
+++ b/packages/test-fleet/src/capacity/meteredNet.ts
@@ -4,7 +4,9 @@
 
 /** Bytes that crossed the metered connections of one probe. */
 export class Meter {
+  /** Bytes written. */
   sent = 0;
+  /** Bytes received. */
   got = 0;
 }
 
--- a/packages/test-fleet/src/capacity/peerProcessClient.ts
+++ b/packages/test-fleet/src/capacity/peerProcessClient.ts
@@ -25,6 +25,7 @@
       this.child.send(command);
     });
 
+  /** Kills the process. */
   readonly stop = (): void => void this.child.kill('SIGKILL');
 }
 
--- a/packages/test-fleet/src/capacity/plot.ts
+++ b/packages/test-fleet/src/capacity/plot.ts
@@ -1,3 +1,4 @@
+/** Draws measured series as small panels of one SVG picture. */
 import { fits } from './curveFit.js';
 import { tables } from './table.js';
 import type { Measurement } from './table.js';
@@ -46,4 +47,5 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${columns * width} ${rows * height}"><style>${style}</style><rect width="100%" height="100%" fill="#fff"/>\n${all.map(panel).join('\n')}\n</svg>\n`;
 };
 
+/** `svg` gives the picture, three panels a row. */
 export const plots = { svg };
--- a/packages/test-fleet/src/capacity/probes/eventFeed.ts
+++ b/packages/test-fleet/src/capacity/probes/eventFeed.ts
@@ -15,12 +15,14 @@
 export class EventFeed {
   private readonly queues = new Map<string, Queue>();
 
+  /** Hands bytes to whoever follows the address. */
   readonly give = (address: string, bytes: Uint8Array): void => {
     const queue = this.queueOf(address);
     queue.parts.push(bytes);
     queue.wake();
   };
 
+  /** The client whose responses stream what was given. */
   readonly httpClient: HttpClient = {
     close: async () => {},
     send: async ({ url, signal }) => {
--- a/packages/test-fleet/src/capacity/series.ts
+++ b/packages/test-fleet/src/capacity/series.ts
@@ -12,6 +12,7 @@
 
   constructor(private readonly head: SeriesHead) {}
 
+  /** Adds a value measured at the size `x`. */
   readonly add = (x: number, value: number): void => void this.points.set(x, [...(this.points.get(x) ?? []), value]);
 
   /** All points by rising size. */
--- a/packages/test-fleet/src/capacity/table.ts
+++ b/packages/test-fleet/src/capacity/table.ts
@@ -1,6 +1,8 @@
+/** Writes measured series as a Markdown table and as JSON. */
 import { fits } from './curveFit.js';
 import type { Point } from './curveFit.js';
 
+/** One quantity measured at several sizes, and the size to forecast for. */
 export interface Measurement {
   readonly run: string;
   readonly what: string;
@@ -64,4 +66,5 @@
     return { ...one, fit: found, forecast: fits.forecast(one.points, found, one.target) };
   });
 
+/** `figure` shortens a number, `row` and `markdown` write the table, `asJson` adds fit and forecast. */
 export const tables = { figure, row, markdown, asJson };
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -1,3 +1,4 @@
+/** `npm run measure:rounds [KILLS] [ROUNDS]`: how soon a killed gateway is held to be down, and how often noise is taken for a failure. */
 import { SimFleet } from '../simulator/simFleet.js';
 
 const kills = Number(process.argv[2] ?? '30');
--- a/packages/test-fleet/src/commands/faultInjectionSummary.ts
+++ b/packages/test-fleet/src/commands/faultInjectionSummary.ts
@@ -56,6 +56,7 @@
     this.total = schedules.length;
   }
 
+  /** Adds one run, and prints it if it failed. */
   readonly add = (result: RunResult): void => {
     for (const [kind, times] of Object.entries(result.injected)) count(this.injected, kind, times);
     if (result.report === null) count(this.rules, 'the storm did not end');
@@ -65,6 +66,7 @@
     this.printFailure(result);
   };
 
+  /** Whether any run failed or broke a rule. */
   readonly hasFailures = (): boolean => this.failing > 0;
 
   private readonly addReport = (report: FaultInjectionReport): void => {
@@ -92,6 +94,7 @@
     if (this.isVerbose) print(logLines.join('\n'));
   };
 
+  /** Prints the totals of all runs. */
   readonly print = (): void => {
     const span = `${Math.min(...this.seeds)}..${Math.max(...this.seeds)}`;
     print(`seeds ${span}, ${this.size}: ${this.total} storms, ${this.calls} calls, ${this.failing} failing`);
--- a/packages/test-fleet/src/commands/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -1,3 +1,4 @@
+/** `npm run fleet`: starts a fleet of real processes on loopback, and drives load if told to. */
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { generateLoad, summaries } from '../workload/loadGenerator.js';
--- a/packages/test-fleet/src/commands/priorityWaitCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -1,3 +1,4 @@
+/** `npm run measure:urgency`: how long requests of each tier wait, and behind whose prefills, on the simulated fleet. */
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -26,15 +26,20 @@
 
 /** Shared by all injections of one run. All randomness comes from the seed, so the order of draws must not change. */
 export class FaultContext {
+  /** The simulated world of the fleet. */
   readonly world: SimWorld;
+  /** The operator and platform of the run. */
   readonly operator: OperatorClient;
   /** Violations that injections saw themselves. */
   readonly violations: Violation[] = [];
+  /** Counters that injections share. */
   readonly state: RunState = { weights: 1, probes: 0, lastProbedLane: 'query', moves: 0 };
   private readonly claimed = new Set<string>();
 
   constructor(
+    /** The fleet under test. */
     readonly fleet: SimFleet,
+    /** Takes the observations of the run. */
     readonly checker: InvariantChecker,
   ) {
     this.world = fleet.world;
@@ -47,6 +52,7 @@
   /** A whole number from 0 up to `count`. */
   readonly pick = (count: number): number => Math.floor(this.random() * count);
 
+  /** A number from `low` up to `high`. */
   readonly randomBetween = (low: number, high: number): number => low + this.random() * (high - low);
 
   /** Waits for virtual milliseconds. */
@@ -62,6 +68,7 @@
     return true;
   };
 
+  /** Gives a claimed part back. */
   readonly release = (part: string): void => void this.claimed.delete(part);
 
   /** Runs `work` with a part claimed; null where another fault has it. */
@@ -75,8 +82,10 @@
   readonly claimControlNodes = (among: readonly number[] = controlNodes): number[] =>
     among.filter((at) => this.claim(`control node ${at}`));
 
+  /** Gives a claimed gateway back. */
   readonly releaseGateway = (at: number): void => this.release(`counter ${at}`);
 
+  /** Gives a claimed control node back. */
   readonly releaseControlNode = (at: number): void => this.release(`control node ${at}`);
 
   /** The index of every gateway. */
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -43,6 +43,7 @@
 
 /** Runs once. The fleet stays readable afterwards. */
 export class FaultInjectionRun {
+  /** The fleet under test. */
   readonly fleet: SimFleet;
   /** How often each kind of fault was injected so far. */
   readonly injected: Record<string, number> = {};
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -1,3 +1,4 @@
+/** The test fleet: the simulator, fault injection, invariants, capacity figures and the handling of known failures. */
 export { fits } from './capacity/curveFit.js';
 export type { Point } from './capacity/curveFit.js';
 export { capacityEstimates, capacityModel } from './capacity/model.js';
--- a/packages/test-fleet/src/invariants/observations.ts
+++ b/packages/test-fleet/src/invariants/observations.ts
@@ -54,11 +54,14 @@
 
 /** The observations together with the replicas' records, indexed for the checks. */
 export class Evidence {
+  /** Every run that any replica recorded. */
   readonly runs: readonly ObservedRun[];
   private readonly byRequest = new Map<string, ObservedRun[]>();
 
   constructor(
+    /** What the run did and saw. */
     readonly observations: Observations,
+    /** The fleet whose replicas were read. */
     readonly fleet: ObservedFleet,
   ) {
     this.runs = observedRuns(fleet);
--- a/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
+++ b/packages/test-fleet/src/processes/emulatedReplicasProcess.ts
@@ -1,3 +1,4 @@
+/** A process that serves several emulated replicas: `emulatedReplicasProcess SPECS CONTROL`, where SPECS is a JSON list and CONTROL the address `IP:PORT` that starts more of them and tells what all recorded. */
 import { httpClients } from '@martenworks/upstream';
 import { machine } from '@martenworks/core-types';
 import type { Clock, WebHandler } from '@martenworks/core-types';
@@ -5,6 +6,7 @@
 import { EmulatedReplica } from '../replica/emulatedReplica.js';
 import type { EmulatedReplicaSettings } from '../replica/replicaRecords.js';
 
+/** A replica to serve, and the address that it listens on. */
 export interface EmulatedReplicaSpec {
   readonly settings: EmulatedReplicaSettings;
   readonly listen: string;
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -1,3 +1,4 @@
+/** A fleet of real processes on loopback, one IP a machine, with emulated replicas and, if wanted, proxies between them. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, rmSync } from 'node:fs';
@@ -18,28 +19,43 @@
 const program = join(dirname(createRequire(import.meta.url).resolve('@martenworks/cli')), 'martenworks.js');
 const zones = ['a', 'b', 'c'];
 
+/** The answer of a node; a body that is no JSON object stands under `text`. */
 export interface Reply {
   readonly status: number;
   readonly body: Record<string, unknown>;
 }
 
+/** Starts, stops and signals the processes. Gateways are `gateway-N`, control nodes `control-N`, both from 1. */
 export class LocalFleet {
+  /** The running processes by name. */
   readonly children = new Map<string, ChildProcess>();
+  /** The IP of each control node. */
   readonly controlNodeHosts: string[];
+  /** The IP of each gateway. */
   readonly gatewayHosts: string[];
+  /** The IP of each replica of the main pool. */
   readonly replicaHosts: string[];
+  /** The IP of the replica of the app pool. */
   readonly appHost: string;
+  /** A proxy before each control node; empty without proxies. */
   readonly peerProxies: FaultProxy[] = [];
+  /** A proxy before each replica, by name; empty without proxies. */
   readonly replicaProxies = new Map<string, FaultProxy>();
+  /** The control addresses of the processes that serve the replicas. */
   readonly controls: string[];
   private readonly incarnations = new Map<string, number>();
   private restarted = 0;
 
   constructor(
+    /** How many replicas, and the rate of requests. */
     readonly deployment: SampleDeployment,
+    /** Logs and data; emptied at the start. */
     readonly folder: string,
+    /** Addresses are 127.NET.x.x. */
     readonly net: number,
+    /** How many gateways. */
     readonly edgeCount = 9,
+    /** Further flags of every gateway. */
     readonly extraFlags: readonly string[] = [],
     private readonly profiled: string | null = null,
     hasProxies = false,
@@ -62,10 +78,14 @@
   /** The name of a control node's process, node, log and data folder. */
   readonly controlNodeName = (at: number): string => `control-${at + 1}`;
 
+  /** All replicas of both pools. */
   readonly replicaNames = (): string[] => [...this.replicaHosts.map((_, at) => `replica-${at + 1}`), 'app-1'];
+  /** The address that a replica listens on. */
   readonly directOf = (name: string): string =>
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
+  /** The address that others use: that of its proxy, where it has one. */
   readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.at ?? this.directOf(name);
+  /** The incarnation of a replica that runs or ran last. */
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 1;
   private readonly peerAddressOf = (at: number): string =>
     this.peerProxies[at]?.at ?? `${this.controlNodeHosts[at]}:7100`;
@@ -101,6 +121,7 @@
     ...['--seeds', this.controlNodeHosts.map((_, one) => this.peerAddressOf(one)).join(',')],
   ];
 
+  /** Starts the process of a control node. */
   readonly startControlNode = (at: number): ChildProcess => {
     const name = this.controlNodeName(at);
     return this.start(name, [
@@ -111,6 +132,7 @@
     ]);
   };
 
+  /** Starts the process of a gateway. */
   readonly startCounter = (at: number): ChildProcess => {
     const name = this.gatewayName(at);
     return this.start(name, [
@@ -124,6 +146,7 @@
     ]);
   };
 
+  /** Size and speed of a replica. */
   readonly replicaSettings = (name: string): EmulatedReplicaSettings => ({
     name,
     address: this.addressOf(name),
@@ -136,6 +159,7 @@
     store: null,
   });
 
+  /** Starts the two processes that serve all replicas. */
   readonly startReplicas = async (): Promise<void> => {
     const seats = this.replicaNames().map(
       (name): EmulatedReplicaSpec => ({ settings: this.replicaSettings(name), listen: this.directOf(name) }),
@@ -155,6 +179,7 @@
     );
   };
 
+  /** Sends an HTTP request to `HOST:PORT`; rejects where it cannot be reached. */
   readonly call = async (
     host: string,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
@@ -175,6 +200,7 @@
     };
   };
 
+  /** Waits until the test holds, and gives the milliseconds that took; rejects after `limitMs` or 15 s. */
   readonly until = async (what: string, test: () => Promise<boolean>, timeoutMs = 15_000): Promise<number> => {
     const begin = performance.now();
     while (performance.now() - begin < timeoutMs) {
@@ -184,9 +210,11 @@
     throw new Error(`timed out: ${what}`);
   };
 
+  /** Whether the node at that IP is ready. */
   readonly isReady = async (host: string): Promise<boolean> =>
     (await this.call(`${host}:7101`, 'GET', '/readyz')).status === 200;
 
+  /** Starts everything, puts the first layout and grants the keys; resolves once every gateway is ready. */
   readonly up = async (
     config: Record<string, unknown> = sampleWorkload.config('weights-1'),
     tenants: readonly string[] = sampleWorkload.tenantNames,
@@ -217,6 +245,7 @@
     );
   };
 
+  /** What the platform tells control nodes of a replica. */
   readonly announcement = (name: string): Record<string, unknown> => ({
     name,
     address: this.addressOf(name),
@@ -224,8 +253,10 @@
     incarnation: this.incarnationOf(name),
   });
 
+  /** Breaks all connections to a replica; needs proxies. */
   readonly killReplica = async (name: string): Promise<void> => this.replicaProxies.get(name)?.close();
 
+  /** Starts a new incarnation of a replica behind its proxy. */
   readonly restartReplica = async (name: string): Promise<void> => {
     const proxy = this.replicaProxies.get(name);
     if (proxy === undefined) return;
@@ -240,11 +271,13 @@
     await proxy.open();
   };
 
+  /** What all incarnations of all replicas recorded. */
   readonly replicaIncarnations = async (): Promise<ReplicaIncarnation[]> =>
     (await Promise.all(this.controls.map((control) => this.call(control, 'GET', '/replicas')))).flatMap(
       ({ body }) => body.replicas as ReplicaIncarnation[],
     );
 
+  /** Removes the data of a control node. */
   readonly wipeControlNode = (at: number): void =>
     rmSync(join(this.folder, this.controlNodeName(at)), { recursive: true, force: true });
 
@@ -254,6 +287,7 @@
     if (announced.status !== 200) throw new Error(`announce: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
+  /** Replaces the whole layout; rejects where that is refused. */
   readonly putLayout = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
     const held = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
@@ -263,6 +297,7 @@
     return put;
   };
 
+  /** Signals a process and, unless it is paused or resumed, waits for its exit code. */
   readonly signal = (name: string, signal: NodeJS.Signals): Promise<number | null> => {
     const child = this.children.get(name);
     if (child === undefined) return Promise.resolve(null);
@@ -275,6 +310,7 @@
     return signal === 'SIGSTOP' || signal === 'SIGCONT' ? Promise.resolve(null) : ended;
   };
 
+  /** Sums over all replicas. */
   readonly replicaTotals = async (): Promise<Record<string, number>> => {
     const sums: Record<string, number> = {};
     for (const host of [...this.replicaHosts, this.appHost]) {
@@ -284,6 +320,7 @@
     return sums;
   };
 
+  /** A line of processor time, memory and event-loop delay for each node. */
   readonly processMetrics = async (): Promise<string[]> => {
     const rows: string[] = [];
     for (const address of [
@@ -299,6 +336,7 @@
     return rows;
   };
 
+  /** Kills all processes and closes the proxies. */
   readonly down = async (): Promise<void> => {
     await Promise.all([...this.children.keys()].map((name) => this.signal(name, 'SIGKILL')));
     await Promise.all([...this.peerProxies, ...this.replicaProxies.values()].map((proxy) => proxy.close()));
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -24,7 +24,9 @@
 
 /** The draws of a seed are the same, but processes are not: a seed does not repeat its run. */
 export class ProcessFaultRun {
+  /** Sends the traffic and checks the invariants. */
   readonly checker: InvariantChecker;
+  /** A seeded number from 0 up to 1. */
   readonly random: () => number;
   /** Violations that faults saw themselves. */
   readonly violations: Violation[] = [];
@@ -32,6 +34,7 @@
   private changeCount = 0;
 
   constructor(
+    /** The fleet under test. */
     readonly fleet: LocalFleet,
     seed: number,
   ) {
--- a/packages/test-fleet/src/replica/blockCache.ts
+++ b/packages/test-fleet/src/replica/blockCache.ts
@@ -42,6 +42,7 @@
     return count;
   };
 
+  /** Keeps the blocks, and evicts the least recently used beyond the capacity. */
   readonly store = (blocks: readonly string[], copy: CachedCopy): void => {
     const added: string[] = [];
     for (const block of blocks) {
--- a/packages/test-fleet/src/replica/cacheEventLog.ts
+++ b/packages/test-fleet/src/replica/cacheEventLog.ts
@@ -31,6 +31,7 @@
   /** The number of the last event. */
   readonly lastSeq = (): number => this.seq;
 
+  /** Records an event and sends it to all readers, unless a fault holds it back. */
   readonly publish = (kind: CacheEvent['kind'], tenant: string | null, blocks: readonly string[]): void => {
     if (this.faults.hidesEvents) return;
     const event: CacheEvent = { incarnation: this.incarnation, seq: ++this.seq, kind, tenant, blocks };
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -35,10 +35,15 @@
 
 /** Serves its wire through `app`; time is that of the clock, so that it runs in the simulator as well. */
 export class EmulatedReplica {
+  /** The HTTP routes. */
   readonly app = new Hono();
+  /** All runs in the order in which they began. */
   readonly runs: Run[] = [];
+  /** Cache that was taken from a foreign scope. */
   readonly breaches: Breach[] = [];
+  /** All requests that came, run or not. */
   readonly arrivals: Arrival[] = [];
+  /** The faults in force. */
   readonly faults: ReplicaFaults = {
     failStatus: null,
     failRetryAfter: null,
@@ -61,6 +66,7 @@
   private readonly prefillSlot = new PrioritySlots(1);
 
   constructor(
+    /** Size and speed. */
     readonly settings: EmulatedReplicaSettings,
     private readonly clock: Clock,
     private readonly httpClient: HttpClient,
--- a/packages/test-fleet/src/replica/prioritySlots.ts
+++ b/packages/test-fleet/src/replica/prioritySlots.ts
@@ -1,5 +1,6 @@
 /** A fixed number of slots that waiting requests get by priority, and among equals in the order in which they came. */
 
+/** A request that waits for a slot. */
 interface Waiting {
   readonly priority: number;
   readonly order: number;
--- a/packages/test-fleet/src/runner/knownRed.ts
+++ b/packages/test-fleet/src/runner/knownRed.ts
@@ -1,3 +1,6 @@
+/** Reads the list of tests that are known to fail, and decides by it whether a test run passes. */
+
+/** How a test, or a hook or worker in its place, ended; `fault` null: it passed. */
 export interface TestResult {
   readonly title: string;
   readonly fault: string | null;
@@ -96,4 +99,5 @@
   `${passed} passed, ${failures.length} failed`,
 ];
 
+/** `parse` reads the list, `evaluate` holds a run against it, `lines` writes the outcome. */
 export const knownRed = { parse, judge: evaluate, lines };
--- a/packages/test-fleet/src/simulator/networkLinks.ts
+++ b/packages/test-fleet/src/simulator/networkLinks.ts
@@ -1,5 +1,6 @@
 /** The links between simulated machines: which are blocked or delayed, each way for itself. */
 
+/** Latency within a machine, and the least and the spread of that between machines. */
 const loopbackMs = 0.05;
 const leastMs = 0.2;
 const spreadMs = 0.8;
@@ -14,8 +15,11 @@
   /** @param random gives the spread of the latency */
   constructor(private readonly random: () => number) {}
 
+  /** Blocks one direction. */
   readonly block = (from: string, to: string): void => void this.blocked.add(keyOf(from, to));
+  /** Ends the block of one direction. */
   readonly unblock = (from: string, to: string): void => void this.blocked.delete(keyOf(from, to));
+  /** Whether messages in that direction are held back. */
   readonly isBlocked = (from: string, to: string): boolean => this.blocked.has(keyOf(from, to));
 
   /** Adds to the latency of one direction, in milliseconds. */
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -1,3 +1,4 @@
+/** A simulated disk that tells synced from unsynced bytes, and that may fail, stall and lose what was not synced. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
@@ -7,6 +8,7 @@
   unsynced: Uint8Array;
 }
 
+/** Faults in force; `delayMs` is added to every operation. */
 export interface DiskFaults {
   isFull: boolean;
   failsSync: boolean;
@@ -33,13 +35,17 @@
 export class SimDisk {
   /** Called before each operation that changes the disk, so that a test may copy it as a loss of power would leave it. */
   beforeStep: (step: DiskStep) => void = () => {};
+  /** The bytes of each file by name. */
   readonly files = new Map<string, FileBytes>();
+  /** The faults in force. */
   readonly faults: DiskFaults = { isFull: false, failsSync: false, delayMs: 0, isStalled: false };
+  /** How many syncs succeeded. */
   syncs = 0;
   private stalled: (() => void)[] = [];
 
   constructor(private readonly wait: (delayMs: number) => Promise<void> = () => Promise.resolve()) {}
 
+  /** Loses what was not synced, but for that share of each file. */
   readonly crash = (unsyncedShareKept: number): void => {
     for (const held of this.files.values()) {
       held.synced = joined(
@@ -58,8 +64,10 @@
     return copy;
   };
 
+  /** Loses all files. */
   readonly lose = (): void => this.files.clear();
 
+  /** Ends a stall: what waited goes on. */
   readonly unstall = (): void => {
     this.faults.isStalled = false;
     const waiting = this.stalled;
@@ -72,6 +80,7 @@
     if (this.faults.delayMs > 0) await this.wait(this.faults.delayMs);
   };
 
+  /** The disk as a process sees it; its operations never end once `isLive` is false. */
   readonly view = (isLive: () => boolean): Disk => {
     const never = new Promise<never>(() => {});
     const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> => {
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -1,3 +1,4 @@
+/** A whole fleet in the simulator: control nodes, gateways and emulated replicas, with an operator outside. */
 import { callerApi, gateways, operatorPages } from '@martenworks/gateway';
 import type { Gateway } from '@martenworks/gateway';
 import { operatorApi, replicaApi, gatewayControlNodes } from '@martenworks/control-plane';
@@ -12,6 +13,7 @@
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simMachine.js';
 
+/** Size and settings of the fleet, and hooks by which tests change nodes as they start. */
 export interface SimFleetOptions {
   readonly seed: number;
   readonly edges: number;
@@ -27,12 +29,14 @@
   readonly portsFor?: (role: 'gateway' | 'control', ports: Ports) => Ports;
 }
 
+/** The answer of a node; status 0 where none came. */
 export interface HttpReply {
   readonly status: number;
   readonly body: Record<string, unknown>;
   readonly retryAfter: string | null;
 }
 
+/** One incarnation of a replica. */
 export interface StartedReplica {
   readonly replica: EmulatedReplica;
   readonly host: string;
@@ -42,21 +46,35 @@
 const zoneNames = ['a', 'b', 'c'];
 const outsideHost = '10.9.0.1';
 
+/** Nodes are named by index from 0; null where one is not running. */
 export class SimFleet implements ObservedFleet {
+  /** Time, network and machines. */
   readonly world: SimWorld;
+  /** The running control nodes. */
   readonly controlNodes: (GatewayControlNode | null)[] = [null, null, null];
+  /** The host of each control node. */
   readonly controlNodeHosts = ['10.0.0.1', '10.0.0.2', '10.0.0.3'];
+  /** The name of each control node. */
   readonly controlNodeNames = ['postmaster-1', 'postmaster-2', 'postmaster-3'];
+  /** The running gateways. */
   readonly gateways: (Gateway | null)[];
   readonly gatewayHosts: string[];
+  /** The host of each replica of the main pool. */
   readonly replicaHosts: string[];
+  /** The host of the replica of the app pool. */
   readonly appHost = '10.3.0.1';
+  /** The host of the cache store. */
   readonly storeHost = '10.4.0.1';
+  /** All incarnations of all replicas. */
   readonly startedReplicas: StartedReplica[] = [];
+  /** The running replicas by name. */
   readonly runningReplicas = new Map<string, EmulatedReplica>();
   private readonly incarnations = new Map<string, number>();
 
-  constructor(readonly options: SimFleetOptions) {
+  constructor(
+    /** Size and settings; the machines are made at once, `up` starts them. */
+    readonly options: SimFleetOptions,
+  ) {
     this.world = new SimWorld(options.seed);
     this.gateways = Array.from({ length: options.edges }, () => null);
     this.gatewayHosts = Array.from({ length: options.edges }, (_, at) => `10.1.0.${at + 1}`);
@@ -105,6 +123,7 @@
     return this.options.portsFor?.(role, ports) ?? ports;
   };
 
+  /** Starts a control node on its machine. */
   readonly startControlNode = async (at: number): Promise<void> => {
     const host = this.controlNodeHosts[at] as string;
     const machine = this.world.machine(host);
@@ -122,6 +141,7 @@
     machine.openDoor(`${host}:7101`, app.fetch);
   };
 
+  /** Starts a gateway on its machine. */
   readonly startCounter = async (at: number): Promise<void> => {
     const host = this.gatewayHosts[at] as string;
     const machine = this.world.machine(host);
@@ -139,6 +159,7 @@
     machine.openDoor(`${host}:7102`, operatorPages(started.value).fetch);
   };
 
+  /** Starts a new incarnation of a replica. */
   readonly startReplica = (name: string, host: string, more: Partial<EmulatedReplicaSettings> = {}): void => {
     const machine = this.world.machine(host);
     const incarnation = (this.incarnations.get(name) ?? 0) + 1;
@@ -166,13 +187,16 @@
     this.startedReplicas.push({ replica, host, name });
   };
 
+  /** The last incarnation of a replica. */
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 0;
 
+  /** The name of a replica of the main pool by index. */
   readonly replicaName = (at: number): string => `replica-${at + 1}`;
 
   /** The replicas of the main pool, running or not. */
   readonly replicaNames = (): string[] => this.replicaHosts.map((_, at) => this.replicaName(at));
 
+  /** The host of any replica or of the store. */
   readonly hostOfReplica = (name: string): string =>
     name === 'app-1'
       ? this.appHost
@@ -180,6 +204,7 @@
         ? this.storeHost
         : (this.replicaHosts[Number(name.split('-')[1]) - 1] as string);
 
+  /** Sends an HTTP request from outside the fleet. */
   readonly call = async (
     url: string,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
@@ -214,6 +239,7 @@
     };
   };
 
+  /** Sends an HTTP request to a control node. */
   readonly onControlNode = (
     at: number,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
@@ -222,6 +248,7 @@
     headers?: Record<string, string>,
   ): Promise<HttpReply> => this.call(`http://${this.controlNodeHosts[at]}:7101${path}`, method, body, headers);
 
+  /** Runs virtual time until the promise settles, and gives its value. */
   readonly finish = async <T>(work: Promise<T>, timeoutMs = 30_000): Promise<T> => {
     let outcome: { value: T } | null = null;
     let fault: unknown = null;
@@ -234,6 +261,7 @@
     return (outcome as unknown as { value: T }).value;
   };
 
+  /** Announces all replicas to a control node. */
   readonly announceAll = (at = 0): Promise<HttpReply> =>
     this.onControlNode(at, 'POST', '/platform/replicas', [
       ...this.replicaHosts.map((host, index) => ({
@@ -256,6 +284,7 @@
         : []),
     ]);
 
+  /** Announces one replica to a control node. */
   readonly announce = (name: string, at = 0): Promise<HttpReply> =>
     this.onControlNode(at, 'POST', '/platform/replicas', [
       {
@@ -267,6 +296,7 @@
       },
     ]);
 
+  /** Starts all nodes and replicas. */
   readonly startAll = async (): Promise<void> => {
     this.replicaHosts.forEach((host, at) => {
       this.startReplica(this.replicaName(at), host);
@@ -277,6 +307,7 @@
     await Promise.all(this.gatewayHosts.map((_, at) => this.startCounter(at)));
   };
 
+  /** Starts everything, puts the first layout and grants the keys, and runs until every gateway serves. */
   readonly up = async (): Promise<void> => {
     await this.startAll();
     await this.world.until('the founding', () => this.controlNodes.every((one) => one?.isReady() === true));
@@ -307,9 +338,11 @@
     );
   };
 
+  /** The machine of a node. */
   readonly machineOf = (kind: 'control' | 'gateway', at: number): SimMachine =>
     this.world.machine((kind === 'control' ? this.controlNodeHosts[at] : this.gatewayHosts[at]) as string);
 
+  /** Kills a control node, in part with its disk. */
   readonly killControlNode = (at: number, losesDisk = false): void => {
     const machine = this.machineOf('control', at);
     machine.kill(this.world.random());
@@ -317,21 +350,25 @@
     this.controlNodes[at] = null;
   };
 
+  /** Restarts the machine and node of a control node. */
   readonly bootControlNode = async (at: number): Promise<void> => {
     this.machineOf('control', at).boot();
     await this.startControlNode(at);
   };
 
+  /** Kills a gateway. */
   readonly killCounter = (at: number): void => {
     this.machineOf('gateway', at).kill();
     this.gateways[at] = null;
   };
 
+  /** Restarts the machine and node of a gateway. */
   readonly bootCounter = async (at: number): Promise<void> => {
     this.machineOf('gateway', at).boot();
     await this.startCounter(at);
   };
 
+  /** Drains, stops and restarts a gateway. */
   readonly rollCounter = async (at: number): Promise<void> => {
     const gateway = this.gateways[at];
     await gateway?.drain();
@@ -341,17 +378,20 @@
     await this.bootCounter(at);
   };
 
+  /** Stops and restarts a control node. */
   readonly rollControlNode = async (at: number): Promise<void> => {
     await this.controlNodes[at]?.stop();
     this.killControlNode(at);
     await this.bootControlNode(at);
   };
 
+  /** Kills a replica. */
   readonly killReplica = (name: string): void => {
     this.world.machine(this.hostOfReplica(name)).kill();
     this.runningReplicas.delete(name);
   };
 
+  /** Brings a control node back empty at another host and name. */
   readonly moveControlNode = async (at: number, host: string, name: string): Promise<void> => {
     this.killControlNode(at, true);
     this.controlNodeHosts[at] = host;
@@ -359,6 +399,7 @@
     await this.bootControlNode(at);
   };
 
+  /** Restarts the machine of a replica with a new incarnation. */
   readonly bootReplica = (name: string): void => {
     const host = this.hostOfReplica(name);
     this.world.machine(host).boot();
--- a/packages/test-fleet/src/simulator/simHttpExchange.ts
+++ b/packages/test-fleet/src/simulator/simHttpExchange.ts
@@ -45,6 +45,7 @@
     this.targetIncarnation = this.target.incarnation;
   }
 
+  /** Connects and sends; the outcome settles in virtual time. */
   readonly start = (): void => {
     const { world, caller, target, request } = this;
     if (request.signal.aborted) {
--- a/packages/test-fleet/src/simulator/simLink.ts
+++ b/packages/test-fleet/src/simulator/simLink.ts
@@ -1,5 +1,6 @@
 /** Links of a limited width for the simulated world: a first-in-first-out link for each machine and direction. */
 
+/** Bytes that cross a link at once, and bytes that a sender may have under way. */
 const segmentBytes = 8 * 1_024;
 const windowBytes = 128 * 1_024;
 const msPerSecond = 1_000;
@@ -54,6 +55,7 @@
     private readonly deliver: (bytes: Uint8Array, arrived: () => void) => void,
   ) {}
 
+  /** Puts bytes in behind all that wait. */
   readonly write = (bytes: Uint8Array): void => {
     const isNarrow = this.outbound() !== null || this.inbound() !== null;
     if (!isNarrow && this.flyingBytes === 0 && this.queue.length === 0) {
@@ -69,6 +71,7 @@
   /** Bytes that wait outside the window, as a socket's own buffer would tell. */
   readonly backlog = (): number => this.queuedBytes;
 
+  /** Drops what has not left yet. */
   readonly discard = (): void => {
     this.queue.length = 0;
     this.queuedBytes = 0;
--- a/packages/test-fleet/src/simulator/simMachine.ts
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -37,6 +37,7 @@
   monotonicPauseMs = 0;
   outbound: SimLink | null = null;
   inbound: SimLink | null = null;
+  /** The disk, which outlasts the process. */
   disk: SimDisk;
   readonly postponed: ScheduledEvent[] = [];
   readonly crashListeners = new Set<(isReset: boolean) => void>();
@@ -56,6 +57,7 @@
 
   readonly handlerAt = (address: string): WebHandler | undefined => this.doors.get(address);
 
+  /** The clocks of this incarnation. */
   readonly clock = (): Clock => {
     const { incarnation } = this;
     return {
@@ -121,8 +123,10 @@
     },
   });
 
+  /** Serves HTTP at the address, until the machine crashes. */
   readonly openDoor = (address: string, handler: WebHandler): void => void this.doors.set(address, handler);
 
+  /** Stops serving HTTP at the address. */
   readonly closeDoor = (address: string): void => void this.doors.delete(address);
 
   /** As the program does when it exits: nothing new is taken, and answers under way get a while to reach their callers. */
@@ -163,6 +167,7 @@
     this.kill();
   };
 
+  /** Starts the machine with its disk; disk faults are cleared. */
   readonly boot = (): void => {
     this.isUp = true;
     this.isVanished = false;
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -20,6 +20,7 @@
 /** The clock, the machines by host and the network between them. Times are virtual milliseconds. */
 export class SimWorld implements Simulation {
   readonly random: () => number;
+  /** All machines by host. */
   readonly machines = new Map<string, SimMachine>();
   readonly logLines: LogLine[] = [];
   private readonly links: NetworkLinks;
@@ -28,11 +29,15 @@
   /** Called with each write on a connection between two machines, before it is under way. */
   onWrite: ((from: string, to: string, bytes: Uint8Array) => void) | null = null;
   time = 0;
+  /** How many events happened. */
   events = 0;
   /** A digest of the times and order of all events so far; equal for equal runs. */
   digest = 0;
 
-  constructor(readonly seed: number) {
+  constructor(
+    /** All randomness comes from it. */
+    readonly seed: number,
+  ) {
     this.random = seeded(seed);
     this.links = new NetworkLinks(this.random);
     this.blockLink = this.links.block;
@@ -43,11 +48,17 @@
     this.latency = this.links.latency;
   }
 
+  /** See `NetworkLinks`. */
   readonly blockLink: NetworkLinks['block'];
+  /** See `NetworkLinks`. */
   readonly unblockLink: NetworkLinks['unblock'];
+  /** See `NetworkLinks`. */
   readonly isBlocked: NetworkLinks['isBlocked'];
+  /** See `NetworkLinks`. */
   readonly delayLink: NetworkLinks['delay'];
+  /** See `NetworkLinks`. */
   readonly healAll: NetworkLinks['healAll'];
+  /** See `NetworkLinks`. */
   readonly latency: NetworkLinks['latency'];
 
   /** The machine with that host, made when it is first asked for. */
@@ -134,6 +145,7 @@
     for (const other of this.machines.keys()) if (other !== host) this.partition(host, other);
   };
 
+  /** Ends all partitions of a machine. */
   readonly reconnect = (host: string): void => {
     for (const other of this.machines.keys()) this.heal(host, other);
   };
--- a/packages/test-fleet/src/workload/callSender.ts
+++ b/packages/test-fleet/src/workload/callSender.ts
@@ -46,6 +46,7 @@
 
 /** Keeps all calls in the order in which they were sent. */
 export class CallSender {
+  /** All calls in the order in which they were sent. */
   readonly calls: Call[] = [];
   private sentCount = 0;
 
--- a/packages/test-fleet/src/workload/completionResponse.ts
+++ b/packages/test-fleet/src/workload/completionResponse.ts
@@ -53,6 +53,7 @@
     },
   });
 
+  /** Takes the next bytes of the stream. */
   readonly feed = (bytes: Uint8Array): void => this.parser.feed(this.decoder.decode(bytes, { stream: true }));
 
   private readonly takeChunk = (chunk: JsonObject): void => {
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -1,16 +1,20 @@
+/** Sample deployments: the users' two sites, their tenants, layout and requests, all drawn from a seed. */
 import { createHash } from 'node:crypto';
 
+/** Size of a site and its rate of requests. */
 export interface SampleDeployment {
   readonly name: string;
   readonly replicaCount: number;
   readonly ratePerSecond: number;
 }
 
+/** The users' two sites by name. */
 export const sampleDeployments: Record<string, SampleDeployment> = {
   stations: { name: 'stations', replicaCount: 13, ratePerSecond: 190 },
   sawmill: { name: 'sawmill', replicaCount: 8, ratePerSecond: 180 },
 };
 
+/** A generator of numbers from 0 up to 1 (mulberry32); equal seeds give equal sequences. */
 export const seeded = (seed: number): (() => number) => {
   let state = seed >>> 0 || 1;
   return () => {
@@ -36,9 +40,12 @@
 const longPrefixes = [0, 1, 2, 3, 4, 5].map((at) => pseudoText(`manual-${at}`, 24_000));
 const shortPrefix = pseudoText('assistant', 640);
 
+/** The kinds of requests; each is the name of a lane. */
 export const requestKinds = ['confirm', 'query', 'diagnose', 'book'] as const;
+/** See `requestKinds`. */
 export type RequestKind = (typeof requestKinds)[number];
 
+/** One request of a tenant. */
 export interface SampleRequest {
   readonly kind: RequestKind;
   readonly tenant: string;
@@ -48,6 +55,7 @@
   readonly tier: string;
 }
 
+/** The first key of a tenant. */
 export const keyOf = (tenant: string): string => `key-of-${tenant}-0001`;
 
 const tierOf = (tenant: string): string => (tenantNames.indexOf(tenant) < 4 ? 'prompt' : 'steady');
@@ -58,6 +66,7 @@
 /** A tier that tenants of the sample deployments buy. */
 export type Tier = keyof typeof tiers;
 
+/** Tenants, tiers, the layout with given weights, and requests as the sites send them. */
 export const sampleWorkload = {
   tenantNames,
   tiers,
