--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -1,7 +1,8 @@
 import type { Clock, KvCacheEvent, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
-import type { Acceptor, CommittedChange } from '../consensus/acceptor.js';
+import type { Acceptor } from '../consensus/acceptor.js';
+import type { CommittedChange } from '../consensus/ballots.js';
 
 const reportAgeMs = 2_000;
 const silentMs = 6_000;
--- /dev/null
+++ b/packages/control-plane/src/consensus/ballots.ts
@@ -0,0 +1,50 @@
+/**
+ * Values that proposers and acceptors exchange about one slot of the log: single-decree Paxos (Lamport, "Paxos Made
+ * Simple", 2001), run once per log index. Field names are those of the messages between nodes and of the log on disk.
+ */
+import type { Change, CommittedState } from '@martenworks/core-types';
+
+/** A ballot number: a round, and the proposer's incarnation to break ties. Totally ordered by `ballots.compare`. */
+export type Ballot = readonly [round: number, proposer: string];
+
+/** A change that an acceptor has accepted, under the ballot that proposed it. */
+export interface Accepted {
+  readonly ballot: Ballot;
+  readonly change: Change;
+}
+
+/** A change that was chosen for a log index. */
+export interface CommittedChange {
+  readonly logIndex: number;
+  readonly change: Change;
+}
+
+/** A committed change with its body in compressed bytes (see `compressedChanges`). */
+export interface CompressedCommit {
+  readonly logIndex: number;
+  readonly change: Uint8Array;
+}
+
+/**
+ * An acceptor's reply to `prepare` or `accept`. `rejected`: a higher ballot was promised. `ahead`, `behind`: the
+ * acceptor is at another slot than the proposer. `unavailable`: it cannot vote, for the given cause.
+ */
+export type Vote =
+  | { readonly kind: 'promised'; readonly accepted: Accepted | null }
+  | { readonly kind: 'accepted' }
+  | { readonly kind: 'rejected'; readonly promised: Ballot }
+  | { readonly kind: 'ahead'; readonly logIndex: number }
+  | { readonly kind: 'behind'; readonly logIndex: number }
+  | { readonly kind: 'unavailable'; readonly cause: 'unfounded' | 'no voter' | 'disk' };
+
+/** What a node holds beyond a given log index: the missing changes, or a whole state where they are no longer kept. */
+export type Since =
+  | { readonly kind: 'changes'; readonly committed: readonly CommittedChange[] }
+  | { readonly kind: 'checkpoint'; readonly agreed: CommittedState }
+  | { readonly kind: 'nothing' };
+
+/** Order of ballots. */
+export const ballots = {
+  /** Negative, zero or positive, as `a` is lower than, equal to or higher than `b`. */
+  compare: (a: Ballot, b: Ballot): number => a[0] - b[0] || (a[1] < b[1] ? -1 : a[1] > b[1] ? 1 : 0),
+};
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -3,7 +3,8 @@
 import { background } from '@martenworks/core-types';
 import type { Clock, Log } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { Acceptor, CompressedCommit } from './acceptor.js';
+import type { Acceptor } from './acceptor.js';
+import type { CompressedCommit } from './ballots.js';
 import { compressedChanges, compressedStates } from './compression.js';
 
 /**
--- a/packages/control-plane/src/consensus/confirmedRead.ts
+++ b/packages/control-plane/src/consensus/confirmedRead.ts
@@ -1,6 +1,7 @@
 import { stateMachine, pause } from '@martenworks/core-types';
 import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
-import type { Acceptor, Since } from './acceptor.js';
+import type { Acceptor } from './acceptor.js';
+import type { Since } from './ballots.js';
 import { askMembers, majorityOf, positions } from './quorumCall.js';
 import type { Position, Voters } from './quorumCall.js';
 
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -12,7 +12,7 @@
 } from '@martenworks/cluster-membership';
 import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
-import type { CompressedCommit, Since } from './acceptor.js';
+import type { CompressedCommit, Since } from './ballots.js';
 import { CatchUp, catchUpTopics } from './catchUp.js';
 import { compressedChanges } from './compression.js';
 import { consensusMessages } from './consensusMessages.js';
--- a/packages/control-plane/src/consensus/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -1,7 +1,7 @@
 /** Shapes of the messages that members of the consensus group send each other, checked as they arrive. */
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
 import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
-import type { Accepted, Ballot, CompressedCommit, Vote } from './acceptor.js';
+import type { Accepted, Ballot, CompressedCommit, Vote } from './ballots.js';
 import type { MemberStatus, FoundingVoteReply } from '../membership/foundingMessages.js';
 import type { Position } from './quorumCall.js';
 
@@ -33,7 +33,7 @@
   'routing',
   'weights',
 ]);
-const muteCauses: ReadonlySet<unknown> = new Set(['unfounded', 'no voter', 'disk']);
+const unavailableCauses: ReadonlySet<unknown> = new Set(['unfounded', 'no voter', 'disk']);
 
 const isShape = (value: unknown): value is Shape => typeof value === 'object' && value !== null;
 const isText = (value: unknown): value is string => typeof value === 'string';
@@ -86,13 +86,13 @@
       return isNullOr(isAccepted)(value.accepted);
     case 'accepted':
       return true;
-    case 'denied':
+    case 'rejected':
       return isBallot(value.promised);
     case 'ahead':
     case 'behind':
       return isInteger(value.logIndex);
-    case 'mute':
-      return muteCauses.has(value.cause);
+    case 'unavailable':
+      return unavailableCauses.has(value.cause);
     default:
       return false;
   }
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -3,8 +3,9 @@
 import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
 import type { CommittedState, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
 import type { ValidationIssue } from '@martenworks/settings';
-import { ballots } from './acceptor.js';
-import type { Accepted, Ballot, Acceptor, CommittedChange, Since, Vote } from './acceptor.js';
+import { ballots } from './ballots.js';
+import type { Acceptor } from './acceptor.js';
+import type { Accepted, Ballot, CommittedChange, Since, Vote } from './ballots.js';
 import { ConfirmedRead } from './confirmedRead.js';
 import { askMembers, majorityOf } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
@@ -195,14 +196,14 @@
         const wantedVotes = votes.filter(({ kind: k }) => k === wanted);
         if (wantedVotes.length >= majority) return wantedVotes;
         if (wantedVotes.length + open >= majority) return null;
-        return votes.some(({ kind: k }) => k === 'denied' || k === 'ahead') ? 'again' : 'no majority';
+        return votes.some(({ kind: k }) => k === 'rejected' || k === 'ahead') ? 'again' : 'no majority';
       },
     );
   };
 
   /** Takes from a vote what the next ballot must know. */
   private readonly heed = async (member: Member, vote: Vote, state: CommittedState): Promise<void> => {
-    if (vote.kind === 'denied') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
+    if (vote.kind === 'rejected') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
     if (vote.kind !== 'ahead') return;
     const since = await this.voters.since(member, state.logIndex);
     if (since !== null) await this.learn(since);
--- a/packages/control-plane/src/consensus/quorumCall.ts
+++ b/packages/control-plane/src/consensus/quorumCall.ts
@@ -1,4 +1,5 @@
-import type { Acceptor, Ballot, CommittedChange, Since, Vote } from './acceptor.js';
+import type { Acceptor } from './acceptor.js';
+import type { Ballot, CommittedChange, Since, Vote } from './ballots.js';
 import { background } from '@martenworks/core-types';
 import type { Change, Member } from '@martenworks/core-types';
 
--- /dev/null
+++ b/packages/control-plane/src/consensus/recentChanges.ts
@@ -0,0 +1,35 @@
+/** The changes an acceptor committed last, in compressed bytes, from which members that are a little behind catch up. */
+import type { CommittedChange, CompressedCommit } from './ballots.js';
+import { compressedChanges } from './compression.js';
+
+const changeLimit = 256;
+const byteLimit = 4 * 1024 * 1024;
+
+/** A bounded queue of committed changes, with no gap in their log indexes. */
+export class RecentChanges {
+  private readonly changes: CompressedCommit[] = [];
+  private bytes = 0;
+
+  /** Appends the next change and drops the oldest ones beyond the limits; the newest always stays. */
+  readonly add = ({ logIndex, change }: CommittedChange): void => {
+    const compressed = compressedChanges.encode(change);
+    this.changes.push({ logIndex, change: compressed });
+    this.bytes += compressed.length;
+    while (this.isOverLimit()) this.bytes -= this.changes.shift()?.change.length ?? 0;
+  };
+
+  readonly clear = (): void => {
+    this.changes.length = 0;
+    this.bytes = 0;
+  };
+
+  /** All changes after a log index, the oldest first; null where some of them are no longer kept. */
+  readonly after = (logIndex: number): readonly CompressedCommit[] | null => {
+    const first = this.changes[0];
+    if (logIndex < 0 || first === undefined || first.logIndex > logIndex + 1) return null;
+    return this.changes.filter((change) => change.logIndex > logIndex);
+  };
+
+  private readonly isOverLimit = (): boolean =>
+    this.changes.length > changeLimit || (this.bytes > byteLimit && this.changes.length > 1);
+}
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -92,7 +92,7 @@
     if (state.turn > turn || (state.promised !== null && claimBallots.compare(ballot, state.promised) <= 0))
       return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { ...state, promised: ballot };
-    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'mute' };
+    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
   readonly accept = async (key: string, turn: number, ballot: ClaimBallot, claimant: Claimant): Promise<ClaimVote> => {
@@ -100,7 +100,7 @@
     if (state.turn > turn || claimBallots.isOver(state.promised, ballot))
       return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { turn, promised: ballot, accepted: { ballot, claimant } };
-    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'mute' };
+    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
   readonly release = async (key: string, turn: number): Promise<boolean> => {
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -1,4 +1,5 @@
 export * from './consensus/acceptor.js';
+export * from './consensus/ballots.js';
 export * from './consensus/catchUp.js';
 export * from './consensus/compression.js';
 export * from './consensus/proposer.js';
--- a/packages/core-types/src/idempotencyClaim.ts
+++ b/packages/core-types/src/idempotencyClaim.ts
@@ -20,7 +20,7 @@
 
 export type ClaimVote =
   | { readonly kind: 'state'; readonly isGranted: boolean; readonly state: ClaimState }
-  | { readonly kind: 'mute' };
+  | { readonly kind: 'unavailable' };
 
 export interface ClaimPage {
   readonly entries: readonly (readonly [key: string, state: ClaimState])[];
--- a/packages/model-check/src/breaks.ts
+++ b/packages/model-check/src/breaks.ts
@@ -87,9 +87,9 @@
   leaseTable: (clock, terms) => new LeaseTable(clock, async () => true, [], false, terms),
 };
 
-/** What the acceptor does with a record once the log has it; private there. */
-interface Redoing {
-  readonly redo: (record: { readonly t: 'adopted'; readonly agreed: CommittedState }) => void;
+/** What the acceptor does with an event once the log has it; private there. */
+interface EventApplier {
+  readonly applyEvent: (record: { readonly t: 'adopted'; readonly agreed: CommittedState }) => void;
 }
 
 const grantAcrossSwaps: Break = {
@@ -111,7 +111,7 @@
     overridable(acceptor).adopt = async (agreed) => {
       if (agreed.logIndex === 0) return adopt(agreed);
       if ((acceptor.agreed()?.logIndex ?? -1) >= agreed.logIndex) return false;
-      (acceptor as unknown as Redoing).redo({ t: 'adopted', agreed });
+      (acceptor as unknown as EventApplier).applyEvent({ t: 'adopted', agreed });
       return true;
     };
   },
@@ -124,7 +124,7 @@
     const accept = acceptor.accept;
     overridable(acceptor).accept = async (slot: number, ballot: Ballot, change: Change) => {
       const vote = await accept(slot, ballot, change);
-      return vote.kind === 'denied' ? accept(slot, vote.promised, change) : vote;
+      return vote.kind === 'rejected' ? accept(slot, vote.promised, change) : vote;
     };
   },
 };
