--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -1,6 +1,5 @@
 import { createHash } from 'node:crypto';
-import { Encoder } from 'cbor-x';
-import { background } from '@martenworks/core-types';
+import { background, cbor } from '@martenworks/core-types';
 import type { Clock, Log } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
@@ -24,8 +23,6 @@
 const transferLimitBytes = 128 * 1024 * 1024;
 const mostTransfersInRun = 8;
 
-const coder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
-
 /** What a node asks of another to catch up. */
 export const catchUpTopics = {
   /** Body null; the reply is the generation held, or null where nothing is. */
@@ -112,7 +109,7 @@
   };
 
   private readonly changes = (missed: readonly CompressedCommit[]): Transfer =>
-    this.transfer('changes', missed.at(-1)?.logIndex ?? -1, coder.encode(missed));
+    this.transfer('changes', missed.at(-1)?.logIndex ?? -1, cbor.encode(missed));
 
   private readonly snapshot = (): Transfer => {
     const state = this.acceptor.agreed();
@@ -304,7 +301,7 @@
   };
 
   private readonly settleAll = async (bytes: Uint8Array): Promise<boolean> => {
-    for (const { logIndex, change } of coder.decode(bytes) as CompressedCommit[]) {
+    for (const { logIndex, change } of cbor.decode(bytes) as CompressedCommit[]) {
       const isKept = await this.acceptor.commit({ logIndex, change: compressedChanges.decode(change) });
       if (!isKept && logIndex > this.logIndex()) return false;
     }
