--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -1,131 +1,91 @@
-/** One member of the consensus group: agreement, membership, leases and heartbeats, for every kind of core node. */
-import { background, RepeatingTimer, stateMachine } from '@martenworks/core-types';
-import type { Member, Ports } from '@martenworks/core-types';
-import { LeaseManager, PeerPool, leaseMs } from '@martenworks/cluster-membership';
-import type {
-  DialPace,
-  LeaseRequest,
-  LeaseReply,
-  LeaseTerms,
-  MemberList,
-  MemberEntry,
-} from '@martenworks/cluster-membership';
+/** One member of the consensus group: agreement, membership, leases and keepalives, for every kind of control node. */
+import { background, RepeatingTimer } from '@martenworks/core-types';
+import { PeerPool } from '@martenworks/cluster-membership';
+import type { LeaseManager } from '@martenworks/cluster-membership';
 import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
-import type { Acceptor } from './acceptor.js';
-import type { CompressedCommit, Since } from './ballots.js';
-import { CatchUp, catchUpTopics } from './catchUp.js';
-import { compressedChanges } from './compression.js';
-import { consensusMessages } from './consensusMessages.js';
-import type { ElectorateLeaseRequest, MessageCheck } from './consensusMessages.js';
 import { Founding } from '../membership/founding.js';
-import type { MemberStatus } from '../membership/foundingMessages.js';
-import type { PersistedLeases } from './leaseLog.js';
 import { Membership } from '../membership/membership.js';
+import type { Acceptor } from './acceptor.js';
+import { CatchUp } from './catchUp.js';
+import { consensusMessages } from './consensusMessages.js';
+import type { ConsensusPace, ConsensusParts, ConsensusRole } from './consensusOptions.js';
+import { ConsensusRequests } from './consensusRequests.js';
+import { MemberLeases } from './memberLeases.js';
+import { MemberPeers } from './memberPeers.js';
 import { Proposer } from './proposer.js';
-import { majorityOf, positions } from './quorumCall.js';
-import type { Voters } from './quorumCall.js';
+import { majorityOf } from './quorumCall.js';
+import { remoteVoters } from './remoteVoters.js';
 
 const commitPendingAfterMs = 150;
 const commitPendingCheckMs = 100;
 
-/** Milliseconds: how often each step is taken, and how long a reply is waited for. */
-export interface ConsensusPace {
-  readonly voteTimeoutMs: number;
-  readonly foundingMs: number;
-  readonly upkeepMs: number;
-  readonly keepaliveIntervalMs: number;
-  readonly keepaliveTimeoutMs: number;
-  readonly leaseIntervalMs: number;
-  readonly leaseTimeoutMs: number;
-  readonly dialPace?: DialPace;
-  /** How long a member must be lost before a node of another name may take its seat. */
-  readonly strangerWaitMs?: number;
-}
-
-/** What the kind of node adds to the group's own work. */
-export interface ConsensusRole extends Handlers {
-  /** Addresses to hold connections to, besides those of the members. */
-  readonly extraAddresses: () => readonly string[];
-  /** Whether a lost member of this name is known to be down. */
-  readonly isDown: (name: string) => boolean;
-  readonly wantedLeases: () => readonly string[];
-  readonly leasesChanged: () => void;
-  /** Whether a newcomer must have copied data beside the agreed state from every member before it may vote. */
-  readonly needsCopies: boolean;
-  /** The members, by incarnation, whose data beside the agreed state is held here. */
-  readonly syncedFrom: () => readonly string[];
-  /** Work to be done before each step of membership; catching up is part of it. */
-  readonly prepareUpkeep: () => Promise<void>;
-  /** Entries of the member list that a peer is told of. */
-  readonly sharedMembers: (entries: MemberEntry[]) => MemberEntry[];
-}
-
-export interface ConsensusParts {
-  readonly ports: Ports;
-  readonly hello: () => Hello;
-  readonly memberList: MemberList;
-  readonly seeds: readonly string[];
-  readonly acceptor: Acceptor;
-  readonly leases: PersistedLeases;
-  readonly terms?: LeaseTerms;
-  readonly coreSize?: number;
-}
-
+/** Wires the parts of one member together and takes its repeated steps. */
 export class ConsensusMember {
   readonly peerPool: PeerPool;
   readonly catchUp: CatchUp;
   readonly proposer: Proposer;
+  /** Keeps the leases that this node holds. */
   readonly leaseManager: LeaseManager;
   private readonly acceptor: Acceptor;
+  private readonly memberPeers: MemberPeers;
+  private readonly leases: MemberLeases;
+  private readonly requests: ConsensusRequests;
   private readonly founding: Founding;
   private readonly membership: Membership;
   private readonly timers: RepeatingTimer[] = [];
   private isFoundingStep = false;
   private isUpkeepStep = false;
-  private wasVoter = false;
-  private quietUntil = 0;
 
   constructor(
     private readonly parts: ConsensusParts,
     private readonly role: ConsensusRole,
     private readonly pace: ConsensusPace,
   ) {
-    const { ports, hello, memberList, acceptor } = parts;
+    const { ports, memberList, acceptor } = parts;
     const { clock, random, log } = ports;
     this.acceptor = acceptor;
-    this.peerPool = new PeerPool(
-      ports,
-      hello,
-      parts.seeds,
-      memberList,
-      () => [...this.members().map((member) => member.address), ...role.extraAddresses()],
-      this.handlers(),
-      pace.dialPace,
-    );
-    this.catchUp = new CatchUp(acceptor, this.peers, clock, log);
-    this.proposer = new Proposer(acceptor, this.voters(), clock, random, log);
-    this.leaseManager = new LeaseManager(
-      clock,
-      () => acceptor.incarnation,
-      this.reachableVoters,
-      () => (this.isLeaving() ? [] : role.wantedLeases()),
-      this.askLeases,
-      this.releaseLeases,
-      () => majorityOf(this.members()),
-      role.leasesChanged,
-      parts.terms,
-    );
-    this.founding = new Founding(
+    this.memberPeers = new MemberPeers(acceptor, () => this.peerPool);
+    this.peerPool = this.createPeerPool();
+    this.catchUp = new CatchUp(acceptor, this.memberPeers.controlNodes, clock, log);
+    const voters = remoteVoters(acceptor, this.memberPeers, this.catchUp, pace.voteTimeoutMs);
+    this.proposer = new Proposer(acceptor, voters, clock, random, log);
+    this.leases = new MemberLeases(parts, this.memberPeers, pace.leaseTimeoutMs, {
+      wanted: () => (this.isLeaving() ? [] : role.wantedLeases()),
+      changed: role.leasesChanged,
+    });
+    this.leaseManager = this.leases.manager;
+    this.requests = new ConsensusRequests(acceptor, this.catchUp, this.leases, memberList, role);
+    this.founding = this.createFounding();
+    this.membership = this.createMembership();
+  }
+
+  private readonly createPeerPool = (): PeerPool => {
+    const { ports, hello, seeds, memberList } = this.parts;
+    const addresses = (): string[] => [
+      ...this.memberPeers.members().map((member) => member.address),
+      ...this.role.extraAddresses(),
+    ];
+    return new PeerPool(ports, hello, seeds, memberList, addresses, this.handlers(), this.pace.dialPace);
+  };
+
+  private readonly createFounding = (): Founding => {
+    const { ports, hello, memberList, acceptor, coreSize } = this.parts;
+    return new Founding(
       acceptor,
       hello,
       () => this.peerPool,
       () => memberList.withRole('control'),
       this.catchUp.from,
-      log,
-      parts.coreSize,
+      ports.log,
+      coreSize,
     );
-    this.membership = new Membership(
-      acceptor,
+  };
+
+  private readonly createMembership = (): Membership => {
+    const { role, pace } = this;
+    const { clock, log } = this.parts.ports;
+    return new Membership(
+      this.acceptor,
       this.proposer,
       clock,
       () => this.peerPool,
@@ -134,23 +94,24 @@
       { strangerWaitMs: pace.strangerWaitMs, needsCopies: role.needsCopies },
       (connection) => this.catchUp.supply(connection, pace.voteTimeoutMs),
     );
-  }
+  };
 
   /** Begins the repeated steps. To be called once, when the node is able to answer its neighbours. */
   readonly start = (): void => {
     const { clock, random } = this.parts.ports;
     const { pace } = this;
     const varied = (everyMs: number) => (): number => everyMs * (0.5 + random.fraction());
-    this.wasVoter = this.acceptor.isVoter();
-    this.acceptor.watch(() => {
-      this.noteSeat();
-      this.peerPool.align();
-    });
+    this.leases.start();
+    this.acceptor.watch(() => this.peerPool.align());
     this.timers.push(
       new RepeatingTimer(clock, varied(pace.foundingMs), this.stepFounding),
       new RepeatingTimer(clock, varied(pace.upkeepMs), this.upkeep),
       new RepeatingTimer(clock, varied(commitPendingCheckMs), this.commitPending),
-      new RepeatingTimer(clock, () => pace.keepaliveIntervalMs, this.keepalive),
+      new RepeatingTimer(
+        clock,
+        () => pace.keepaliveIntervalMs,
+        () => this.memberPeers.sendKeepalives(pace.keepaliveTimeoutMs),
+      ),
       new RepeatingTimer(
         clock,
         () => pace.leaseIntervalMs * (0.9 + 0.2 * random.fraction()),
@@ -161,7 +122,7 @@
 
   /** Ends the repeated steps. */
   readonly pause = (): void => {
-    for (const repeat of this.timers) repeat.stop();
+    for (const timer of this.timers) timer.stop();
   };
 
   readonly isLeaving = (): boolean => this.membership.isLeaving();
@@ -180,36 +141,18 @@
   /** Closes the held connections. */
   readonly close = (): void => this.peerPool.stop();
 
-  private readonly members = (): readonly Member[] => this.acceptor.agreed()?.members ?? [];
-
-  private readonly voterMembers = (): Member[] => stateMachine.distinctVoters(this.acceptor.agreed());
-
-  private readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
-
-  /** Open connections to the other control nodes, voters or not. */
-  readonly peers = (): PeerConnection[] =>
-    this.peerPool.open().filter((connection) => connection.peer?.role === 'control');
-
-  readonly tellPeers = (topic: string, body: unknown): void => {
-    for (const connection of this.peers()) connection.tell(topic, body);
-  };
+  /** Sends a message to all other control nodes, without a reply. */
+  readonly tellPeers = (topic: string, body: unknown): void => this.memberPeers.tellAll(topic, body);
 
   /** Incarnations of the voters with an open connection, this node's own among them if it is one. */
-  readonly reachableVoters = (): string[] =>
-    this.voterMembers()
-      .filter((member) => this.isSelf(member) || this.peerPool.to(member.incarnation) !== undefined)
-      .map((member) => member.incarnation);
+  readonly reachableVoters = (): string[] => this.memberPeers.reachableVoters();
+
+  /** Whether this node is connected to a majority of the members, itself counted. False before the founding. */
+  readonly reachesMajority = (): boolean =>
+    this.acceptor.agreed() !== null && this.reachableVoters().length >= majorityOf(this.memberPeers.members());
 
   /** Milliseconds since this node last had bytes of each of a majority of the voters, itself counted; null where it has no connection to one. */
-  readonly majorityHeardMs = (): number | null => {
-    const silences = this.voterMembers().flatMap((member) => {
-      if (this.isSelf(member)) return [0];
-      const connection = this.peerPool.to(member.incarnation);
-      return connection === undefined ? [] : [connection.silentMs()];
-    });
-    const majority = majorityOf(this.members());
-    return silences.sort((a, b) => a - b)[majority - 1] ?? null;
-  };
+  readonly majorityHeardMs = (): number | null => this.memberPeers.majorityHeardMs();
 
   private readonly stepFounding = (): void => {
     if (this.isFoundingStep || this.acceptor.agreed() !== null) return;
@@ -238,118 +181,6 @@
       background.run('finish an unsettled proposal', this.proposer.finishPending());
   };
 
-  private readonly keepalive = (): void => {
-    for (const connection of this.peerPool.open()) {
-      background.run(
-        'heartbeat a peer',
-        connection.ask('keepalive', null, this.pace.keepaliveTimeoutMs).then((reply) => {
-          if (reply.isErr() && reply.error.code === 'late') connection.close();
-        }),
-      );
-    }
-  };
-
-  private readonly askMember = async <T>(
-    member: Member,
-    topic: string,
-    body: unknown,
-    check: MessageCheck<T>,
-    timeoutMs = this.pace.voteTimeoutMs,
-  ): Promise<T | null> => {
-    const reply = await this.peerPool.to(member.incarnation)?.ask(topic, body, timeoutMs);
-    return reply?.isOk() === true && check(reply.value) ? reply.value : null;
-  };
-
-  /**
-   * A member that was newly seated grants nothing until every lease has ended which the members before it may have
-   * granted: they may have formed a majority without it.
-   */
-  private readonly noteSeat = (): void => {
-    const isVoter = this.acceptor.isVoter();
-    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.agreed()?.logIndex ?? 0) > 0;
-    this.wasVoter = isVoter;
-    if (!isNewlySeated) return;
-    const { terms, ports } = this.parts;
-    this.quietUntil = ports.clock.now() + (terms?.leaseMs ?? leaseMs) + (terms?.gapMs ?? 0);
-  };
-
-  private readonly electorate = (): string[] => this.members().map((member) => member.incarnation);
-
-  /** Leases count only among voters that agree on who votes, and not while a change of that may have been chosen. */
-  private readonly mayGrant = (electorate: readonly string[]): boolean => {
-    const own = this.electorate();
-    return (
-      this.acceptor.isVoter() &&
-      !this.acceptor.hasPendingSwap() &&
-      this.parts.ports.clock.now() >= this.quietUntil &&
-      electorate.length === own.length &&
-      electorate.every((incarnation) => own.includes(incarnation))
-    );
-  };
-
-  private readonly grant = async (ask: ElectorateLeaseRequest): Promise<LeaseReply | null> =>
-    this.mayGrant(ask.electorate ?? this.electorate()) ? this.parts.leases.table.grant(ask) : null;
-
-  private readonly askLeases = async (leaseAsk: LeaseRequest): Promise<LeaseReply[]> => {
-    const ask: ElectorateLeaseRequest = { ...leaseAsk, electorate: this.electorate() };
-    const replies = await Promise.all(
-      this.voterMembers().map((member) =>
-        this.isSelf(member)
-          ? this.grant(ask)
-          : this.askMember(member, 'leaseRequest', ask, consensusMessages.isLeaseReply, this.pace.leaseTimeoutMs),
-      ),
-    );
-    return replies.filter((reply) => reply !== null);
-  };
-
-  private readonly releaseLeases = (ask: LeaseRequest): void => {
-    this.parts.leases.table.release(ask);
-    this.tellPeers('leaseRelease', ask);
-  };
-
-  /** Brings this node up to what the member holds; null where that wasn't done in time. */
-  private readonly catchUpFrom = async (member: Member): Promise<Since | null> => {
-    const connection = this.peerPool.to(member.incarnation);
-    const isDone = connection !== undefined && (await this.catchUp.ask(connection, this.pace.voteTimeoutMs));
-    return isDone ? { kind: 'nothing' } : null;
-  };
-
-  private readonly voters = (): Voters => ({
-    prepare: (member, slot, ballot) =>
-      this.isSelf(member)
-        ? this.acceptor.prepare(slot, ballot)
-        : this.askMember(member, 'prepare', { slot, ballot }, consensusMessages.isVote),
-    accept: (member, slot, ballot, change) =>
-      this.isSelf(member)
-        ? this.acceptor.accept(slot, ballot, change)
-        : this.askMember(
-            member,
-            'accept',
-            { slot, ballot, change: compressedChanges.encode(change) },
-            consensusMessages.isVote,
-          ),
-    position: (member) => this.askMember(member, 'position', null, consensusMessages.isPosition),
-    commit: ({ logIndex, change }) =>
-      this.tellPeers('committed', {
-        logIndex,
-        change: compressedChanges.encode(change),
-      } satisfies CompressedCommit),
-    since: (member, logIndex) =>
-      this.isSelf(member) ? Promise.resolve(this.acceptor.since(logIndex)) : this.catchUpFrom(member),
-    supply: async (member) => {
-      const connection = this.peerPool.to(member.incarnation);
-      if (connection !== undefined) await this.catchUp.supply(connection, this.pace.voteTimeoutMs);
-    },
-  });
-
-  private readonly memberStatus = (): MemberStatus => ({
-    incarnation: this.acceptor.incarnation,
-    logIndex: this.acceptor.agreed()?.logIndex ?? -1,
-    isVoter: this.acceptor.isVoter(),
-    foundingVote: this.acceptor.foundingVoteCast(),
-    syncedFrom: this.role.syncedFrom(),
-  });
-
   /** Handlers for every connection of the node: the group's own topics here, all others by the role. */
   readonly handlers = (): Handlers => ({
     joined: (connection) => {
@@ -359,18 +190,18 @@
     left: (connection) => this.role.left(connection),
     told: (connection, topic, body) => {
       if (topic === 'committed') this.takeCommitted(connection, body);
-      else if (topic === 'leaseRelease') this.takeRelease(body);
+      else if (topic === 'leaseRelease') this.leases.takeRelease(body);
       else if (topic === 'leaving') this.takeLeaving(connection);
       else this.role.told(connection, topic, body);
     },
     asked: (connection, topic, body) => {
       if (connection.peer !== null) this.parts.memberList.heard(connection.peer);
-      return this.asked(connection, topic, body);
+      return this.requests.answer(connection, topic, body);
     },
   });
 
   private readonly isNewcomer = ({ incarnation }: Hello): boolean =>
-    !this.members().some((member) => member.incarnation === incarnation);
+    !this.memberPeers.members().some((member) => member.incarnation === incarnation);
 
   private readonly noteJoined = (connection: PeerConnection): void => {
     if (connection.peer === null) return;
@@ -389,43 +220,4 @@
     if (consensusMessages.isCommitted(body))
       background.run('apply a settled change', this.catchUp.commit(connection, body));
   };
-
-  private readonly takeRelease = (body: unknown): void => {
-    if (consensusMessages.isLeaseAsk(body)) this.parts.leases.table.release(body);
-  };
-
-  private readonly asked = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
-    const { acceptor } = this;
-    const { isAccept, isLeaseAsk, isMembers, isPrepare } = consensusMessages;
-    switch (topic) {
-      case 'keepalive':
-        return true;
-      case 'memberStatus':
-        return this.memberStatus();
-      case 'memberList':
-        return this.exchangeMemberList(body);
-      case 'leaseRequest':
-        return isLeaseAsk(body) ? this.grant(body) : null;
-      case 'foundingVote':
-        return isMembers(body) ? acceptor.voteFounding(body) : null;
-      case 'prepare':
-        return isPrepare(body) ? acceptor.prepare(body.slot, body.ballot) : null;
-      case 'accept':
-        return isAccept(body) ? acceptor.accept(body.slot, body.ballot, acceptor.changeOf(body.change)) : null;
-      case 'position':
-        return positions.of(acceptor);
-      case catchUpTopics.held:
-      case catchUpTopics.page:
-      case catchUpTopics.behind:
-        return this.catchUp.answer(connection, topic, body);
-      default:
-        return this.role.asked(connection, topic, body);
-    }
-  };
-
-  private readonly exchangeMemberList = (body: unknown): MemberEntry[] => {
-    const { memberList } = this.parts;
-    if (consensusMessages.isMemberEntries(body)) memberList.merge(body);
-    return this.role.sharedMembers(memberList.entries());
-  };
 }
--- /dev/null
+++ b/packages/control-plane/src/consensus/remoteVoters.ts
@@ -0,0 +1,43 @@
+/** Calls of a proposer on the voters: directly on this node's own acceptor, by messages on those of the others. */
+import type { Member } from '@martenworks/core-types';
+import type { Acceptor } from './acceptor.js';
+import type { CompressedCommit, Since } from './ballots.js';
+import type { CatchUp } from './catchUp.js';
+import { compressedChanges } from './compression.js';
+import { consensusMessages } from './consensusMessages.js';
+import type { MemberPeers } from './memberPeers.js';
+import type { Voters } from './quorumCall.js';
+
+/** The voters as a proposer calls them; each reply is waited for `timeoutMs` milliseconds. */
+export const remoteVoters = (acceptor: Acceptor, peers: MemberPeers, catchUp: CatchUp, timeoutMs: number): Voters => {
+  const { isPosition, isVote } = consensusMessages;
+
+  /** Brings this node up to what the member holds; null where that was not done in time. */
+  const catchUpFrom = async (member: Member): Promise<Since | null> => {
+    const connection = peers.connectionTo(member);
+    const isDone = connection !== undefined && (await catchUp.ask(connection, timeoutMs));
+    return isDone ? { kind: 'nothing' } : null;
+  };
+
+  return {
+    prepare: (member, slot, ballot) => {
+      if (peers.isSelf(member)) return acceptor.prepare(slot, ballot);
+      return peers.ask(member, 'prepare', { slot, ballot }, isVote, timeoutMs);
+    },
+    accept: (member, slot, ballot, change) => {
+      if (peers.isSelf(member)) return acceptor.accept(slot, ballot, change);
+      const body = { slot, ballot, change: compressedChanges.encode(change) };
+      return peers.ask(member, 'accept', body, isVote, timeoutMs);
+    },
+    position: (member) => peers.ask(member, 'position', null, isPosition, timeoutMs),
+    commit: ({ logIndex, change }) => {
+      const body: CompressedCommit = { logIndex, change: compressedChanges.encode(change) };
+      peers.tellAll('committed', body);
+    },
+    since: async (member, logIndex) => (peers.isSelf(member) ? acceptor.since(logIndex) : catchUpFrom(member)),
+    supply: async (member) => {
+      const connection = peers.connectionTo(member);
+      if (connection !== undefined) await catchUp.supply(connection, timeoutMs);
+    },
+  };
+};
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -17,6 +17,7 @@
 export type { MemberStatus } from './membership/foundingMessages.js';
 export * from './consensus/leaseLog.js';
 export * from './consensus/consensusMember.js';
+export * from './consensus/consensusOptions.js';
 export * from './membership/membership.js';
 export * from './endpoints/replicaTable.js';
 export * from './configuration/routingTableHistory.js';
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -25,7 +25,7 @@
 import { acceptors } from '../consensus/acceptor.js';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
-import type { ConsensusPace, ConsensusRole } from '../consensus/consensusMember.js';
+import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
 import { leaseTables } from '../consensus/leaseLog.js';
 import type { PersistedLeases } from '../consensus/leaseLog.js';
 import type { Proposer } from '../consensus/proposer.js';
@@ -271,11 +271,8 @@
   /** The newest agreed state, with what a majority had accepted settled before: null where no majority was heard. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
-  readonly isReady = (): boolean => {
-    const state = this.acceptor.agreed();
-    if (this.consensus.isLeaving()) return false;
-    return state !== null && this.consensus.reachableVoters().length > state.members.length / 2;
-  };
+  /** Whether this node may take requests: it stays, and reaches a majority of the members. */
+  readonly isReady = (): boolean => !this.consensus.isLeaving() && this.consensus.reachesMajority();
 
   readonly status = (): Record<string, unknown> => {
     const state = this.acceptor.agreed();
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -24,7 +24,7 @@
 import { claimTables } from '../endpoints/claims.js';
 import type { ClaimTable } from '../endpoints/claims.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
-import type { ConsensusPace, ConsensusRole } from '../consensus/consensusMember.js';
+import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
 import { ChangeService } from '../configuration/changeService.js';
 import { KvEventFollower } from '../prefixcache/kvEventFollower.js';
 import type { RelayedKvEvents } from '../prefixcache/kvEventFollower.js';
@@ -249,10 +249,8 @@
 
   readonly reachable = (): number => this.consensus.reachableVoters().length;
 
-  readonly isReady = (): boolean => {
-    const state = this.acceptor.agreed();
-    return state !== null && this.reachable() > state.members.length / 2;
-  };
+  /** Whether this node may take requests: it reaches a majority of the members. */
+  readonly isReady = (): boolean => this.consensus.reachesMajority();
 
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -72,9 +72,7 @@
   peerPool: PeerPool;
   readonly upkeep: () => void;
   readonly commitPending: () => void;
-  wasVoter: boolean;
-  readonly noteSeat: () => void;
-  mayGrant: () => boolean;
+  readonly leases: { readonly start: () => void; mayGrant: () => boolean };
   readonly catchUp: {
     step: () => Promise<unknown>;
     ask: () => Promise<unknown>;
@@ -163,8 +161,7 @@
     this.breakInside(inside, acceptor);
     this.parts = { acceptor, member, inside, handlers: member.handlers(), process };
     inside.peerPool = this.peerPool(process);
-    inside.wasVoter = acceptor.isVoter();
-    acceptor.watch(() => inside.noteSeat());
+    inside.leases.start();
     this.lastIncarnation = acceptor.incarnation;
     this.lastState = acceptor.agreed();
     this.disk.isGated = true;
@@ -178,7 +175,7 @@
     if (broken?.readsAlone === true) inside.proposer.read.newest = async () => acceptor.agreed();
     if (broken?.neverCatchesUp === true)
       Object.assign(inside.catchUp, { step: async () => {}, ask: async () => false, supply: async () => false });
-    if (broken?.grantsAcrossSwaps === true) inside.mayGrant = acceptor.isVoter;
+    if (broken?.grantsAcrossSwaps === true) inside.leases.mayGrant = acceptor.isVoter;
     if (broken?.swapProposer !== undefined)
       inside.membership.proposer = broken.swapProposer(inside.membership.proposer);
   };
