--- a/packages/peer-transport/src/assembly.ts
+++ b/packages/peer-transport/src/assembly.ts
@@ -13,17 +13,18 @@
 
   /** The whole message once its last part is here, null before that, and undefined where it passes the limit. */
   readonly take = ({ stream, isLast, bytes }: PartFrame): Uint8Array | null | undefined => {
-    const held = this.unfinished.get(stream) ?? { parts: [], bytes: 0 };
-    held.parts.push(bytes);
-    held.bytes += bytes.length;
-    if (held.bytes > frameLimit) return undefined;
+    const message = this.unfinished.get(stream) ?? { parts: [], bytes: 0 };
+    message.parts.push(bytes);
+    message.bytes += bytes.length;
+    if (message.bytes > frameLimit) return undefined;
     if (!isLast) {
-      this.unfinished.set(stream, held);
+      this.unfinished.set(stream, message);
       return null;
     }
     this.unfinished.delete(stream);
-    return joined(held.parts);
+    return joined(message.parts);
   };
 
+  /** Whether a message of this stream has begun and is not whole. */
   readonly isReceiving = (stream: string): boolean => this.unfinished.has(stream);
 }
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,6 +1,7 @@
 /** Frames between nodes: a length of four bytes, big end first, and a message in CBOR. */
 import { cbor } from '@martenworks/core-types';
 
+/** Most bytes of one message, and of one frame. */
 export const frameLimit = 16 * 1024 * 1024;
 const headBytes = 4;
 
@@ -12,8 +13,9 @@
   readonly bytes: Uint8Array;
 }
 
-export type Frame<TGreeting> =
-  | { readonly f: 'hello'; readonly hello: TGreeting }
+/** What travels on a connection: a hello, a message (`tell`), a call (`ask`) and its `reply`, a part of any of these, and the acknowledgement of a part (`got`). */
+export type Frame =
+  | { readonly f: 'hello'; readonly hello: unknown }
   | { readonly f: 'tell'; readonly topic: string; readonly body: unknown }
   | { readonly f: 'ask'; readonly id: number; readonly topic: string; readonly body: unknown }
   | { readonly f: 'reply'; readonly id: number; readonly body: unknown }
@@ -40,6 +42,7 @@
   return whole;
 };
 
+/** Cuts a stream of bytes into frames, and decodes them. Stops for good once it has complained. */
 export class Unpacker {
   private parts: Uint8Array[] = [];
   private size = 0;
@@ -50,42 +53,74 @@
     private readonly complain: (cause: string) => void,
   ) {}
 
+  /** Takes the next bytes, and delivers each message that they complete. */
   readonly take = (bytes: Uint8Array): void => {
     this.parts.push(bytes);
     this.size += bytes.length;
     if (this.size < this.wanted) return;
-    let rest = this.parts.length === 1 ? bytes : joined(this.parts);
+    const rest = this.deliverWhole(this.parts.length === 1 ? bytes : joined(this.parts));
+    if (rest === null) return;
+    this.parts = rest.length === 0 ? [] : [rest];
+    this.size = rest.length;
+  };
+
+  /** Delivers the whole frames among these bytes and returns the rest, or null after a complaint. */
+  private readonly deliverWhole = (bytes: Uint8Array): Uint8Array | null => {
+    let rest = bytes;
     for (;;) {
       if (rest.length < headBytes) {
         this.wanted = headBytes;
-        break;
+        return rest;
       }
       const length = new DataView(rest.buffer, rest.byteOffset).getUint32(0);
       if (length > frameLimit) {
         this.complain('frame over the limit');
-        return;
+        return null;
       }
       this.wanted = headBytes + length;
-      if (rest.length < this.wanted) break;
+      if (rest.length < this.wanted) return rest;
       const body = rest.subarray(headBytes, this.wanted);
       rest = rest.subarray(this.wanted);
-      let message: unknown;
-      try {
-        message = cbor.decode(body);
-      } catch {
-        this.complain('frame is not CBOR');
-        return;
-      }
-      this.deliver(message);
+      if (!this.deliverFrame(body)) return null;
     }
-    this.parts = rest.length === 0 ? [] : [rest];
-    this.size = rest.length;
+  };
+
+  private readonly deliverFrame = (body: Uint8Array): boolean => {
+    let message: unknown;
+    try {
+      message = cbor.decode(body);
+    } catch {
+      this.complain('frame is not CBOR');
+      return false;
+    }
+    this.deliver(message);
+    return true;
   };
 }
 
-const kinds: readonly unknown[] = ['hello', 'tell', 'ask', 'reply', 'part', 'got'] satisfies Frame<unknown>['f'][];
+const isPart = (fields: Record<string, unknown>): boolean =>
+  typeof fields.stream === 'string' && typeof fields.isLast === 'boolean' && fields.bytes instanceof Uint8Array;
 
-const isFrame = (message: unknown): boolean =>
-  typeof message === 'object' && message !== null && kinds.includes((message as { f?: unknown }).f);
+/** Checks the fields of each kind of frame but its body, which is for the topic's own reader. */
+const isFrame = (message: unknown): message is Frame => {
+  if (typeof message !== 'object' || message === null) return false;
+  const fields = message as Record<string, unknown>;
+  switch (fields.f as Frame['f']) {
+    case 'hello':
+    case 'got':
+      return true;
+    case 'tell':
+      return typeof fields.topic === 'string';
+    case 'ask':
+      return typeof fields.id === 'number' && typeof fields.topic === 'string';
+    case 'reply':
+      return typeof fields.id === 'number';
+    case 'part':
+      return isPart(fields);
+    default:
+      return false;
+  }
+};
 
+/** Encodes, decodes and checks frames; `pack` gives a message's bytes with the length in front, `withLength` takes it encoded already. `decode` throws on bytes that are no CBOR. */
 export const frames = { isFrame, pack, encode: cbor.encode, decode: cbor.decode, withLength };
--- /dev/null
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -0,0 +1,57 @@
+/** Opens peer connections from either side, with the handshake's timeout. */
+import { err, ok } from 'neverthrow';
+import type { Result } from 'neverthrow';
+import type { Clock, Listener, Log, Net, NetworkError } from '@martenworks/core-types';
+import { peerError } from './errors.js';
+import type { PeerError } from './errors.js';
+import type { Hello } from './hello.js';
+import { PeerConnection } from './peerConnection.js';
+import type { Handlers } from './peerConnection.js';
+
+const helloTimeoutMs = 2000;
+
+/** Accepts and dials connections. Each end drops the other where its hello does not come within the timeout (2 s unless given, in milliseconds); `dial` ends once the hello is there. */
+export const peerConnections = {
+  listen: (
+    net: Net,
+    clock: Clock,
+    log: Log,
+    own: () => Hello,
+    address: string,
+    handlers: Handlers,
+  ): Promise<Result<Listener, NetworkError>> =>
+    net.listen(address, (accepted) => {
+      const connection = new PeerConnection(accepted, clock, log, own(), handlers);
+      clock.after(helloTimeoutMs, () => {
+        if (connection.peer === null) connection.close();
+      });
+      connection.begin();
+    }),
+  dial: async (
+    net: Net,
+    clock: Clock,
+    log: Log,
+    own: Hello,
+    address: string,
+    handlers: Handlers,
+    timeoutMs = helloTimeoutMs,
+  ): Promise<Result<PeerConnection, PeerError>> => {
+    const raw = await net.dial(address, timeoutMs);
+    if (raw.isErr()) return err(peerError('unreachable'));
+    return new Promise((resolve) => {
+      const connection: PeerConnection = new PeerConnection(raw.value, clock, log, own, {
+        ...handlers,
+        joined: (joined) => {
+          timer.cancel();
+          handlers.joined(joined);
+          resolve(ok(joined));
+        },
+      });
+      const timer = clock.after(timeoutMs, () => {
+        if (connection.peer === null) connection.close();
+        resolve(err(peerError('unreachable')));
+      });
+      connection.begin();
+    });
+  },
+};
--- a/packages/peer-transport/src/sendQueue.ts
+++ b/packages/peer-transport/src/sendQueue.ts
@@ -10,7 +10,7 @@
 const windowStepBytes = partBytes / 4;
 const queueingTargetMs = 60;
 
-interface Waiting {
+interface QueuedMessage {
   readonly message: Uint8Array;
   begin: number;
 }
@@ -23,7 +23,7 @@
 
 /** Owns what waits on one connection. At most a window of bytes is unacknowledged; the window follows the delay that this connection's own parts add on their path (as in LEDBAT), so that small frames don't wait long behind them in buffers below. Streams take turns, a part each. */
 export class SendQueue {
-  private readonly waiting = new Map<string, Waiting[]>();
+  private readonly waiting = new Map<string, QueuedMessage[]>();
   private readonly unacknowledged: UnacknowledgedPart[] = [];
   private unacknowledgedBytes = 0;
   private waitingBytes = 0;
@@ -45,10 +45,11 @@
   /** Bytes that have not been written. */
   readonly bytes = (): number => this.waitingBytes;
 
+  /** Queues a message, and sends of it what the window lets through. */
   readonly add = (stream: string, message: Uint8Array): void => {
-    const held = this.waiting.get(stream);
-    if (held === undefined) this.waiting.set(stream, [{ message, begin: 0 }]);
-    else held.push({ message, begin: 0 });
+    const queued = this.waiting.get(stream);
+    if (queued === undefined) this.waiting.set(stream, [{ message, begin: 0 }]);
+    else queued.push({ message, begin: 0 });
     this.waitingBytes += message.length;
     this.pump();
   };
@@ -76,18 +77,18 @@
       if (turn.done === true) return;
       const [stream, messages] = turn.value;
       this.waiting.delete(stream);
-      this.sendPart(stream, messages[0] as Waiting);
+      this.sendPart(stream, messages[0] as QueuedMessage);
       if (messages[0]?.begin === messages[0]?.message.length) messages.shift();
       if (messages.length > 0) this.waiting.set(stream, messages);
     }
   };
 
-  private readonly sendPart = (stream: string, waiting: Waiting): void => {
-    const bytes = waiting.message.subarray(waiting.begin, waiting.begin + partBytes);
-    waiting.begin += bytes.length;
+  private readonly sendPart = (stream: string, queued: QueuedMessage): void => {
+    const bytes = queued.message.subarray(queued.begin, queued.begin + partBytes);
+    queued.begin += bytes.length;
     this.waitingBytes -= bytes.length;
     this.unacknowledgedBytes += bytes.length;
     this.unacknowledged.push({ stream, bytes: bytes.length, sentAt: this.clock.now() });
-    this.write({ f: 'part', stream, isLast: waiting.begin === waiting.message.length, bytes });
+    this.write({ f: 'part', stream, isLast: queued.begin === queued.message.length, bytes });
   };
 }
