--- a/packages/cluster-membership/src/failureDetector.ts
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -1,14 +1,17 @@
+/** Sends and watches heartbeats, and reports suspected nodes to the control nodes. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import type { Hello } from '@martenworks/peer-transport';
 import type { PeerPool } from './peerPool.js';
-import type { RingNode } from './ring.js';
+import type { RingNode } from './hashRing.js';
 import type { MemberList } from './memberList.js';
 import { HeartbeatMonitor, heartbeatIntervalMs } from './heartbeatMonitor.js';
 
 const frozenMs = 1_200;
 
+/** Runs on every node. A tick that comes much too late tells that this process stood still: its own silence is not held against the others. */
 export class FailureDetector {
+  /** The heartbeats that this node watches. */
   readonly watch: HeartbeatMonitor;
   private readonly timer: RepeatingTimer;
   private tickedAt: number;
@@ -36,6 +39,7 @@
       .filter(({ hello }) => hello.role !== 'inspector')
       .map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
 
+  /** Addresses of the nodes that watch this one, to hold connections to. */
   readonly watcherAddresses = (): string[] => {
     const names = new Set(this.watch.watchers());
     return this.memberList
@@ -57,5 +61,6 @@
     this.reportLocally(suspects);
   };
 
+  /** Stops the ticks. */
   readonly stop = (): void => this.timer.stop();
 }
--- a/packages/cluster-membership/src/heartbeatMonitor.ts
+++ b/packages/cluster-membership/src/heartbeatMonitor.ts
@@ -1,24 +1,30 @@
+/** Watches the heartbeats of the nodes that the ring gives this node to watch. */
 import type { Clock } from '@martenworks/core-types';
-import type { RingNode } from './ring.js';
-import { ring } from './ring.js';
+import type { RingNode } from './hashRing.js';
+import { hashRing } from './hashRing.js';
 
+/** Milliseconds between two heartbeats of a node. */
 export const heartbeatIntervalMs = 500;
 const leastSilenceMs = 1_800;
 const spreadFactor = 6;
-const reportAgeMs = 2_000;
-const confirmations = 2;
-const blend = 0.1;
+/** Weight of the newest gap in the moving means. */
+const smoothing = 0.1;
 
-interface Heard {
+interface HeartbeatHistory {
   at: number;
   meanMs: number;
   spreadMs: number;
 }
 
-const unheardSince = (at: number): Heard => ({ at, meanMs: heartbeatIntervalMs, spreadMs: heartbeatIntervalMs / 4 });
+const newHistory = (at: number): HeartbeatHistory => ({
+  at,
+  meanMs: heartbeatIntervalMs,
+  spreadMs: heartbeatIntervalMs / 4,
+});
 
+/** Suspects a node once it is silent for longer than the mean gap between its heartbeats and six times their mean deviation, and at least 1.8 s. */
 export class HeartbeatMonitor {
-  private readonly heard = new Map<string, Heard>();
+  private readonly histories = new Map<string, HeartbeatHistory>();
 
   constructor(
     private readonly clock: Clock,
@@ -26,74 +32,44 @@
     private readonly nodes: () => readonly RingNode[],
   ) {}
 
-  readonly watchers = (): string[] => ring.watchersOf(this.own().name, this.nodes());
+  /** Names of the nodes that watch this one. */
+  readonly watchers = (): string[] => hashRing.watchersOf(this.own().name, this.nodes());
 
   private readonly watched = (): RingNode[] => {
     const nodes = this.nodes();
     const own = this.own().name;
-    return nodes.filter((node) => node.name !== own && ring.watchersOf(node.name, nodes).includes(own));
+    return nodes.filter((node) => node.name !== own && hashRing.watchersOf(node.name, nodes).includes(own));
   };
 
+  /** Notes a heartbeat. */
   readonly heartbeatFrom = (name: string): void => {
     const now = this.clock.now();
-    const held = this.heard.get(name);
-    if (held === undefined) {
-      this.heard.set(name, unheardSince(now));
+    const history = this.histories.get(name);
+    if (history === undefined) {
+      this.histories.set(name, newHistory(now));
       return;
     }
-    const gap = now - held.at;
-    held.spreadMs += (Math.abs(gap - held.meanMs) - held.spreadMs) * blend;
-    held.meanMs += (gap - held.meanMs) * blend;
-    held.at = now;
+    const gap = now - history.at;
+    history.spreadMs += (Math.abs(gap - history.meanMs) - history.spreadMs) * smoothing;
+    history.meanMs += (gap - history.meanMs) * smoothing;
+    history.at = now;
   };
 
-  private readonly limitMs = (held: Heard): number =>
-    Math.max(leastSilenceMs, held.meanMs + spreadFactor * held.spreadMs);
+  private readonly limitMs = (history: HeartbeatHistory): number =>
+    Math.max(leastSilenceMs, history.meanMs + spreadFactor * history.spreadMs);
 
+  /** Names of the watched nodes that are silent for too long. */
   readonly suspects = (): string[] => {
     const now = this.clock.now();
     const watched = new Set(this.watched().map((node) => node.name));
-    for (const name of [...this.heard.keys()]) if (!watched.has(name)) this.heard.delete(name);
-    for (const name of watched) if (!this.heard.has(name)) this.heard.set(name, unheardSince(now));
-    return [...this.heard].filter(([, held]) => now - held.at > this.limitMs(held)).map(([name]) => name);
+    for (const name of [...this.histories.keys()]) if (!watched.has(name)) this.histories.delete(name);
+    for (const name of watched) if (!this.histories.has(name)) this.histories.set(name, newHistory(now));
+    return [...this.histories].filter(([, history]) => now - history.at > this.limitMs(history)).map(([name]) => name);
   };
 
+  /** This process stood still itself: all silences begin anew. */
   readonly clearAfterFreeze = (): void => {
     const now = this.clock.now();
-    for (const held of this.heard.values()) held.at = now;
+    for (const history of this.histories.values()) history.at = now;
   };
 }
-
-export interface FailureVerdict {
-  readonly node: string;
-  readonly suspectedBy: readonly string[];
-  readonly isDown: boolean;
-}
-
-export class FailureVerdicts {
-  private readonly reports = new Map<string, Map<string, number>>();
-
-  constructor(private readonly clock: Clock) {}
-
-  readonly report = (watcher: string, suspects: readonly string[]): void => {
-    const now = this.clock.now();
-    for (const [node, by] of this.reports) if (!suspects.includes(node)) by.delete(watcher);
-    for (const node of suspects) {
-      const by = this.reports.get(node) ?? new Map<string, number>();
-      by.set(watcher, now);
-      this.reports.set(node, by);
-    }
-  };
-
-  readonly suspectedBy = (node: string): string[] => {
-    const now = this.clock.now();
-    return [...(this.reports.get(node) ?? [])].filter(([, at]) => now - at <= reportAgeMs).map(([watcher]) => watcher);
-  };
-
-  readonly isDown = (node: string): boolean => this.suspectedBy(node).length >= confirmations;
-
-  readonly status = (): FailureVerdict[] =>
-    [...this.reports.keys()]
-      .map((node) => ({ node, suspectedBy: this.suspectedBy(node), isDown: this.isDown(node) }))
-      .filter((line) => line.suspectedBy.length > 0);
-}
--- a/packages/cluster-membership/src/index.ts
+++ b/packages/cluster-membership/src/index.ts
@@ -1,6 +1,12 @@
+/** Who is in the cluster, who is down, and who holds which lease. */
 export * from './memberList.js';
 export * from './peerPool.js';
-export * from './leases.js';
-export * from './ring.js';
+export { leaseMs } from './leaseTerms.js';
+export type { LeaseReply, LeaseRequest, LeaseTerms } from './leaseTerms.js';
+export * from './leaseTable.js';
+export * from './leaseManager.js';
+export * from './fenceGate.js';
+export * from './hashRing.js';
 export * from './heartbeatMonitor.js';
+export * from './failureVerdicts.js';
 export * from './failureDetector.js';
--- a/packages/cluster-membership/src/peerPool.ts
+++ b/packages/cluster-membership/src/peerPool.ts
@@ -1,8 +1,10 @@
+/** Keeps a connection to each control node, dialled from this node. */
 import { background, RepeatingTimer, pause } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { PeerConnection, Handlers, Hello } from '@martenworks/peer-transport';
-import type { MemberList, MemberEntry } from './memberList.js';
+import { memberEntries } from './memberList.js';
+import type { MemberList } from './memberList.js';
 
 const firstWaitMs = 50;
 const longestWaitMs = 1_000;
@@ -16,13 +18,14 @@
   readonly longestWaitMs: number;
 }
 
-const usualPace: DialPace = { timeoutMs: 2_000, longestWaitMs };
+const defaultPace: DialPace = { timeoutMs: 2_000, longestWaitMs };
 
 interface PooledPeer {
   connection: PeerConnection | null;
   isStopped: boolean;
 }
 
+/** Owns the dialled connections: one to each known control node, and to the seeds while fewer than three control nodes are connected. */
 export class PeerPool {
   private readonly peers = new Map<string, PooledPeer>();
   private readonly refresher: RepeatingTimer;
@@ -35,7 +38,7 @@
     private readonly memberList: MemberList,
     private readonly memberAddresses: () => readonly string[],
     private readonly handlers: Handlers,
-    private readonly pace: DialPace = usualPace,
+    private readonly pace: DialPace = defaultPace,
   ) {
     this.refresher = new RepeatingTimer(
       ports.clock,
@@ -56,6 +59,7 @@
     return addresses;
   };
 
+  /** Dials addresses that became wanted, closes connections that no longer are. */
   readonly align = (): void => {
     if (this.isStopped) return;
     const wanted = this.wanted();
@@ -71,51 +75,56 @@
   private readonly start = (address: string): void => {
     const pooled: PooledPeer = { connection: null, isStopped: false };
     this.peers.set(address, pooled);
-    background.run('keep a peer connection', this.hold(address, pooled));
+    background.run('keep a peer connection', this.keepConnected(address, pooled));
   };
 
-  private readonly hold = async (address: string, pooled: PooledPeer): Promise<void> => {
-    const { clock, random, net, log } = this.ports;
+  private readonly isEnded = (pooled: PooledPeer): boolean => pooled.isStopped || this.isStopped;
+
+  /** Dials until the peer is no longer wanted, with a wait that doubles up to the pace's longest; a connection that held for that long begins it anew. */
+  private readonly keepConnected = async (address: string, pooled: PooledPeer): Promise<void> => {
+    const { clock, random } = this.ports;
     let waitMs = firstWaitMs;
-    while (!pooled.isStopped && !this.isStopped) {
-      let hangUp = (): void => {};
-      const ended = new Promise<void>((end) => (hangUp = end));
-      const dialed = await peerConnections.dial(
-        net,
-        clock,
-        log,
-        this.own(),
-        address,
-        {
-          ...this.handlers,
-          left: (connection) => {
-            this.handlers.left(connection);
-            hangUp();
-          },
-        },
-        this.pace.timeoutMs,
-      );
-      if (dialed.isOk()) {
-        const connection = dialed.value;
-        if (pooled.isStopped || this.isStopped) connection.close();
-        pooled.connection = connection;
-        if (connection.peer !== null) this.memberList.heard(connection.peer);
-        background.run('learn the members from a peer', this.learnFrom(connection));
-        const openedAt = clock.now();
-        await ended;
-        pooled.connection = null;
-        if (clock.now() - openedAt > this.pace.longestWaitMs) waitMs = firstWaitMs;
-      }
-      if (pooled.isStopped || this.isStopped) return;
+    while (!this.isEnded(pooled)) {
+      const heldMs = await this.connectOnce(address, pooled);
+      if (heldMs > this.pace.longestWaitMs) waitMs = firstWaitMs;
+      if (this.isEnded(pooled)) return;
       await pause.for(clock, waitMs * (0.5 + random.fraction()));
       waitMs = Math.min(waitMs * 2, this.pace.longestWaitMs);
     }
   };
 
+  /** Dials once and keeps the connection until it ends; the milliseconds that it held, 0 where there was none. */
+  private readonly connectOnce = async (address: string, pooled: PooledPeer): Promise<number> => {
+    const { clock, net, log } = this.ports;
+    let notifyClosed = (): void => {};
+    const closed = new Promise<void>((resolve) => (notifyClosed = resolve));
+    const handlers: Handlers = {
+      ...this.handlers,
+      left: (connection) => {
+        this.handlers.left(connection);
+        notifyClosed();
+      },
+    };
+    const dialed = await peerConnections.dial(net, clock, log, this.own(), address, handlers, this.pace.timeoutMs);
+    if (dialed.isErr()) return 0;
+    this.adopt(dialed.value, pooled);
+    const openedAt = clock.now();
+    await closed;
+    pooled.connection = null;
+    return clock.now() - openedAt;
+  };
+
+  private readonly adopt = (connection: PeerConnection, pooled: PooledPeer): void => {
+    if (this.isEnded(pooled)) connection.close();
+    pooled.connection = connection;
+    if (connection.peer !== null) this.memberList.heard(connection.peer);
+    background.run('learn the members from a peer', this.learnFrom(connection));
+  };
+
   private readonly learnFrom = async (connection: PeerConnection): Promise<void> => {
-    const told = await connection.ask('memberList', this.memberList.entries(), memberListTimeoutMs);
-    if (told.isOk()) this.memberList.merge(told.value as MemberEntry[]);
-    if (connection.peer !== null && told.isOk()) this.memberList.heard(connection.peer);
+    const reply = await connection.ask('memberList', this.memberList.entries(), memberListTimeoutMs);
+    if (reply.isOk()) this.memberList.merge(memberEntries.received(reply.value));
+    if (connection.peer !== null && reply.isOk()) this.memberList.heard(connection.peer);
     this.align();
   };
 
@@ -126,12 +135,15 @@
     else this.align();
   };
 
+  /** The open connections. */
   readonly open = (): PeerConnection[] =>
     [...this.peers.values()].flatMap((pooled) => (pooled.connection?.isLive() ? [pooled.connection] : []));
 
+  /** The open connection to the run of a node with this incarnation. */
   readonly to = (incarnation: string): PeerConnection | undefined =>
     this.open().find((connection) => connection.peer?.incarnation === incarnation);
 
+  /** Closes all connections and dials no more. */
   readonly stop = (): void => {
     this.isStopped = true;
     this.refresher.stop();
--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { LeaseTable, ring } from '@martenworks/cluster-membership';
+import { LeaseTable, hashRing } from '@martenworks/cluster-membership';
 import { InvariantChecker, SimFleet, SimWorld } from '@martenworks/test-fleet';
 
 const kvHolders = (fleet: SimFleet, replica: string): number[] =>
@@ -26,10 +26,10 @@
     const nodes = Array.from({ length: 12 }, (_, at) => ({ name: `node-${at}`, zone: 'abc'[at % 3] as string }));
     let moved = 0;
     for (const node of nodes) {
-      const watchers = ring.watchersOf(node.name, nodes);
+      const watchers = hashRing.watchersOf(node.name, nodes);
       expect(new Set(watchers).size).to.equal(3);
       for (const watcher of watchers) expect(nodes.find((one) => one.name === watcher)?.zone).to.not.equal(node.zone);
-      const after = ring.watchersOf(
+      const after = hashRing.watchersOf(
         node.name,
         nodes.filter((one) => one.name !== 'node-0'),
       );
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -1,5 +1,5 @@
 /** Membership: exchanges of the list between nodes, heartbeats, and who watches whom. */
-import { MemberList, HeartbeatMonitor, ring } from '@martenworks/cluster-membership';
+import { MemberList, HeartbeatMonitor, hashRing } from '@martenworks/cluster-membership';
 import type { MemberEntry } from '@martenworks/cluster-membership';
 import { machine } from '@martenworks/core-types';
 import { nodeCounts } from '../fleetSize.js';
@@ -51,7 +51,7 @@
       watch.watchers();
       watch.suspects();
     });
-    const watchersMs = meanCpuMs(looksARepeat, () => void ring.watchersOf(own.name, ringNodes()));
+    const watchersMs = meanCpuMs(looksARepeat, () => void hashRing.watchersOf(own.name, ringNodes()));
     if (!isKept) return;
     series.beat.add(nodes, keepaliveIntervalMs);
     series.watchers.add(nodes, watchersMs);
