--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -292,9 +292,9 @@
     );
   };
 
-  readonly tellMissed = (update: CacheMissReport): void => void this.source?.tell('cacheMiss', update);
+  readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.tell('cacheMiss', update);
 
-  readonly tellReading = (update: PrefillNotice): void => void this.source?.tell('prefill', update);
+  readonly reportPrefill = (update: PrefillNotice): void => void this.source?.tell('prefill', update);
 
   readonly state = (): EdgeState | null => this.held;
 
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,9 +1,7 @@
 import type { Result } from 'neverthrow';
-import { background, RepeatingTimer, keys } from '@martenworks/core-types';
+import { background, RepeatingTimer } from '@martenworks/core-types';
 import type {
   EndpointListUpdate,
-  Customer,
-  CacheMissReport,
   NetworkError,
   Ports,
   PrefillNotice,
@@ -11,9 +9,14 @@
   HeaderCodec,
 } from '@martenworks/core-types';
 import type { NodeSettings } from '@martenworks/settings';
-import { RoutingTableIndexer, shares } from '@martenworks/route-table';
-import type { RoutingTableView, RouteView } from '@martenworks/route-table';
+import { RoutingTableIndexer } from '@martenworks/route-table';
+import type { RoutingTableView } from '@martenworks/route-table';
 import type { Call } from './ingress/call.js';
+import { ingressDrain } from './ingress/drain.js';
+import { rejectionWriter } from './ingress/rejectionWriter.js';
+import { RequestAdmission } from './ingress/requestAdmission.js';
+import { StaleEntryEviction } from './prefixcache/staleEntryEviction.js';
+import { WeightsTargets } from './routing/weightsTargets.js';
 import { IngressServer } from './ingress/ingressServer.js';
 import { ControlConnection } from './control/controlConnection.js';
 import { RetryBudget } from './forwarding/retryBudget.js';
@@ -25,23 +28,13 @@
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
 import { MetricCounters } from './metricCounters.js';
 import { ReplicaSelector } from './routing/replicaSelector.js';
-import type { WeightsTarget, Placement, PlacementQuery } from './routing/placement.js';
+import type { Placement, PlacementQuery } from './routing/placement.js';
 
 const connectionShare = 0.8;
 const usualConnections = 64;
-const readyWaitMs = 250;
-const openDrainMs = 2_600;
-const lastDrainMs = 700;
-const drainStepMs = 50;
 const versionShare = 0.8;
-const agesKept = 8;
 const metricsIntervalMs = 10_000;
 
-interface VersionSince {
-  readonly version: number;
-  readonly at: number;
-}
-
 /** A edge on the opaque path: takes callers' requests, places each, and passes what the replica answers. */
 export class EdgeProxy implements EdgeContext {
   readonly replicaTracker: ReplicaTracker;
@@ -56,7 +49,9 @@
   private readonly prefillIdPrefix: string;
   private readonly metricsTimer: RepeatingTimer;
   private readonly tableIndexer = new RoutingTableIndexer();
-  private readonly weightsTargets = new Map<string, readonly VersionSince[]>();
+  private readonly weightsTargets: WeightsTargets;
+  private readonly eviction: StaleEntryEviction;
+  private readonly admission: RequestAdmission;
   private view: RoutingTableView | null = null;
   private hasEndpoints = false;
   isClosing = false;
@@ -78,13 +73,7 @@
       weights: this.replicaTracker.takeWeights,
       prefixCaches: this.prefixCaches.take,
       reading: (bundle) => bundle.forEach(this.takeReading),
-      missed: (update) => {
-        if (!settings.detectsStaleEntries) return;
-        this.staleEntryDetector.hear(update);
-        if (!update.isDecided) return;
-        this.metrics.add('stale_told');
-        this.drop(update);
-      },
+      missed: (report) => this.eviction.takeReport(report),
       isReady: () => this.isReady(),
     });
     this.budget = new RetryBudget(
@@ -92,11 +81,21 @@
       { ratio: settings.retryBudgetRatio, windowMs: settings.retryBudgetWindowMs, slack: settings.retryBudgetSlack },
       this.control.edgeCount,
     );
+    this.weightsTargets = new WeightsTargets(clock);
+    this.eviction = new StaleEntryEviction({
+      isEnabled: settings.detectsStaleEntries,
+      detector: this.staleEntryDetector,
+      prefixCaches: this.prefixCaches,
+      metrics: this.metrics,
+      log: ports.log,
+      report: this.control.reportCacheMiss,
+    });
+    this.admission = new RequestAdmission(wire, random, this.admittingView, () => this.view);
     this.replicaSelector = new ReplicaSelector(
       this.replicaTracker,
       this.prefixCaches,
       clock,
-      this.weightsTargetOf,
+      this.weightsTargets.of,
       settings.versionMs * versionShare,
     );
     this.metricsTimer = new RepeatingTimer(
@@ -113,17 +112,18 @@
   /** Takes what changed in the list of replicas, or the whole list. */
   readonly takeEndpoints = (update: EndpointListUpdate): void => {
     this.hasEndpoints = true;
-    const { born, left } = this.replicaTracker.take(update);
+    const { changedAddresses, vacatedAddresses } = this.replicaTracker.take(update);
     if (!this.settings.detectsStaleEntries) return;
-    for (const address of born) {
-      this.prefixCaches.bornAt(address);
-      this.staleEntryDetector.bornAt(address);
+    for (const address of changedAddresses) {
+      this.prefixCaches.onIncarnationChange(address);
+      this.staleEntryDetector.onIncarnationChange(address);
     }
-    for (const address of left)
-      if (this.view?.routingTable.stores.some((store) => store.address === address) !== true)
-        this.prefixCaches.leftAt(address);
+    for (const address of vacatedAddresses) if (!this.isStore(address)) this.prefixCaches.onAddressVacated(address);
   };
 
+  private readonly isStore = (address: string): boolean =>
+    this.view?.routingTable.stores.some((store) => store.address === address) === true;
+
   private readonly takeReading = (update: PrefillNotice): void => {
     if (update.id.startsWith(this.prefillIdPrefix)) return;
     this.replicaTracker.takeReading(update);
@@ -138,14 +138,7 @@
 
   /** Takes the state in force as a control node tells it; an configuration version that is held already changes nothing. */
   readonly takeState = (update: EdgeState): void => {
-    const now = this.ports.clock.now();
-    for (const [model, ages] of Object.entries(update.weightsAges)) {
-      const held = this.weightsTargets.get(model) ?? [];
-      const fresh = ages
-        .filter(({ version }) => !held.some((one) => one.version === version))
-        .map(({ version, msAgo }) => ({ version, at: now - msAgo }));
-      this.weightsTargets.set(model, [...held, ...fresh].sort((a, b) => a.version - b.version).slice(-agesKept));
-    }
+    this.weightsTargets.take(update.weightsAges);
     if (update.table === null || this.view?.configVersion === update.configVersion) return;
     this.view = this.tableIndexer.view(update.configVersion, update.table);
     this.ingress.limit(update.table.limits);
@@ -155,16 +148,11 @@
     });
   };
 
-  private readonly weightsTargetOf = (model: string): WeightsTarget | null => {
-    const now = this.ports.clock.now();
-    const [newest, ...earlier] = (this.weightsTargets.get(model) ?? [])
-      .map(({ version, at }) => ({ version, sinceMs: now - at }))
-      .reverse();
-    return newest === undefined ? null : { ...newest, earlier };
-  };
-
   readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isUnheard();
 
+  private readonly admittingView = (): RoutingTableView | null =>
+    this.hasEndpoints && !this.isUnheard() ? this.view : null;
+
   private readonly isUnheard = (): boolean =>
     this.settings.controlLossTimeoutMs !== null && this.control.unheardMs() > this.settings.controlLossTimeoutMs;
 
@@ -183,60 +171,17 @@
       .inPool(pool)
       .some((tracked) => !tracked.endpoint.isLeaving && !avoided.has(tracked.endpoint.id));
 
-  private readonly pathOf = (target: string): string => {
-    const end = target.search(/[?#]/);
-    return end < 0 ? target : target.slice(0, end);
-  };
-
-  private readonly standingOf = (
-    call: Call,
-    keyHash: string | null,
-  ): { view: RouteView; customer: Customer | null } | { status: number; message: string } => {
-    const view = this.view?.match(call.host, this.pathOf(call.target)) ?? null;
-    if (this.view === null || view === null) return { status: 404, message: 'no way leads there' };
-    const customer = keyHash === null ? null : this.view.holderOf(keyHash);
-    if (customer === null && this.view.isKeyed && !view.route.isPublic)
-      return { status: 401, message: 'the key is not granted' };
-    return { view, customer };
-  };
+  /** Whether what a request was admitted by still holds. */
+  readonly isStanding = (admission: Admission): boolean => this.admission.isStanding(admission);
 
-  /** Whether what a request was admitted by still holds: its way, the key it came with, that key's holder and what the holder may share. */
-  readonly isStanding = ({ call, view, customer, keyHash }: Admission): boolean => {
-    const now = this.standingOf(call, keyHash);
-    if ('status' in now || now.view.route.name !== view.route.name) return false;
-    if (now.customer?.name !== customer?.name || now.customer?.isIsolated !== customer?.isIsolated) return false;
-    return (now.view.mayRepeat || !view.mayRepeat) && (now.view.route.isResumable || !view.route.isResumable);
-  };
+  readonly reject = (call: Call, status: number, message: string, retryAfterMs: number | null): void =>
+    rejectionWriter.write(this.wire, call, { status, message, retryAfterMs, closesConnection: false });
 
-  readonly reject = (call: Call, status: number, message: string, comeBackMs: number | null, isLast = false): void => {
-    const bytes = Buffer.from(this.wire.rejectionBody(message), 'utf8');
-    const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
-    if (comeBackMs !== null) headers.push('Retry-After', (comeBackMs / 1_000).toFixed(2));
-    const reply = call.answer(status, headers, isLast);
-    if (call.method !== 'HEAD') background.run('write a response body', reply.write(bytes));
-    reply.end();
-  };
-
-  /** Answers one call; the door hands it over, or whoever stands in for the door. */
+  /** Answers one call; the ingress server hands it over, or whoever stands in for it. */
   readonly receive = async (call: Call): Promise<void> => {
-    const { view } = this;
-    if (view === null || !this.hasEndpoints || this.isUnheard())
-      return this.reject(call, 503, 'this front does not know yet what is in force', readyWaitMs);
-    const { limits } = view.routingTable;
-    if (call.headerBytes > limits.headerBytes) return this.reject(call, 431, 'the headers are too large', null, true);
-    const order = this.wire.order(call.headers);
-    if (order.isErr()) return this.reject(call, 400, order.error, null);
-    const keyHash = order.value.key === null ? null : keys.hash(order.value.key);
-    const standing = this.standingOf(call, keyHash);
-    if ('status' in standing) return this.reject(call, standing.status, standing.message, null);
-    const body = await call.body(limits.bodyBytes);
-    if (body.isErr())
-      return body.error === 'too large' ? this.reject(call, 413, 'the body is too large', null, true) : undefined;
-    const again = this.standingOf(call, keyHash);
-    if ('status' in again) return this.reject(call, again.status, again.message, null);
-    const { view: routeView, customer } = again;
-    const pool = shares.draw(routeView.route, this.ports.random.fraction());
-    await this.forward({ call, order: order.value, keyHash, view: routeView, customer, pool, body: body.value });
+    const admitted = await this.admission.admit(call);
+    if (admitted.isOk()) await this.forward(admitted.value);
+    else if (admitted.error.code !== 'CALLER_GONE') rejectionWriter.write(this.wire, call, admitted.error);
   };
 
   private readonly forward = async (admission: Admission): Promise<void> => {
@@ -249,58 +194,15 @@
     }
   };
 
-  private readonly drop = ({ address, salt, parts, quarantineMs }: CacheMissReport): void => {
-    for (const part of parts) {
-      this.prefixCaches.missed(address, salt, part);
-      if (quarantineMs !== null) this.prefixCaches.quarantine(address, salt, part, quarantineMs);
-    }
-  };
-
   /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
-  readonly compare = (timing: AnswerTiming, spentMs: number): boolean => {
-    if (!this.settings.detectsStaleEntries) return false;
-    const { address, salt, parts, pullMs, tokens } = timing.expectedHit;
-    const decision = this.staleEntryDetector.take(timing, spentMs);
-    if (decision.kind === 'none') return false;
-    this.metrics.add(pullMs === null ? 'stale_strikes' : 'stale_pull_strikes');
-    const update: CacheMissReport = {
-      address,
-      salt,
-      parts,
-      isDecided: decision.kind === 'drop',
-      quarantineMs: decision.kind === 'drop' ? decision.quarantineMs : null,
-    };
-    this.control.tellMissed(update);
-    if (decision.kind === 'strike') return true;
-    this.metrics.add(decision.quarantineMs === null ? 'stale_drops' : 'stale_bars');
-    this.ports.log.info('dropped stale prefix cache entries', {
-      address,
-      salt,
-      parts,
-      tokens,
-      isPull: pullMs !== null,
-      spentMs: Math.round(spentMs),
-      quarantineMs: decision.quarantineMs,
-    });
-    this.drop(update);
-    return true;
-  };
+  readonly compare = (timing: AnswerTiming, spentMs: number): boolean => this.eviction.compare(timing, spentMs);
 
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
 
   /** Takes no new connections after a while, finishes what runs, within `drainMs`. */
-  readonly drain = async (): Promise<void> => {
-    const { clock } = this.ports;
-    const startedAt = clock.now();
-    const step = (): Promise<void> => new Promise((wake) => void clock.after(drainStepMs, wake));
+  readonly drain = (): Promise<void> => {
     this.isClosing = true;
-    while (clock.now() - startedAt < Math.min(openDrainMs, this.settings.drainMs / 2)) await step();
-    this.ingress.shut();
-    while (clock.now() - startedAt < this.settings.drainMs - lastDrainMs) {
-      this.ingress.closeIdle();
-      if (this.live.size === 0 && (await this.ingress.isEmpty())) return;
-      await step();
-    }
+    return ingressDrain.run(this.ports.clock, this.ingress, this.settings.drainMs, () => this.live.size === 0);
   };
 
   readonly status = (): Record<string, unknown> => ({
--- a/packages/edge-proxy/src/ingress/call.ts
+++ b/packages/edge-proxy/src/ingress/call.ts
@@ -1,6 +1,5 @@
 import type { Result } from 'neverthrow';
-
-export type BodyFault = 'too large' | 'gone';
+import type { BodyError } from '../errors.js';
 
 /** One caller's request as it came: header lists alternate names and values, bodies are bytes. */
 export interface Call {
@@ -9,7 +8,7 @@
   readonly host: string;
   readonly headers: readonly string[];
   readonly headerBytes: number;
-  readonly body: (limitBytes: number) => Promise<Result<Uint8Array, BodyFault>>;
+  readonly body: (limitBytes: number) => Promise<Result<Uint8Array, BodyError>>;
   readonly whenGone: (listener: () => void) => void;
   readonly answer: (status: number, headers: readonly string[], isLast: boolean) => Reply;
 }
--- /dev/null
+++ b/packages/edge-proxy/src/ingress/drain.ts
@@ -0,0 +1,22 @@
+/** Orderly end of an edge's ingress server. */
+import type { Clock } from '@martenworks/core-types';
+import type { IngressServer } from './ingressServer.js';
+
+const openDrainMs = 2_600;
+const lastDrainMs = 700;
+const drainStepMs = 50;
+
+export const ingressDrain = {
+  /** Keeps accepting connections for a while, so that load balancers notice that the edge isn't ready any more; then waits until nothing runs, at most until shortly before `drainMs` are over. */
+  run: async (clock: Clock, ingress: IngressServer, drainMs: number, isIdle: () => boolean): Promise<void> => {
+    const startedAt = clock.now();
+    const step = (): Promise<void> => new Promise((wake) => void clock.after(drainStepMs, wake));
+    while (clock.now() - startedAt < Math.min(openDrainMs, drainMs / 2)) await step();
+    ingress.shut();
+    while (clock.now() - startedAt < drainMs - lastDrainMs) {
+      ingress.closeIdle();
+      if (isIdle() && (await ingress.isEmpty())) return;
+      await step();
+    }
+  },
+};
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -6,30 +6,32 @@
 import { addresses } from '@martenworks/core-types';
 import type { CallerLimits, NetworkError } from '@martenworks/core-types';
 import { headerLists } from './call.js';
-import type { BodyFault, Call, Reply } from './call.js';
+import { bodyErrors } from '../errors.js';
+import type { BodyError } from '../errors.js';
+import type { Call, Reply } from './call.js';
 import { CallerConnection } from './callerConnection.js';
 
 const largestHeaderBytes = 128 * 1024;
 const checkEveryMs = 1_000;
 const slowBodyMs = 30_000;
 
-const bodyOf = (incoming: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, BodyFault>> =>
+const bodyOf = (incoming: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, BodyError>> =>
   new Promise((resolve) => {
     const parts: Buffer[] = [];
     let size = 0;
-    if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return resolve(err('too large'));
+    if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return resolve(err(bodyErrors.tooLarge));
     incoming.on('data', (part: Buffer) => {
       size += part.length;
       if (size > limitBytes) {
         incoming.removeAllListeners('data');
         incoming.resume();
-        return resolve(err('too large'));
+        return resolve(err(bodyErrors.tooLarge));
       }
       parts.push(part);
     });
     incoming.on('end', () => resolve(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
-    incoming.on('error', () => resolve(err('gone')));
-    incoming.on('close', () => resolve(err('gone')));
+    incoming.on('error', () => resolve(err(bodyErrors.callerGone)));
+    incoming.on('close', () => resolve(err(bodyErrors.callerGone)));
   });
 
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
--- /dev/null
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -0,0 +1,26 @@
+/** Writes the rejections that come from the edge itself. */
+import { background } from '@martenworks/core-types';
+import type { HeaderCodec } from '@martenworks/core-types';
+import type { Call } from './call.js';
+
+/** A rejection as its caller gets it; `retryAfterMs` becomes a `Retry-After` header in seconds. */
+export interface Rejection {
+  readonly status: number;
+  readonly message: string;
+  readonly retryAfterMs: number | null;
+  readonly closesConnection: boolean;
+}
+
+const msPerSecond = 1_000;
+const retryAfterDigits = 2;
+
+export const rejectionWriter = {
+  write: (wire: HeaderCodec, call: Call, { status, message, retryAfterMs, closesConnection }: Rejection): void => {
+    const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
+    const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
+    if (retryAfterMs !== null) headers.push('Retry-After', (retryAfterMs / msPerSecond).toFixed(retryAfterDigits));
+    const reply = call.answer(status, headers, closesConnection);
+    if (call.method !== 'HEAD') background.run('write a response body', reply.write(bytes));
+    reply.end();
+  },
+};
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -2,7 +2,9 @@
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
 import type { WebHandler } from '@martenworks/core-types';
-import type { BodyFault, Call, Reply } from './call.js';
+import { bodyErrors } from '../errors.js';
+import type { BodyError } from '../errors.js';
+import type { Call, Reply } from './call.js';
 
 const bodiless = new Set([101, 103, 204, 205, 304]);
 
@@ -11,13 +13,13 @@
 const pairsOf = (list: readonly string[]): [string, string][] =>
   list.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, list[at + 1] ?? '']] : []));
 
-const bodyOf = async (request: Request, limitBytes: number): Promise<Result<Uint8Array, BodyFault>> => {
-  if (Number(request.headers.get('content-length') ?? 0) > limitBytes) return err('too large');
+const bodyOf = async (request: Request, limitBytes: number): Promise<Result<Uint8Array, BodyError>> => {
+  if (Number(request.headers.get('content-length') ?? 0) > limitBytes) return err(bodyErrors.tooLarge);
   try {
     const bytes = new Uint8Array(await request.arrayBuffer());
-    return bytes.length > limitBytes ? err('too large') : ok(bytes);
+    return bytes.length > limitBytes ? err(bodyErrors.tooLarge) : ok(bytes);
   } catch {
-    return err('gone');
+    return err(bodyErrors.callerGone);
   }
 };
 
@@ -57,7 +59,7 @@
     this.wake();
   };
 
-  readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyFault>> => bodyOf(this.request, limitBytes);
+  readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyError>> => bodyOf(this.request, limitBytes);
 
   readonly whenGone = (listener: () => void): void => {
     if (this.request.signal.aborted) {
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -62,7 +62,7 @@
   };
 
   /** Another replica has the address: nothing that the one before kept is there, unless its events told so before. */
-  readonly bornAt = (address: string): void => {
+  readonly onIncarnationChange = (address: string): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return;
     if (stored.pairs.isFirstById()) stored.kept.clear();
@@ -71,7 +71,7 @@
     stored.quarantined.clear();
   };
 
-  readonly leftAt = (address: string): void => void this.prefixCaches.delete(address);
+  readonly onAddressVacated = (address: string): void => void this.prefixCaches.delete(address);
 
   /** Whatever is told, the address does not count as keeping the part for a while. */
   readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -46,7 +46,7 @@
     const { endpoint } = tracked;
     const id = this.context.readingId();
     this.reading = { id, replica: endpoint.id, tokens: readTokens, salt, part: affinityPart?.id ?? null };
-    this.context.control.tellReading(this.reading);
+    this.context.control.reportPrefill(this.reading);
     if (salt !== null && affinityPart !== null)
       this.context.prefixCaches.reads(endpoint.address, salt, affinityPart.id);
   };
@@ -56,7 +56,7 @@
     if (!this.isReading) return;
     this.isReading = false;
     this.context.replicaTracker.given(this.placed.tracked, this.placed.readTokens);
-    if (this.reading !== null) this.context.control.tellReading({ ...this.reading, tokens: 0 });
+    if (this.reading !== null) this.context.control.reportPrefill({ ...this.reading, tokens: 0 });
   };
 
   /** Takes from the time to a first piece how fast the replica reads, and whether it kept what the index says. */
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -102,7 +102,7 @@
   };
 
   /** What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already. */
-  readonly hear = (update: CacheMissReport): void => {
+  readonly takeReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
     const suspicion = this.suspicion(labelOf(update), now);
     suspicion.strikes = strikesHeard - 1;
@@ -129,7 +129,7 @@
   };
 
   /** Another replica has the address. */
-  readonly bornAt = (address: string): void => {
+  readonly onIncarnationChange = (address: string): void => {
     this.fallen.delete(address);
     for (const label of this.suspicions.keys()) if (label.startsWith(`${address}\n`)) this.suspicions.delete(label);
   };
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -24,6 +24,12 @@
 const noteTravelMs = 150;
 const quickShare = 0.75;
 
+/** Addresses at which another incarnation of a replica came, and those that have none any more. */
+export interface EndpointChanges {
+  readonly changedAddresses: readonly string[];
+  readonly vacatedAddresses: readonly string[];
+}
+
 export interface TrackedReplica {
   endpoint: ReplicaEndpoint;
   running: number;
@@ -54,7 +60,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Tells at which addresses another life came, and which have none any more. */
-  readonly take = ({ isWhole, put, gone }: EndpointListUpdate): { born: string[]; left: string[] } => {
+  readonly take = ({ isWhole, put, gone }: EndpointListUpdate): EndpointChanges => {
     const before = this.lives();
     const told = new Set(put.map((endpoint) => endpoint.id));
     for (const endpoint of put) {
@@ -89,8 +95,8 @@
     const isBorn = ([address, ids]: [string, ReadonlySet<string>]): boolean =>
       [...(after.get(address) ?? [])].some((id) => !ids.has(id));
     return {
-      born: former.filter(isBorn).map(([address]) => address),
-      left: former.flatMap(([address]) => (after.has(address) ? [] : [address])),
+      changedAddresses: former.filter(isBorn).map(([address]) => address),
+      vacatedAddresses: former.flatMap(([address]) => (after.has(address) ? [] : [address])),
     };
   };
 
--- a/packages/edge-proxy/test/staleIndex.test.ts
+++ b/packages/edge-proxy/test/staleIndex.test.ts
@@ -114,15 +114,15 @@
     await world.run(31_000);
     expect((await of('d')).kind).to.equal('strike');
     for (const name of ['a', 'a', 'b', 'b']) await of(name);
-    watch.bornAt(address);
+    watch.onIncarnationChange(address);
     expect((await of('e')).kind).to.equal('strike');
   });
 
   it('given strikes of other edges, when they are heard, then they alone decide nothing and an own one does', async () => {
     const { watch, late } = office();
     const news = { address, salt, parts: [part], isDecided: false, quarantineMs: null };
-    watch.hear(news);
-    watch.hear(news);
+    watch.takeReport(news);
+    watch.takeReport(news);
     expect((await late({}, 240)).kind).to.equal('none');
     expect((await late()).kind).to.equal('drop');
   });
@@ -167,15 +167,15 @@
     const [first, second] = [office(), office()];
     first.prefixCaches.take([kept()]);
     first.prefixCaches.saw(address, salt, part);
-    first.prefixCaches.bornAt(address);
+    first.prefixCaches.onIncarnationChange(address);
     expect(first.isKept()).to.equal(false);
     first.prefixCaches.take([kept({ epoch: '2' })]);
     expect(first.isKept()).to.equal(true);
     second.prefixCaches.take([kept()]);
     second.prefixCaches.take([kept({ epoch: '2', isWhole: true })]);
-    second.prefixCaches.bornAt(address);
+    second.prefixCaches.onIncarnationChange(address);
     expect(second.isKept()).to.equal(true);
-    second.prefixCaches.bornAt(address);
+    second.prefixCaches.onIncarnationChange(address);
     expect(second.isKept()).to.equal(false);
   });
 });
@@ -185,17 +185,20 @@
     const replicaTracker = new ReplicaTracker(new SimWorld(1).machine('10.0.0.1').ports().clock);
     const endpoint = (id: string) => ({ id, pool: 'p', address, zone: 'a', slots: 1, isLeaving: false, weights: {} });
     expect(replicaTracker.take({ isWhole: true, put: [endpoint('i-1')], gone: [] })).to.deep.equal({
-      born: [],
-      left: [],
+      changedAddresses: [],
+      vacatedAddresses: [],
     });
     expect(replicaTracker.take({ isWhole: false, put: [endpoint('i-2')], gone: [] })).to.deep.equal({
-      born: [address],
-      left: [],
+      changedAddresses: [address],
+      vacatedAddresses: [],
+    });
+    expect(replicaTracker.take({ isWhole: false, put: [], gone: ['i-1'] })).to.deep.equal({
+      changedAddresses: [],
+      vacatedAddresses: [],
     });
-    expect(replicaTracker.take({ isWhole: false, put: [], gone: ['i-1'] })).to.deep.equal({ born: [], left: [] });
     expect(replicaTracker.take({ isWhole: false, put: [], gone: ['i-2'] })).to.deep.equal({
-      born: [],
-      left: [address],
+      changedAddresses: [],
+      vacatedAddresses: [address],
     });
   });
 });
