--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -4,6 +4,7 @@
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
 import type { CompressedCommit } from './ballots.js';
+import { messageChecks } from '../messages/messageChecks.js';
 import { compressedChanges, compressedStates } from './compression.js';
 
 /**
@@ -50,24 +51,22 @@
   readonly bytes: Uint8Array;
 }
 
-type Shape = Record<string, unknown>;
-
-const isShape = (value: unknown): value is Shape => typeof value === 'object' && value !== null;
+const { isObject, isText, isInteger, isBytes, isNullOr } = messageChecks;
 
 const isPageAsk = (value: unknown): value is PageAsk =>
-  isShape(value) &&
-  Number.isInteger(value.logIndex) &&
-  (value.digest === null || typeof value.digest === 'string') &&
-  Number.isInteger(value.offset) &&
-  (value.offset as number) >= 0;
+  isObject(value) &&
+  isInteger(value.logIndex) &&
+  isNullOr(isText)(value.digest) &&
+  isInteger(value.offset) &&
+  value.offset >= 0;
 
 const isPage = (value: unknown): value is Page =>
-  isShape(value) &&
+  isObject(value) &&
   (value.kind === 'changes' || value.kind === 'snapshot') &&
-  typeof value.digest === 'string' &&
-  Number.isInteger(value.size) &&
-  Number.isInteger(value.offset) &&
-  value.bytes instanceof Uint8Array;
+  isText(value.digest) &&
+  isInteger(value.size) &&
+  isInteger(value.offset) &&
+  isBytes(value.bytes);
 
 interface Transfer {
   readonly kind: Page['kind'];
--- a/packages/control-plane/src/consensus/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -3,13 +3,9 @@
 import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
 import type { Accepted, Ballot, CompressedCommit, Vote } from './ballots.js';
 import type { MemberStatus, FoundingVoteReply } from '../membership/foundingMessages.js';
+import { messageChecks } from '../messages/messageChecks.js';
 import type { Position } from './quorumCall.js';
 
-type Shape = Record<string, unknown>;
-
-/** True where a value that came from another process has the type. */
-export type MessageCheck<T> = (value: unknown) => value is T;
-
 interface PrepareMessage {
   readonly slot: number;
   readonly ballot: Ballot;
@@ -35,52 +31,35 @@
 ]);
 const unavailableCauses: ReadonlySet<unknown> = new Set(['unfounded', 'no voter', 'disk']);
 
-const isShape = (value: unknown): value is Shape => typeof value === 'object' && value !== null;
-const isText = (value: unknown): value is string => typeof value === 'string';
-const isNumber = (value: unknown): value is number => typeof value === 'number';
-const isInteger = (value: unknown): value is number => Number.isInteger(value);
-
-const isListOf =
-  <T>(check: MessageCheck<T>): MessageCheck<readonly T[]> =>
-  (value): value is readonly T[] =>
-    Array.isArray(value) && value.every(check);
-
-const isNullOr =
-  <T>(check: MessageCheck<T>): MessageCheck<T | null> =>
-  (value): value is T | null =>
-    value === null || check(value);
-
-const isTexts = isListOf(isText);
+const { isObject, isText, isNumber, isInteger, isBytes, isListOf, isNullOr, isTexts } = messageChecks;
 
 const isMember = (value: unknown): value is Member =>
-  isShape(value) && isText(value.name) && isText(value.address) && isText(value.incarnation);
+  isObject(value) && isText(value.name) && isText(value.address) && isText(value.incarnation);
 
 const isMembers = isListOf(isMember);
 
 const isPosition = (value: unknown): value is Position =>
-  isShape(value) && isInteger(value.logIndex) && (value.acceptedSlot === null || isInteger(value.acceptedSlot));
+  isObject(value) && isInteger(value.logIndex) && (value.acceptedSlot === null || isInteger(value.acceptedSlot));
 
 const isBallot = (value: unknown): value is Ballot =>
   Array.isArray(value) && value.length === 2 && isNumber(value[0]) && isText(value[1]);
 
 const isChangeBody = (value: unknown): value is ChangeBody => {
-  if (!isShape(value) || !changeKinds.has(value.kind)) return false;
+  if (!isObject(value) || !changeKinds.has(value.kind)) return false;
   return value.kind !== 'swap' || (isText(value.outgoing) && isMember(value.incoming));
 };
 
 const isChange = (value: unknown): value is Change =>
-  isShape(value) && isText(value.id) && isText(value.digest) && isChangeBody(value.body);
+  isObject(value) && isText(value.id) && isText(value.digest) && isChangeBody(value.body);
 
 const isAccepted = (value: unknown): value is Accepted =>
-  isShape(value) && isBallot(value.ballot) && isChange(value.change);
-
-const isBytes = (value: unknown): value is Uint8Array => value instanceof Uint8Array;
+  isObject(value) && isBallot(value.ballot) && isChange(value.change);
 
 const isCommitted = (value: unknown): value is CompressedCommit =>
-  isShape(value) && isInteger(value.logIndex) && isBytes(value.change);
+  isObject(value) && isInteger(value.logIndex) && isBytes(value.change);
 
 const isVote = (value: unknown): value is Vote => {
-  if (!isShape(value)) return false;
+  if (!isObject(value)) return false;
   switch (value.kind) {
     case 'promised':
       return isNullOr(isAccepted)(value.accepted);
@@ -99,13 +78,13 @@
 };
 
 const isPrepare = (value: unknown): value is PrepareMessage =>
-  isShape(value) && isInteger(value.slot) && isBallot(value.ballot);
+  isObject(value) && isInteger(value.slot) && isBallot(value.ballot);
 
 const isAccept = (value: unknown): value is AcceptMessage =>
-  isShape(value) && isPrepare(value) && isBytes(value.change);
+  isObject(value) && isPrepare(value) && isBytes(value.change);
 
 const isMemberStatus = (value: unknown): value is MemberStatus =>
-  isShape(value) &&
+  isObject(value) &&
   isText(value.incarnation) &&
   isInteger(value.logIndex) &&
   typeof value.isVoter === 'boolean' &&
@@ -113,29 +92,30 @@
   isTexts(value.syncedFrom);
 
 const isFoundingVoteReply = (value: unknown): value is FoundingVoteReply =>
-  isShape(value) && typeof value.isGranted === 'boolean' && isNullOr(isMembers)(value.members);
+  isObject(value) && typeof value.isGranted === 'boolean' && isNullOr(isMembers)(value.members);
 
 const isDutyAsk = (value: unknown): value is LeaseRequest['duties'][number] =>
-  isShape(value) && isText(value.duty) && isNumber(value.fence);
+  isObject(value) && isText(value.duty) && isNumber(value.fence);
 
 const isLeaseAsk = (value: unknown): value is ElectorateLeaseRequest =>
-  isShape(value) &&
+  isObject(value) &&
   isText(value.holder) &&
   isListOf(isDutyAsk)(value.duties) &&
   (value.electorate === undefined || isTexts(value.electorate));
 
 const isLeaseReply = (value: unknown): value is LeaseReply =>
-  isShape(value) && isTexts(value.granted) && isShape(value.fences) && Object.values(value.fences).every(isNumber);
+  isObject(value) && isTexts(value.granted) && isObject(value.fences) && Object.values(value.fences).every(isNumber);
 
 const isMemberEntry = (value: unknown): value is MemberEntry =>
-  isShape(value) &&
+  isObject(value) &&
   isNumber(value.ageMs) &&
-  isShape(value.hello) &&
+  isObject(value.hello) &&
   isText(value.hello.name) &&
   isText(value.hello.role) &&
   isText(value.hello.address) &&
   isText(value.hello.incarnation);
 
+/** True where a body has the shape of the message; others are ignored or answered with null. */
 export const consensusMessages = {
   isAccept,
   isChange,
--- a/packages/control-plane/src/consensus/memberPeers.ts
+++ b/packages/control-plane/src/consensus/memberPeers.ts
@@ -4,7 +4,7 @@
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
-import type { MessageCheck } from './consensusMessages.js';
+import type { MessageCheck } from '../messages/messageChecks.js';
 import { majorityOf } from './quorumCall.js';
 
 /** Looks up members and their connections anew on each call, as both change. */
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -1,11 +1,12 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
-import type { ClaimPage, ReplicaRecord } from '@martenworks/core-types';
+import type { ReplicaRecord } from '@martenworks/core-types';
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { ClaimTable } from './claims.js';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { majorityOf } from '../consensus/quorumCall.js';
+import { gatewayMessages } from '../messages/gatewayMessages.js';
 import type { ReplicaTable } from './replicaTable.js';
 
 export type ReplicaFault = { readonly kind: 'disk' } | { readonly kind: 'unknown' };
@@ -25,7 +26,7 @@
   private readonly byMajority = (
     topic: string,
     body: unknown,
-    isHeard: (told: unknown) => boolean | Promise<boolean>,
+    isHeard: (reply: unknown) => boolean | Promise<boolean>,
   ): Promise<boolean> => {
     const members = this.acceptor.agreed()?.members ?? [];
     const majority = majorityOf(members);
@@ -33,7 +34,7 @@
     return new Promise((resolve) => {
       let heard = this.acceptor.isVoter() ? 1 : 0;
       let open = others.length;
-      const metrics = (isOne: boolean): void => {
+      const count = (isOne: boolean): void => {
         open -= 1;
         if (isOne) heard += 1;
         if (heard >= majority) resolve(true);
@@ -42,13 +43,13 @@
       if (others.length === 0) resolve(false);
       for (const member of others) {
         const connection = this.peerPool().to(member.incarnation);
-        if (connection === undefined) metrics(false);
+        if (connection === undefined) count(false);
         else
           background.run(
             'quorum call on replicas',
             connection
               .ask(topic, body, timeoutMs)
-              .then(async (reply) => metrics(reply.isOk() && (await isHeard(reply.value)))),
+              .then(async (reply) => count(reply.isOk() && (await isHeard(reply.value)))),
           );
       }
     });
@@ -58,7 +59,7 @@
     const kept = await this.table.take(records);
     if (kept.isErr()) return err({ kind: 'disk' });
     const merged = records.flatMap((record) => this.table.find(record.name) ?? []);
-    return (await this.byMajority('replicaNews', merged, (told) => told === true))
+    return (await this.byMajority('replicaNews', merged, (reply) => reply === true))
       ? ok(undefined)
       : err({ kind: 'unknown' });
   };
@@ -67,26 +68,27 @@
     this.byMajority(
       'replicaLook',
       names,
-      async (told) => told !== null && (await this.takeNews(told as ReplicaRecord[])),
+      async (reply) => gatewayMessages.isReplicaRecords(reply) && (await this.takeRecords(reply)),
     );
 
   readonly look = (names: readonly string[]): ReplicaRecord[] | null =>
     this.acceptor.isVoter() ? names.flatMap((name) => this.table.find(name) ?? []) : null;
 
-  readonly takeNews = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
+  readonly takeRecords = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
     (await this.table.take(records)).isOk();
 
   readonly reconcile = async (incarnation: string, peerPool: PeerPool): Promise<void> => {
     const connection = peerPool.to(incarnation);
     if (connection === undefined) return;
-    const told = await connection.ask('replicaTable', this.table.records(), timeoutMs);
-    if (told.isErr()) return;
-    const kept = await this.table.take(told.value as ReplicaRecord[]);
+    const reply = await connection.ask('replicaTable', this.table.records(), timeoutMs);
+    if (reply.isErr() || !gatewayMessages.isReplicaRecords(reply.value)) return;
+    const kept = await this.table.take(reply.value);
     if (kept.isErr()) return;
     for (let from: number | null = 0; from !== null; ) {
       const page = await connection.ask('claimPage', from, timeoutMs);
-      if (page.isErr() || !(await this.claims.takePage(page.value as ClaimPage))) return;
-      from = (page.value as ClaimPage).next;
+      if (page.isErr() || !gatewayMessages.isClaimPage(page.value)) return;
+      if (!(await this.claims.takePage(page.value))) return;
+      from = page.value.next;
     }
     this.syncedFrom.add(incarnation);
   };
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -10,6 +10,7 @@
 export * from './api/replicaApi.js';
 export * from './consensus/recovery.js';
 export * from './nodes/controlNode.js';
+export { controlNodeSettings } from './nodes/controlNodeSettings.js';
 export * from './configuration/configService.js';
 export type { ProposeFault, Applied } from './consensus/proposer.js';
 export * from './prefixcache/kvEventFollower.js';
--- /dev/null
+++ b/packages/control-plane/src/messages/edgeMessages.ts
@@ -0,0 +1,60 @@
+/** Checks of the messages that edges send to a control node, and that control nodes relay to each other for them. */
+import type {
+  CacheMissReport,
+  EdgePing,
+  PrefillNotice,
+  PrefixCacheEvent,
+  PrefixCacheUpdate,
+  StatePosition,
+  Subscription,
+} from '@martenworks/core-types';
+import { messageChecks } from './messageChecks.js';
+
+const { isObject, isText, isNumber, isBoolean, isListOf, isNullOr, isTexts } = messageChecks;
+
+const isStatePosition = (value: unknown): value is StatePosition =>
+  isObject(value) && isNumber(value.logIndex) && isNumber(value.configVersion);
+
+const isSubscription = (value: unknown): value is Subscription =>
+  isObject(value) && isStatePosition(value) && isBoolean(value.wantsContent);
+
+const isEdgePing = (value: unknown): value is EdgePing =>
+  isObject(value) && isStatePosition(value) && isBoolean(value.isReady);
+
+const isPrefixCacheEvent = (value: unknown): value is PrefixCacheEvent =>
+  isObject(value) && isBoolean(value.isKept) && isText(value.salt) && isText(value.part) && isNumber(value.tokens);
+
+const isPrefixCacheUpdate = (value: unknown): value is PrefixCacheUpdate =>
+  isObject(value) &&
+  isText(value.address) &&
+  isBoolean(value.isWhole) &&
+  isBoolean(value.isHeard) &&
+  (value.epoch === undefined || isText(value.epoch)) &&
+  isListOf(isPrefixCacheEvent)(value.events);
+
+const isPrefillNotice = (value: unknown): value is PrefillNotice =>
+  isObject(value) &&
+  isText(value.id) &&
+  isText(value.replica) &&
+  isNumber(value.tokens) &&
+  isNullOr(isText)(value.salt) &&
+  isNullOr(isText)(value.part);
+
+const isCacheMissReport = (value: unknown): value is CacheMissReport =>
+  isObject(value) &&
+  isText(value.address) &&
+  isText(value.salt) &&
+  isTexts(value.parts) &&
+  isBoolean(value.isDecided) &&
+  isNullOr(isNumber)(value.quarantineMs);
+
+/** True where a body has the shape of the message; others are ignored by the node, as unknown topics are. */
+export const edgeMessages = {
+  isStatePosition,
+  isSubscription,
+  isEdgePing,
+  isPrefixCacheUpdates: isListOf(isPrefixCacheUpdate),
+  isPrefillNotice,
+  isPrefillNotices: isListOf(isPrefillNotice),
+  isCacheMissReport,
+};
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -1,24 +1,18 @@
-import { createHash } from 'node:crypto';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { RepeatingTimer } from '@martenworks/core-types';
 import type {
   CommittedState,
   BackendClient,
-  EdgePing,
   Listener,
   CacheMissReport,
   NetworkError,
   Ports,
-  PrefillNotice,
-  PrefixCacheUpdate,
-  StatePosition,
-  Subscription,
 } from '@martenworks/core-types';
 import type { NodeSettings } from '@martenworks/settings';
 import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
-import type { Hello } from '@martenworks/peer-transport';
+import type { Hello, PeerConnection } from '@martenworks/peer-transport';
 import { MemberList } from '@martenworks/cluster-membership';
 import type { LeaseManager, LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
 import { EndpointListReader } from '../endpoints/endpointListReader.js';
@@ -33,41 +27,18 @@
 import { PrefixCacheFollower } from '../prefixcache/prefixCacheFollower.js';
 import { ConfigService } from '../configuration/configService.js';
 import { StatePublisher } from '../configuration/statePublisher.js';
+import { rendezvousHashing } from '../prefixcache/rendezvousHashing.js';
+import { controlNodeSettings } from './controlNodeSettings.js';
+import { edgeMessages } from '../messages/edgeMessages.js';
 import { WeightsRollout } from '../weights/weightsRollout.js';
 
-const confirmTimeoutMs = 700;
 const handoverShare = 0.5;
 const weightsStepMs = 60;
-const leaseMs = 1_600;
-const leaseMarginMs = 400;
-const fencesPerGeneration = 1_000;
-const weightsLease = 'weights';
-
-const scores = {
-  held: new Map<string, string>(),
-  of: (address: string, voter: string): string => {
-    const label = `${address}\n${voter}`;
-    const held = scores.held.get(label);
-    if (held !== undefined) return held;
-    const score = createHash('sha1').update(label).digest('hex');
-    if (scores.held.size > 20_000) scores.held.clear();
-    scores.held.set(label, score);
-    return score;
-  },
-};
-
-const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
+const { confirmTimeoutMs, weightsLease } = controlNodeSettings;
 
 const consensusPace: ConsensusPace = {
-  voteTimeoutMs: 800,
-  foundingMs: 150,
-  upkeepMs: 300,
-  keepaliveIntervalMs: 400,
-  keepaliveTimeoutMs: 900,
-  leaseIntervalMs: 300,
-  leaseTimeoutMs: 500,
-  dialPace: dialPace,
-  strangerWaitMs: 2_500,
+  ...controlNodeSettings.consensusPace,
+  dialPace: { timeoutMs: 700, longestWaitMs: 400 },
 };
 
 export class ControlNode {
@@ -207,7 +178,7 @@
     const engines = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
     const voters = this.consensus.reachableVoters();
     const isMine = (address: string): boolean =>
-      !voters.some((voter) => scores.of(address, voter) > scores.of(address, this.acceptor.incarnation));
+      rendezvousHashing.isAssigned(address, this.acceptor.incarnation, voters);
     this.prefixCaches.align(
       new Set([
         ...this.endpointList
@@ -245,29 +216,56 @@
       if (connection.peer?.role === 'control') connection.tell('prefixCacheRelay', this.prefixCaches.followed());
     },
     left: (connection) => this.statePublisher.drop(connection),
-    told: (connection, topic, body) => {
-      if (topic === 'subscribe') this.statePublisher.subscribe(connection, body as Subscription);
-      else if (topic === 'ack') this.statePublisher.acked(connection, body as StatePosition);
-      else if (topic === 'prefixCacheRelay') this.prefixCaches.takeRelayed(body as PrefixCacheUpdate[]);
-      else if (topic === 'prefill') this.prefillNotices.take(body as PrefillNotice);
-      else if (topic === 'prefillRelay') this.statePublisher.tellContent('prefill', body);
-      else if (topic === 'cacheMiss') {
-        this.prefixCaches.missed(body as CacheMissReport);
-        this.statePublisher.tellOthers(connection, 'cacheMiss', body);
-        this.consensus.tellPeers('cacheMissRelay', body);
-      } else if (topic === 'cacheMissRelay') {
-        this.prefixCaches.missed(body as CacheMissReport);
-        this.statePublisher.tellContent('cacheMiss', body);
-      }
-    },
-    asked: async (connection, topic, body) => {
-      if (topic === 'ping')
-        return this.statePublisher.pong(connection, body as EdgePing, this.consensus.majorityHeardMs());
-      if (topic === 'state') return this.statePublisher.stateFor(body as StatePosition);
-      return null;
-    },
+    told: this.takeMessage,
+    asked: this.answer,
   });
 
+  /** Takes a message of an edge or another control node; one that is malformed or of an unknown topic is ignored. */
+  private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
+    switch (topic) {
+      case 'subscribe':
+        if (edgeMessages.isSubscription(body)) this.statePublisher.subscribe(connection, body);
+        return;
+      case 'ack':
+        if (edgeMessages.isStatePosition(body)) this.statePublisher.acked(connection, body);
+        return;
+      case 'prefixCacheRelay':
+        if (edgeMessages.isPrefixCacheUpdates(body)) this.prefixCaches.takeRelayed(body);
+        return;
+      case 'prefill':
+        if (edgeMessages.isPrefillNotice(body)) this.prefillNotices.take(body);
+        return;
+      case 'prefillRelay':
+        if (edgeMessages.isPrefillNotices(body)) this.statePublisher.tellContent('prefill', body);
+        return;
+      case 'cacheMiss':
+        if (edgeMessages.isCacheMissReport(body)) this.takeCacheMiss(connection, body);
+        return;
+      case 'cacheMissRelay':
+        if (edgeMessages.isCacheMissReport(body)) this.takeRelayedCacheMiss(body);
+        return;
+    }
+  };
+
+  private readonly takeCacheMiss = (connection: PeerConnection, report: CacheMissReport): void => {
+    this.prefixCaches.missed(report);
+    this.statePublisher.tellOthers(connection, 'cacheMiss', report);
+    this.consensus.tellPeers('cacheMissRelay', report);
+  };
+
+  private readonly takeRelayedCacheMiss = (report: CacheMissReport): void => {
+    this.prefixCaches.missed(report);
+    this.statePublisher.tellContent('cacheMiss', report);
+  };
+
+  /** Answers an edge; null for a request that is malformed or of an unknown topic. */
+  private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+    if (topic === 'ping' && edgeMessages.isEdgePing(body))
+      return this.statePublisher.pong(connection, body, this.consensus.majorityHeardMs());
+    if (topic === 'state' && edgeMessages.isStatePosition(body)) return this.statePublisher.stateFor(body);
+    return null;
+  };
+
   /** The newest agreed state, with what a majority had accepted settled before: null where no majority was heard. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
@@ -321,12 +319,7 @@
   ): Promise<Result<ControlNode, NetworkError | WriteAheadLogError>> => {
     const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log, settings.isFresh);
     if (acceptor.isErr()) return err(acceptor.error);
-    const terms: LeaseTerms = {
-      leaseMs,
-      marginMs: leaseMarginMs,
-      gapMs: settings.orderGapMs,
-      floor: () => (acceptor.value.agreed()?.logIndex ?? 0) * fencesPerGeneration,
-    };
+    const terms = controlNodeSettings.leaseTerms(acceptor.value, settings.orderGapMs);
     const leases = await leaseTables.open(ports.disk, ports.clock, ports.log, terms);
     if (leases.isErr()) return err(leases.error);
     const controlNode = new ControlNode(settings, ports, backendClient, acceptor.value, leases.value, terms, seeds);
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -1,22 +1,11 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, RepeatingTimer } from '@martenworks/core-types';
-import type {
-  CommittedState,
-  Claimant,
-  ClaimBallot,
-  Listener,
-  LoadReport,
-  NetworkError,
-  Ports,
-  ReplicaRecord,
-  IsolationClaim,
-} from '@martenworks/core-types';
+import type { CommittedState, ClaimVote, Listener, NetworkError, Ports, ReplicaRecord } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
 import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
 import type { PeerConnection, Hello } from '@martenworks/peer-transport';
-import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { MemberList, FailureDetector, FailureVerdicts } from '@martenworks/cluster-membership';
 import type { LeaseManager, PeerPool } from '@martenworks/cluster-membership';
 import { acceptors } from '../consensus/acceptor.js';
@@ -27,7 +16,6 @@
 import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
 import { ChangeService } from '../configuration/changeService.js';
 import { KvEventFollower } from '../prefixcache/kvEventFollower.js';
-import type { RelayedKvEvents } from '../prefixcache/kvEventFollower.js';
 import { leaseTables } from '../consensus/leaseLog.js';
 import type { PersistedLeases } from '../consensus/leaseLog.js';
 import type { Proposer } from '../consensus/proposer.js';
@@ -36,7 +24,10 @@
 import { IsolationRegistry } from '../endpoints/isolationRegistry.js';
 import { replicaTables } from '../endpoints/replicaTable.js';
 import type { ReplicaTable } from '../endpoints/replicaTable.js';
+import { messageChecks } from '../messages/messageChecks.js';
+import { gatewayMessages } from '../messages/gatewayMessages.js';
 
+const { isNumber, isText, isTexts } = messageChecks;
 const snapshotTimeoutMs = 1_000;
 const confirmTimeoutMs = 700;
 const trimMs = 5_000;
@@ -160,8 +151,9 @@
   };
 
   private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
-    const told = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
-    if (told.isOk()) this.push.tellSnapshots(this.kv.takeSnapshots(told.value as PrefixIndexSnapshot[]));
+    const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
+    if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
+    this.push.tellSnapshots(this.kv.takeSnapshots(reply.value));
   };
 
   private readonly repairIndex = async (): Promise<void> => {
@@ -191,59 +183,89 @@
       this.push.drop(connection);
       if (connection.peer !== null) this.replicas.syncedFrom.delete(connection.peer.incarnation);
     },
-    told: (connection, topic, body) => {
-      if (topic === 'subscribe') this.push.subscribe(connection, body as number);
-      else if (topic === 'ack') this.push.acked(connection, body as number);
-      else if (topic === 'longPrompts') this.push.longPrompts(connection, body as LoadReport);
-      else if (topic === 'heartbeat') this.failureDetector.watch.heartbeatFrom(body as string);
-      else if (topic === 'suspects') this.verdicts.report(connection.peer?.name ?? '', body as string[]);
-      else if (topic === 'kvRelay') this.kv.takeRelayed(body as RelayedKvEvents);
-      else if (topic === 'indexSnapshotRequest')
-        for (const snapshot of this.kv.snapshots(body as string[])) connection.tell('indexSnapshot', snapshot);
-    },
-    asked: async (connection, topic, body) => {
-      switch (topic) {
-        case 'ping':
-          return this.push.pong(connection, body as LoadReport);
-        case 'prefixCaches':
-          return this.kv.snapshots(body as string[]);
-        case 'admitSides':
-          return this.acceptor.isVoter() ? this.sides.admit(body as IsolationClaim[]) : null;
-        case 'replicaLook':
-          return this.replicas.look(body as string[]);
-        case 'replicaNews':
-          return this.replicas.takeNews(body as ReplicaRecord[]);
-        case 'claimPrepare': {
-          const { key, turn, ballot } = body as { key: string; turn: number; ballot: ClaimBallot };
-          return this.acceptor.isVoter() ? this.claims.prepare(key, turn, ballot) : null;
-        }
-        case 'claimAccept': {
-          const { key, turn, ballot, claimant } = body as {
-            key: string;
-            turn: number;
-            ballot: ClaimBallot;
-            claimant: Claimant;
-          };
-          return this.acceptor.isVoter() ? this.claims.accept(key, turn, ballot, claimant) : null;
-        }
-        case 'claimRelease': {
-          const { key, turn } = body as { key: string; turn: number };
-          const isKept = this.acceptor.isVoter() && (await this.claims.release(key, turn));
-          return isKept
-            ? { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } }
-            : null;
-        }
-        case 'claimPage':
-          return this.claims.page(body as number);
-        case 'replicaTable':
-          await this.replicas.takeNews(body as ReplicaRecord[]);
-          return this.table.records();
-        default:
-          return null;
-      }
-    },
+    told: this.takeMessage,
+    asked: this.answer,
   });
 
+  /** Takes a message of a gateway or another control node; one that is malformed or of an unknown topic is ignored. */
+  private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
+    switch (topic) {
+      case 'subscribe':
+        if (isNumber(body)) this.push.subscribe(connection, body);
+        return;
+      case 'ack':
+        if (isNumber(body)) this.push.acked(connection, body);
+        return;
+      case 'longPrompts':
+        if (gatewayMessages.isLoadReport(body)) this.push.longPrompts(connection, body);
+        return;
+      case 'heartbeat':
+        if (isText(body)) this.failureDetector.watch.heartbeatFrom(body);
+        return;
+      case 'suspects':
+        if (isTexts(body)) this.verdicts.report(connection.peer?.name ?? '', body);
+        return;
+      case 'kvRelay':
+        if (gatewayMessages.isRelayedKvEvents(body)) this.kv.takeRelayed(body);
+        return;
+      case 'indexSnapshotRequest':
+        if (isTexts(body)) this.sendSnapshots(connection, body);
+        return;
+    }
+  };
+
+  private readonly sendSnapshots = (connection: PeerConnection, replicas: readonly string[]): void => {
+    for (const snapshot of this.kv.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
+  };
+
+  /** Answers a gateway or another control node; null for a request that is malformed or of an unknown topic. */
+  private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+    switch (topic) {
+      case 'ping':
+        return gatewayMessages.isLoadReport(body) ? this.push.pong(connection, body) : null;
+      case 'prefixCaches':
+        return isTexts(body) ? this.kv.snapshots(body) : null;
+      case 'replicaLook':
+        return isTexts(body) ? this.replicas.look(body) : null;
+      case 'replicaNews':
+        return gatewayMessages.isReplicaRecords(body) ? this.replicas.takeRecords(body) : null;
+      case 'replicaTable':
+        return gatewayMessages.isReplicaRecords(body) ? this.exchangeRecords(body) : null;
+      case 'claimPage':
+        return isNumber(body) ? this.claims.page(body) : null;
+      default:
+        return this.acceptor.isVoter() ? this.answerAsVoter(topic, body) : null;
+    }
+  };
+
+  private readonly exchangeRecords = async (records: readonly ReplicaRecord[]): Promise<ReplicaRecord[]> => {
+    await this.replicas.takeRecords(records);
+    return this.table.records();
+  };
+
+  /** Answers the requests that only a voter may answer. */
+  private readonly answerAsVoter = async (topic: string, body: unknown): Promise<unknown> => {
+    switch (topic) {
+      case 'admitSides':
+        return gatewayMessages.isIsolationClaims(body) ? this.sides.admit(body) : null;
+      case 'claimPrepare':
+        return gatewayMessages.isClaimPrepare(body) ? this.claims.prepare(body.key, body.turn, body.ballot) : null;
+      case 'claimAccept':
+        return gatewayMessages.isClaimAccept(body)
+          ? this.claims.accept(body.key, body.turn, body.ballot, body.claimant)
+          : null;
+      case 'claimRelease':
+        return gatewayMessages.isClaimTurn(body) ? this.releaseClaim(body.key, body.turn) : null;
+      default:
+        return null;
+    }
+  };
+
+  private readonly releaseClaim = async (key: string, turn: number): Promise<ClaimVote | null> => {
+    if (!(await this.claims.release(key, turn))) return null;
+    return { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } };
+  };
+
   /** The newest agreed state, or null where no majority of voters confirmed it within `confirmPatienceMs`. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -1,11 +1,10 @@
 import { err, ok } from 'neverthrow';
 import { MemberList } from '@martenworks/cluster-membership';
 import type { LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
-import { ConsensusMember, acceptors, leaseTables } from '@martenworks/control-plane';
+import { ConsensusMember, acceptors, controlNodeSettings, leaseTables } from '@martenworks/control-plane';
 import type {
   Acceptor,
   Ballot,
-  ConsensusPace,
   ConsensusRole,
   PersistedLeases,
   Proposer,
@@ -23,23 +22,9 @@
 import type { SeededRandom } from './random.js';
 import type { VirtualClock } from './virtualClock.js';
 
-const pace: ConsensusPace & { readonly strangerWaitMs: number } = {
-  voteTimeoutMs: 800,
-  foundingMs: 150,
-  upkeepMs: 300,
-  keepaliveIntervalMs: 400,
-  keepaliveTimeoutMs: 900,
-  leaseIntervalMs: 300,
-  leaseTimeoutMs: 500,
-  strangerWaitMs: 2_500,
-};
-const confirmTimeoutMs = 700;
+const { confirmTimeoutMs, consensusPace, weightsLease } = controlNodeSettings;
 const leaveBudgetMs = 3_000;
-const leaseMs = 1_600;
-const leaseMarginMs = 400;
 const orderGapMs = 200;
-const fencesPerGeneration = 1_000;
-const duty = 'weights';
 const log = logs.silent();
 /** Messages that are told; all others are asked and get an answer. */
 const toldTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
@@ -141,12 +126,7 @@
     if (opened.isErr()) throw new Error(`${this.name} did not open: ${JSON.stringify(opened.error)}`);
     const acceptor = opened.value;
     this.world.broken?.acceptor?.(acceptor);
-    const terms: LeaseTerms = {
-      leaseMs,
-      marginMs: leaseMarginMs,
-      gapMs: orderGapMs,
-      floor: () => (acceptor.agreed()?.logIndex ?? 0) * fencesPerGeneration,
-    };
+    const terms = controlNodeSettings.leaseTerms(acceptor, orderGapMs);
     const leases = await this.openLeases(disk, clock, terms);
     this.noteVotes(acceptor);
     const process: Process = { node: this.name, isAlive: isLive, handle: this.handle };
@@ -155,7 +135,7 @@
     const member = new ConsensusMember(
       { ports, hello, memberList: new MemberList(clock, hello), seeds: [], acceptor, leases, terms },
       this.role(acceptor),
-      pace,
+      consensusPace,
     );
     const inside = member as unknown as MemberInside;
     this.breakInside(inside, acceptor);
@@ -191,7 +171,7 @@
     const role = {
       extraAddresses: () => [],
       isDown: () => true,
-      wantedLeases: () => (acceptor.isVoter() ? [duty] : []),
+      wantedLeases: () => (acceptor.isVoter() ? [weightsLease] : []),
       leasesChanged: () => {},
       needsCopies: false,
       syncedFrom: () => (acceptor.agreed()?.members ?? []).map((member) => member.incarnation),
@@ -377,7 +357,7 @@
       isLost: this.lastIncarnation === '',
       state: this.lastState,
       accepted: this.vote?.slot === slot ? this.vote : null,
-      fence: this.parts?.member.leaseManager.fenceOf(duty) ?? null,
+      fence: this.parts?.member.leaseManager.fenceOf(weightsLease) ?? null,
     };
   };
 }
