--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -79,7 +79,7 @@
 /** How callers' and replicas' headers are read and written. Header lists alternate names and values, as they came. */
 export interface HeaderCodec {
   readonly order: (headers: readonly string[]) => Result<RequestMetadata, string>;
-  readonly attemptHeaders: (headers: readonly string[], shot: AttemptPlan) => string[];
+  readonly attemptHeaders: (headers: readonly string[], attempt: AttemptPlan) => string[];
   readonly responseHead: (
     status: number,
     headers: readonly string[],
--- a/packages/core-types/src/denseIndex.ts
+++ b/packages/core-types/src/denseIndex.ts
@@ -3,8 +3,8 @@
   private readonly names: string[] = [];
 
   readonly indexOf = (name: string): number => {
-    const held = this.indices.get(name);
-    if (held !== undefined) return held;
+    const known = this.indices.get(name);
+    if (known !== undefined) return known;
     const index = this.names.length;
     this.indices.set(name, index);
     this.names.push(name);
--- a/packages/core-types/src/replicaRecords.ts
+++ b/packages/core-types/src/replicaRecords.ts
@@ -31,15 +31,15 @@
     ...record,
     sides: (record.sides as readonly string[] | undefined) ?? [unknownSide],
   }),
-  merge: (held: ReplicaRecord | undefined, told: ReplicaRecord): ReplicaRecord => {
-    if (held === undefined) return told;
-    const ahead = isAhead(told, held) ? told : held;
-    if (held.incarnation !== told.incarnation) return ahead;
-    const sides = new Set([...held.sides, ...told.sides, ...(held.pool === told.pool ? [] : [movedSide])]);
-    return { ...ahead, born: Math.min(held.born, told.born), sides: [...sides].sort() };
+  merge: (known: ReplicaRecord | undefined, received: ReplicaRecord): ReplicaRecord => {
+    if (known === undefined) return received;
+    const ahead = isAhead(received, known) ? received : known;
+    if (known.incarnation !== received.incarnation) return ahead;
+    const sides = new Set([...known.sides, ...received.sides, ...(known.pool === received.pool ? [] : [movedSide])]);
+    return { ...ahead, born: Math.min(known.born, received.born), sides: [...sides].sort() };
   },
-  isNews: (held: ReplicaRecord | undefined, told: ReplicaRecord): boolean => {
-    const merged = replicas.merge(held, told);
-    return held === undefined || JSON.stringify(merged) !== JSON.stringify(held);
+  isNews: (known: ReplicaRecord | undefined, received: ReplicaRecord): boolean => {
+    const merged = replicas.merge(known, received);
+    return known === undefined || JSON.stringify(merged) !== JSON.stringify(known);
   },
 };
--- a/packages/settings/src/gatewayConfigCheck.ts
+++ b/packages/settings/src/gatewayConfigCheck.ts
@@ -46,8 +46,6 @@
   tenants: type({ '[string]': tenant }),
 });
 
-const tenantShape = tenant;
-
 const issuesOf = (problems: type.errors): ValidationIssue[] =>
   problems.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }));
 
@@ -123,6 +121,7 @@
 };
 
 export const gatewayConfigs = {
+  /** Checks a whole configuration, the names in it too, and fills in its defaults. */
   check: (given: unknown): Result<GatewayConfig, ValidationIssue[]> => {
     const shaped = gatewayConfigSchema(given);
     if (shaped instanceof type.errors) return err(issuesOf(shaped));
@@ -130,8 +129,9 @@
     const faults = absent(config);
     return faults.length === 0 ? ok(config) : err(faults);
   },
+  /** Checks one tenant and fills in its defaults. */
   tenant: (given: unknown): Result<GatewayConfig['tenants'][string], ValidationIssue[]> => {
-    const shaped = tenantShape(given);
+    const shaped = tenant(given);
     return shaped instanceof type.errors ? err(issuesOf(shaped)) : ok(filledTenant(shaped));
   },
   /** A configuration with a partial change laid over it (RFC 7396); not checked. */
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -97,6 +97,44 @@
     ]),
   );
 
+const parseFlags = (flags: Readonly<Record<string, string>>): Record<string, unknown> => {
+  const fields: Readonly<Record<string, { form: (raw: string) => unknown }>> = settingsFields;
+  return Object.fromEntries(Object.entries(flags).map(([key, raw]) => [key, fields[key]?.form(raw) ?? raw]));
+};
+
+/** The rules that join several fields, which the schema can't express. */
+const roleIssues = (role: Role, { data, operators, http, peerAddress }: Record<string, unknown>): ValidationIssue[] => {
+  const issues: ValidationIssue[] = [];
+  if (role === 'gateway-control' && data === undefined)
+    issues.push({ path: '/data', message: 'a control node needs a data folder' });
+  if (role === 'gateway-control' && operators !== undefined)
+    issues.push({ path: '/operators', message: "is for gateways; a control node's http is the operators' already" });
+  if (operators !== undefined && [http, peerAddress].includes(operators))
+    issues.push({ path: '/operators', message: 'must be another address than http and peerAddress' });
+  return issues;
+};
+
+const withDefaults = (role: Role, given: typeof gatewaySettingsSchema.infer): GatewaySettings => ({
+  role,
+  name: given.name,
+  zone: given.zone,
+  peerAddress: given.peerAddress,
+  peerListenAddress: given.peerListenAddress ?? given.peerAddress,
+  http: given.http,
+  operators: given.operators ?? null,
+  seeds: given.seeds,
+  data: given.data ?? null,
+  gatewayCount: given.gatewayCount ?? 9,
+  bodyLimitBytes: given.bodyLimitBytes ?? 4 * 1024 * 1024,
+  queueLimit: given.queueLimit ?? 512,
+  drainMs: given.drainMs ?? 25_000,
+  claimRetentionMs: given.claimRetentionMs ?? 600_000,
+  stallMs: given.stallMs ?? 20_000,
+  logs: given.logs ?? true,
+  index: given.index ?? true,
+});
+
+/** Reads the settings of the gateway roles. */
 export const gatewaySettings = {
   /** One note for each key of an earlier release among these, for a warning. */
   deprecatedIn: (given: Readonly<Record<string, unknown>>): string[] =>
@@ -104,54 +142,20 @@
       .filter((key) => Object.hasOwn(deprecatedSettings, key))
       .map((key) => `${key}: use ${deprecatedSettings[key]}`),
 
+  /** The settings of a file with flags laid over it, or all that is wrong with them by path. */
   check: (
     role: Role,
     file: Record<string, unknown>,
     flags: Record<string, string>,
   ): Result<GatewaySettings, ValidationIssue[]> => {
-    const fromFile = withCurrentKeys(file);
-    const fromFlags = withCurrentKeys(flags);
-    const flagged = Object.fromEntries(
-      Object.entries(fromFlags).map(([key, raw]) => [
-        key,
-        (settingsFields as Record<string, { form: (raw: string) => unknown }>)[key]?.form(raw) ?? raw,
-      ]),
-    );
-    const shaped = gatewaySettingsSchema({ ...fromFile, ...flagged });
-    const faults: ValidationIssue[] =
+    const given = { ...withCurrentKeys(file), ...parseFlags(withCurrentKeys(flags)) };
+    const shaped = gatewaySettingsSchema(given);
+    const schemaIssues: ValidationIssue[] =
       shaped instanceof type.errors
         ? shaped.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }))
         : [];
-    const data = (flagged.data ?? fromFile.data) as unknown;
-    if (role === 'gateway-control' && data === undefined)
-      faults.push({ path: '/data', message: 'a control node needs a data folder' });
-    const operators = (flagged.operators ?? fromFile.operators) as unknown;
-    if (role === 'gateway-control' && operators !== undefined)
-      faults.push({ path: '/operators', message: "is for gateways; a control node's http is the operators' already" });
-    if (
-      operators !== undefined &&
-      [flagged.http ?? fromFile.http, flagged.peerAddress ?? fromFile.peerAddress].includes(operators)
-    )
-      faults.push({ path: '/operators', message: 'must be another address than http and peerAddress' });
-    if (shaped instanceof type.errors || faults.length > 0) return err(faults);
-    return ok({
-      role,
-      name: shaped.name,
-      zone: shaped.zone,
-      peerAddress: shaped.peerAddress,
-      peerListenAddress: shaped.peerListenAddress ?? shaped.peerAddress,
-      http: shaped.http,
-      operators: shaped.operators ?? null,
-      seeds: shaped.seeds,
-      data: shaped.data ?? null,
-      gatewayCount: shaped.gatewayCount ?? 9,
-      bodyLimitBytes: shaped.bodyLimitBytes ?? 4 * 1024 * 1024,
-      queueLimit: shaped.queueLimit ?? 512,
-      drainMs: shaped.drainMs ?? 25_000,
-      claimRetentionMs: shaped.claimRetentionMs ?? 600_000,
-      stallMs: shaped.stallMs ?? 20_000,
-      logs: shaped.logs ?? true,
-      index: shaped.index ?? true,
-    });
+    const issues = [...schemaIssues, ...roleIssues(role, given)];
+    if (shaped instanceof type.errors || issues.length > 0) return err(issues);
+    return ok(withDefaults(role, shaped));
   },
 };
