--- a/packages/dev-tools/test/docLinks.test.ts
+++ b/packages/dev-tools/test/docLinks.test.ts
@@ -39,7 +39,8 @@
   it('given each link to a file or heading, when it is followed, then it is there', () => {
     const links = repository.pages().flatMap(linksOf);
     expect(links).to.have.length.above(50);
-    expect(links.filter(isBroken)).to.deep.equal([]);
+    const broken = links.filter(isBroken).map(({ page, target }) => `${page}: ${target}`);
+    expect(broken, broken.join('\n')).to.deep.equal([]);
   });
 
   it('given a link to a file or heading that is not there, when it is followed, then it is found', () => {
--- a/packages/dev-tools/test/glossary.test.ts
+++ b/packages/dev-tools/test/glossary.test.ts
@@ -21,7 +21,8 @@
     const words = new Set(repository.sources().flatMap((path) => repository.read(path).match(/\w+/g) ?? []));
     const names = namesInGlossary(repository.read('docs/glossary.md'));
     expect(names).to.have.length.above(100);
-    expect(names.filter(({ name }) => !words.has(name))).to.deep.equal([]);
+    const missing = names.filter(({ name }) => !words.has(name)).map(({ name, line }) => `${name}: ${line}`);
+    expect(missing, missing.join('\n')).to.deep.equal([]);
   });
 
   it('given a table row, when it is read, then it has a users’ word, a term and a place in the code', () => {
@@ -29,6 +30,7 @@
       .read('docs/glossary.md')
       .split('\n')
       .filter((line) => line.startsWith('| '));
-    expect(rows.filter((row) => row.split(' | ').length !== 3)).to.deep.equal([]);
+    const wrong = rows.filter((row) => row.split(' | ').length !== 3);
+    expect(wrong, wrong.join('\n')).to.deep.equal([]);
   });
 });
--- a/packages/dev-tools/test/onCallPage.test.ts
+++ b/packages/dev-tools/test/onCallPage.test.ts
@@ -31,8 +31,10 @@
 ];
 const metricLines = find(metricLine, (found) => [found[0]]);
 
-const missingOn = (page: string, found: readonly Found[], isOn: (page: string, text: string) => boolean): Found[] =>
-  found.filter(({ text }) => !isOn(page, text));
+const expectAllOn = (page: string, found: readonly Found[], isOn: (page: string, text: string) => boolean): void => {
+  const missing = found.filter(({ text }) => !isOn(page, text)).map(({ text, path }) => `${path}: ${text}`);
+  expect(missing, missing.join('\n')).to.deep.equal([]);
+};
 
 const standsAlone = (page: string, text: string): boolean => page.includes(`\`${text}\``);
 const standsOrBegins = (page: string, text: string): boolean =>
@@ -43,17 +45,17 @@
 
   it('given each log message of the programs, when the page is searched, then it is described there', () => {
     expect(logMessages).to.have.length.above(30);
-    expect(missingOn(page, logMessages, standsAlone)).to.deep.equal([]);
+    expectAllOn(page, logMessages, standsAlone);
   });
 
   it('given each counter of the programs, when the page is searched, then it is described there', () => {
     expect(metricNames).to.have.length.above(20);
-    expect(missingOn(page, metricNames, standsOrBegins)).to.deep.equal([]);
+    expectAllOn(page, metricNames, standsOrBegins);
   });
 
   it('given each line of the pages /metrics, when the page is searched, then it is described there', () => {
     expect(metricLines).to.have.length.above(10);
-    expect(missingOn(page, metricLines, standsOrBegins)).to.deep.equal([]);
+    expectAllOn(page, metricLines, standsOrBegins);
   });
 
   it('given a message that no page describes, when it is looked up, then it is found missing', () => {
