--- a/packages/core-types/src/index.ts
+++ b/packages/core-types/src/index.ts
@@ -8,6 +8,7 @@
 export * from './errors.js';
 export * from './rejection.js';
 export * from './denseIndex.js';
+export * from './metricCounters.js';
 export * from './commandQueue.js';
 export * from './timers.js';
 export * from './prompt.js';
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -1,4 +1,4 @@
-import type { RequestMetadata, Customer, Ports, HeaderCodec } from '@martenworks/core-types';
+import type { RequestMetadata, Customer, Ports, HeaderCodec, MetricCounters } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 import type { Call } from './ingress/call.js';
 import type { ControlConnection } from './control/controlConnection.js';
@@ -6,7 +6,6 @@
 import type { ReplicaTracker } from './routing/replicaTracker.js';
 import type { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
-import type { MetricCounters } from './metricCounters.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
 /** A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it is hashed once). */
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,5 +1,5 @@
 import type { Result } from 'neverthrow';
-import { background, RepeatingTimer } from '@martenworks/core-types';
+import { background, MetricCounters, RepeatingTimer } from '@martenworks/core-types';
 import type {
   EndpointListUpdate,
   NetworkError,
@@ -26,7 +26,6 @@
 import { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
 import { StaleEntryDetector } from './prefixcache/staleEntryDetector.js';
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
-import { MetricCounters } from './metricCounters.js';
 import { ReplicaSelector } from './routing/replicaSelector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -2,7 +2,6 @@
 export * from './ingress/ingressServer.js';
 export * from './ingress/webCall.js';
 export * from './edgeProxy.js';
-export * from './metricCounters.js';
 export * from './control/controlConnection.js';
 export * from './prefixcache/prefixCacheIndex.js';
 export * from './routing/replicaTracker.js';
--- a/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
@@ -1,6 +1,5 @@
 /** Evicts entries of the prefix index that answers speak against, here and at the other edges. */
-import type { CacheMissReport, Log } from '@martenworks/core-types';
-import type { MetricCounters } from '../metricCounters.js';
+import type { CacheMissReport, Log, MetricCounters } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from './prefixCacheIndex.js';
 import type { AnswerTiming, Decision, StaleEntryDetector } from './staleEntryDetector.js';
 
--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -1,5 +1,8 @@
+/** The HTTP API for callers: completions, health and readiness. */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
+import { err, ok } from 'neverthrow';
+import type { Result } from 'neverthrow';
 import { bodyLimit } from 'hono/body-limit';
 import { rejections, pause } from '@martenworks/core-types';
 import type { Rejection } from '@martenworks/core-types';
@@ -8,8 +11,10 @@
 import type { Gateway } from '../gateway.js';
 import type { StreamResponse } from '../gatewayRequest.js';
 
-const wholeLimit = 8 * 1024 * 1024;
+const collectedBytesLimit = 8 * 1024 * 1024;
+/** Time for the error event to reach the caller before the connection is reset. */
 const flushMs = 25;
+const requestIdBytes = 12;
 const encoder = new TextEncoder();
 
 const errorBody = (rejection: Rejection, requestId: string): Record<string, unknown> => ({
@@ -58,7 +63,7 @@
   });
 };
 
-const wholeReply = async (c: Context, path: CompletionPath, response: StreamResponse): Promise<Response> => {
+const collectedReply = async (c: Context, path: CompletionPath, response: StreamResponse): Promise<Response> => {
   const datas: string[] = [];
   let size = 0;
   for await (const piece of response.pieces) {
@@ -68,10 +73,10 @@
       return rejectionReply(c, rejections.of('cut_stream', 'unknown', piece.cause), response.requestId);
     datas.push(piece.data);
     size += piece.data.length;
-    if (size > wholeLimit)
+    if (size > collectedBytesLimit)
       return rejectionReply(
         c,
-        rejections.of('cut_stream', 'unknown', 'the receipt is too large to hold'),
+        rejections.of('cut_stream', 'unknown', 'the response is too large to collect'),
         response.requestId,
       );
   }
@@ -87,50 +92,59 @@
 
 const requestIdOf = (c: Context, gateway: Gateway): string => {
   const given = c.req.header('x-request-id');
-  return given !== undefined && /^[\w.:-]{1,128}$/.test(given) ? given : gateway.ports.random.token(12);
+  return given !== undefined && /^[\w.:-]{1,128}$/.test(given) ? given : gateway.ports.random.token(requestIdBytes);
 };
 
+const bodyOf = async (c: Context): Promise<Result<Record<string, unknown>, Rejection>> => {
+  let body: unknown;
+  try {
+    body = await c.req.json();
+  } catch {
+    return err(rejections.of('bad_request', 'no', 'the body is not JSON'));
+  }
+  return body === null || typeof body !== 'object' || Array.isArray(body)
+    ? err(rejections.of('bad_request', 'no', 'the body must be an object'))
+    : ok(body as Record<string, unknown>);
+};
+
+const completionHandler =
+  (gateway: Gateway, path: CompletionPath) =>
+  async (c: Context): Promise<Response> => {
+    const requestId = requestIdOf(c, gateway);
+    const body = await bodyOf(c);
+    if (body.isErr()) return rejectionReply(c, body.error, requestId);
+    const response = await gateway.serve({
+      requestId,
+      key: keyOf(c),
+      path,
+      body: body.value,
+      deadlineMs: deadlineOf(c),
+      idempotencyKey: c.req.header('idempotency-key') ?? null,
+      signal: c.req.raw.signal,
+    });
+    if (response.kind === 'rejection') return rejectionReply(c, response, requestId);
+    return body.value.stream === true ? streamReply(gateway, response) : collectedReply(c, path, response);
+  };
+
+const readinessReply = (gateway: Gateway, c: Context): Response => {
+  const isReady = gateway.freshness.isFresh() && !gateway.stages.isDraining;
+  return isReady
+    ? c.json({ status: 'ready', generation: gateway.stateView.logIndex() })
+    : c.json({ status: 'not ready', voices: gateway.freshness.voiceCount() }, 503, { 'retry-after': '1' });
+};
+
+/** The routes of one gateway's caller address. */
 export const callerApi = (gateway: Gateway): Hono => {
   const app = new Hono();
-  const completion =
-    (path: CompletionPath) =>
-    async (c: Context): Promise<Response> => {
-      const requestId = requestIdOf(c, gateway);
-      let body: unknown;
-      try {
-        body = await c.req.json();
-      } catch {
-        return rejectionReply(c, rejections.of('bad_request', 'no', 'the body is not JSON'), requestId);
-      }
-      if (body === null || typeof body !== 'object' || Array.isArray(body))
-        return rejectionReply(c, rejections.of('bad_request', 'no', 'the body must be an object'), requestId);
-      const fields = body as Record<string, unknown>;
-      const response = await gateway.serve({
-        requestId,
-        key: keyOf(c),
-        path,
-        body: fields,
-        deadlineMs: deadlineOf(c),
-        idempotencyKey: c.req.header('idempotency-key') ?? null,
-        signal: c.req.raw.signal,
-      });
-      if (response.kind === 'rejection') return rejectionReply(c, response, requestId);
-      return fields.stream === true ? streamReply(gateway, response) : wholeReply(c, path, response);
-    };
   const limited = bodyLimit({
     maxSize: gateway.settings.bodyLimitBytes,
     onError: (c) =>
       rejectionReply(c, rejections.of('too_large', 'no', 'the body is over the limit'), requestIdOf(c, gateway)),
   });
-  app.post('/v1/completions', limited, completion('/v1/completions'));
-  app.post('/v1/chat/completions', limited, completion('/v1/chat/completions'));
+  app.post('/v1/completions', limited, completionHandler(gateway, '/v1/completions'));
+  app.post('/v1/chat/completions', limited, completionHandler(gateway, '/v1/chat/completions'));
   app.get('/healthz', (c) => c.json({ status: 'ok' }));
-  app.get('/readyz', (c) => {
-    const isReady = gateway.freshness.isFresh() && !gateway.stages.isDraining;
-    return isReady
-      ? c.json({ status: 'ready', generation: gateway.stateView.logIndex() })
-      : c.json({ status: 'not ready', voices: gateway.freshness.voiceCount() }, 503, { 'retry-after': '1' });
-  });
+  app.get('/readyz', (c) => readinessReply(gateway, c));
   app.notFound((c) =>
     rejectionReply(c, rejections.of('no_such_page', 'no', 'no such path or method'), requestIdOf(c, gateway)),
   );
--- a/packages/gateway/src/api/operatorPages.ts
+++ b/packages/gateway/src/api/operatorPages.ts
@@ -1,7 +1,9 @@
+/** The HTTP pages for operators: status, metrics, and how a request would be placed. */
 import { Hono } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
 import type { Gateway } from '../gateway.js';
 
+/** The routes of one gateway's operator address; `vitals` gives further lines for the metrics page. */
 export const operatorPages = (gateway: Gateway, vitals: () => string[] = () => []): Hono => {
   const app = new Hono();
   app.get('/healthz', (c) => c.json({ status: 'ok' }));
@@ -28,7 +30,7 @@
     } | null;
     if (typeof asked?.lane !== 'string' || typeof asked.tenant !== 'string' || typeof asked.prompt !== 'string')
       return c.json({ detail: 'lane, tenant and prompt must be text' }, 400);
-    const lines = gateway.stages.placementStage.why(asked.lane, asked.tenant, asked.prompt);
+    const lines = gateway.stages.placementStage.explain(asked.lane, asked.tenant, asked.prompt);
     return lines === null
       ? c.json({ detail: 'no such lane or tenant' }, 404)
       : c.json({ counter: gateway.settings.name, candidates: lines });
--- /dev/null
+++ b/packages/gateway/src/claims/claimQuorum.ts
@@ -0,0 +1,76 @@
+/** Votes of the control nodes on the claim of one idempotency key. */
+import { background } from '@martenworks/core-types';
+import type { ClaimVote, Member } from '@martenworks/core-types';
+import type { PeerPool } from '@martenworks/cluster-membership';
+import { peerMessages } from '../peers/peerMessages.js';
+
+const voteTimeoutMs = 1_000;
+
+type StateVote = Extract<ClaimVote, { kind: 'state' }>;
+
+/** The votes that came until a majority granted, or until every member voted or failed to. */
+export interface Poll {
+  readonly granted: number;
+  readonly states: readonly StateVote[];
+}
+
+/** The messages on which the control nodes vote. */
+export type ClaimTopic = 'claimPrepare' | 'claimAccept' | 'claimRelease';
+
+/** Collects the votes on one message. */
+class VoteCount {
+  private readonly states: StateVote[] = [];
+  private granted = 0;
+
+  constructor(
+    private open: number,
+    private readonly majority: number,
+    private readonly resolve: (poll: Poll) => void,
+  ) {}
+
+  readonly add = (vote: ClaimVote | null): void => {
+    this.open -= 1;
+    if (vote?.kind === 'state') {
+      this.states.push(vote);
+      if (vote.isGranted) this.granted += 1;
+    }
+    if (this.granted >= this.majority || this.open <= 0)
+      this.resolve({ granted: this.granted, states: [...this.states] });
+  };
+}
+
+/** Asks all members and counts their votes. */
+export class ClaimQuorum {
+  constructor(
+    private readonly members: () => readonly Member[],
+    private readonly peerPool: () => PeerPool,
+  ) {}
+
+  /** Sends one message to every member; a member that is not reached counts as one that does not vote. */
+  readonly poll = (topic: ClaimTopic, body: unknown): Promise<Poll> => {
+    const members = this.members();
+    const majority = Math.floor(members.length / 2) + 1;
+    return new Promise((resolve) => {
+      const count = new VoteCount(members.length, majority, resolve);
+      if (members.length === 0) resolve({ granted: 0, states: [] });
+      for (const member of members) this.ask(member, topic, body, count);
+    });
+  };
+
+  private readonly ask = (member: Member, topic: ClaimTopic, body: unknown, count: VoteCount): void => {
+    const connection = this.peerPool().to(member.incarnation);
+    if (connection === undefined) {
+      count.add(null);
+      return;
+    }
+    background.run(
+      'quorum call on a claim',
+      connection
+        .ask(topic, body, voteTimeoutMs)
+        .then((response) => count.add(response.isOk() ? peerMessages.claimVote(response.value) : null)),
+    );
+  };
+
+  /** Whether this many votes are a majority of the present members. */
+  readonly isMajority = (votes: number): boolean => votes > this.members().length / 2;
+}
--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -1,22 +1,35 @@
+/**
+ * Claims on idempotency keys: of all gateways that receive a key, one runs its request. The claimant is chosen by
+ * single-decree Paxos over the control nodes (prepare and accept, with ballots); a claim whose request was not run is
+ * released, and the key's next turn is open.
+ */
 import { background, claimBallots, pause } from '@martenworks/core-types';
-import type { Claimant, ClaimAccepted, ClaimBallot, ClaimVote, Member, Ports } from '@martenworks/core-types';
+import type { Claimant, ClaimAccepted, ClaimBallot, Member, Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
 import type { PeerPool } from '@martenworks/cluster-membership';
+import { peerMessages } from '../peers/peerMessages.js';
+import { ClaimQuorum } from './claimQuorum.js';
+import type { Poll } from './claimQuorum.js';
+import { ResponseStore } from './responseStore.js';
+import type { StoredResponseState } from './responseStore.js';
 
-const voteTimeoutMs = 1_000;
 const askTimeoutMs = 700;
-const attemptLimit = 12;
-const responseStoreLimit = 4_096;
-const responseStoreBytesLimit = 64 * 1024 * 1024;
-const responseBytesLimit = 256 * 1024;
+const claimTimeoutMs = 4_000;
+const roundLimit = 12;
+const backoffStepMs = 10;
+const claimantTokenBytes = 4;
 
+/** A claim that this gateway may act on. */
 export interface Claim {
+  /** Digest of the tenant and its idempotency key. */
   readonly key: string;
+  /** Counts the claims on this key that were released. */
   readonly turn: number;
   readonly claimant: Claimant;
 }
 
+/** What came of an attempt to claim a key. */
 export type ClaimOutcome =
   | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'replay'; readonly datas: readonly string[] }
@@ -25,101 +38,50 @@
   | { readonly kind: 'reused' }
   | { readonly kind: 'no majority' };
 
-export type StoredResponseState =
-  | { readonly kind: 'running' }
-  | { readonly kind: 'done'; readonly datas: readonly string[] }
-  | { readonly kind: 'unknown' }
-  | { readonly kind: 'not run' };
-
-interface Shelved {
-  state: StoredResponseState;
-  bytes: number;
-}
-
-class ResponseStore {
-  private readonly held = new Map<string, Shelved>();
-  private bytes = 0;
+const newestTurn = (poll: Poll, turn: number): number =>
+  poll.states.reduce((newest, { state }) => Math.max(newest, state.turn), turn);
 
-  readonly began = (id: string): void => this.put(id, { kind: 'running' }, 0);
+const newestRound = (poll: Poll, round: number): number =>
+  poll.states.reduce((newest, { state }) => Math.max(newest, state.promised?.[0] ?? 0), round);
 
-  readonly ended = (id: string, state: StoredResponseState): void => {
-    const bytes = state.kind === 'done' ? state.datas.reduce((sum, data) => sum + data.length, 0) : 0;
-    this.put(id, bytes > responseBytesLimit ? { kind: 'unknown' } : state, bytes > responseBytesLimit ? 0 : bytes);
-  };
-
-  private readonly put = (id: string, state: StoredResponseState, bytes: number): void => {
-    this.bytes += bytes - (this.held.get(id)?.bytes ?? 0);
-    this.held.delete(id);
-    this.held.set(id, { state, bytes });
-    for (const [oldest, shelved] of this.held) {
-      if (this.held.size <= responseStoreLimit && this.bytes <= responseStoreBytesLimit) return;
-      if (shelved.state.kind === 'running') continue;
-      this.bytes -= shelved.bytes;
-      this.held.delete(oldest);
-    }
-  };
-
-  readonly stateOf = (id: string): StoredResponseState => this.held.get(id)?.state ?? { kind: 'unknown' };
-}
-
-interface Poll {
-  readonly granted: number;
-  readonly states: readonly Extract<ClaimVote, { kind: 'state' }>[];
-}
+/** Paxos: the claimant accepted under the highest ballot among the promises must be proposed again. */
+const highestAccepted = (poll: Poll): ClaimAccepted | null => {
+  let highest: ClaimAccepted | null = null;
+  for (const { isGranted, state } of poll.states) {
+    if (!isGranted || state.accepted === null) continue;
+    if (highest === null || claimBallots.compare(state.accepted.ballot, highest.ballot) > 0) highest = state.accepted;
+  }
+  return highest;
+};
 
+/** The claims of one gateway. */
 export class Claims {
+  /** What became of the requests that this gateway claimed. */
   readonly responseStore = new ResponseStore();
+  private readonly quorum: ClaimQuorum;
   private round = 0;
 
   constructor(
     private readonly ports: Ports,
     private readonly own: () => Hello,
-    private readonly members: () => readonly Member[],
-    private readonly peerPool: () => PeerPool,
-  ) {}
-
-  private readonly poll = (topic: string, body: unknown): Promise<Poll> => {
-    const members = this.members();
-    const majority = Math.floor(members.length / 2) + 1;
-    return new Promise((resolve) => {
-      const states: Extract<ClaimVote, { kind: 'state' }>[] = [];
-      let granted = 0;
-      let open = members.length;
-      const metrics = (vote: ClaimVote | null): void => {
-        open -= 1;
-        if (vote?.kind === 'state') {
-          states.push(vote);
-          if (vote.isGranted) granted += 1;
-        }
-        if (granted >= majority || open <= 0) resolve({ granted, states: [...states] });
-      };
-      if (members.length === 0) resolve({ granted: 0, states: [] });
-      for (const member of members) {
-        const connection = this.peerPool().to(member.incarnation);
-        if (connection === undefined) metrics(null);
-        else
-          background.run(
-            'quorum call on a claim',
-            connection
-              .ask(topic, body, voteTimeoutMs)
-              .then((response) => metrics(response.isOk() ? (response.value as ClaimVote | null) : null)),
-          );
-      }
-    });
-  };
-
-  private readonly isMajority = (count: number): boolean => count > this.members().length / 2;
+    members: () => readonly Member[],
+    peerPool: () => PeerPool,
+  ) {
+    this.quorum = new ClaimQuorum(members, peerPool);
+  }
 
+  /** Claims a key for a request; `digest` is the digest of the request's body, to tell a reuse of the key. */
   readonly take = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
+    const { incarnation, address } = this.own();
     const own: Claimant = {
-      id: `${this.own().incarnation}/${requestId}/${random.token(4)}`,
-      gateway: this.own().incarnation,
-      address: this.own().address,
+      id: `${incarnation}/${requestId}/${random.token(claimantTokenBytes)}`,
+      gateway: incarnation,
+      address,
       digest,
     };
     this.responseStore.began(own.id);
-    const outcome = await this.settle(key, own, clock.now() + 4_000);
+    const outcome = await this.settle(key, own, clock.now() + claimTimeoutMs);
     if (outcome.kind !== 'claimed') this.responseStore.ended(own.id, { kind: 'not run' });
     return outcome;
   };
@@ -127,41 +89,32 @@
   private readonly settle = async (key: string, own: Claimant, deadlineAt: number): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
     let turn = 0;
-    for (let attempt = 0; attempt < attemptLimit && clock.now() < deadlineAt; attempt += 1) {
-      if (attempt > 0) await pause.for(clock, 10 * attempt * (0.5 + random.fraction()));
+    for (let round = 0; round < roundLimit && clock.now() < deadlineAt; round += 1) {
+      if (round > 0) await pause.for(clock, backoffStepMs * round * (0.5 + random.fraction()));
       const ballot: ClaimBallot = [++this.round, own.id];
-      const promises = await this.poll('claimPrepare', { key, turn, ballot });
-      const newestTurn = promises.states.reduce((newest, { state }) => Math.max(newest, state.turn), turn);
-      this.round = promises.states.reduce((round, { state }) => Math.max(round, state.promised?.[0] ?? 0), this.round);
-      if (newestTurn > turn) {
-        turn = newestTurn;
+      const promises = await this.quorum.poll('claimPrepare', { key, turn, ballot });
+      this.round = newestRound(promises, this.round);
+      const heldTurn = newestTurn(promises, turn);
+      if (heldTurn > turn) {
+        turn = heldTurn;
         continue;
       }
-      if (!this.isMajority(promises.granted)) continue;
-      let highest: ClaimAccepted | null = null;
-      for (const { isGranted, state } of promises.states) {
-        if (
-          isGranted &&
-          state.accepted !== null &&
-          (highest === null || claimBallots.compare(state.accepted.ballot, highest.ballot) > 0)
-        )
-          highest = state.accepted;
-      }
-      const claimant: Claimant = highest?.claimant ?? own;
-      const accepts = await this.poll('claimAccept', { key, turn, ballot, claimant });
-      if (!this.isMajority(accepts.granted)) continue;
+      if (!this.quorum.isMajority(promises.granted)) continue;
+      const claimant = highestAccepted(promises)?.claimant ?? own;
+      const accepts = await this.quorum.poll('claimAccept', { key, turn, ballot, claimant });
+      if (!this.quorum.isMajority(accepts.granted)) continue;
       if (claimant.id === own.id) return { kind: 'claimed', claim: { key, turn, claimant: own } };
       if (claimant.digest !== own.digest) return { kind: 'reused' };
       const told = await this.inquire(claimant);
       if (told.kind === 'done') return { kind: 'replay', datas: told.datas };
-      if (told.kind === 'running') return { kind: 'running' };
-      if (told.kind === 'unknown') return { kind: 'unknown' };
+      if (told.kind !== 'not run') return { kind: told.kind };
       await this.release({ key, turn, claimant });
       turn += 1;
     }
     return { kind: 'no majority' };
   };
 
+  /** Asks the claimant's gateway what became of its request. */
   private readonly inquire = async (claimant: Claimant): Promise<StoredResponseState> => {
     if (claimant.gateway === this.own().incarnation) return this.responseStore.stateOf(claimant.id);
     const { net, clock, log } = this.ports;
@@ -178,13 +131,15 @@
         ? await connection.ask('claimState', claimant.id, askTimeoutMs)
         : null;
     connection.close();
-    return response?.isOk() === true ? (response.value as StoredResponseState) : { kind: 'unknown' };
+    const state = response?.isOk() === true ? peerMessages.storedResponseState(response.value) : null;
+    return state ?? { kind: 'unknown' };
   };
 
-  readonly release = async (claim: Claim): Promise<void> => {
-    await this.poll('claimRelease', { key: claim.key, turn: claim.turn });
+  private readonly release = async (claim: Claim): Promise<void> => {
+    await this.quorum.poll('claimRelease', { key: claim.key, turn: claim.turn });
   };
 
+  /** Notes what became of a claimed request, and releases the claim of one that was not run. */
   readonly ended = (claim: Claim, state: StoredResponseState): void => {
     this.responseStore.ended(claim.claimant.id, state);
     if (state.kind === 'not run') background.run('release a claim', this.release(claim));
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,103 +1,108 @@
+/** The gateway: takes callers' requests and has replicas run them. This module assembles its parts. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { background, RepeatingTimer, pause } from '@martenworks/core-types';
-import type {
-  CommittedState,
-  Change,
-  KvCacheEvent,
-  Listener,
-  LoadReport,
-  Loads,
-  NetworkError,
-  Pong,
-  Ports,
-  ReplicaRecord,
-  IsolationClaim,
-  IsolationStatus,
-} from '@martenworks/core-types';
+import { background, MetricCounters, pause } from '@martenworks/core-types';
+import type { Listener, Member, NetworkError, Ports } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
-import type { PeerConnection, Handlers, Hello } from '@martenworks/peer-transport';
-import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
+import type { Hello } from '@martenworks/peer-transport';
 import { PeerPool, MemberList, FailureDetector } from '@martenworks/cluster-membership';
-import type { MemberEntry } from '@martenworks/cluster-membership';
-import { StateView } from './state/stateView.js';
 import { Claims } from './claims/claims.js';
-import { Freshness } from './state/freshness.js';
+import { ControlReporter } from './peers/controlReporter.js';
+import type { GatewayParts } from './gatewayParts.js';
 import { GatewayRequest } from './gatewayRequest.js';
-import type { Order, GatewayResponse } from './gatewayRequest.js';
+import type { CompletionRequest, GatewayResponse } from './gatewayRequest.js';
+import { IsolationAdmission } from './peers/isolationAdmission.js';
+import { peerMessageHandlers } from './peers/peerMessageHandlers.js';
 import { Stages } from './pipeline/stages.js';
-import { MetricCounters } from './metricCounters.js';
 import { ReplicaTracker } from './replicas/replicaTracker.js';
+import { Freshness } from './state/freshness.js';
+import { StateView } from './state/stateView.js';
 
-const pingMs = 250;
-const pingTimeoutMs = 2_000;
-const admitTimeoutMs = 1_000;
+const incarnationBytes = 8;
+const drainPollMs = 50;
 
-export class Gateway {
+/** One gateway process, as its other modules and its pages see it. */
+export class Gateway implements GatewayParts {
+  /** Random id of this run of the process. */
   readonly incarnation: string;
+  /** Nodes known by gossip. */
   readonly memberList: MemberList;
+  /** Held connections to other nodes. */
   readonly peerPool: PeerPool;
+  /** Watches other nodes by heartbeats. */
   readonly failureDetector: FailureDetector;
+  /** The committed state as this gateway holds it. */
   readonly stateView: StateView;
+  /** Whether that state is recent enough to serve by. */
   readonly freshness: Freshness;
+  /** Load and health of the replicas. */
   readonly replicaTracker: ReplicaTracker;
+  /** Counters for the metrics page. */
   readonly metrics = new MetricCounters();
+  /** Claims on idempotency keys. */
   readonly claims: Claims;
+  /** The pipeline that requests pass. */
   readonly stages: Stages;
-  private readonly pinger: RepeatingTimer;
-  private readonly pinged = new Set<PeerConnection>();
+  private readonly controlReporter: ControlReporter;
+  private readonly isolationAdmission = new IsolationAdmission(this);
   private listener: Listener | null = null;
-  private isAdmitting = false;
 
   constructor(
+    /** The settings it was started with. */
     readonly settings: GatewaySettings,
+    /** Clock, network and the like, real or simulated. */
     readonly ports: Ports,
   ) {
     const { clock, random } = ports;
-    this.incarnation = random.token(8);
+    this.incarnation = random.token(incarnationBytes);
     this.memberList = new MemberList(clock, this.hello);
-    this.stateView = new StateView(clock, () => this.changed());
-    this.freshness = new Freshness(clock, () => this.stateView.agreed()?.members ?? [], this.stateView.logIndex);
-    this.replicaTracker = new ReplicaTracker(clock, this.tellHeavy);
-    this.claims = new Claims(
+    this.stateView = new StateView(clock, () => this.stateChanged());
+    this.freshness = new Freshness(clock, this.members, this.stateView.logIndex);
+    this.replicaTracker = new ReplicaTracker(clock, () => this.controlReporter.reportLongPrompt());
+    this.claims = new Claims(ports, this.hello, this.members, () => this.peerPool);
+    this.stages = this.createStages();
+    this.failureDetector = new FailureDetector(
       ports,
       this.hello,
-      () => this.stateView.agreed()?.members ?? [],
+      this.memberList,
       () => this.peerPool,
+      () => {},
     );
-    this.stages = new Stages({
-      settings,
-      ports,
+    this.peerPool = this.createPeerPool();
+    this.controlReporter = new ControlReporter(this, () => {
+      this.stages.placementStage.sweep();
+      this.admitIsolatedTenants();
+    });
+  }
+
+  private readonly members = (): readonly Member[] => this.stateView.agreed()?.members ?? [];
+
+  private readonly createStages = (): Stages =>
+    new Stages({
+      settings: this.settings,
+      ports: this.ports,
       stateView: this.stateView,
       replicaTracker: this.replicaTracker,
       freshness: this.freshness,
       metrics: this.metrics,
       claims: this.claims,
     });
-    this.failureDetector = new FailureDetector(
-      ports,
-      this.hello,
-      this.memberList,
-      () => this.peerPool,
-      () => {},
-    );
-    this.peerPool = new PeerPool(
-      ports,
+
+  private readonly createPeerPool = (): PeerPool =>
+    new PeerPool(
+      this.ports,
       this.hello,
-      settings.seeds,
+      this.settings.seeds,
       this.memberList,
-      () => [
-        ...(this.stateView.agreed()?.members ?? []).map((member) => member.address),
-        ...this.failureDetector.watcherAddresses(),
-      ],
-      this.handlers(this.joinControlNode),
+      () => [...this.members().map((member) => member.address), ...this.failureDetector.watcherAddresses()],
+      peerMessageHandlers.of(this, (connection) => this.controlReporter.joined(connection)),
     );
-    this.pinger = new RepeatingTimer(clock, () => pingMs * (0.9 + 0.2 * random.fraction()), this.pingAll);
-  }
 
+  /** How this node introduces itself to others. */
   readonly hello = (): Hello => hellos.of('edge', this.settings, this.incarnation);
 
+  /** Listens for other nodes. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -106,159 +111,39 @@
       log,
       this.hello,
       this.settings.peerListenAddress,
-      this.handlers(() => {}),
+      peerMessageHandlers.of(this, () => {}),
     );
     if (opened.isErr()) return err(opened.error);
     this.listener = opened.value;
     return ok(undefined);
   };
 
-  private readonly changed = (): void => {
+  private readonly admitIsolatedTenants = (): void =>
+    background.run('admit isolated tenants', this.isolationAdmission.run());
+
+  /** The parts are made one after the other, so some may be absent when the first state comes. */
+  private readonly stateChanged = (): void => {
     for (const connection of this.peerPool?.open() ?? []) connection.tell('ack', this.stateView.logIndex());
     this.stages?.recheck();
-    if (this.peerPool !== undefined) background.run('admit sub-agents', this.admitSides());
+    if (this.peerPool !== undefined) this.admitIsolatedTenants();
     this.peerPool?.align();
   };
 
-  private readonly admitSides = async (): Promise<void> => {
-    const claims = this.stateView.sidesWanted();
-    if (this.isAdmitting || claims.length === 0) return;
-    this.isAdmitting = true;
-    const standings = await this.askSides(claims);
-    this.isAdmitting = false;
-    if (standings.length === 0) return;
-    this.stateView.sidesAdmitted(standings);
-    this.stages.placementStage.pumpAll();
-  };
-
-  private readonly askSides = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[]> => {
-    const members = this.stateView.agreed()?.members ?? [];
-    const majority = Math.floor(members.length / 2) + 1;
-    const told = new Map<string, IsolationStatus[]>();
-    return new Promise((resolve) => {
-      let open = members.length;
-      const metrics = (standings: readonly IsolationStatus[]): void => {
-        open -= 1;
-        for (const one of standings) told.set(one.replica, [...(told.get(one.replica) ?? []), one]);
-        const known = [...told.values()].filter((some) => some.length >= majority);
-        if (known.length < claims.length && open > 0) return;
-        resolve(
-          known.map((some) => ({
-            ...(some[0] as IsolationStatus),
-            sides: [...new Set(some.flatMap((one) => one.sides))],
-            ageMs: some.map((one) => one.ageMs).sort((a, b) => b - a)[majority - 1] as number,
-          })),
-        );
-      };
-      if (members.length === 0) resolve([]);
-      for (const member of members) {
-        const connection = this.peerPool.to(member.incarnation);
-        if (connection === undefined) metrics([]);
-        else
-          background.run(
-            'ask a peer to admit sub-agents',
-            connection
-              .ask('admitSides', claims, admitTimeoutMs)
-              .then((response) => metrics(response.isOk() ? ((response.value as IsolationStatus[] | null) ?? []) : [])),
-          );
-      }
-    });
-  };
-
-  private readonly report = (): LoadReport => ({
-    replicas: this.replicaTracker.report(),
-    pools: this.stages.placementStage.demands(),
-  });
-
-  private readonly tellHeavy = (): void => {
-    const report = this.report();
-    for (const connection of this.peerPool.open())
-      if (connection.peer?.role === 'control') connection.tell('longPrompts', report);
-  };
-
-  private readonly pingAll = (): void => {
-    this.stages.placementStage.sweep();
-    background.run('admit sub-agents', this.admitSides());
-    for (const connection of this.peerPool.open())
-      background.run('report load to a control node', this.ping(connection));
-  };
-
-  private readonly ping = async (connection: PeerConnection): Promise<void> => {
-    if (connection.peer?.role !== 'control' || this.pinged.has(connection)) return;
-    this.pinged.add(connection);
-    const stamp = this.freshness.stamp();
-    const response = await connection.ask('ping', this.report(), pingTimeoutMs);
-    this.pinged.delete(connection);
-    if (response.isErr()) return connection.close();
-    const pong = response.value as Pong;
-    this.freshness.heard(stamp, pong);
-    this.replicaTracker.toldOthers(pong.loads);
-    this.stages.placementStage.contention = pong.contention;
-    const broken = this.stateView.index.broken();
-    if (broken.length > 0) connection.tell('indexSnapshotRequest', broken);
-    if (pong.logIndex > this.stateView.logIndex()) connection.tell('subscribe', this.stateView.logIndex());
-    this.stages.placementStage.pumpAll();
-  };
-
-  private readonly joinControlNode = (connection: PeerConnection): void => {
-    if (connection.peer?.role !== 'control') return;
-    connection.tell('subscribe', this.stateView.logIndex());
-    background.run('report load to a control node', this.ping(connection));
-  };
-
-  private readonly handlers = (joined: (connection: PeerConnection) => void): Handlers => ({
-    joined: (connection) => {
-      if (connection.peer === null) return;
-      this.memberList.heard(connection.peer);
-      joined(connection);
-    },
-    left: () => {},
-    told: (connection, topic, body) => {
-      switch (topic) {
-        case 'heartbeat':
-          return this.failureDetector.watch.heartbeatFrom(body as string);
-        case 'change': {
-          const { logIndex, change } = body as { logIndex: number; change: Change };
-          if (!this.stateView.takeChange(logIndex, change)) connection.tell('ack', this.stateView.logIndex());
-          return;
-        }
-        case 'checkpoint':
-          if (!this.stateView.takeSnapshot(body as CommittedState)) connection.tell('ack', this.stateView.logIndex());
-          return;
-        case 'replicas':
-          this.stateView.takeReplicas(body as ReplicaRecord[]);
-          return;
-        case 'loads':
-          return this.replicaTracker.toldOthers(body as Loads);
-        case 'indexSnapshot':
-          this.stateView.takeIndexSnapshot(body as PrefixIndexSnapshot);
-          return;
-        case 'kv':
-          this.stateView.takeKv(body as KvCacheEvent[]);
-          return;
-      }
-    },
-    asked: async (_connection, topic, body) => {
-      if (topic === 'keepalive') return true;
-      if (topic === 'claimState') return this.claims.responseStore.stateOf(body as string);
-      if (topic !== 'memberList') return null;
-      this.memberList.merge(body as MemberEntry[]);
-      return this.memberList.entries();
-    },
-  });
-
-  readonly serve = (order: Order): Promise<GatewayResponse> =>
-    new Promise((resolve) => this.stages.enter(new GatewayRequest(order, this.ports.clock.now(), resolve)));
+  /** Serves one request; resolves with a rejection or once the first piece came. */
+  readonly serve = (completion: CompletionRequest): Promise<GatewayResponse> =>
+    new Promise((resolve) => this.stages.enter(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
 
+  /** Rejects new requests and waits for the live ones, for `settings.drainMs` at most. */
   readonly drain = async (): Promise<void> => {
     this.stages.drain();
     const { clock } = this.ports;
     const endAt = clock.now() + this.settings.drainMs;
-    while (this.stages.live.size > 0 && clock.now() < endAt) await pause.for(clock, 50);
+    while (this.stages.live.size > 0 && clock.now() < endAt) await pause.for(clock, drainPollMs);
   };
 
+  /** Rejects the requests still live and closes all connections. */
   readonly stop = async (): Promise<void> => {
-    this.pinger.stop();
+    this.controlReporter.stop();
     this.failureDetector.stop();
     this.peerPool.stop();
     for (const request of [...this.stages.live])
@@ -268,7 +153,9 @@
   };
 }
 
+/** Gateways on real or simulated ports. */
 export const gateways = {
+  /** Makes a gateway and opens it; the error tells why its peer address could not be listened on. */
   start: async (settings: GatewaySettings, ports: Ports): Promise<Result<Gateway, NetworkError>> => {
     const gateway = new Gateway(settings, ports);
     const opened = await gateway.open();
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,3 +1,4 @@
+/** The gateway package: the product's own data-plane node. */
 export * from './gateway.js';
 export * from './api/callerApi.js';
 export * from './api/operatorPages.js';
--- /dev/null
+++ b/packages/gateway/src/limits/rateLimiter.ts
@@ -0,0 +1,32 @@
+/** The rate limit of one tenant at one gateway. */
+
+const burstSeconds = 2;
+const smallestBurst = 2;
+const msPerSecond = 1_000;
+
+/** A token bucket that time fills; it holds the requests of two seconds. */
+export class RateLimiter {
+  private tokens: number;
+  private filledAt: number;
+
+  /** `perSecond` is this gateway's part of the tenant's rate; `now` is in milliseconds. */
+  constructor(
+    readonly perSecond: number,
+    now: number,
+  ) {
+    this.tokens = this.burst();
+    this.filledAt = now;
+  }
+
+  private readonly burst = (): number => Math.max(smallestBurst, this.perSecond * burstSeconds);
+
+  /** Takes the token of one request; false when the tenant is over its rate. */
+  readonly take = (now: number): boolean => {
+    const refill = ((now - this.filledAt) / msPerSecond) * this.perSecond;
+    this.tokens = Math.min(this.burst(), this.tokens + refill);
+    this.filledAt = now;
+    if (this.tokens < 1) return false;
+    this.tokens -= 1;
+    return true;
+  };
+}
--- a/packages/gateway/src/limits/retryBudget.ts
+++ b/packages/gateway/src/limits/retryBudget.ts
@@ -1,42 +1,27 @@
-const extraShare = 0.2;
+/** The retry budget of one replica pool at one gateway: retries are paid for by first attempts. */
 
+const tokensPerFirstAttempt = 0.2;
+const smallestCapacity = 1;
+
+/** A token bucket that first attempts fill and retries empty. */
 export class RetryBudget {
   private tokens = 0;
 
+  /** `allowance` is the most tokens that may be saved up, at least one. */
   constructor(readonly allowance: number) {}
 
+  /** Adds the share of a retry that one first attempt pays for. */
   readonly firstAttempt = (): void => {
-    this.tokens = Math.min(Math.max(1, this.allowance), this.tokens + extraShare);
+    this.tokens = Math.min(Math.max(smallestCapacity, this.allowance), this.tokens + tokensPerFirstAttempt);
   };
 
+  /** Takes the token of one retry; false when the budget is spent. */
   readonly take = (): boolean => {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
   };
 
+  /** The tokens left, for the operators' page. */
   readonly left = (): number => this.tokens;
 }
-
-export class RateShare {
-  private tokens: number;
-  private filledAt: number;
-
-  constructor(
-    readonly perSecond: number,
-    now: number,
-  ) {
-    this.tokens = this.burst();
-    this.filledAt = now;
-  }
-
-  private readonly burst = (): number => Math.max(2, this.perSecond * 2);
-
-  readonly take = (now: number): boolean => {
-    this.tokens = Math.min(this.burst(), this.tokens + ((now - this.filledAt) / 1000) * this.perSecond);
-    this.filledAt = now;
-    if (this.tokens < 1) return false;
-    this.tokens -= 1;
-    return true;
-  };
-}
--- a/packages/gateway/src/pipeline/admissionStage.ts
+++ b/packages/gateway/src/pipeline/admissionStage.ts
@@ -1,10 +1,13 @@
+/** First stage: admits a request if this gateway may serve and the caller's key is granted. */
 import { keys } from '@martenworks/core-types';
 import type { StageContext } from './stageContext.js';
 import type { Rejector } from './rejector.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 import { grants } from '../state/grants.js';
 
+/** Finds the tenant of the request's key. */
 export class AdmissionStage {
+  /** Set once the gateway closes; every new request is then rejected. */
   isDraining = false;
 
   constructor(
@@ -13,6 +16,7 @@
     private readonly next: (request: GatewayRequest) => void,
   ) {}
 
+  /** Admits the request to the next stage or rejects it. */
   readonly work = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     if (this.isDraining) {
@@ -24,12 +28,12 @@
       this.rejector.refuse(request, 'not_fresh', 'this gateway has not heard a majority of control nodes lately');
       return;
     }
-    if (request.order.key === null) {
+    if (request.completion.key === null) {
       this.rejector.refuse(request, 'unknown_key', 'no bearer key was given');
       return;
     }
-    request.keyHash = keys.hash(request.order.key);
-    const tenant = grants.holderOf(view, request.keyHash);
+    request.keyHash = keys.hash(request.completion.key);
+    const tenant = grants.tenantOfKey(view, request.keyHash);
     if (tenant === undefined) {
       this.rejector.refuse(request, 'unknown_key', 'the key is not granted');
       return;
--- a/packages/gateway/src/pipeline/lookupStage.ts
+++ b/packages/gateway/src/pipeline/lookupStage.ts
@@ -1,16 +1,45 @@
+/** Second stage: looks up the request's lane and prompt, checks the tenant's rate and claims the idempotency key. */
+import { err, ok } from 'neverthrow';
+import type { Result } from 'neverthrow';
 import { background, digests, prompts } from '@martenworks/core-types';
 import { backWire } from '@martenworks/upstream';
 import type { Piece } from '@martenworks/upstream';
-import type { StageContext } from './stageContext.js';
-import { RateShare } from '../limits/retryBudget.js';
-import type { StoredResponseState } from '../claims/claims.js';
-import type { Rejector } from './rejector.js';
+import type { Claim, ClaimOutcome } from '../claims/claims.js';
+import type { StoredResponseState } from '../claims/responseStore.js';
+import type { ClaimRejection, LookupError } from '../errors.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
+import { RateLimiter } from '../limits/rateLimiter.js';
+import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
+import type { Rejector } from './rejector.js';
+import type { StageContext } from './stageContext.js';
 
 const longestDeadlineMs = 600_000;
 
+interface LookedUp {
+  readonly lane: LaneView;
+  readonly tenant: TenantView;
+  readonly prompt: string;
+}
+
+/** Outcomes after which another request under the same key may have run. */
+const mayHaveRunElsewhere: ReadonlySet<ClaimOutcome['kind']> = new Set(['replay', 'running', 'unknown']);
+
+const claimRejections: Record<Exclude<ClaimOutcome['kind'], 'claimed' | 'replay'>, ClaimRejection> = {
+  running: { code: 'in_progress', detail: 'this Idempotency-Key is being run' },
+  unknown: {
+    code: 'outcome_unknown',
+    detail: 'this Idempotency-Key was claimed, and the outcome of its request is not known',
+  },
+  reused: { code: 'key_reused', detail: 'this Idempotency-Key was used for another request' },
+  'no majority': {
+    code: 'no_claim',
+    detail: 'no majority of control nodes accepted the claim on the Idempotency-Key',
+  },
+};
+
+/** Fills in what the request's body names. */
 export class LookupStage {
-  private readonly rates = new Map<number, RateShare>();
+  private readonly rates = new Map<number, RateLimiter>();
 
   constructor(
     private readonly context: StageContext,
@@ -19,109 +48,103 @@
     private readonly replay: (request: GatewayRequest, datas: readonly string[]) => AsyncGenerator<Piece>,
   ) {}
 
+  /** Passes the request on, claimed first if it has an idempotency key, or rejects it. */
   readonly work = (request: GatewayRequest): void => {
     if (request.isEnded) return;
-    const view = this.context.stateView.view();
-    const { tenant } = request;
-    if (view === null || tenant === null) {
-      this.rejector.refuse(request, 'not_fresh', 'no layout is held');
-      return;
-    }
-    const laneName = request.order.body.model;
-    if (typeof laneName !== 'string') {
-      this.rejector.refuse(request, 'bad_request', 'model must name a lane');
+    const found = this.lookUp(request);
+    if (found.isErr()) {
+      this.rejector.refuse(request, found.error.code, found.error.detail);
       return;
     }
+    this.fill(request, found.value);
+    this.startDeadline(request);
+    const { idempotencyKey } = request.completion;
+    if (idempotencyKey === null) this.next(request);
+    else background.run('claim and queue a request', this.claimThenQueue(request, idempotencyKey));
+  };
+
+  private readonly lookUp = (request: GatewayRequest): Result<LookedUp, LookupError> => {
+    const { tenant, completion } = request;
+    const view = this.context.stateView.view();
+    if (view === null || tenant === null) return err({ code: 'not_fresh', detail: 'no configuration is held' });
+    const laneName = completion.body.model;
+    if (typeof laneName !== 'string') return err({ code: 'bad_request', detail: 'model must name a lane' });
     const lane = view.lanes.get(laneName);
-    if (lane === undefined) {
-      this.rejector.refuse(request, 'unknown_lane', 'no such lane');
-      return;
-    }
-    if (!tenant.lanes.has(lane.index)) {
-      this.rejector.refuse(request, 'lane_not_granted', "the key's holder may not use this lane");
-      return;
-    }
-    const prompt = backWire.promptOf(request.order.path, request.order.body);
-    if (prompt === null) {
-      this.rejector.refuse(request, 'bad_request', 'the prompt must be text');
-      return;
-    }
-    if (!this.isWithinRate(request)) {
-      this.rejector.refuse(request, 'over_share', 'the tenant is over its rate');
-      return;
-    }
+    if (lane === undefined) return err({ code: 'unknown_lane', detail: 'no such lane' });
+    if (!tenant.lanes.has(lane.index))
+      return err({ code: 'lane_not_granted', detail: "the key's holder may not use this lane" });
+    const prompt = backWire.promptOf(completion.path, completion.body);
+    if (prompt === null) return err({ code: 'bad_request', detail: 'the prompt must be text' });
+    if (!this.isWithinRate(tenant)) return err({ code: 'over_share', detail: 'the tenant is over its rate' });
+    return ok({ lane, tenant, prompt });
+  };
+
+  private readonly fill = (request: GatewayRequest, { lane, tenant, prompt }: LookedUp): void => {
     request.lane = lane;
-    request.laneName = laneName;
+    request.laneName = lane.name;
     request.isOnce = lane.repeat === 'once';
     request.promptTokens = prompts.tokens(prompt);
     request.blocks = prompts.blocks(prompt);
-    const deadlineMs = Math.min(longestDeadlineMs, request.order.deadlineMs ?? tenant.tier.horizonMs);
+    const deadlineMs = Math.min(longestDeadlineMs, request.completion.deadlineMs ?? tenant.tier.horizonMs);
     request.deadlineAt = request.arrivedAt + deadlineMs;
-    const timer = this.context.ports.clock.after(
-      Math.max(0, request.deadlineAt - this.context.ports.clock.now()),
-      () => {
-        if (!request.isAnswered)
-          this.rejector.refuse(request, 'horizon_passed', 'the horizon passed before a first piece came');
-      },
-    );
+  };
+
+  private readonly startDeadline = (request: GatewayRequest): void => {
+    const { clock } = this.context.ports;
+    const timer = clock.after(Math.max(0, request.deadlineAt - clock.now()), () => {
+      if (request.isAnswered) return;
+      this.rejector.refuse(request, 'horizon_passed', 'the deadline passed before a first piece came');
+    });
     request.whenEnded(timer.cancel);
-    if (request.order.idempotencyKey === null) this.next(request);
-    else background.run('claim and queue a request', this.claimThenQueue(request, request.order.idempotencyKey));
   };
 
   private readonly claimThenQueue = async (request: GatewayRequest, idempotencyKey: string): Promise<void> => {
-    const { order, tenant } = request;
+    const { claims, metrics } = this.context;
+    const { completion, tenant } = request;
     const key = digests.of([tenant?.name, idempotencyKey]);
-    const outcome = await this.context.claims.take(
-      key,
-      digests.of([order.path, { ...order.body, stream: null }]),
-      order.requestId,
-    );
-    this.context.metrics.add(`claims_${outcome.kind.replace(' ', '_')}`);
-    if (outcome.kind === 'claimed') {
-      request.claim = outcome.claim;
-      const note = (): void => this.context.claims.ended(outcome.claim, this.storedStateOf(request));
-      if (request.isEnded) return note();
-      request.whenEnded(note);
-      return this.next(request);
+    const digest = digests.of([completion.path, { ...completion.body, stream: null }]);
+    const outcome = await claims.take(key, digest, completion.requestId);
+    metrics.add(`claims_${outcome.kind.replace(' ', '_')}`);
+    if (outcome.kind === 'claimed') this.runClaimed(request, outcome.claim);
+    else if (!request.isEnded) this.answerUnclaimed(request, outcome);
+  };
+
+  private readonly runClaimed = (request: GatewayRequest, claim: Claim): void => {
+    request.claim = claim;
+    const noteOutcome = (): void => this.context.claims.ended(claim, this.storedStateOf(request));
+    if (request.isEnded) {
+      noteOutcome();
+      return;
     }
-    if (request.isEnded) return;
-    switch (outcome.kind) {
-      case 'replay':
-        request.mayHaveRun = true;
-        return request.relays(this.replay(request, outcome.datas));
-      case 'running':
-        request.mayHaveRun = true;
-        return this.rejector.refuse(request, 'in_progress', 'this Idempotency-Key is being run');
-      case 'unknown':
-        request.mayHaveRun = true;
-        return this.rejector.refuse(
-          request,
-          'outcome_unknown',
-          'this Idempotency-Key was claimed, and what came of it is not known',
-        );
-      case 'reused':
-        return this.rejector.refuse(request, 'key_reused', 'this Idempotency-Key was used for another request');
-      case 'no majority':
-        return this.rejector.refuse(request, 'no_claim', 'no majority of control nodes took the claim');
+    request.whenEnded(noteOutcome);
+    this.next(request);
+  };
+
+  private readonly answerUnclaimed = (
+    request: GatewayRequest,
+    outcome: Exclude<ClaimOutcome, { kind: 'claimed' }>,
+  ): void => {
+    request.mayHaveRun ||= mayHaveRunElsewhere.has(outcome.kind);
+    if (outcome.kind === 'replay') {
+      request.startRelay(this.replay(request, outcome.datas));
+      return;
     }
+    const { code, detail } = claimRejections[outcome.kind];
+    this.rejector.refuse(request, code, detail);
   };
 
   private readonly storedStateOf = (request: GatewayRequest): StoredResponseState => {
-    if (request.isWhole) return { kind: 'done', datas: request.keptDatas };
+    if (request.isWhole) return { kind: 'done', datas: request.relayedDatas };
     return request.mayHaveRun ? { kind: 'unknown' } : { kind: 'not run' };
   };
 
-  private readonly isWithinRate = (request: GatewayRequest): boolean => {
-    const { tenant } = request;
-    if (tenant === null || tenant.tenant.ratePerSecond === null) return true;
+  private readonly isWithinRate = (tenant: TenantView): boolean => {
+    if (tenant.tenant.ratePerSecond === null) return true;
+    const now = this.context.ports.clock.now();
     const perSecond = tenant.tenant.ratePerSecond / this.context.settings.gatewayCount;
     const held = this.rates.get(tenant.index);
-    const rate =
-      held !== undefined && held.perSecond === perSecond
-        ? held
-        : new RateShare(perSecond, this.context.ports.clock.now());
+    const rate = held?.perSecond === perSecond ? held : new RateLimiter(perSecond, now);
     this.rates.set(tenant.index, rate);
-    return rate.take(this.context.ports.clock.now());
+    return rate.take(now);
   };
 }
--- /dev/null
+++ b/packages/gateway/src/pipeline/placementExplanation.ts
@@ -0,0 +1,98 @@
+/** Explains to an operator how a request would be placed now. */
+import { prompts } from '@martenworks/core-types';
+import type { ReplicaRecord } from '@martenworks/core-types';
+import { weigh } from '@martenworks/prefix-index';
+import type { PlaceQuestion } from '@martenworks/prefix-index';
+import { GatewayRequest, isolationScopes } from '../gatewayRequest.js';
+import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
+import type { PlacementQuestions } from './placementQuestions.js';
+import type { StageContext } from './stageContext.js';
+
+/** One replica of the lane's pool, as the placement algorithm sees it. */
+export interface ExplainedReplica {
+  readonly replica: string;
+  readonly state: string;
+  readonly tenantPartition: string;
+  readonly keptTokens: number;
+  /** Whether it may be named as the holder of the prompt's prefix. */
+  readonly mayBeNamed: boolean;
+  readonly running: number;
+  readonly holder: string | null;
+  /** Null when the replica is no candidate. */
+  readonly prefillTokens: number | null;
+  readonly costMs: number | null;
+}
+
+type WeighedReplica = ReturnType<typeof weigh>[number];
+
+const trialRequest = (lane: LaneView, tenant: TenantView, prompt: string, now: number): GatewayRequest => {
+  const completion = {
+    requestId: 'why',
+    key: null,
+    path: '/v1/completions' as const,
+    body: {},
+    deadlineMs: null,
+    idempotencyKey: null,
+    signal: new AbortController().signal,
+  };
+  const request = new GatewayRequest(completion, now, () => {});
+  request.tenant = tenant;
+  request.lane = lane;
+  request.blocks = prompts.blocks(prompt);
+  request.promptTokens = prompts.tokens(prompt);
+  return request;
+};
+
+const oneDecimal = (value: number): number => Math.round(value * 10) / 10;
+
+const cheapestFirst = (a: ExplainedReplica, b: ExplainedReplica): number =>
+  (a.costMs ?? Number.POSITIVE_INFINITY) - (b.costMs ?? Number.POSITIVE_INFINITY);
+
+/** Explanations of one gateway. */
+export class PlacementExplanation {
+  constructor(
+    private readonly context: StageContext,
+    private readonly questions: PlacementQuestions,
+  ) {}
+
+  /** The replicas of the lane's pool, the cheapest first; null when the lane or the tenant is unknown. */
+  readonly of = (laneName: string, tenantName: string, prompt: string): ExplainedReplica[] | null => {
+    const { stateView, ports } = this.context;
+    const view = stateView.view();
+    const lane = view?.lanes.get(laneName);
+    const tenant = view?.tenants.get(tenantName);
+    if (lane === undefined || tenant === undefined) return null;
+    const request = trialRequest(lane, tenant, prompt, ports.clock.now());
+    const question = this.questions.of(request);
+    const weighed = question === null ? [] : weigh(stateView.index, question);
+    return stateView
+      .records()
+      .filter((record) => record.pool === lane.poolName)
+      .map((record) => this.explained(record, request, question, weighed))
+      .sort(cheapestFirst);
+  };
+
+  private readonly explained = (
+    record: ReplicaRecord,
+    request: GatewayRequest,
+    question: PlaceQuestion | null,
+    weighed: readonly WeighedReplica[],
+  ): ExplainedReplica => {
+    const { stateView, replicaTracker, ports } = this.context;
+    const found = weighed.find((one) => one.record.name === record.name);
+    const scope = isolationScopes.of(request);
+    const kept = stateView.index.kept(record.name, request.blocks, scope, ports.clock.now());
+    const partition = stateView.tenantPartitions.roles().find(({ replica }) => replica === record.name);
+    return {
+      replica: record.name,
+      state: record.state,
+      tenantPartition: partition?.role ?? 'none',
+      keptTokens: kept.blockCount * prompts.blockTokens,
+      mayBeNamed: question?.holders.some((holder) => holder.name === record.name) === true && kept.isNameable,
+      running: replicaTracker.running(record.name),
+      holder: found?.holder?.name ?? null,
+      prefillTokens: found?.prefilledTokens ?? null,
+      costMs: found === undefined ? null : oneDecimal(found.costMs),
+    };
+  };
+}
--- /dev/null
+++ b/packages/gateway/src/pipeline/placementQuestions.ts
@@ -0,0 +1,96 @@
+/** Builds the question put to the placement algorithm: which replicas may run a request, and which hold its prefix. */
+import type { Contention, ReplicaRecord } from '@martenworks/core-types';
+import type { PlaceQuestion } from '@martenworks/prefix-index';
+import { isolationScopes } from '../gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
+import { TransferTracker } from '../replicas/transferTracker.js';
+import type { StageContext } from './stageContext.js';
+
+/** The most urgent tier may fill a replica over its slots by this share. */
+const urgentHeadroom = 0.5;
+
+/** Questions of one gateway. */
+export class PlacementQuestions {
+  /** Measured delays of cache transfers. */
+  readonly transferTracker: TransferTracker;
+  private contention: Contention = {};
+
+  constructor(private readonly context: StageContext) {
+    this.transferTracker = new TransferTracker(context.ports.clock);
+  }
+
+  /** Takes how many gateways have requests waiting for each pool. */
+  readonly takeContention = (contention: Contention): void => {
+    this.contention = contention;
+  };
+
+  /** The question of a request, or null when its pool is no longer configured. */
+  readonly of = (request: GatewayRequest): PlaceQuestion | null => {
+    const { stateView, replicaTracker, settings, ports } = this.context;
+    const view = stateView.view();
+    const { lane, tenant } = request;
+    if (view === null || lane === null || tenant === null) return null;
+    const pool = view.pools.get(lane.poolName);
+    if (pool === undefined) return null;
+    const scope = isolationScopes.of(request);
+    const now = ports.clock.now();
+    const headroom = 1 + urgentHeadroom * view.urgencyOf(tenant.tier.rank);
+    const free = this.freeOf(this.usable(request, lane.poolName, scope, now), lane.poolName, pool.slots, headroom);
+    return {
+      pool,
+      blocks: request.blocks,
+      promptTokens: request.promptTokens,
+      isolatedTenant: scope,
+      candidates: free.map((record) => ({
+        record,
+        running: replicaTracker.running(record.name),
+        pendingTokens: replicaTracker.pendingTokens(record.name),
+      })),
+      holders: stateView
+        .holdersIn(lane.poolName, pool.store)
+        .filter((record) => stateView.tenantPartitions.mayName(record, scope)),
+      now,
+      zone: settings.zone,
+      useIndex: settings.index,
+      tieBreak: ports.random.fraction(),
+      pullExcessMs: this.transferTracker.excessMs,
+    };
+  };
+
+  /** The ready replicas that may run the request: those not suspect, or all if every one is. */
+  private readonly usable = (
+    request: GatewayRequest,
+    poolName: string,
+    scope: string | null,
+    now: number,
+  ): ReplicaRecord[] => {
+    const { stateView, replicaTracker } = this.context;
+    const ready = stateView
+      .inPool(poolName)
+      .filter((record) => !request.avoided.has(record.name) && stateView.tenantPartitions.mayRun(record, scope, now));
+    const sound = ready.filter((record) => !replicaTracker.isSuspect(record.name));
+    return sound.length > 0 ? sound : ready;
+  };
+
+  /**
+   * The replicas with a free slot. While other gateways contend for the pool, this one takes no more than its part of
+   * the slots, and within that part it may use a replica that others have filled.
+   */
+  private readonly freeOf = (
+    records: readonly ReplicaRecord[],
+    poolName: string,
+    poolSlots: number,
+    headroom: number,
+  ): ReplicaRecord[] => {
+    const { stateView, replicaTracker } = this.context;
+    const slotsOf = (record: ReplicaRecord): number => Math.floor((record.slots ?? poolSlots) * headroom);
+    const free = records.filter((record) => replicaTracker.running(record.name) < slotsOf(record));
+    const [contenders, calmRunning] = this.contention[poolName] ?? [0, 0];
+    if (contenders === 0) return free;
+    const all = stateView.inPool(poolName);
+    const total = all.reduce((sum, record) => sum + slotsOf(record), 0);
+    const own = all.reduce((sum, record) => sum + replicaTracker.own(record.name), 0);
+    if (own >= Math.max(1, Math.ceil((total - calmRunning) / (contenders + 1)))) return [];
+    return free.length > 0 ? free : records.filter((record) => replicaTracker.own(record.name) < slotsOf(record));
+  };
+}
--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -1,56 +1,38 @@
-import { prompts } from '@martenworks/core-types';
-import type { Contention, PoolDemands, ReplicaRecord } from '@martenworks/core-types';
-import { place, weigh } from '@martenworks/prefix-index';
-import type { Placement, PlaceQuestion } from '@martenworks/prefix-index';
-import type { StageContext } from './stageContext.js';
-import type { Rejector } from './rejector.js';
-import { GatewayRequest, scopes } from '../gatewayRequest.js';
-import { Tray } from './boundedQueue.js';
+/** Third stage: holds admitted requests in their pool's queue and picks a replica for each. */
+import type { PoolDemands } from '@martenworks/core-types';
+import { place } from '@martenworks/prefix-index';
+import type { Placement } from '@martenworks/prefix-index';
+import type { GatewayRequest } from '../gatewayRequest.js';
+import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
 import { grants } from '../state/grants.js';
-import { TransferTracker } from '../replicas/replicaTracker.js';
+import { PlacementExplanation } from './placementExplanation.js';
+import { PlacementQuestions } from './placementQuestions.js';
+import { PoolQueues } from './poolQueues.js';
+import type { PoolQueue } from './poolQueues.js';
+import type { Rejector } from './rejector.js';
+import type { StageContext } from './stageContext.js';
 
+/** A forecast wait over this share of the time left is taken to pass the deadline. */
 const forecastSafety = 0.5;
-const urgentHeadroom = 0.5;
-
-export interface WhyLine {
-  readonly replica: string;
-  readonly state: string;
-  readonly tenantPartition: string;
-  readonly keptTokens: number;
-  readonly mayBeNamed: boolean;
-  readonly running: number;
-  readonly holder: string | null;
-  readonly prefillTokens: number | null;
-  readonly costMs: number | null;
-}
-
-interface Waiting {
-  readonly tray: Tray<GatewayRequest>;
-  readonly byTier: Map<string, number>;
-}
 
+/** Queues and places the requests of all pools. */
 export class PlacementStage {
-  readonly pulls: TransferTracker;
-  private readonly queues = new Map<string, Waiting>();
-  contention: Contention = {};
+  private readonly queues: PoolQueues;
+  private readonly questions: PlacementQuestions;
+  private readonly explanation: PlacementExplanation;
 
   constructor(
     private readonly context: StageContext,
     private readonly rejector: Rejector,
     private readonly send: (request: GatewayRequest, placed: Placement) => void,
   ) {
-    this.pulls = new TransferTracker(context.ports.clock);
+    this.queues = new PoolQueues(context);
+    this.questions = new PlacementQuestions(context);
+    this.explanation = new PlacementExplanation(context, this.questions);
   }
 
-  private readonly queueOf = (poolName: string): Waiting => {
-    const held = this.queues.get(poolName);
-    if (held !== undefined) return held;
-    const queue: Waiting = { tray: new Tray(this.context.settings.queueLimit), byTier: new Map() };
-    this.queues.set(poolName, queue);
-    return queue;
-  };
-
-  readonly isStanding = (request: GatewayRequest): boolean =>
+  /** Brings the request's lane and tenant up to date; rejects it and returns false if its grant is gone. */
+  readonly refreshGrant = (request: GatewayRequest): boolean =>
     grants.of(this.context.stateView.view(), request).match(
       ({ lane, tenant }) => {
         request.lane = lane;
@@ -58,234 +40,118 @@
         request.isOnce ||= lane.repeat === 'once';
         return true;
       },
-      ([code, detail]) => {
+      ({ code, detail }) => {
         this.rejector.refuse(request, code, detail);
         return false;
       },
     );
 
+  /** Queues a request, or rejects it at once when it cannot be served in time. */
   readonly queue = (request: GatewayRequest): void => {
-    if (!this.isStanding(request)) return;
+    if (!this.refreshGrant(request)) return;
     const { lane, tenant } = request;
     if (lane === null || tenant === null) return;
     if (this.context.stateView.inPool(lane.poolName).length === 0) {
       this.rejector.refuse(request, 'no_capacity', 'the pool has no ready replica');
       return;
     }
-    const queue = this.queueOf(lane.poolName);
-    const ofTier = queue.byTier.get(tenant.tierName) ?? 0;
-    if (ofTier >= Math.max(1, Math.floor(tenant.tier.share * this.context.settings.queueLimit))) {
+    this.queueIn(this.queues.of(lane.poolName), lane, tenant, request);
+  };
+
+  private readonly queueIn = (queue: PoolQueue, lane: LaneView, tenant: TenantView, request: GatewayRequest): void => {
+    if (this.queues.isTierFull(queue, tenant)) {
       this.rejector.refuse(request, 'over_share', "the tier's share of the queue is taken");
       return;
     }
     const now = this.context.ports.clock.now();
-    if (queue.tray.forecastMs(tenant.name, now) > (request.deadlineAt - now) * forecastSafety) {
-      this.rejector.refuse(request, 'no_capacity', 'the wait would pass the horizon');
+    if (queue.waiting.forecastMs(tenant.name, now) > (request.deadlineAt - now) * forecastSafety) {
+      this.rejector.refuse(request, 'no_capacity', 'the wait would pass the deadline');
       return;
     }
-    request.waits();
-    queue.byTier.set(tenant.tierName, ofTier + 1);
-    const displaced = queue.tray.put(tenant.name, tenant.tier.rank, request, now);
-    if (displaced !== null) {
-      this.forget(queue, displaced);
-      this.rejector.refuse(displaced, 'no_capacity', 'the queue is full');
-    }
+    request.startWaiting();
+    const displaced = this.queues.put(queue, tenant, request, now);
+    if (displaced !== null) this.rejector.refuse(displaced, 'no_capacity', 'the queue is full');
     this.pump(lane.poolName);
   };
 
-  private readonly forget = (queue: Waiting, request: GatewayRequest): void => {
-    if (request.tenant === null) return;
-    const { tierName } = request.tenant;
-    queue.byTier.set(tierName, Math.max(0, (queue.byTier.get(tierName) ?? 0) - 1));
-  };
+  /** Removes a request from its queue; false when it did not wait. */
+  readonly unqueue = (request: GatewayRequest): boolean => this.queues.remove(request);
 
-  readonly unqueue = (request: GatewayRequest): boolean => {
-    if (request.lane === null) return false;
-    const queue = this.queues.get(request.lane.poolName);
-    if (queue?.tray.remove(request) !== true) return false;
-    this.forget(queue, request);
-    return true;
-  };
-
-  readonly forecastMs = (request: GatewayRequest): number => {
-    const queue = request.lane === null ? undefined : this.queues.get(request.lane.poolName);
-    return queue?.tray.forecastMs(request.tenant?.name ?? '', this.context.ports.clock.now()) ?? 0;
-  };
+  /** The expected wait of a request in its pool's queue, in milliseconds. */
+  readonly forecastMs = (request: GatewayRequest): number => this.queues.forecastMs(request);
 
+  /** Rejects every waiting request while the committed state is not fresh. */
   readonly sweep = (): void => {
     if (this.context.freshness.isFresh()) return;
-    for (const queue of this.queues.values()) {
-      for (const request of queue.tray.items())
-        this.rejector.refuse(
-          request,
-          'not_fresh',
-          'this gateway lost touch with the control nodes while the request waited',
-        );
-    }
+    const detail = 'this gateway lost touch with the control nodes while the request waited';
+    for (const [, queue] of this.queues.entries())
+      for (const request of queue.waiting.items()) this.rejector.refuse(request, 'not_fresh', detail);
   };
 
+  /** Rejects the requests that will miss their deadline, then places what can be placed in all pools. */
   readonly pumpAll = (): void => {
     const now = this.context.ports.clock.now();
-    for (const queue of this.queues.values()) {
-      for (const request of queue.tray.hopeless(now, (one) => one.deadlineAt))
-        this.rejector.refuse(request, 'no_capacity', 'the wait would pass the horizon');
+    for (const [, queue] of this.queues.entries()) {
+      for (const request of queue.waiting.hopeless(now, ({ deadlineAt }) => deadlineAt))
+        this.rejector.refuse(request, 'no_capacity', 'the wait would pass the deadline');
     }
-    for (const poolName of this.queues.keys()) this.pump(poolName);
-  };
-
-  private readonly placement = (request: GatewayRequest): Placement | null => {
-    const question = this.question(request);
-    return question === null ? null : place(this.context.stateView.index, question);
-  };
-
-  private readonly question = (request: GatewayRequest): PlaceQuestion | null => {
-    const view = this.context.stateView.view();
-    const { lane, tenant } = request;
-    if (view === null || lane === null || tenant === null) return null;
-    const pool = view.pools.get(lane.poolName);
-    if (pool === undefined) return null;
-    const scope = scopes.of(request);
-    const now = this.context.ports.clock.now();
-    const ready = this.context.stateView
-      .inPool(lane.poolName)
-      .filter(
-        (record) =>
-          !request.avoided.has(record.name) && this.context.stateView.tenantPartitions.mayRun(record, scope, now),
-      );
-    const sound = ready.filter((record) => !this.context.replicaTracker.isSuspect(record.name));
-    const headroom = 1 + urgentHeadroom * view.urgencyOf(tenant.tier.rank);
-    const free = this.freeOf(sound.length > 0 ? sound : ready, lane.poolName, pool.slots, headroom);
-    return {
-      pool,
-      blocks: request.blocks,
-      promptTokens: request.promptTokens,
-      isolatedTenant: scope,
-      candidates: free.map((record) => ({
-        record,
-        running: this.context.replicaTracker.running(record.name),
-        pendingTokens: this.context.replicaTracker.pendingTokens(record.name),
-      })),
-      holders: this.context.stateView
-        .holdersIn(lane.poolName, pool.store)
-        .filter((record) => this.context.stateView.tenantPartitions.mayName(record, scope)),
-      now,
-      zone: this.context.settings.zone,
-      useIndex: this.context.settings.index,
-      tieBreak: this.context.ports.random.fraction(),
-      pullExcessMs: this.pulls.excessMs,
-    };
-  };
-
-  private readonly freeOf = (
-    records: readonly ReplicaRecord[],
-    poolName: string,
-    poolSlots: number,
-    headroom: number,
-  ): ReplicaRecord[] => {
-    const slotsOf = (record: ReplicaRecord): number => Math.floor((record.slots ?? poolSlots) * headroom);
-    const free = records.filter((record) => this.context.replicaTracker.running(record.name) < slotsOf(record));
-    const [contenders, calmRunning] = this.contention[poolName] ?? [0, 0];
-    if (contenders === 0) return free;
-    const all = this.context.stateView.inPool(poolName);
-    const total = all.reduce((sum, record) => sum + slotsOf(record), 0);
-    const own = all.reduce((sum, record) => sum + this.context.replicaTracker.own(record.name), 0);
-    if (own >= Math.max(1, Math.ceil((total - calmRunning) / (contenders + 1)))) return [];
-    return free.length > 0
-      ? free
-      : records.filter((record) => this.context.replicaTracker.own(record.name) < slotsOf(record));
+    for (const [poolName] of this.queues.entries()) this.pump(poolName);
   };
 
+  /** For each pool: requests waiting here, and requests of this gateway running there. */
   readonly demands = (): PoolDemands =>
     Object.fromEntries(
-      [...this.queues].map(([poolName, queue]) => [
-        poolName,
-        [
-          queue.tray.size(),
-          this.context.stateView
-            .inPool(poolName)
-            .reduce((sum, record) => sum + this.context.replicaTracker.own(record.name), 0),
-        ] as const,
-      ]),
+      this.queues
+        .entries()
+        .map(([poolName, queue]) => [poolName, [queue.waiting.size(), this.ownRunning(poolName)] as const]),
     );
 
+  private readonly ownRunning = (poolName: string): number =>
+    this.context.stateView
+      .inPool(poolName)
+      .reduce((sum, record) => sum + this.context.replicaTracker.own(record.name), 0);
+
+  /** Places waiting requests of a pool until none can be placed. */
   readonly pump = (poolName: string): void => {
-    const queue = this.queueOf(poolName);
+    const queue = this.queues.of(poolName);
     while (
       this.context.freshness.isFresh() &&
-      queue.tray.heads().some((request) => this.moveOn(queue, request, poolName))
+      queue.waiting.heads().some((request) => this.placeOrReject(queue, request, poolName))
     );
   };
 
-  private readonly moveOn = (queue: Waiting, request: GatewayRequest, poolName: string): boolean => {
-    const placed = this.placement(request);
-    if (placed === null) {
-      if (this.context.stateView.inPool(poolName).some((record) => !request.avoided.has(record.name))) return false;
-      this.rejector.refuse(
-        request,
-        request.attempts > 0 && request.comeBackSeconds === null ? 'replica_failed' : 'no_capacity',
-        'the pool has no ready replica left for this request',
-      );
+  /** False when the request has to wait on. */
+  private readonly placeOrReject = (queue: PoolQueue, request: GatewayRequest, poolName: string): boolean => {
+    const question = this.questions.of(request);
+    const placed = question === null ? null : place(this.context.stateView.index, question);
+    if (placed !== null) {
+      this.queues.grant(queue, request);
+      this.send(request, placed);
       return true;
     }
-    queue.tray.grant(request, this.context.ports.clock.now());
-    this.forget(queue, request);
-    this.send(request, placed);
+    if (this.context.stateView.inPool(poolName).some((record) => !request.avoided.has(record.name))) return false;
+    const hasFailed = request.attempts > 0 && request.retryAfterSeconds === null;
+    const code = hasFailed ? 'replica_failed' : 'no_capacity';
+    this.rejector.refuse(request, code, 'the pool has no ready replica left for this request');
     return true;
   };
 
-  readonly why = (laneName: string, tenantName: string, prompt: string): WhyLine[] | null => {
-    const view = this.context.stateView.view();
-    const lane = view?.lanes.get(laneName);
-    const tenant = view?.tenants.get(tenantName);
-    if (view === null || lane === undefined || tenant === undefined) return null;
-    const order = {
-      requestId: 'why',
-      key: null,
-      path: '/v1/completions' as const,
-      body: {},
-      deadlineMs: null,
-      idempotencyKey: null,
-      signal: new AbortController().signal,
-    };
-    const request = new GatewayRequest(order, this.context.ports.clock.now(), () => {});
-    Object.assign(request, { tenant, lane, blocks: prompts.blocks(prompt), promptTokens: prompts.tokens(prompt) });
-    const question = this.question(request);
-    const weighed = question === null ? [] : weigh(this.context.stateView.index, question);
-    const roles = new Map(this.context.stateView.tenantPartitions.roles().map(({ replica, role }) => [replica, role]));
-    return this.context.stateView
-      .records()
-      .filter((record) => record.pool === lane.poolName)
-      .map((record) => {
-        const found = weighed.find((one) => one.record.name === record.name);
-        const kept = this.context.stateView.index.kept(
-          record.name,
-          request.blocks,
-          scopes.of(request),
-          this.context.ports.clock.now(),
-        );
-        return {
-          replica: record.name,
-          state: record.state,
-          tenantPartition: roles.get(record.name) ?? 'none',
-          keptTokens: kept.blockCount * prompts.blockTokens,
-          mayBeNamed: question?.holders.some((holder) => holder.name === record.name) === true && kept.isNameable,
-          running: this.context.replicaTracker.running(record.name),
-          holder: found?.holder?.name ?? null,
-          prefillTokens: found?.prefilledTokens ?? null,
-          costMs: found === undefined ? null : Math.round(found.costMs * 10) / 10,
-        };
-      })
-      .sort((a, b) => (a.costMs ?? Number.POSITIVE_INFINITY) - (b.costMs ?? Number.POSITIVE_INFINITY));
-  };
+  /** Explains to an operator how a request would be placed now. */
+  readonly explain: PlacementExplanation['of'] = (laneName, tenantName, prompt) =>
+    this.explanation.of(laneName, tenantName, prompt);
 
-  readonly depths = (): Record<string, { waiting: number; byTier: Record<string, number> }> =>
-    Object.fromEntries(
-      [...this.queues].map(([poolName, queue]) => [
-        poolName,
-        { waiting: queue.tray.size(), byTier: Object.fromEntries(queue.byTier) },
-      ]),
-    );
+  /** The depths of all queues, by pool. */
+  readonly depths: PoolQueues['depths'] = () => this.queues.depths();
+
+  /** Takes how many gateways have requests waiting for each pool. */
+  readonly takeContention: PlacementQuestions['takeContention'] = (contention) =>
+    this.questions.takeContention(contention);
+
+  /** Takes by how many milliseconds a cache transfer took longer than forecast. */
+  readonly takeTransferExcess = (holder: string, receiver: string, excessMs: number): void =>
+    this.questions.transferTracker.seen(holder, receiver, excessMs);
 
+  /** After a change of the configuration: rejects a request that lost its grant, and requeues one that moved. */
   readonly renew = (request: GatewayRequest): void => {
     const { lane, tenant } = request;
     if (lane === null || tenant === null) return;
@@ -296,7 +162,7 @@
         next.tenant.tier.rank !== tenant.tier.rank,
       () => false,
     );
-    const isWaiting = isMoved && this.unqueue(request);
-    if (this.isStanding(request) && isWaiting) this.queue(request);
+    const wasWaiting = isMoved && this.unqueue(request);
+    if (this.refreshGrant(request) && wasWaiting) this.queue(request);
   };
 }
--- /dev/null
+++ b/packages/gateway/src/pipeline/poolQueues.ts
@@ -0,0 +1,92 @@
+/** The waiting requests of all replica pools, with the count of each tier. */
+import type { GatewayRequest } from '../gatewayRequest.js';
+import type { TenantView } from '../state/gatewayConfigView.js';
+import type { StageContext } from './stageContext.js';
+import { FairQueue } from './fairQueue.js';
+
+/** The queue of one pool. */
+export interface PoolQueue {
+  readonly waiting: FairQueue<GatewayRequest>;
+  /** Waiting requests by tier name. */
+  readonly byTier: Map<string, number>;
+}
+
+/** The depth of one pool's queue, for the operators' page. */
+export interface QueueDepth {
+  readonly waiting: number;
+  readonly byTier: Record<string, number>;
+}
+
+/** One queue for each pool, made on first use. */
+export class PoolQueues {
+  private readonly queues = new Map<string, PoolQueue>();
+
+  constructor(private readonly context: StageContext) {}
+
+  /** The queue of a pool. */
+  readonly of = (poolName: string): PoolQueue => {
+    const held = this.queues.get(poolName);
+    if (held !== undefined) return held;
+    const queue: PoolQueue = { waiting: new FairQueue(this.context.settings.queueLimit), byTier: new Map() };
+    this.queues.set(poolName, queue);
+    return queue;
+  };
+
+  /** All pools that had a waiting request, with their queues. */
+  readonly entries = (): [string, PoolQueue][] => [...this.queues];
+
+  /** Whether a tier has taken its share of a pool's queue. */
+  readonly isTierFull = (queue: PoolQueue, tenant: TenantView): boolean => {
+    const share = Math.floor(tenant.tier.share * this.context.settings.queueLimit);
+    return (queue.byTier.get(tenant.tierName) ?? 0) >= Math.max(1, share);
+  };
+
+  /** Queues a request. A full queue drops a request and returns it. */
+  readonly put = (
+    queue: PoolQueue,
+    tenant: TenantView,
+    request: GatewayRequest,
+    now: number,
+  ): GatewayRequest | null => {
+    queue.byTier.set(tenant.tierName, (queue.byTier.get(tenant.tierName) ?? 0) + 1);
+    const displaced = queue.waiting.put(tenant.name, tenant.tier.rank, request, now);
+    if (displaced !== null) this.uncount(queue, displaced);
+    return displaced;
+  };
+
+  /** Removes a request that goes to a replica now. */
+  readonly grant = (queue: PoolQueue, request: GatewayRequest): void => {
+    queue.waiting.grant(request, this.context.ports.clock.now());
+    this.uncount(queue, request);
+  };
+
+  private readonly uncount = (queue: PoolQueue, request: GatewayRequest): void => {
+    if (request.tenant === null) return;
+    const { tierName } = request.tenant;
+    queue.byTier.set(tierName, Math.max(0, (queue.byTier.get(tierName) ?? 0) - 1));
+  };
+
+  /** Removes a request that waits no longer; false when it did not wait. */
+  readonly remove = (request: GatewayRequest): boolean => {
+    if (request.lane === null) return false;
+    const queue = this.queues.get(request.lane.poolName);
+    if (queue?.waiting.remove(request) !== true) return false;
+    this.uncount(queue, request);
+    return true;
+  };
+
+  /** The expected wait of a request in its pool's queue, in milliseconds. */
+  readonly forecastMs = (request: GatewayRequest): number => {
+    const queue = request.lane === null ? undefined : this.queues.get(request.lane.poolName);
+    return queue?.waiting.forecastMs(request.tenant?.name ?? '', this.context.ports.clock.now()) ?? 0;
+  };
+
+  /** The depths of all queues, by pool. */
+  readonly depths = (): Record<string, QueueDepth> =>
+    Object.fromEntries(
+      this.entries().map(([poolName, queue]) => [
+        poolName,
+        { waiting: queue.waiting.size(), byTier: Object.fromEntries(queue.byTier) },
+      ]),
+    );
+}
--- /dev/null
+++ b/packages/gateway/src/pipeline/queuedStage.ts
@@ -0,0 +1,31 @@
+/** A pipeline stage behind a bounded queue, worked off in a microtask. */
+import { BoundedQueue } from './boundedQueue.js';
+
+/** Runs `work` on each entered item in order of priority, within the same turn of the event loop. */
+export class QueuedStage<T> {
+  private readonly queue: BoundedQueue<T>;
+  private isRunning = false;
+
+  constructor(
+    limit: number,
+    private readonly priorityOf: (item: T) => number,
+    private readonly work: (item: T) => void,
+    private readonly onDisplaced: (item: T) => void,
+  ) {
+    this.queue = new BoundedQueue(limit);
+  }
+
+  /** Queues an item; an item that a full queue drops goes to `onDisplaced`. */
+  readonly enter = (item: T): void => {
+    const displaced = this.queue.put(item, this.priorityOf(item));
+    if (displaced !== null) this.onDisplaced(displaced);
+    if (this.isRunning) return;
+    this.isRunning = true;
+    queueMicrotask(this.drain);
+  };
+
+  private readonly drain = (): void => {
+    for (let item = this.queue.take(); item !== undefined; item = this.queue.take()) this.work(item);
+    this.isRunning = false;
+  };
+}
--- a/packages/gateway/src/pipeline/rejector.ts
+++ b/packages/gateway/src/pipeline/rejector.ts
@@ -1,57 +1,66 @@
+/** Rejects requests: from whatever stage, with what is known of whether they ran, and with a `retry-after`. */
 import { rejections } from '@martenworks/core-types';
 import type { Rejection, RejectionCode } from '@martenworks/core-types';
-import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
+import type { StageContext } from './stageContext.js';
 
-const largestRetryAfterSeconds = 30;
+const shortestRetryAfterSeconds = 1;
+const longestRetryAfterSeconds = 30;
+const msPerSecond = 1_000;
 
-interface Lines {
+/** What the rejector needs of the placement stage. */
+interface WaitingRequests {
   readonly unqueue: (request: GatewayRequest) => boolean;
   readonly forecastMs: (request: GatewayRequest) => number;
 }
 
+const withinBounds = (seconds: number): number =>
+  Math.min(longestRetryAfterSeconds, Math.max(shortestRetryAfterSeconds, seconds));
+
+/** One for all stages of a gateway. */
 export class Rejector {
   constructor(
     private readonly context: StageContext,
-    private readonly lines: () => Lines,
+    private readonly waitingRequests: () => WaitingRequests,
   ) {}
 
   private readonly retryAfter = (code: RejectionCode, request: GatewayRequest): number | undefined => {
     if (code !== 'no_capacity' && code !== 'horizon_passed') return undefined;
-    if (request.comeBackSeconds !== null)
-      return Math.min(largestRetryAfterSeconds, Math.max(1, request.comeBackSeconds));
-    return Math.min(
-      largestRetryAfterSeconds,
-      Math.max(1, Math.ceil(this.lines().forecastMs(request) / 1_000 + this.context.ports.random.fraction())),
-    );
+    if (request.retryAfterSeconds !== null) return withinBounds(request.retryAfterSeconds);
+    const waitSeconds = this.waitingRequests().forecastMs(request) / msPerSecond;
+    return withinBounds(Math.ceil(waitSeconds + this.context.ports.random.fraction()));
   };
 
+  /** Rejects a request; if the caller is receiving its stream already, cuts the stream. */
   readonly refuse = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
-    const { metrics, ports } = this.context;
-    this.lines().unqueue(request);
-    const isProved = !request.mayHaveRun && (request.order.idempotencyKey === null || request.claim !== null);
-    const ran = isProved ? 'no' : 'unknown';
-    const rejection: Rejection = rejections.of(code, ran, detail, this.retryAfter(code, request));
-    if (!request.isAnswered) {
-      metrics.add(`denied_${code}`);
-      ports.log.info('denied', {
-        requestId: request.order.requestId,
-        tenant: request.tenant?.name ?? null,
-        code,
-        ran,
-        detail,
-        retryAfterSeconds: rejection.retryAfterSeconds,
-      });
-    }
+    this.waitingRequests().unqueue(request);
+    const isKnownNotRun = !request.mayHaveRun && (request.completion.idempotencyKey === null || request.claim !== null);
+    const ran = isKnownNotRun ? 'no' : 'unknown';
+    const rejection = rejections.of(code, ran, detail, this.retryAfter(code, request));
+    if (!request.isAnswered) this.note(request, rejection);
     if (request.isRelaying) request.cut(detail);
-    else request.denies(rejection);
+    else request.reject(rejection);
+  };
+
+  private readonly note = (request: GatewayRequest, rejection: Rejection): void => {
+    const { metrics, ports } = this.context;
+    metrics.add(`denied_${rejection.code}`);
+    ports.log.info('denied', {
+      requestId: request.completion.requestId,
+      tenant: request.tenant?.name ?? null,
+      code: rejection.code,
+      ran: rejection.ran,
+      detail: rejection.detail,
+      retryAfterSeconds: rejection.retryAfterSeconds,
+    });
   };
 
+  /** The caller closed the connection: ends the request. */
   readonly left = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     this.context.metrics.add('caller_left');
-    this.lines().unqueue(request);
+    this.waitingRequests().unqueue(request);
     if (request.isRelaying) request.end();
-    else request.denies(rejections.of('caller_left', 'unknown', 'the caller left'));
+    else request.reject(rejections.of('caller_left', 'unknown', 'the caller left'));
   };
 }
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,11 +1,14 @@
+/** Last stage: relays a replica's pieces to the caller and notices when the stream is cut. */
 import { background, pause } from '@martenworks/core-types';
 import type { Piece } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 
+/** Makes the generators from which the callers' responses are read. */
 export class RelayStage {
   constructor(private readonly context: StageContext) {}
 
+  /** The stored pieces of a response that was given before under the same idempotency key. */
   readonly replay = async function* (request: GatewayRequest, datas: readonly string[]): AsyncGenerator<Piece> {
     try {
       for (const data of datas) yield { kind: 'piece', data };
@@ -33,11 +36,12 @@
       Promise.race([next, stopped]),
       () => ({
         kind: 'cut',
-        cause: 'the replica fell silent',
+        cause: 'the replica sent nothing for too long',
       }),
     );
   };
 
+  /** The pieces of a running attempt: the first, then the rest; `release` is called when the relay ends. */
   readonly relay = async function* (
     this: RelayStage,
     request: GatewayRequest,
@@ -47,14 +51,14 @@
     release: () => void,
   ): AsyncGenerator<Piece> {
     const stopped = new Promise<Piece>((resolve) => {
-      request.quit.signal.addEventListener(
+      request.abortController.signal.addEventListener(
         'abort',
-        () => resolve({ kind: 'cut', cause: request.cutCause ?? 'the stream was given up' }),
+        () => resolve({ kind: 'cut', cause: request.cutCause ?? 'the request ended' }),
         { once: true },
       );
     });
     const keep = (piece: Piece): void => {
-      if (request.claim !== null && piece.kind === 'piece') request.keptDatas.push(piece.data);
+      if (request.claim !== null && piece.kind === 'piece') request.relayedDatas.push(piece.data);
     };
     try {
       keep(first);
--- /dev/null
+++ b/packages/gateway/src/pipeline/sendCheck.ts
@@ -0,0 +1,47 @@
+/** The last check before a body is sent: whether everything that the placement stood on still holds. */
+import type { ReplicaRecord } from '@martenworks/core-types';
+import { isolationScopes } from '../gatewayRequest.js';
+import type { GatewayRequest } from '../gatewayRequest.js';
+import { grants } from '../state/grants.js';
+import type { Grant } from '../state/grants.js';
+import type { AttemptPlan } from './replicaAttempt.js';
+import type { StageContext } from './stageContext.js';
+
+const includes = (records: readonly ReplicaRecord[], wanted: ReplicaRecord): boolean =>
+  records.some((record) => record.name === wanted.name && record.incarnation === wanted.incarnation);
+
+const isReplicaUsable = ({ stateView, ports }: StageContext, { placed }: AttemptPlan, grant: Grant): boolean =>
+  includes(stateView.inPool(grant.lane.poolName), placed.record) &&
+  stateView.tenantPartitions.mayRun(placed.record, isolationScopes.ofTenant(grant.tenant), ports.clock.now());
+
+const isHolderUsable = ({ stateView }: StageContext, { placed }: AttemptPlan, grant: Grant): boolean => {
+  const { holder } = placed;
+  if (holder === null) return true;
+  const held = stateView.record(holder.name);
+  const { poolName } = grant.lane;
+  const store = stateView.view()?.pools.get(poolName)?.store ?? null;
+  return (
+    held !== undefined &&
+    includes(stateView.holdersIn(poolName, store), holder) &&
+    stateView.tenantPartitions.mayName(held, isolationScopes.ofTenant(grant.tenant))
+  );
+};
+
+/** Whether the request may be sent as planned, at this moment. */
+export const isSendable = (context: StageContext, request: GatewayRequest, plan: AttemptPlan): boolean => {
+  const view = context.stateView.view();
+  const current = grants.of(view, request);
+  if (view === null || current.isErr() || request.isEnded) return false;
+  const { lane, tenant } = current.value;
+  const isAsPlanned =
+    lane.poolName === plan.grant.lane.poolName &&
+    tenant.tenant.isolated === plan.grant.tenant.tenant.isolated &&
+    view.pools.get(lane.poolName)?.weights === plan.weights;
+  return (
+    isAsPlanned &&
+    context.freshness.isFresh() &&
+    context.ports.clock.now() < request.deadlineAt &&
+    isReplicaUsable(context, plan, current.value) &&
+    isHolderUsable(context, plan, current.value)
+  );
+};
--- a/packages/gateway/src/pipeline/sendStage.ts
+++ b/packages/gateway/src/pipeline/sendStage.ts
@@ -1,22 +1,25 @@
-import type { RejectionCode, ReplicaRecord } from '@martenworks/core-types';
-import { backWire } from '@martenworks/upstream';
-import type { Piece, ReplicaAttemptError } from '@martenworks/upstream';
+/** Fourth stage: sends placed requests to their replicas, and tries again where that is safe and paid for. */
+import type { RejectionCode } from '@martenworks/core-types';
 import type { Placement } from '@martenworks/prefix-index';
-import type { StageContext } from './stageContext.js';
+import { backWire } from '@martenworks/upstream';
+import type { Piece } from '@martenworks/upstream';
+import type { GatewayRequest } from '../gatewayRequest.js';
 import { RetryBudget } from '../limits/retryBudget.js';
-import type { Rejector } from './rejector.js';
-import { scopes } from '../gatewayRequest.js';
-import type { GatewayRequest, ActiveAttempt } from '../gatewayRequest.js';
 import type { PlacementStage } from './placementStage.js';
+import type { Rejector } from './rejector.js';
 import type { RelayStage } from './relayStage.js';
-import { grants } from '../state/grants.js';
-import type { Grant } from '../state/grants.js';
+import { ReplicaAttempt } from './replicaAttempt.js';
+import type { AttemptPlan } from './replicaAttempt.js';
+import { isSendable } from './sendCheck.js';
+import type { StageContext } from './stageContext.js';
 
-const pullSlackMs = 100;
+/** Time over the forecast that a cache transfer may take without being held against the holder. */
+const transferSlackMs = 100;
 const retryLimit = 2;
-const callersFaults = new Set([400, 413, 414, 415, 422]);
-const busyStatuses = new Set([429, 503]);
 
+type SendResult = Awaited<ReturnType<typeof backWire.send>>;
+
+/** Sends and retries the requests of all pools. */
 export class SendStage {
   private readonly budgets = new Map<string, RetryBudget>();
 
@@ -29,8 +32,8 @@
   ) {}
 
   private readonly budgetOf = (poolName: string): RetryBudget => {
-    const allowance =
-      (this.context.stateView.view()?.pools.get(poolName)?.extraAllowance ?? 0) / this.context.settings.gatewayCount;
+    const poolAllowance = this.context.stateView.view()?.pools.get(poolName)?.extraAllowance ?? 0;
+    const allowance = poolAllowance / this.context.settings.gatewayCount;
     const held = this.budgets.get(poolName);
     if (held?.allowance === allowance) return held;
     const budget = new RetryBudget(allowance);
@@ -38,53 +41,19 @@
     return budget;
   };
 
+  /** The tokens left in each pool's retry budget, for the operators' page. */
   readonly budgetsLeft = (): Record<string, number> =>
     Object.fromEntries([...this.budgets].map(([poolName, budget]) => [poolName, budget.left()]));
 
-  private readonly isSendable = (
-    request: GatewayRequest,
-    placed: Placement,
-    attempt: Grant,
-    weights: string,
-  ): boolean => {
-    const { stateView, freshness, ports } = this.context;
-    const view = stateView.view();
-    const standing = grants.of(view, request);
-    if (view === null || standing.isErr() || request.isEnded) return false;
-    const { lane, tenant } = standing.value;
-    const now = ports.clock.now();
-    const isAsPlaced =
-      lane.poolName === attempt.lane.poolName &&
-      tenant.tenant.isolated === attempt.tenant.tenant.isolated &&
-      view.pools.get(lane.poolName)?.weights === weights;
-    if (!isAsPlaced || !freshness.isFresh() || now >= request.deadlineAt) return false;
-    const scope = scopes.ofTenant(tenant);
-    const isThere = (wanted: ReplicaRecord, among: readonly ReplicaRecord[]): boolean =>
-      among.some((record) => record.name === wanted.name && record.incarnation === wanted.incarnation);
-    if (
-      !isThere(placed.record, stateView.inPool(lane.poolName)) ||
-      !stateView.tenantPartitions.mayRun(placed.record, scope, now)
-    )
-      return false;
-    const { holder } = placed;
-    if (holder === null) return true;
-    const held = stateView.record(holder.name);
-    return (
-      held !== undefined &&
-      isThere(holder, stateView.holdersIn(lane.poolName, view.pools.get(lane.poolName)?.store ?? null)) &&
-      stateView.tenantPartitions.mayName(held, scope)
-    );
-  };
-
   private readonly again = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
-    if (request.isEnded || !this.placementStage().isStanding(request) || request.lane === null) return;
-    const mayRepeat = !request.mayHaveRun || !request.isOnce;
-    if (!mayRepeat || this.isDraining() || request.retries >= retryLimit) {
+    if (request.isEnded || !this.placementStage().refreshGrant(request) || request.lane === null) return;
+    const mayRunAgain = !request.mayHaveRun || !request.isOnce;
+    if (!mayRunAgain || this.isDraining() || request.retries >= retryLimit) {
       this.rejector.refuse(request, code, detail);
       return;
     }
     if (!this.budgetOf(request.lane.poolName).take()) {
-      this.rejector.refuse(request, code, `${detail}; no extra shot is left`);
+      this.rejector.refuse(request, code, `${detail}; the retry budget is spent`);
       return;
     }
     request.retries += 1;
@@ -105,138 +74,89 @@
     metrics.add('prompt_tokens_prefilled', placed.prefilledTokens);
   };
 
+  private readonly planOf = (request: GatewayRequest, placed: Placement): AttemptPlan | null => {
+    const { lane, tenant } = request;
+    const view = this.context.stateView.view();
+    if (lane === null || tenant === null || view === null) return null;
+    return { placed, grant: { lane, tenant }, weights: view.pools.get(lane.poolName)?.weights ?? '' };
+  };
+
+  /** Sends a placed request and has its response relayed; resolves when the first piece came or the attempt ended. */
   readonly send = async (request: GatewayRequest, placed: Placement): Promise<void> => {
-    const { replicaTracker, ports, freshness, metrics, stateView } = this.context;
-    const { lane, tenant, order } = request;
-    const view = stateView.view();
-    if (lane === null || tenant === null || view === null) return;
-    const weights = view.pools.get(lane.poolName)?.weights ?? '';
-    const replica = placed.record.name;
-    this.count(request, placed, lane.poolName);
-    const mark = replicaTracker.began(replica, placed.prefilledTokens, placed.costMs);
-    const attemptAbort = new AbortController();
-    const quit = (): void => attemptAbort.abort();
-    request.quit.signal.addEventListener('abort', quit, { once: true });
-    const sentAt = ports.clock.now();
-    const wasSent = request.mayHaveRun;
-    let isOut = false;
-    let isFirstPieceIn = false;
-    const release = (): void => {
-      request.quit.signal.removeEventListener('abort', quit);
-      if (!isFirstPieceIn) replicaTracker.given(replica, mark, placed.prefilledTokens);
-      replicaTracker.ended(replica);
-      queueMicrotask(() => this.placementStage().pump(lane.poolName));
-    };
-    const comeBack = (): void => {
-      request.comesBack();
-      release();
-      attemptAbort.abort();
-    };
-    const withdrawn = (): void => {
-      comeBack();
-      if (request.isEnded) return;
-      if (!freshness.isFresh()) {
-        this.rejector.refuse(request, 'not_fresh', 'this gateway lost touch with the control nodes before the shot');
-        return;
-      }
-      this.placementStage().queue(request);
-    };
-    const failed = (code: RejectionCode, detail: string): void => {
-      if (request.activeAttempt !== activeAttempt) return;
-      replicaTracker.failed(replica);
-      comeBack();
-      request.avoided.add(replica);
-      ports.log.warn('attempt failed', {
-        requestId: order.requestId,
-        replica,
-        detail,
-        attempt: request.attempts,
-        mayHaveRun: request.mayHaveRun,
-      });
-      this.again(request, code, detail);
-    };
-    const turnedAway = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
-      if (status !== null && callersFaults.has(status)) {
-        comeBack();
-        this.rejector.refuse(request, 'bad_request', `the replica turned it away: ${cause}`);
-        return;
-      }
-      if (status === null || !busyStatuses.has(status) || retryAfterSeconds === null) {
-        failed('replica_failed', cause);
-        return;
-      }
-      replicaTracker.rests(replica, retryAfterSeconds * 1_000);
-      request.comeBackSeconds = retryAfterSeconds;
-      comeBack();
-      request.avoided.add(replica);
-      this.again(request, 'no_capacity', `the replica is full: ${cause}`);
-    };
-    const activeAttempt: ActiveAttempt = {
-      replica,
-      incarnation: placed.record.incarnation,
-      lost: () => {
-        if (request.isRelaying) request.cut('the replica is gone');
-        else if (isOut) failed('replica_failed', 'the replica is gone');
-        else withdrawn();
-      },
-    };
-    request.leaves(activeAttempt);
-    const response = await backWire.send(ports.httpClient, {
-      requestId: order.requestId,
-      replica: placed.record.address,
-      path: order.path,
-      body: order.body,
-      weights,
-      tenant: tenant.name,
-      isIsolated: tenant.tenant.isolated,
-      priority: tenant.tier.rank,
-      cacheFrom: placed.holder?.address ?? null,
-      signal: attemptAbort.signal,
-      gate: () => {
-        isOut = request.activeAttempt === activeAttempt && this.isSendable(request, placed, { lane, tenant }, weights);
-        request.mayHaveRun ||= isOut;
-        return isOut;
-      },
+    const plan = this.planOf(request, placed);
+    if (plan === null) return;
+    this.count(request, placed, plan.grant.lane.poolName);
+    const attempt = new ReplicaAttempt(this.context, request, plan, {
+      rejector: this.rejector,
+      placementStage: this.placementStage(),
+      retry: (...refusal) => this.again(...refusal),
     });
-    if (request.activeAttempt !== activeAttempt) return;
+    request.startAttempt(attempt);
+    const response = await this.sendBody(request, attempt);
+    if (!attempt.isActive) return;
     if (response.isErr()) {
-      if (response.error.isUnsent) request.mayHaveRun = wasSent;
-      if (request.isEnded) return release();
-      return response.error.cause === 'GATED' ? withdrawn() : turnedAway(response.error);
+      attempt.sendFailed(response.error);
+      return;
     }
     const first = await response.value.next();
-    if (request.activeAttempt !== activeAttempt) return;
-    if (request.isEnded) return release();
-    if (first.done === true) return failed('cut_stream', 'the stream was empty');
-    if (first.value.kind !== 'piece') {
-      const cause = first.value.kind === 'done' ? 'the stream held no piece' : first.value.cause;
-      return failed(first.value.kind === 'wrong' ? 'wrong_weights' : 'cut_stream', cause);
-    }
-    replicaTracker.firstPiece(replica, mark, placed.prefilledTokens);
-    isFirstPieceIn = true;
-    metrics.add(`first_pieces_tier_${tenant.tierName}`);
-    const firstAt = ports.clock.now();
-    if (placed.holder !== null)
-      this.placementStage().pulls.seen(placed.holder.name, replica, firstAt - sentAt - placed.costMs - pullSlackMs);
-    this.logWhenEnded(request, placed, { lane, tenant }, firstAt);
-    request.relays(
-      this.relaying.relay(request, replica, first.value, response.value as AsyncGenerator<Piece>, release),
-    );
+    if (!attempt.isActive) return;
+    if (request.isEnded) attempt.release();
+    else if (first.done === true) attempt.failed('cut_stream', 'the stream was empty');
+    else if (first.value.kind === 'piece')
+      this.startRelay(request, attempt, first.value, response.value as AsyncGenerator<Piece>);
+    else this.failedFirst(attempt, first.value);
   };
 
-  private readonly logWhenEnded = (
+  private readonly sendBody = (request: GatewayRequest, attempt: ReplicaAttempt): Promise<SendResult> => {
+    const { placed, grant, weights } = attempt.plan;
+    const { requestId, path, body } = request.completion;
+    return backWire.send(this.context.ports.httpClient, {
+      requestId,
+      replica: placed.record.address,
+      path,
+      body,
+      weights,
+      tenant: grant.tenant.name,
+      isIsolated: grant.tenant.tenant.isolated,
+      priority: grant.tenant.tier.rank,
+      cacheFrom: placed.holder?.address ?? null,
+      signal: attempt.signal,
+      gate: () => attempt.decideSending(isSendable(this.context, request, attempt.plan)),
+    });
+  };
+
+  private readonly failedFirst = (attempt: ReplicaAttempt, piece: Exclude<Piece, { kind: 'piece' }>): void => {
+    const detail = piece.kind === 'done' ? 'the stream held no piece' : piece.cause;
+    attempt.failed(piece.kind === 'wrong' ? 'wrong_weights' : 'cut_stream', detail);
+  };
+
+  private readonly startRelay = (
     request: GatewayRequest,
-    placed: Placement,
-    { lane, tenant }: Grant,
-    firstAt: number,
+    attempt: ReplicaAttempt,
+    first: Piece,
+    rest: AsyncGenerator<Piece>,
   ): void => {
+    const { placed, grant } = attempt.plan;
+    attempt.takeFirstPiece();
+    this.context.metrics.add(`first_pieces_tier_${grant.tenant.tierName}`);
+    const firstPieceAt = this.context.ports.clock.now();
+    if (placed.holder !== null) {
+      const excessMs = firstPieceAt - attempt.startedAt - placed.costMs - transferSlackMs;
+      this.placementStage().takeTransferExcess(placed.holder.name, attempt.replica, excessMs);
+    }
+    this.logWhenEnded(request, attempt.plan, firstPieceAt);
+    request.startRelay(this.relaying.relay(request, attempt.replica, first, rest, attempt.release));
+  };
+
+  private readonly logWhenEnded = (request: GatewayRequest, plan: AttemptPlan, firstPieceAt: number): void => {
     const { ports } = this.context;
+    const { placed, grant } = plan;
     request.whenEnded(() =>
       ports.log.info('request', {
-        requestId: request.order.requestId,
-        tenant: tenant.name,
-        tier: tenant.tierName,
-        lane: lane.name,
+        requestId: request.completion.requestId,
+        tenant: grant.tenant.name,
+        tier: grant.tenant.tierName,
+        lane: grant.lane.name,
         replica: placed.record.name,
         holder: placed.holder?.name ?? null,
         promptTokens: request.promptTokens,
@@ -244,7 +164,7 @@
         pulledTokens: placed.pulledTokens,
         attempts: request.attempts,
         isWhole: request.isWhole,
-        firstMs: Math.round(firstAt - request.arrivedAt),
+        firstMs: Math.round(firstPieceAt - request.arrivedAt),
         totalMs: Math.round(ports.clock.now() - request.arrivedAt),
       }),
     );
--- a/packages/gateway/src/pipeline/stages.ts
+++ b/packages/gateway/src/pipeline/stages.ts
@@ -1,28 +1,35 @@
+/** Assembles the pipeline: admission, lookup, placement, sending, relay. */
 import { background } from '@martenworks/core-types';
 import { AdmissionStage } from './admissionStage.js';
 import type { StageContext } from './stageContext.js';
 import { Rejector } from './rejector.js';
 import { LookupStage } from './lookupStage.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
-import { Stage } from './boundedQueue.js';
+import { QueuedStage } from './queuedStage.js';
 import { PlacementStage } from './placementStage.js';
 import { RelayStage } from './relayStage.js';
 import { SendStage } from './sendStage.js';
 import { grants } from '../state/grants.js';
 
+/** The pipeline of one gateway and the requests in it. */
 export class Stages {
+  /** Requests that have not ended. */
   readonly live = new Set<GatewayRequest>();
+  /** Rejects requests of any stage. */
   readonly rejector: Rejector;
+  /** Queues and places requests. */
   readonly placementStage: PlacementStage;
+  /** Sends placed requests. */
   readonly sending: SendStage;
+  /** Relays responses. */
   readonly relaying: RelayStage;
-  private readonly admit: AdmissionStage;
-  private readonly match: LookupStage;
-  private readonly door: Stage<GatewayRequest>;
+  private readonly admission: AdmissionStage;
+  private readonly lookup: LookupStage;
+  private readonly entrance: QueuedStage<GatewayRequest>;
 
   constructor(private readonly context: StageContext) {
-    const arrival = (request: GatewayRequest): number => request.arrivedAt;
-    const crowded = (request: GatewayRequest): void =>
+    const arrivedAt = (request: GatewayRequest): number => request.arrivedAt;
+    const rejectDisplaced = (request: GatewayRequest): void =>
       this.rejector.refuse(request, 'no_capacity', 'the stage is full');
     this.rejector = new Rejector(context, () => this.placementStage);
     this.relaying = new RelayStage(context);
@@ -31,42 +38,46 @@
       this.rejector,
       this.relaying,
       () => this.placementStage,
-      () => this.admit.isDraining,
+      () => this.admission.isDraining,
     );
     this.placementStage = new PlacementStage(context, this.rejector, (request, placed) =>
       background.run('send a request', this.sending.send(request, placed)),
     );
-    this.match = new LookupStage(
+    this.lookup = new LookupStage(
       context,
       this.rejector,
       (request) => this.placementStage.queue(request),
       this.relaying.replay,
     );
-    const matching = new Stage(context.settings.queueLimit, arrival, this.match.work, crowded);
-    this.admit = new AdmissionStage(context, this.rejector, matching.enter);
-    this.door = new Stage(context.settings.queueLimit, arrival, this.admit.work, crowded);
+    const lookupEntrance = new QueuedStage(context.settings.queueLimit, arrivedAt, this.lookup.work, rejectDisplaced);
+    this.admission = new AdmissionStage(context, this.rejector, lookupEntrance.enter);
+    this.entrance = new QueuedStage(context.settings.queueLimit, arrivedAt, this.admission.work, rejectDisplaced);
   }
 
+  /** Takes a new request. */
   readonly enter = (request: GatewayRequest): void => {
     this.live.add(request);
     request.whenEnded(() => this.live.delete(request));
-    const left = (): void => this.rejector.left(request);
-    if (request.order.signal.aborted) {
-      left();
+    const callerLeft = (): void => this.rejector.left(request);
+    if (request.completion.signal.aborted) {
+      callerLeft();
       return;
     }
-    request.order.signal.addEventListener('abort', left, { once: true });
-    this.door.enter(request);
+    request.completion.signal.addEventListener('abort', callerLeft, { once: true });
+    this.entrance.enter(request);
   };
 
+  /** Whether new requests are rejected because the gateway closes. */
   get isDraining(): boolean {
-    return this.admit.isDraining;
+    return this.admission.isDraining;
   }
 
+  /** Rejects new requests from now on. */
   readonly drain = (): void => {
-    this.admit.isDraining = true;
+    this.admission.isDraining = true;
   };
 
+  /** After a change of the state: ends what lost its grant or its replica, and places what can be placed. */
   readonly recheck = (): void => {
     const view = this.context.stateView.view();
     if (view === null) return;
--- a/packages/gateway/src/replicas/replicaTracker.ts
+++ b/packages/gateway/src/replicas/replicaTracker.ts
@@ -1,61 +1,43 @@
+/** What one gateway knows of each replica's load and health: its own attempts, and what others report. */
 import type { Clock, Loads } from '@martenworks/core-types';
 
 const firstSuspicionMs = 500;
 const longestSuspicionMs = 5_000;
+/** A replica is silent when a first piece is this late, on top of `forecastSlack` times the forecast. */
 const silenceMs = 1_500;
 const forecastSlack = 3;
-const heavyTokens = 1_000;
+/** Prompts of at least this many tokens are told to the control nodes at once. */
+const longPromptTokens = 1_000;
 
 interface TrackedReplica {
   running: number;
   pendingTokens: number;
-  others: number;
+  othersRunning: number;
   othersTokens: number;
   suspectUntil: number;
+  /** Length of the next suspicion; doubles with each failure. */
   suspicionMs: number;
+  /** Attempts without a first piece, by id, with the time at which it is overdue. */
   readonly unanswered: Map<number, number>;
 }
 
-const pullForgetMs = 20_000;
-const pullBlend = 0.5;
-
-interface Pull {
-  excessMs: number;
-  seenAt: number;
-}
-
-export class TransferTracker {
-  private readonly held = new Map<string, Pull>();
-
-  constructor(private readonly clock: Clock) {}
-
-  readonly seen = (holder: string, receiver: string, excessMs: number): void => {
-    for (const link of [holder, `${holder}>${receiver}`]) {
-      const before = this.excess(link);
-      this.held.set(link, {
-        excessMs: before + (Math.max(0, excessMs) - before) * pullBlend,
-        seenAt: this.clock.now(),
-      });
-    }
-  };
-
-  private readonly excess = (link: string): number => {
-    const pull = this.held.get(link);
-    return pull === undefined ? 0 : pull.excessMs * 0.5 ** ((this.clock.now() - pull.seenAt) / pullForgetMs);
-  };
-
-  readonly excessMs = (holder: string, receiver: string): number =>
-    Math.max(this.excess(`${holder}>${receiver}`), this.excess(holder) / 2);
+/** One replica on the operators' page. */
+export interface ReplicaStatus {
+  readonly replica: string;
+  readonly running: number;
+  /** Attempts that other gateways have running there. */
+  readonly others: number;
+  readonly isSuspect: boolean;
 }
 
+/** One record for each replica name, made on first use. */
 export class ReplicaTracker {
   private readonly held = new Map<string, TrackedReplica>();
-
-  private marks = 0;
+  private lastAttemptId = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly longPrompts: () => void = () => {},
+    private readonly onLongPrompt: () => void = () => {},
   ) {}
 
   private readonly of = (replica: string): TrackedReplica => {
@@ -64,7 +46,7 @@
     const tracked: TrackedReplica = {
       running: 0,
       pendingTokens: 0,
-      others: 0,
+      othersRunning: 0,
       othersTokens: 0,
       suspectUntil: 0,
       suspicionMs: firstSuspicionMs,
@@ -74,69 +56,87 @@
     return tracked;
   };
 
+  /** An attempt starts: tokens to prefill and the forecast of its first piece in milliseconds. Returns its id. */
   readonly began = (replica: string, tokens: number, forecastMs: number): number => {
     const tracked = this.of(replica);
     tracked.running += 1;
     tracked.pendingTokens += tokens;
-    const mark = ++this.marks;
-    tracked.unanswered.set(mark, this.clock.now() + silenceMs + Math.max(0, forecastMs) * forecastSlack);
-    if (tokens >= heavyTokens) this.longPrompts();
-    return mark;
+    const attemptId = ++this.lastAttemptId;
+    tracked.unanswered.set(attemptId, this.clock.now() + silenceMs + Math.max(0, forecastMs) * forecastSlack);
+    if (tokens >= longPromptTokens) this.onLongPrompt();
+    return attemptId;
   };
 
-  readonly given = (replica: string, mark: number, tokens: number): void => {
+  /** The attempt's tokens no longer wait to be prefilled. */
+  readonly prefilled = (replica: string, attemptId: number, tokens: number): void => {
     const tracked = this.of(replica);
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
-    const isNews = tracked.unanswered.delete(mark) && tokens >= heavyTokens;
-    if (isNews) this.longPrompts();
+    const wasUnanswered = tracked.unanswered.delete(attemptId);
+    if (wasUnanswered && tokens >= longPromptTokens) this.onLongPrompt();
   };
 
-  readonly firstPiece = (replica: string, mark: number, tokens: number): void => {
-    this.given(replica, mark, tokens);
+  /** The attempt's first piece came: the replica is well. */
+  readonly firstPiece = (replica: string, attemptId: number, tokens: number): void => {
+    this.prefilled(replica, attemptId, tokens);
     const tracked = this.of(replica);
     tracked.suspicionMs = firstSuspicionMs;
     tracked.suspectUntil = 0;
   };
 
+  /** An attempt ended, in whatever way. */
   readonly ended = (replica: string): void => {
     this.of(replica).running -= 1;
   };
 
+  /** An attempt failed: the replica is suspect for a while, longer each time. */
   readonly failed = (replica: string): void => {
     const tracked = this.of(replica);
     tracked.suspectUntil = this.clock.now() + tracked.suspicionMs;
     tracked.suspicionMs = Math.min(tracked.suspicionMs * 2, longestSuspicionMs);
   };
 
-  readonly rests = (replica: string, forMs: number): void => {
+  /** The replica asked to be left alone for this many milliseconds. */
+  readonly backOff = (replica: string, forMs: number): void => {
     const tracked = this.of(replica);
     tracked.suspectUntil = Math.max(tracked.suspectUntil, this.clock.now() + Math.min(forMs, longestSuspicionMs));
   };
 
+  /** Takes the loads that other gateways put on the replicas; a replica not named has none. */
   readonly toldOthers = (loads: Loads): void => {
-    for (const [replica, tracked] of this.held)
-      if (loads[replica] === undefined) tracked.others = tracked.othersTokens = 0;
+    for (const [replica, tracked] of this.held) {
+      if (loads[replica] !== undefined) continue;
+      tracked.othersRunning = 0;
+      tracked.othersTokens = 0;
+    }
     for (const [replica, [running, tokens]] of Object.entries(loads)) {
       const tracked = this.of(replica);
-      tracked.others = running;
+      tracked.othersRunning = running;
       tracked.othersTokens = tokens;
     }
   };
 
-  readonly running = (replica: string): number => this.of(replica).running + this.of(replica).others;
+  /** Attempts running at the replica, of all gateways. */
+  readonly running = (replica: string): number => this.of(replica).running + this.of(replica).othersRunning;
+
+  /** Attempts running at the replica, of this gateway. */
   readonly own = (replica: string): number => this.of(replica).running;
+
+  /** Prompt tokens that wait to be prefilled there, of all gateways. */
   readonly pendingTokens = (replica: string): number => this.of(replica).pendingTokens + this.of(replica).othersTokens;
+
   private readonly isSilent = (tracked: TrackedReplica): boolean => {
     const now = this.clock.now();
     for (const dueAt of tracked.unanswered.values()) if (now > dueAt) return true;
     return false;
   };
 
+  /** Whether the replica failed lately, asked for a pause or is overdue with a first piece. */
   readonly isSuspect = (replica: string): boolean => {
     const tracked = this.of(replica);
     return tracked.suspectUntil > this.clock.now() || this.isSilent(tracked);
   };
 
+  /** This gateway's own load on each replica, for the control nodes. */
   readonly report = (): Loads =>
     Object.fromEntries(
       [...this.held]
@@ -144,11 +144,12 @@
         .map(([replica, tracked]) => [replica, [tracked.running, Math.round(tracked.pendingTokens)] as const]),
     );
 
-  readonly all = (): { replica: string; running: number; others: number; isSuspect: boolean }[] =>
+  /** Every tracked replica, for the operators' page. */
+  readonly all = (): ReplicaStatus[] =>
     [...this.held].map(([replica, tracked]) => ({
       replica,
       running: tracked.running,
-      others: tracked.others,
+      others: tracked.othersRunning,
       isSuspect: this.isSuspect(replica),
     }));
 }
--- a/packages/gateway/src/state/gatewayConfigView.ts
+++ b/packages/gateway/src/state/gatewayConfigView.ts
@@ -1,6 +1,8 @@
+/** The committed configuration in the form that the pipeline looks things up in. */
 import { DenseIndex } from '@martenworks/core-types';
-import type { CommittedState, Lane, Pool, Tenant, Tier } from '@martenworks/core-types';
+import type { CommittedState, GatewayConfig, Lane, Pool, Tenant, Tier } from '@martenworks/core-types';
 
+/** A lane with its pool. */
 export interface LaneView {
   readonly index: number;
   readonly name: string;
@@ -9,6 +11,7 @@
   readonly repeat: Lane['repeat'];
 }
 
+/** A tenant with its tier and the indices of its lanes. */
 export interface TenantView {
   readonly index: number;
   readonly name: string;
@@ -18,6 +21,7 @@
   readonly lanes: ReadonlySet<number>;
 }
 
+/** One configuration; `urgencyOf` maps a tier's rank to 0 (least urgent) to 1 (most urgent). */
 export interface GatewayConfigView {
   readonly logIndex: number;
   readonly configLogIndex: number;
@@ -28,43 +32,48 @@
   readonly urgencyOf: (rank: number) => number;
 }
 
+const urgencyBy = (tiers: readonly Tier[]): GatewayConfigView['urgencyOf'] => {
+  const ranks = [...new Set(tiers.map((tier) => tier.rank))].sort((a, b) => b - a);
+  return (rank) => (ranks.length < 2 ? 0 : Math.max(0, ranks.indexOf(rank)) / (ranks.length - 1));
+};
+
+/** Makes the views; the index of a name stays the same over all of them. */
 export class GatewayConfigIndexer {
+  /** Indices of the lanes' names. */
   readonly laneNames = new DenseIndex();
+  /** Indices of the tenants' names. */
   readonly tenantNames = new DenseIndex();
 
-  readonly view = (agreed: CommittedState): GatewayConfigView => {
-    const { config } = agreed;
-    const lanes = new Map<string, LaneView>();
-    for (const [name, lane] of Object.entries(config.lanes)) {
-      const pool = config.pools[lane.pool];
-      if (pool !== undefined)
-        lanes.set(name, { index: this.laneNames.indexOf(name), name, poolName: lane.pool, pool, repeat: lane.repeat });
+  /** The view of a committed state's configuration. */
+  readonly view = (agreed: CommittedState): GatewayConfigView => ({
+    logIndex: agreed.logIndex,
+    configLogIndex: agreed.configLogIndex,
+    lanes: this.lanesOf(agreed.config),
+    tenants: this.tenantsOf(agreed.config),
+    pools: new Map(Object.entries(agreed.config.pools)),
+    keys: agreed.keys,
+    urgencyOf: urgencyBy(Object.values(agreed.config.tiers)),
+  });
+
+  private readonly lanesOf = ({ lanes, pools }: GatewayConfig): Map<string, LaneView> => {
+    const views = new Map<string, LaneView>();
+    for (const [name, lane] of Object.entries(lanes)) {
+      const pool = pools[lane.pool];
+      if (pool === undefined) continue;
+      const index = this.laneNames.indexOf(name);
+      views.set(name, { index, name, poolName: lane.pool, pool, repeat: lane.repeat });
     }
-    const tenants = new Map<string, TenantView>();
-    for (const [name, tenant] of Object.entries(config.tenants)) {
-      const tier = config.tiers[tenant.tier];
+    return views;
+  };
+
+  private readonly tenantsOf = ({ tenants, tiers }: GatewayConfig): Map<string, TenantView> => {
+    const views = new Map<string, TenantView>();
+    for (const [name, tenant] of Object.entries(tenants)) {
+      const tier = tiers[tenant.tier];
       if (tier === undefined) continue;
-      const granted = new Set(tenant.lanes.map((lane) => this.laneNames.indexOf(lane)));
-      tenants.set(name, {
-        index: this.tenantNames.indexOf(name),
-        name,
-        tenant,
-        tierName: tenant.tier,
-        tier,
-        lanes: granted,
-      });
+      const lanes = new Set(tenant.lanes.map((lane) => this.laneNames.indexOf(lane)));
+      views.set(name, { index: this.tenantNames.indexOf(name), name, tenant, tierName: tenant.tier, tier, lanes });
     }
-    const ranks = [...new Set(Object.values(config.tiers).map((tier) => tier.rank))].sort((a, b) => b - a);
-    const urgencyOf = (rank: number): number =>
-      ranks.length < 2 ? 0 : Math.max(0, ranks.indexOf(rank)) / (ranks.length - 1);
-    return {
-      urgencyOf,
-      logIndex: agreed.logIndex,
-      configLogIndex: agreed.configLogIndex,
-      lanes,
-      tenants,
-      pools: new Map(Object.entries(config.pools)),
-      keys: agreed.keys,
-    };
+    return views;
   };
 }
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -1,3 +1,4 @@
+/** What a gateway holds of the fleet's state: configuration, replicas, prefix index and tenant partitions. */
 import { stateMachine, replicas } from '@martenworks/core-types';
 import type {
   CommittedState,
@@ -15,66 +16,82 @@
 
 const keptAgeLimitMs = 600_000;
 
+/** Follows the control nodes' changes in log order and calls `changed` after each. */
 export class StateView {
+  /** Which replica keeps which prompt prefixes. */
   readonly index = new PrefixIndex(keptAgeLimitMs);
+  /** Which replicas serve which isolated tenant. */
   readonly tenantPartitions = new TenantPartitions();
-  private readonly door = new GatewayConfigIndexer();
-  private readonly held = new Map<string, ReplicaRecord>();
+  private readonly configIndexer = new GatewayConfigIndexer();
+  private readonly replicaRecords = new Map<string, ReplicaRecord>();
   private state: CommittedState | null = null;
-  private shown: GatewayConfigView | null = null;
+  private configView: GatewayConfigView | null = null;
 
   constructor(
     private readonly clock: Clock,
     private readonly changed: () => void,
   ) {}
 
+  /** The committed state, or null before the first. */
   readonly agreed = (): CommittedState | null => this.state;
-  readonly view = (): GatewayConfigView | null => this.shown;
+  /** The configuration's view, or null before the first. */
+  readonly view = (): GatewayConfigView | null => this.configView;
+  /** The log index of the committed state, or -1 before the first. */
   readonly logIndex = (): number => this.state?.logIndex ?? -1;
-  readonly records = (): ReplicaRecord[] => [...this.held.values()];
-  readonly record = (name: string): ReplicaRecord | undefined => this.held.get(name);
+  /** All known replicas and stores. */
+  readonly records = (): ReplicaRecord[] => [...this.replicaRecords.values()];
+  /** One replica or store by name. */
+  readonly record = (name: string): ReplicaRecord | undefined => this.replicaRecords.get(name);
 
-  private readonly show = (state: CommittedState): void => {
+  private readonly replaceState = (state: CommittedState): void => {
     this.state = state;
-    this.shown = this.door.view(state);
+    this.configView = this.configIndexer.view(state);
     this.reindex();
     this.changed();
   };
 
-  private readonly eraOf = (record: ReplicaRecord): number =>
+  /** Log index since which what a replica or store keeps is valid. */
+  private readonly cacheEpochOf = (record: ReplicaRecord): number =>
     (record.kind === 'store' ? this.state?.storeSince[record.name] : this.state?.weightsSince[record.pool]) ?? 0;
 
   private readonly reindex = (): void => {
-    this.index.reconcile(this.held.values(), this.eraOf);
-    this.tenantPartitions.align(this.held.values(), this.state, this.clock.now());
+    this.index.reconcile(this.replicaRecords.values(), this.cacheEpochOf);
+    this.tenantPartitions.align(this.replicaRecords.values(), this.state, this.clock.now());
   };
 
+  /** Applies the change that follows the held state; false when it is another. */
   readonly takeChange = (logIndex: number, change: Change): boolean => {
     if (this.state === null || logIndex !== this.state.logIndex + 1) return false;
-    this.show(stateMachine.apply(this.state, change));
+    this.replaceState(stateMachine.apply(this.state, change));
     return true;
   };
 
+  /** Takes a whole committed state; false when it is not newer. */
   readonly takeSnapshot = (state: CommittedState): boolean => {
     if (this.state !== null && state.logIndex <= this.state.logIndex) return false;
-    this.show(state);
+    this.replaceState(state);
     return true;
   };
 
+  /** Takes replica records; of two records of a replica the newer one stays. */
   readonly takeReplicas = (told: readonly ReplicaRecord[]): void => {
-    for (const record of told) this.held.set(record.name, replicas.merge(this.held.get(record.name), record));
+    for (const record of told)
+      this.replicaRecords.set(record.name, replicas.merge(this.replicaRecords.get(record.name), record));
     this.reindex();
     this.changed();
   };
 
+  /** Takes the index of one replica as a whole. */
   readonly takeIndexSnapshot = (snapshot: PrefixIndexSnapshot): void =>
     void this.index.restore(snapshot, this.clock.now());
 
-  readonly takeKv = (update: readonly KvCacheEvent[]): void => {
+  /** Takes events of the replicas' prefix caches. */
+  readonly takeKv = (events: readonly KvCacheEvent[]): void => {
     const now = this.clock.now();
-    for (const one of update) this.index.take(one, now);
+    for (const event of events) this.index.take(event, now);
   };
 
+  /** The ready replicas of a pool. */
   readonly inPool = (poolName: string): ReplicaRecord[] =>
     this.records().filter(
       (record) =>
@@ -84,6 +101,7 @@
         record.born <= this.logIndex(),
     );
 
+  /** The replicas and the store whose cached prefixes a pool may use: made by its present weights, and no shared store while it serves isolated tenants. */
   readonly holdersIn = (poolName: string, store: string | null): ReplicaRecord[] => {
     const { state } = this;
     if (state === null) return [];
@@ -91,13 +109,16 @@
     const isOfPool = (record: ReplicaRecord): boolean =>
       record.kind === 'replica' ? record.pool === poolName : record.name === store && !isStoreShared;
     return this.records().filter(
-      (record) => record.state === 'ready' && isOfPool(record) && record.born >= this.eraOf(record),
+      (record) => record.state === 'ready' && isOfPool(record) && record.born >= this.cacheEpochOf(record),
     );
   };
 
+  /** Isolated tenants to be admitted to replicas. */
   readonly sidesWanted = (): IsolationClaim[] => this.tenantPartitions.wanted(this.clock.now());
 
-  readonly sidesAdmitted = (standings: readonly IsolationStatus[]): void => {
-    for (const one of standings) this.tenantPartitions.admitted(one, this.index.isUsed(one.replica), this.clock.now());
+  /** Takes what the control nodes know of the replicas' isolated tenants. */
+  readonly sidesAdmitted = (statuses: readonly IsolationStatus[]): void => {
+    for (const status of statuses)
+      this.tenantPartitions.admitted(status, this.index.isUsed(status.replica), this.clock.now());
   };
 }
