--- /dev/null
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -0,0 +1,54 @@
+/** Ranks control nodes as the source of an edge's updates. */
+import type { EdgePong } from '@martenworks/core-types';
+import type { PeerConnection } from '@martenworks/peer-transport';
+
+const silenceLimitMs = 800;
+
+/** A control node that hears a majority comes before one with a current endpoint list, and that before one in the edge's zone. */
+const scores = { answering: 1, near: 1, currentList: 4, majority: 8 } as const;
+
+/** Scores control nodes by their latest pongs. */
+export class SourceScorer {
+  private readonly pongs = new Map<PeerConnection, EdgePong>();
+
+  /** `listAgeLimitMs` is the age from which on an endpoint list counts as outdated. */
+  constructor(
+    private readonly zone: string,
+    private readonly listAgeLimitMs: number,
+  ) {}
+
+  readonly take = (connection: PeerConnection, pong: EdgePong): void => void this.pongs.set(connection, pong);
+
+  readonly forget = (connection: PeerConnection): void => void this.pongs.delete(connection);
+
+  readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
+
+  /** Whether the connection has brought nothing for so long that the node may be gone. */
+  readonly isSilent = (connection: PeerConnection): boolean => connection.silentMs() > silenceLimitMs;
+
+  /** The connection with the highest score, the first among equals; null where there is none. */
+  readonly best = (connections: readonly PeerConnection[]): PeerConnection | null =>
+    connections.reduce<PeerConnection | null>(
+      (found, connection) => (found === null || this.score(connection) > this.score(found) ? connection : found),
+      null,
+    );
+
+  /** Whether another node should replace the source; one that hears a majority isn't left while a state arrives from it. */
+  readonly isBetter = (candidate: PeerConnection, source: PeerConnection): boolean => {
+    if (this.score(candidate) <= this.score(source)) return false;
+    const hearsMajority = this.pongs.get(source)?.hasMajority === true;
+    return !(hearsMajority && source.isReceiving('state') && !this.isSilent(source));
+  };
+
+  private readonly score = (connection: PeerConnection): number => {
+    const pong = this.pongs.get(connection);
+    if (pong === undefined || this.isSilent(connection)) return 0;
+    const isCurrent = pong.listAgeMs !== null && pong.listAgeMs <= this.listAgeLimitMs;
+    return (
+      scores.answering +
+      (isCurrent ? scores.currentList : 0) +
+      (pong.hasMajority ? scores.majority : 0) +
+      (connection.peer?.zone === this.zone ? scores.near : 0)
+    );
+  };
+}
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -3,6 +3,7 @@
 export * from './ingress/webCall.js';
 export * from './edgeProxy.js';
 export * from './control/controlConnection.js';
+export * from './control/edgeMessages.js';
 export * from './prefixcache/prefixCacheIndex.js';
 export * from './routing/replicaTracker.js';
 export * from './routing/replicaSelector.js';
