--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -3,25 +3,26 @@
 import { drawPlan, planIds } from '../configuration/plan.js';
 import type { GatewayConfigEdit } from '../configuration/plan.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
-import type { Applied, ProposeFault } from '../consensus/proposer.js';
+import type { Applied } from '../consensus/proposer.js';
+import type { ProposalError } from '../errors.js';
 import type { Result } from 'neverthrow';
 
-export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposeFault>): Response => {
+export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
   if (outcome.isOk())
     return c.json(
       { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
       200,
       { etag: `"${outcome.value.logIndex}"` },
     );
-  const fault = outcome.error;
-  switch (fault.kind) {
+  const { error } = outcome;
+  switch (error.code) {
     case 'conflict':
       return c.json(
-        { outcome: 'conflict', changeId, layoutGeneration: fault.configLogIndex, detail: fault.detail },
+        { outcome: 'conflict', changeId, layoutGeneration: error.configLogIndex, detail: error.detail },
         409,
       );
     case 'rejected':
-      return c.json({ outcome: 'rejected', changeId, complaints: fault.complaints }, 422);
+      return c.json({ outcome: 'rejected', changeId, complaints: error.complaints }, 422);
     case 'unknown':
       return c.json(
         { outcome: 'unknown', changeId, detail: 'ask again by this change id, or send the change again under it' },
@@ -29,7 +30,7 @@
         { 'retry-after': '1' },
       );
     case 'unavailable':
-      return c.json({ outcome: 'not accepted', changeId, detail: fault.detail }, 503, { 'retry-after': '1' });
+      return c.json({ outcome: 'not accepted', changeId, detail: error.detail }, 503, { 'retry-after': '1' });
   }
 };
 
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -65,7 +65,7 @@
   const outcome = await controlNode.replicas.announce(records);
   if (outcome.isOk())
     return c.json({ outcome: 'accepted', replicas: records.map((record) => controlNode.table.find(record.name)) });
-  return outcome.error.kind === 'disk'
+  return outcome.error.code === 'disk'
     ? c.json({ outcome: 'not accepted', detail: 'the disk did not take it' }, 503, { 'retry-after': '1' })
     : c.json({ outcome: 'unknown', detail: 'no majority of control nodes has confirmed it yet; send it again' }, 504, {
         'retry-after': '1',
--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -5,25 +5,23 @@
 import { gatewayConfigs } from '@martenworks/settings';
 import { editConfig } from './plan.js';
 import type { GatewayConfigEdit } from './plan.js';
-import type { Proposer, Applied, ProposeFault } from '../consensus/proposer.js';
+import type { Proposer, Applied } from '../consensus/proposer.js';
+import { proposalErrors } from '../errors.js';
+import type { ProposalError } from '../errors.js';
 
 const timeoutMs = 3_000;
 
-const edited = (state: CommittedState, edit: GatewayConfigEdit): Result<GatewayConfig, ProposeFault> =>
-  editConfig(state.config, edit).mapErr((complaints) => ({ kind: 'rejected', complaints }));
+const edited = (state: CommittedState, edit: GatewayConfigEdit): Result<GatewayConfig, ProposalError> =>
+  editConfig(state.config, edit).mapErr(proposalErrors.rejected);
 
-const grantFaults = (state: CommittedState, tenantName: string, tenant: Tenant | null): Result<void, ProposeFault> => {
-  const held = state.config.tenants[tenantName];
-  if (held !== undefined) return ok(undefined);
+const checkGrant = (state: CommittedState, tenantName: string, tenant: Tenant | null): Result<void, ProposalError> => {
+  if (state.config.tenants[tenantName] !== undefined) return ok(undefined);
   if (tenant === null)
-    return err({
-      kind: 'rejected',
-      complaints: [{ path: '/tenant', message: `names the absent tenant ${tenantName}` }],
-    });
+    return err(proposalErrors.rejected([{ path: '/tenant', message: `names the absent tenant ${tenantName}` }]));
   return gatewayConfigs
     .check({ ...state.config, tenants: { ...state.config.tenants, [tenantName]: tenant } })
     .map(() => undefined)
-    .mapErr((complaints) => ({ kind: 'rejected' as const, complaints }));
+    .mapErr(proposalErrors.rejected);
 };
 
 export class ChangeService {
@@ -32,22 +30,20 @@
   private readonly put = (
     id: string,
     asked: unknown,
-    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposeFault>,
-  ): Promise<Result<Applied, ProposeFault>> => {
+    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
+  ): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.of(asked);
-    const check = (state: CommittedState): Result<Change, ProposeFault> =>
+    const check = (state: CommittedState): Result<Change, ProposalError> =>
       bodyFor(state).map((body) => ({ id, digest, body }));
     return this.proposer.propose(check, id, digest, timeoutMs);
   };
 
-  readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposeFault>> =>
+  readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['layout', base, edit], (state) => {
       if (state.configLogIndex !== base)
-        return err({
-          kind: 'conflict',
-          configLogIndex: state.configLogIndex,
-          detail: `the layout is at generation ${state.configLogIndex}`,
-        });
+        return err(
+          proposalErrors.conflict(state.configLogIndex, `the layout is at generation ${state.configLogIndex}`),
+        );
       return edited(state, edit).map((config) => ({ kind: 'config', config, base }));
     });
 
@@ -56,14 +52,14 @@
     keyHash: string,
     grant: KeyGrant,
     tenant: Tenant | null,
-  ): Promise<Result<Applied, ProposeFault>> =>
+  ): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['grant', keyHash, grant, tenant], (state) => {
-      const held = state.keys[keyHash];
-      if (held !== undefined && held.tenant !== grant.tenant)
-        return err({ kind: 'rejected', complaints: [{ path: '/key', message: 'is held by another tenant' }] });
-      return grantFaults(state, grant.tenant, tenant).map(() => ({ kind: 'grant', keyHash, grant, tenant }));
+      const current = state.keys[keyHash];
+      if (current !== undefined && current.tenant !== grant.tenant)
+        return err(proposalErrors.rejected([{ path: '/key', message: 'is held by another tenant' }]));
+      return checkGrant(state, grant.tenant, tenant).map(() => ({ kind: 'grant', keyHash, grant, tenant }));
     });
 
-  readonly revoke = (id: string, keyHash: string): Promise<Result<Applied, ProposeFault>> =>
+  readonly revoke = (id: string, keyHash: string): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['revoke', keyHash], () => ok({ kind: 'revoke', keyHash }));
 }
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -4,7 +4,9 @@
 import type { CommittedState, Change, ChangeBody, ConfigurationChange, ActiveRouting } from '@martenworks/core-types';
 import { routingTables } from '@martenworks/route-table';
 import type { RoutingTableError } from '@martenworks/route-table';
-import type { Applied, ProposeFault, Proposer } from '../consensus/proposer.js';
+import type { Applied, Proposer } from '../consensus/proposer.js';
+import { proposalErrors } from '../errors.js';
+import type { ProposalError } from '../errors.js';
 
 const timeoutMs = 700;
 const bytesPerExtraMs = 4_000;
@@ -25,8 +27,6 @@
   readonly editOf: EditOf;
 }
 
-const rejected = (complaints: readonly RoutingTableError[]): ProposeFault => ({ kind: 'rejected', complaints });
-
 /** The edit as checked against the configuration in force, computed once for each that is met. */
 const checkedOnce = (editOf: EditOf): EditOf => {
   let last: { readonly held: ActiveRouting | null; readonly outcome: ReturnType<EditOf> } | null = null;
@@ -45,10 +45,10 @@
     id: string,
     digest: string,
     withinMs: number,
-    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposeFault>,
-  ): Promise<Result<Applied, ProposeFault>> =>
+    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
+  ): Promise<Result<Applied, ProposalError>> =>
     this.proposer.propose(
-      (state): Result<Change, ProposeFault> => bodyFor(state).map((body) => ({ id, digest, body })),
+      (state): Result<Change, ProposalError> => bodyFor(state).map((body) => ({ id, digest, body })),
       id,
       digest,
       withinMs,
@@ -62,7 +62,7 @@
     asked,
     byteCount,
     editOf,
-  }: ConfigOrder): Promise<Result<Applied, ProposeFault>> => {
+  }: ConfigOrder): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.ofCanonical([kind, base, asked]);
     const id = `ways/${digest}`;
     const checked = checkedOnce(editOf);
@@ -72,13 +72,14 @@
         const mayBeForgotten = base < configVersion && configVersion <= state.forgotten.configVersion;
         return err(
           mayBeForgotten
-            ? { kind: 'unknown', changeId: id }
-            : { kind: 'conflict', configLogIndex: inForce, detail: `edition ${inForce} is in force` },
+            ? proposalErrors.unknown(id)
+            : proposalErrors.conflict(inForce, `edition ${inForce} is in force`),
         );
       }
-      if (configVersion <= inForce) return err(rejected([{ path: '/edition', message: `must be above ${inForce}` }]));
+      if (configVersion <= inForce)
+        return err(proposalErrors.rejected([{ path: '/edition', message: `must be above ${inForce}` }]));
       return checked(state.routing)
-        .mapErr(rejected)
+        .mapErr(proposalErrors.rejected)
         .map(
           (edit): ChangeBody => ({
             kind: 'routing',
@@ -90,7 +91,7 @@
   };
 
   /** Names the version of a model's weights; faults as for `change`, within 700 ms. */
-  readonly name = (model: string, version: number): Promise<Result<Applied, ProposeFault>> => {
+  readonly name = (model: string, version: number): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.of(['weights', model, version]);
     const id = `weights/${model}/${version}`;
     return this.put(id, digest, nameTimeoutMs, (state) => {
@@ -99,8 +100,8 @@
       const mayBeForgotten = version <= (state.forgotten.targetWeights[model] ?? 0);
       return err(
         mayBeForgotten
-          ? { kind: 'unknown', changeId: id }
-          : rejected([{ path: '/version', message: `must be above ${named}` }]),
+          ? proposalErrors.unknown(id)
+          : proposalErrors.rejected([{ path: '/version', message: `must be above ${named}` }]),
       );
     });
   };
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -32,7 +32,7 @@
     private readonly records: () => readonly ReplicaRecord[],
     private readonly snapshots: () => readonly PrefixIndexSnapshot[],
   ) {
-    acceptor.watch(this.bring);
+    acceptor.watch(this.updateAll);
   }
 
   readonly subscribe = (connection: PeerConnection, logIndex: number): void => {
@@ -45,18 +45,18 @@
     });
     connection.tell('replicas', this.records());
     for (const snapshot of this.snapshots()) connection.tell('indexSnapshot', snapshot);
-    this.bringTo(connection);
+    this.update(connection);
   };
 
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
-  private readonly bring = (committed: CommittedChange | null): void => {
+  private readonly updateAll = (committed: CommittedChange | null): void => {
     if (committed === null)
       for (const subscriber of this.subscribers.values()) subscriber.sent = Math.min(subscriber.sent, -1);
-    for (const connection of this.subscribers.keys()) this.bringTo(connection);
+    for (const connection of this.subscribers.keys()) this.update(connection);
   };
 
-  private readonly bringTo = (connection: PeerConnection): void => {
+  private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     const since = this.acceptor.since(subscriber.sent);
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -58,7 +58,7 @@
   ) {
     this.history.note(acceptor.agreed()?.routing ?? null);
     this.noteNamed();
-    acceptor.watch(this.bring);
+    acceptor.watch(this.updateAll);
   }
 
   private readonly noteNamed = (): void => {
@@ -100,20 +100,20 @@
       heardAt: this.clock.now(),
       wantsContent,
     });
-    this.bringTo(connection);
+    this.update(connection);
     if (wantsContent && !wasContent) this.greet(connection);
   };
 
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
-  private readonly bring = (): void => {
+  private readonly updateAll = (): void => {
     this.history.note(this.acceptor.agreed()?.routing ?? null);
     this.noteNamed();
-    for (const connection of this.subscribers.keys()) this.bringTo(connection);
+    for (const connection of this.subscribers.keys()) this.update(connection);
   };
 
   /** Announces the generation in force and, to an edge whose source this is, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
-  private readonly bringTo = (connection: PeerConnection): void => {
+  private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.agreed();
     if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
@@ -136,7 +136,7 @@
     subscriber.heardAt = this.clock.now();
     if (logIndex >= subscriber.logIndex) Object.assign(subscriber, { logIndex, configVersion });
     if (this.isOver(connection, subscriber)) subscriber.underWay = null;
-    this.bringTo(connection);
+    this.update(connection);
   };
 
   private readonly isOver = (connection: PeerConnection, { underWay, logIndex }: Subscriber): boolean => {
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -167,10 +167,10 @@
   /** Asks all others how far they are and catches up from one that is ahead. */
   readonly step = async (): Promise<void> => {
     if (this.running !== null) return this.running;
-    const told = await Promise.all(
+    const positions = await Promise.all(
       this.peers().map(async (peer) => ({ peer, held: await this.heldBy(peer, heldTimeoutMs) })),
     );
-    const ahead = told
+    const ahead = positions
       .filter(({ held }) => held !== null && held > this.logIndex())
       .sort((a, b) => (b.held ?? -1) - (a.held ?? -1));
     const chosen = ahead.find(({ peer }) => peer.peer?.incarnation !== this.failedSource) ?? ahead[0];
@@ -220,8 +220,8 @@
   };
 
   private readonly heldBy = async (peer: PeerConnection, timeoutMs: number): Promise<number | null> => {
-    const told = await peer.ask(catchUpTopics.held, null, timeoutMs);
-    return told.isOk() && typeof told.value === 'number' ? told.value : null;
+    const reply = await peer.ask(catchUpTopics.held, null, timeoutMs);
+    return reply.isOk() && typeof reply.value === 'number' ? reply.value : null;
   };
 
   private readonly within = (work: Promise<void>, timeoutMs: number): Promise<void> =>
@@ -254,13 +254,13 @@
         digest: progress?.digest ?? null,
         offset: progress?.received ?? 0,
       };
-      const told = await peer.ask(catchUpTopics.page, ask, pageTimeoutMs);
-      if (told.isErr()) return false;
-      if (told.value === null) {
+      const reply = await peer.ask(catchUpTopics.page, ask, pageTimeoutMs);
+      if (reply.isErr()) return false;
+      if (reply.value === null) {
         this.progress = null;
         return true;
       }
-      if (!isPage(told.value) || !this.take(told.value)) return false;
+      if (!isPage(reply.value) || !this.take(reply.value)) return false;
       const taken = this.progress;
       if (taken !== null && taken.received === taken.size) return this.apply(taken);
     }
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -2,7 +2,8 @@
 import type { Result } from 'neverthrow';
 import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
 import type { CommittedState, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
-import type { ValidationIssue } from '@martenworks/settings';
+import { proposalErrors } from '../errors.js';
+import type { ProposalError } from '../errors.js';
 import { ballots } from './ballots.js';
 import type { Acceptor } from './acceptor.js';
 import type { Accepted, Ballot, CommittedChange, Since, Vote } from './ballots.js';
@@ -10,12 +11,7 @@
 import { askMembers, majorityOf } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
 
-export type ProposeFault =
-  | { readonly kind: 'conflict'; readonly configLogIndex: number; readonly detail: string }
-  | { readonly kind: 'rejected'; readonly complaints: readonly ValidationIssue[] }
-  | { readonly kind: 'unknown'; readonly changeId: string }
-  | { readonly kind: 'unavailable'; readonly detail: string };
-
+/** A change that is committed at `logIndex`; `isRepeat` where it was committed before the call. */
 export interface Applied {
   readonly logIndex: number;
   readonly isRepeat: boolean;
@@ -23,7 +19,7 @@
 
 export type { Voters } from './quorumCall.js';
 
-type Check = (state: CommittedState) => Result<Change, ProposeFault>;
+type Check = (state: CommittedState) => Result<Change, ProposalError>;
 
 type Round =
   | { readonly kind: 'committed'; readonly committed: CommittedChange }
@@ -69,15 +65,15 @@
   readonly isEnded = (): boolean => this.isOver;
 
   /** Ends it: nothing is offered any more. `unavailable` is told only where no acceptor can hold the value. */
-  readonly giveUp = (detail: string): Result<Applied, ProposeFault> => {
+  readonly giveUp = (detail: string): Result<Applied, ProposalError> => {
     this.isOver = true;
-    return err(this.wasOffered ? { kind: 'unknown', changeId: this.changeId } : { kind: 'unavailable', detail });
+    return err(this.wasOffered ? proposalErrors.unknown(this.changeId) : proposalErrors.unavailable(detail));
   };
 }
 
 /** Gets changes decided, one generation after another, by ballots among the voters; one order at a time, others wait in a queue. */
 export class Proposer {
-  private readonly owner = new CommandQueue();
+  private readonly queue = new CommandQueue();
   private readonly read: ConfirmedRead;
   private seenRound = 0;
   private lastRoundMs = 0;
@@ -98,33 +94,33 @@
     changeId: string,
     digest: string,
     timeoutMs: number,
-  ): Promise<Result<Applied, ProposeFault>> => {
+  ): Promise<Result<Applied, ProposalError>> => {
     const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
-    if (this.owner.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
-    const work = this.owner.run(() => this.push(check, attempt));
+    if (this.queue.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
+    const work = this.queue.run(() => this.push(check, attempt));
     return pause.within(this.clock, timeoutMs, work, () => attempt.giveUp(lateDetail));
   };
 
   /** Settles a value that was accepted here and whose proposer may be gone. */
   readonly finishPending = (): Promise<void> =>
-    this.owner.run(async () => {
+    this.queue.run(async () => {
       const state = this.acceptor.agreed();
-      const heldMs = this.acceptor.pendingForMs();
-      if (state === null || heldMs === null || heldMs < this.rescueAfterMs()) return;
+      const pendingMs = this.acceptor.pendingForMs();
+      if (state === null || pendingMs === null || pendingMs < this.rescueAfterMs()) return;
       await this.round(state, null, null);
     });
 
   /** A state as new as any that was acknowledged before the call, or null where no majority confirmed one within `patienceMs`. */
   readonly confirm = (timeoutMs: number): Promise<CommittedState | null> => {
     const settlePending = (state: CommittedState): Promise<unknown> =>
-      this.owner.run(() => this.round(state, null, null));
+      this.queue.run(() => this.round(state, null, null));
     const work = this.read.newest(this.clock.now() + timeoutMs, settlePending);
     return pause.within(this.clock, timeoutMs, work, () => null);
   };
 
-  readonly depth = (): number => this.owner.depth();
+  readonly depth = (): number => this.queue.depth();
 
-  private readonly push = async (check: Check, attempt: Attempt): Promise<Result<Applied, ProposeFault>> => {
+  private readonly push = async (check: Check, attempt: Attempt): Promise<Result<Applied, ProposalError>> => {
     for (let attemptNumber = 0; ; attemptNumber += 1) {
       if (attempt.isEnded() || this.clock.now() >= attempt.until) return attempt.giveUp(lateDetail);
       const state = this.acceptor.agreed();
@@ -135,7 +131,7 @@
         const newest = await this.confirmWithin(attempt);
         if (newest === null) return attempt.giveUp(unreachableDetail);
         if (newest.logIndex !== state.logIndex) continue;
-        return answered ?? (checked as Result<never, ProposeFault>);
+        return answered ?? (checked as Result<never, ProposalError>);
       }
       const outcome = await this.round(state, checked.value, attempt);
       if (outcome.kind === 'committed') {
@@ -153,11 +149,11 @@
     { changeIds, configLogIndex }: CommittedState,
     { changeId, digest }: Attempt,
     isRepeat: boolean,
-  ): Result<Applied, ProposeFault> | null => {
+  ): Result<Applied, ProposalError> | null => {
     const known = Object.hasOwn(changeIds, changeId) ? changeIds[changeId] : undefined;
     if (known === undefined) return null;
     if (known.digest === digest) return ok({ logIndex: known.logIndex, isRepeat });
-    return err({ kind: 'conflict', configLogIndex, detail: 'this change id was used for another change' });
+    return err(proposalErrors.conflict(configLogIndex, 'this change id was used for another change'));
   };
 
   private readonly confirmWithin = (attempt: Attempt): Promise<CommittedState | null> =>
--- a/packages/control-plane/src/consensus/recovery.ts
+++ b/packages/control-plane/src/consensus/recovery.ts
@@ -1,13 +1,17 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Clock, Disk, Log, Member, Random } from '@martenworks/core-types';
-import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
+import type { MemberRecoveryError, RecoveryError } from '../errors.js';
 import { acceptors } from './acceptor.js';
 import { checkMemberLogs } from './memberLogs.js';
 
-const generationLeap = 1_000;
+const logIndexLeap = 1_000;
 
-export type RecoveryError = WriteAheadLogError | { readonly kind: 'recovery'; readonly detail: string };
+const failure = (code: MemberRecoveryError['code'], detail: string): MemberRecoveryError => ({
+  kind: 'recovery',
+  code,
+  detail,
+});
 
 export const recovery = {
   recover: async (
@@ -23,17 +27,14 @@
     if (opened.isErr()) return err(opened.error);
     const acceptor = opened.value;
     const state = acceptor.agreed();
-    if (state === null) return err({ kind: 'recovery', detail: 'this data folder holds no agreed state' });
+    if (state === null) return err(failure('no_state', 'this data folder holds no agreed state'));
     if (!members.some((member) => member.incarnation === acceptor.incarnation))
-      return err({
-        kind: 'recovery',
-        detail: `the new members must include this one, incarnation ${acceptor.incarnation}`,
-      });
+      return err(failure('not_a_member', `the new members must include this one, incarnation ${acceptor.incarnation}`));
     if (new Set(members.map((member) => member.incarnation)).size !== members.length)
-      return err({ kind: 'recovery', detail: 'the new members must differ' });
-    const recovered: CommittedState = { ...state, logIndex: state.logIndex + generationLeap, members };
+      return err(failure('duplicate_members', 'the new members must differ'));
+    const recovered: CommittedState = { ...state, logIndex: state.logIndex + logIndexLeap, members };
     const isKept = await acceptor.adopt(recovered);
     await acceptor.close();
-    return isKept ? ok(recovered) : err({ kind: 'recovery', detail: 'the disk did not take the recovered state' });
+    return isKept ? ok(recovered) : err(failure('disk', 'the disk did not take the recovered state'));
   },
 };
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -121,9 +121,9 @@
 
   readonly takePage = async (page: ClaimPage): Promise<boolean> => {
     const kept = await Promise.all(
-      page.entries.map(async ([key, told]) => {
+      page.entries.map(async ([key, received]) => {
         const held = this.stateOf(key);
-        const state = merged(held, told);
+        const state = merged(held, received);
         return this.isDurable(key) && JSON.stringify(state) === JSON.stringify(held) ? true : this.keep(key, state);
       }),
     );
--- a/packages/control-plane/src/endpoints/endpointListReader.ts
+++ b/packages/control-plane/src/endpoints/endpointListReader.ts
@@ -11,11 +11,11 @@
 const entriesPerCall = 50;
 const usedShare = 0.6;
 
-const newer = (told: ReplicaEndpoint, held: ReplicaEndpoint | undefined): ReplicaEndpoint => {
-  if (held === undefined) return told;
-  const weights = { ...told.weights };
-  for (const [model, version] of Object.entries(held.weights)) weights[model] = Math.max(version, weights[model] ?? 0);
-  return { ...told, weights, isLeaving: told.isLeaving || held.isLeaving };
+const newer = (read: ReplicaEndpoint, known: ReplicaEndpoint | undefined): ReplicaEndpoint => {
+  if (known === undefined) return read;
+  const weights = { ...read.weights };
+  for (const [model, version] of Object.entries(known.weights)) weights[model] = Math.max(version, weights[model] ?? 0);
+  return { ...read, weights, isLeaving: read.isLeaving || known.isLeaving };
 };
 
 /** Reads the list of replicas again and again and tells what changed, the first time all of it. Pages shift while they are read, so a replica is gone once two readings in a row lack it. A replica's id is one life of it: leaving and its weights' versions never go back within it. */
@@ -51,10 +51,10 @@
     }
   };
 
-  private readonly take = (told: readonly ReplicaEndpoint[]): void => {
+  private readonly take = (read: readonly ReplicaEndpoint[]): void => {
     const isWhole = this.readAt === null;
     this.readAt = this.clock.now();
-    const next = new Map(told.map((endpoint) => [endpoint.id, newer(endpoint, this.endpoints.get(endpoint.id))]));
+    const next = new Map(read.map((endpoint) => [endpoint.id, newer(endpoint, this.endpoints.get(endpoint.id))]));
     const absent = [...this.endpoints.values()].filter(({ id }) => !next.has(id));
     const missed = absent.filter(({ id }) => !this.missing.has(id));
     for (const endpoint of missed) next.set(endpoint.id, endpoint);
--- a/packages/control-plane/src/endpoints/isolationRegistry.ts
+++ b/packages/control-plane/src/endpoints/isolationRegistry.ts
@@ -27,8 +27,11 @@
 
   readonly admit = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[] | null> => {
     const known = claims.filter(({ replica, incarnation }) => this.table.find(replica)?.incarnation === incarnation);
-    const told = known.map(({ replica, side }) => ({ ...(this.table.find(replica) as ReplicaRecord), sides: [side] }));
-    const kept = await this.table.take(told);
+    const records = known.map(({ replica, side }) => ({
+      ...(this.table.find(replica) as ReplicaRecord),
+      sides: [side],
+    }));
+    const kept = await this.table.take(records);
     if (kept.isErr()) return null;
     return known.flatMap((claim) => {
       const record = this.table.find(claim.replica);
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -6,11 +6,10 @@
 import type { ClaimTable } from './claims.js';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { majorityOf } from '../consensus/quorumCall.js';
+import type { AnnouncementError } from '../errors.js';
 import { gatewayMessages } from '../messages/gatewayMessages.js';
 import type { ReplicaTable } from './replicaTable.js';
 
-export type ReplicaFault = { readonly kind: 'disk' } | { readonly kind: 'unknown' };
-
 const timeoutMs = 1_500;
 
 export class ReplicaRegistry {
@@ -55,13 +54,13 @@
     });
   };
 
-  readonly announce = async (records: readonly ReplicaRecord[]): Promise<Result<void, ReplicaFault>> => {
+  readonly announce = async (records: readonly ReplicaRecord[]): Promise<Result<void, AnnouncementError>> => {
     const kept = await this.table.take(records);
-    if (kept.isErr()) return err({ kind: 'disk' });
+    if (kept.isErr()) return err({ kind: 'announcement', code: 'disk' });
     const merged = records.flatMap((record) => this.table.find(record.name) ?? []);
     return (await this.byMajority('replicaNews', merged, (reply) => reply === true))
       ? ok(undefined)
-      : err({ kind: 'unknown' });
+      : err({ kind: 'announcement', code: 'unknown' });
   };
 
   readonly learn = (names: readonly string[]): Promise<boolean> =>
--- a/packages/control-plane/src/endpoints/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -9,8 +9,8 @@
 const segmentsBeforeSnapshot = 4;
 
 export class ReplicaTable {
-  private readonly owner = new CommandQueue();
-  private readonly held = new Map<string, ReplicaRecord>();
+  private readonly queue = new CommandQueue();
+  private readonly byName = new Map<string, ReplicaRecord>();
   private readonly watchers: ((records: readonly ReplicaRecord[]) => void)[] = [];
 
   constructor(
@@ -20,16 +20,16 @@
 
   readonly replay = (records: readonly ReplicaRecord[]): void => {
     for (const record of records)
-      this.held.set(record.name, replicas.merge(this.held.get(record.name), replicas.filled(record)));
+      this.byName.set(record.name, replicas.merge(this.byName.get(record.name), replicas.filled(record)));
   };
 
   readonly watch = (listener: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(listener);
 
-  readonly take = (told: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
-    this.owner.run(async () => {
-      const update = told
-        .filter((record) => replicas.isNews(this.held.get(record.name), record))
-        .map((record) => replicas.merge(this.held.get(record.name), record));
+  readonly take = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
+    this.queue.run(async () => {
+      const update = records
+        .filter((record) => replicas.isNews(this.byName.get(record.name), record))
+        .map((record) => replicas.merge(this.byName.get(record.name), record));
       if (update.length === 0) return ok(update);
       const kept: ReplicaRecord[] = [];
       for (const record of update) {
@@ -39,7 +39,7 @@
           this.tellWatchers(kept);
           return err(written.error);
         }
-        this.held.set(record.name, record);
+        this.byName.set(record.name, record);
         kept.push(record);
       }
       this.tellWatchers(kept);
@@ -51,9 +51,9 @@
     if (kept.length > 0) for (const watcher of this.watchers) watcher(kept);
   };
 
-  readonly records = (): ReplicaRecord[] => [...this.held.values()];
+  readonly records = (): ReplicaRecord[] => [...this.byName.values()];
 
-  readonly find = (name: string): ReplicaRecord | undefined => this.held.get(name);
+  readonly find = (name: string): ReplicaRecord | undefined => this.byName.get(name);
 
   readonly close = (): Promise<void> => this.wal.close();
 }
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -12,7 +12,7 @@
 export * from './nodes/controlNode.js';
 export { controlNodeSettings } from './nodes/controlNodeSettings.js';
 export * from './configuration/configService.js';
-export type { ProposeFault, Applied } from './consensus/proposer.js';
+export * from './errors.js';
 export * from './prefixcache/kvEventFollower.js';
 export * from './endpoints/claims.js';
 export type { MemberStatus } from './membership/foundingMessages.js';
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -8,7 +8,9 @@
 import type { Acceptor } from '../consensus/acceptor.js';
 import { consensusMessages } from '../consensus/consensusMessages.js';
 import type { MemberStatus } from './foundingMessages.js';
-import type { ProposeFault, Proposer } from '../consensus/proposer.js';
+import { proposalErrors } from '../errors.js';
+import type { ProposalError } from '../errors.js';
+import type { Proposer } from '../consensus/proposer.js';
 import { majorityOf } from '../consensus/quorumCall.js';
 
 const usualStrangerWaitMs = 12_000;
@@ -45,7 +47,7 @@
     private readonly log: Log,
     private readonly terms: MembershipTerms,
     /** Has the peer catch up from this node. */
-    private readonly bringUp: (connection: PeerConnection) => Promise<void>,
+    private readonly supply: (connection: PeerConnection) => Promise<void>,
   ) {}
 
   /** A node has said that it leaves: its seat may be given away without a wait, and it gets no other one. */
@@ -106,8 +108,8 @@
       });
 
   private readonly memberStatusOf = async (connection: PeerConnection): Promise<MemberStatus | null> => {
-    const told = await connection.ask('memberStatus', null, timeoutMs);
-    return told.isOk() && consensusMessages.isMemberStatus(told.value) ? told.value : null;
+    const reply = await connection.ask('memberStatus', null, timeoutMs);
+    return reply.isOk() && consensusMessages.isMemberStatus(reply.value) ? reply.value : null;
   };
 
   private readonly isCaughtUp = (memberStatus: MemberStatus, state: CommittedState, outgoing: Member): boolean => {
@@ -174,10 +176,10 @@
     const id = `swap-${outgoing.incarnation}-${incoming.incarnation}`;
     const body = { kind: 'swap' as const, outgoing: outgoing.incarnation, incoming };
     const digest = digests.of(body);
-    const check = (state: CommittedState): Result<Change, ProposeFault> => {
+    const check = (state: CommittedState): Result<Change, ProposalError> => {
       const refusal = this.swapRefusal(state, outgoing, incoming, memberStatus);
       if (refusal === null) return ok({ id, digest, body });
-      return err({ kind: 'conflict', configLogIndex: state.configLogIndex, detail: refusal });
+      return err(proposalErrors.conflict(state.configLogIndex, refusal));
     };
     const before = this.acceptor.agreed() as CommittedState;
     const outcome = await this.proposer.propose(check, id, digest, swapTimeoutMs);
@@ -196,8 +198,8 @@
 
   /** Whether every member that is new since `before`, and a majority of the members of `state`, hold that on disk. */
   private readonly isHeldByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
-    const held = await Promise.all(state.members.map((member) => this.isHeldBy(member, state)));
-    const holders = state.members.filter((_, at) => held[at]);
+    const isHolder = await Promise.all(state.members.map((member) => this.isHeldBy(member, state)));
+    const holders = state.members.filter((_, at) => isHolder[at]);
     const newMembers = state.members.filter((member) => !stateMachine.holdsSeat(before, member.incarnation));
     return holders.length >= majorityOf(state.members) && newMembers.every((member) => holders.includes(member));
   };
@@ -209,7 +211,7 @@
     const memberStatus = await this.memberStatusOf(connection);
     if (memberStatus === null) return false;
     if (memberStatus.logIndex >= state.logIndex) return true;
-    await this.bringUp(connection);
+    await this.supply(connection);
     return false;
   };
 }
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -10,7 +10,6 @@
   Ports,
 } from '@martenworks/core-types';
 import type { NodeSettings } from '@martenworks/settings';
-import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
 import type { Hello, PeerConnection } from '@martenworks/peer-transport';
 import { MemberList } from '@martenworks/cluster-membership';
@@ -29,6 +28,7 @@
 import { StatePublisher } from '../configuration/statePublisher.js';
 import { rendezvousHashing } from '../prefixcache/rendezvousHashing.js';
 import { controlNodeSettings } from './controlNodeSettings.js';
+import type { StartError } from '../errors.js';
 import { edgeMessages } from '../messages/edgeMessages.js';
 import { WeightsRollout } from '../weights/weightsRollout.js';
 
@@ -316,7 +316,7 @@
     ports: Ports,
     backendClient: BackendClient,
     seeds: readonly string[],
-  ): Promise<Result<ControlNode, NetworkError | WriteAheadLogError>> => {
+  ): Promise<Result<ControlNode, StartError>> => {
     const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log, settings.isFresh);
     if (acceptor.isErr()) return err(acceptor.error);
     const terms = controlNodeSettings.leaseTerms(acceptor.value, settings.orderGapMs);
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -3,7 +3,6 @@
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type { CommittedState, ClaimVote, Listener, NetworkError, Ports, ReplicaRecord } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
-import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
 import type { PeerConnection, Hello } from '@martenworks/peer-transport';
 import { MemberList, FailureDetector, FailureVerdicts } from '@martenworks/cluster-membership';
@@ -24,6 +23,7 @@
 import { IsolationRegistry } from '../endpoints/isolationRegistry.js';
 import { replicaTables } from '../endpoints/replicaTable.js';
 import type { ReplicaTable } from '../endpoints/replicaTable.js';
+import type { StartError } from '../errors.js';
 import { messageChecks } from '../messages/messageChecks.js';
 import { gatewayMessages } from '../messages/gatewayMessages.js';
 
@@ -44,8 +44,6 @@
 
 const kvDuty = (replica: string): string => `kv/${replica}`;
 
-export type StartFault = NetworkError | WriteAheadLogError;
-
 export class GatewayControlNode {
   readonly memberList: MemberList;
   readonly peerPool: PeerPool;
@@ -290,7 +288,7 @@
 }
 
 export const gatewayControlNodes = {
-  start: async (settings: GatewaySettings, ports: Ports): Promise<Result<GatewayControlNode, StartFault>> => {
+  start: async (settings: GatewaySettings, ports: Ports): Promise<Result<GatewayControlNode, StartError>> => {
     const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log);
     if (acceptor.isErr()) return err(acceptor.error);
     const table = await replicaTables.open(ports.disk, ports.log);
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -24,7 +24,7 @@
   private readonly followed = new Map<string, Followed>();
   private readonly gate = new FenceGate();
   private bundle: KvCacheEvent[] = [];
-  private readonly carrier: RepeatingTimer;
+  private readonly bundleTimer: RepeatingTimer;
 
   constructor(
     private readonly ports: Ports,
@@ -32,10 +32,10 @@
     private readonly relay: (relayed: RelayedKvEvents) => void,
     private readonly fenceOf: (replica: string) => number | null,
   ) {
-    this.carrier = new RepeatingTimer(ports.clock, () => bundleMs, this.carry);
+    this.bundleTimer = new RepeatingTimer(ports.clock, () => bundleMs, this.sendBundle);
   }
 
-  private readonly carry = (): void => {
+  private readonly sendBundle = (): void => {
     if (this.bundle.length === 0) return;
     const update = this.bundle;
     this.bundle = [];
@@ -107,7 +107,7 @@
   readonly sizes = (): ReturnType<PrefixIndex['sizes']> => this.index.sizes();
 
   readonly stop = (): void => {
-    this.carrier.stop();
+    this.bundleTimer.stop();
     for (const followed of this.followed.values()) followed.follower.stop();
   };
 }
--- a/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
+++ b/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
@@ -11,7 +11,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly carry: (bundle: readonly PrefillNotice[]) => void,
+    private readonly send: (bundle: readonly PrefillNotice[]) => void,
   ) {}
 
   readonly take = (update: PrefillNotice): void => {
@@ -25,9 +25,9 @@
 
   private readonly flush = (): void => {
     this.isPlanned = false;
-    const told = [...this.bundle.values()];
+    const notices = [...this.bundle.values()];
     this.bundle.clear();
     this.begun.clear();
-    if (told.length > 0) this.carry(told);
+    if (notices.length > 0) this.send(notices);
   };
 }
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -57,7 +57,7 @@
     if (!isBorn || !stored.pairs.isFirstById()) return;
     this.counts.lives += 1;
     this.clear(stored);
-    this.plan();
+    this.scheduleBundle();
   };
 
   /** A edge's answers showed that these parts are gone: they come back by fresh events only. */
@@ -71,7 +71,7 @@
       stored.doubted.set(label, this.clock.now());
       stored.fresh.splice(0, stored.fresh.length, ...stored.fresh.filter((update) => labelOf(update) !== label));
       stored.fresh.push({ isKept: false, salt, part, tokens: 0 });
-      this.plan();
+      this.scheduleBundle();
     }
   };
 
@@ -113,7 +113,7 @@
   };
 
   readonly takeRelayed = (bundle: readonly PrefixCacheUpdate[]): void => {
-    const told = bundle.filter(({ address, isWhole, isHeard, events: update }) => {
+    const accepted = bundle.filter(({ address, isWhole, isHeard, events: update }) => {
       const stored = this.prefixCaches.get(address);
       if (stored === undefined || !stored.isStopped) return false;
       stored.isHeard = isHeard;
@@ -122,7 +122,7 @@
       stored.fresh.length = 0;
       return true;
     });
-    if (told.length > 0) this.tell(told);
+    if (accepted.length > 0) this.tell(accepted);
   };
 
   private readonly follow = async (address: string, stored: StoredPrefixes, isTakenOver: boolean): Promise<void> => {
@@ -133,7 +133,7 @@
       const page = await this.backendClient.prefixCacheEvents(address, stored.since, holdMs);
       if (stored.isStopped) return;
       if (page.isErr()) {
-        if (stored.isHeard && this.clock.now() - stored.heardAt > unheardMs) this.hush(address, stored);
+        if (stored.isHeard && this.clock.now() - stored.heardAt > unheardMs) this.markSilent(address, stored);
         await pause.for(this.clock, faultPauseMs * (0.5 + this.random.fraction()));
         continue;
       }
@@ -147,13 +147,13 @@
       }
       if (isReborn && stored.since > 0) {
         Object.assign(stored, { epoch, since: 0, heardAt: this.clock.now(), isHeard: true });
-        this.plan();
+        this.scheduleBundle();
         continue;
       }
       const isBack = !stored.isHeard;
       Object.assign(stored, { epoch, since: next, heardAt: this.clock.now(), isHeard: true });
       for (const one of update) this.note(stored, one);
-      if (isBack || stored.isCleared || stored.fresh.length > 0) this.plan();
+      if (isBack || stored.isCleared || stored.fresh.length > 0) this.scheduleBundle();
       const spentMs = this.clock.now() - askedAt;
       if (spentMs < paceMs) await pause.for(this.clock, (paceMs - spentMs) * (0.9 + 0.2 * this.random.fraction()));
     }
@@ -170,26 +170,26 @@
     stored.fresh.push(update);
   };
 
-  private readonly hush = (address: string, stored: StoredPrefixes): void => {
+  private readonly markSilent = (address: string, stored: StoredPrefixes): void => {
     stored.isHeard = false;
     this.log.warn('kv-events source is silent', { address });
-    this.plan();
+    this.scheduleBundle();
   };
 
-  private readonly plan = (): void => {
+  private readonly scheduleBundle = (): void => {
     if (this.isBundling) return;
     this.isBundling = true;
-    this.clock.after(bundleMs, this.carry);
+    this.clock.after(bundleMs, this.sendBundle);
   };
 
-  private readonly toldHeard = new Map<string, boolean>();
+  private readonly sentHeard = new Map<string, boolean>();
 
-  private readonly carry = (): void => {
+  private readonly sendBundle = (): void => {
     this.isBundling = false;
     const bundle: PrefixCacheUpdate[] = [];
     for (const [address, stored] of this.prefixCaches) {
       if (stored.isStopped) continue;
-      if (!stored.isCleared && stored.fresh.length === 0 && this.toldHeard.get(address) === stored.isHeard) continue;
+      if (!stored.isCleared && stored.fresh.length === 0 && this.sentHeard.get(address) === stored.isHeard) continue;
       bundle.push({
         address,
         isWhole: stored.isCleared,
@@ -198,9 +198,9 @@
         events: stored.fresh.splice(0),
       });
       stored.isCleared = false;
-      this.toldHeard.set(address, stored.isHeard);
+      this.sentHeard.set(address, stored.isHeard);
     }
-    for (const address of this.toldHeard.keys()) if (!this.prefixCaches.has(address)) this.toldHeard.delete(address);
+    for (const address of this.sentHeard.keys()) if (!this.prefixCaches.has(address)) this.sentHeard.delete(address);
     if (bundle.length === 0) return;
     this.tell(bundle);
     this.relay(bundle);
--- a/packages/control-plane/src/weights/weightsRollout.ts
+++ b/packages/control-plane/src/weights/weightsRollout.ts
@@ -70,7 +70,7 @@
       this.underWay.set(one.endpoint.id, one.endpoint.pool);
       background.run(
         'load weights',
-        this.bring(one).finally(() => this.underWay.delete(one.endpoint.id)),
+        this.load(one).finally(() => this.underWay.delete(one.endpoint.id)),
       );
     }
   };
@@ -88,7 +88,7 @@
     this.rest(one, 0);
   };
 
-  private readonly bring = async (one: Waiting): Promise<void> => {
+  private readonly load = async (one: Waiting): Promise<void> => {
     const { endpoint, model, version } = one;
     this.rest(one, restMs);
     await pause.for(this.clock, noticeMs);
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -3,8 +3,8 @@
 import { SimWorld } from '@martenworks/test-fleet';
 import { stateMachine } from '@martenworks/core-types';
 import type { CommittedState, Change, Member } from '@martenworks/core-types';
-import { Proposer, acceptors, positions } from '@martenworks/control-plane';
-import type { Acceptor, ProposeFault, Voters } from '@martenworks/control-plane';
+import { Proposer, acceptors, positions, proposalErrors } from '@martenworks/control-plane';
+import type { Acceptor, Voters } from '@martenworks/control-plane';
 
 const timeoutMs = 700;
 const hopMs = 1;
@@ -102,7 +102,7 @@
 
 const refuse = (node: Node | undefined, id: string): ReturnType<Proposer['propose']> =>
   (node as Node).proposer.propose(
-    ({ configLogIndex }) => err({ kind: 'conflict', configLogIndex, detail: 'refused' } as ProposeFault),
+    ({ configLogIndex }) => err(proposalErrors.conflict(configLogIndex, 'refused')),
     id,
     id,
     timeoutMs,
@@ -135,7 +135,7 @@
     const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
     expect(states.map((state) => state?.logIndex)).to.deep.equal([1, 1, 1, 1, 1]);
     const outcome = await done(world, refuse(nodes[3], 'b'));
-    expect(outcome._unsafeUnwrapErr().kind).to.equal('conflict');
+    expect(outcome._unsafeUnwrapErr().code).to.equal('conflict');
     expect(nodes.map(({ host }) => world.machine(host).disk.syncs)).to.deep.equal(before);
     expect(counts.prepare).to.equal(ballotsBefore);
   });
@@ -174,12 +174,12 @@
       const outcome = await done(world, propose(nodes[0], revoked('a', 'a')));
       expect(world.time - begin).to.be.lessThan(timeoutMs + 30);
       if (outcome.isOk()) continue;
-      expect(outcome.error.kind).to.be.oneOf(['unavailable', 'unknown']);
+      expect(outcome.error.code).to.be.oneOf(['unavailable', 'unknown']);
       built.passes = () => true;
       await world.run(5_000);
       await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
       const wasTaken = nodes.some((node) => stateOf(node).changeIds.a !== undefined);
-      if (wasTaken) expect(outcome.error.kind, `seed ${seed}`).to.equal('unknown');
+      if (wasTaken) expect(outcome.error.code, `seed ${seed}`).to.equal('unknown');
     }
   });
 
@@ -193,7 +193,7 @@
     await world.run(10_000);
     const refused = changes.filter((_, at) => {
       const outcome = outcomes[at];
-      return outcome?.isErr() === true && outcome.error.kind === 'unavailable';
+      return outcome?.isErr() === true && outcome.error.code === 'unavailable';
     });
     expect(refused.length).to.be.greaterThan(3);
     for (const { id } of refused)
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -1,5 +1,6 @@
 import { err, ok } from 'neverthrow';
-import type { ProposeFault, Proposer } from '@martenworks/control-plane';
+import { proposalErrors } from '@martenworks/control-plane';
+import type { Proposer } from '@martenworks/control-plane';
 import type { CommittedState, Change, ActiveRouting } from '@martenworks/core-types';
 import type { Checker, Order } from './checker.js';
 import type { ModelNode } from './modelNode.js';
@@ -13,12 +14,7 @@
   const check = (state: CommittedState) => {
     const configVersion = state.routing?.configVersion ?? 0;
     if (configVersion === order.base) return ok(change);
-    const fault: ProposeFault = {
-      kind: 'conflict',
-      configLogIndex: configVersion,
-      detail: `${configVersion} is in force`,
-    };
-    return err(fault);
+    return err(proposalErrors.conflict(configVersion, `${configVersion} is in force`));
   };
   return [check, order.id, order.id, orderTimeoutMs];
 };
@@ -55,7 +51,7 @@
       this.known = Math.max(this.known, order.configVersion);
       return true;
     }
-    if (outcome.error.kind === 'conflict' || outcome.error.kind === 'rejected')
+    if (outcome.error.code === 'conflict' || outcome.error.code === 'rejected')
       this.checker().orderRefused(order, node.name);
     return false;
   };
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -243,7 +243,7 @@
           const config = controlNode.changes.config;
           loosened(controlNode.changes).config = async (id, base, edit) => {
             const outcome = await config(id, base, edit);
-            if (outcome.isErr() && outcome.error.kind === 'conflict')
+            if (outcome.isErr() && outcome.error.code === 'conflict')
               void config(id, outcome.error.configLogIndex, edit);
             return outcome;
           };
@@ -261,7 +261,7 @@
           const config = controlNode.changes.config;
           loosened(controlNode.changes).config = async (id, base, edit) =>
             (await config(id, base, edit)).orElse((fault) =>
-              fault.kind === 'conflict' ? ok({ logIndex: base + 1, isRepeat: false }) : err(fault),
+              fault.code === 'conflict' ? ok({ logIndex: base + 1, isRepeat: false }) : err(fault),
             );
         },
       },
