--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -1,3 +1,4 @@
+/** The calls of the data plane and control nodes to the platform behind the fleet, and the translation of headers. */
 import type { Result } from 'neverthrow';
 import type { BackendError } from './errors.js';
 import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
@@ -9,7 +10,7 @@
   readonly fence: number;
 }
 
-/** `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fence was seen; `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken. */
+/** `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fencing token was seen; `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken. */
 export type WeightsOrderOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
 interface ReplicaReport {
@@ -17,6 +18,10 @@
   readonly isBusy: boolean;
 }
 
+/**
+ * Cache events of one address after a number. `epoch` changes with each run of its process, `next` is the number
+ * to ask from, and `isLost` tells that events before these are no longer kept.
+ */
 export interface PrefixCacheEventPage {
   readonly epoch: string;
   readonly next: number;
@@ -30,7 +35,7 @@
   readonly held: readonly PrefixCacheEvent[];
 }
 
-/** What the core asks of the world behind the fleet. Times are in milliseconds; each call ends within its patience. */
+/** What control nodes ask of the platform and its replicas. Times are in milliseconds; each call ends within its timeout. */
 export interface BackendClient {
   readonly replicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
   readonly order: (endpoint: ReplicaEndpoint, order: WeightsOrder) => Promise<WeightsOrderOutcome>;
@@ -43,7 +48,7 @@
   readonly prefixCacheListing: (address: string) => Promise<Result<PrefixCacheListing, BackendError>>;
 }
 
-/** A caller's order as the data plane understands it; its headers and body stay opaque beside it. */
+/** A caller's request as the data plane understands it; its headers and body stay opaque beside it. */
 export interface RequestMetadata {
   readonly id: string;
   readonly key: string | null;
@@ -54,6 +59,12 @@
   readonly parts: readonly PromptPart[];
 }
 
+/**
+ * What one attempt tells its replica. `leftMs` is the milliseconds until its deadline; `urgency` the rank, 0
+ * first; `salt` the cache namespace; `version` the weights version it must run on; `holder` and `store` are the
+ * addresses to fetch cached parts from and to keep them at; `resumeAfter` is the id of the last event that the
+ * caller has.
+ */
 export interface AttemptPlan {
   readonly replica: string;
   readonly leftMs: number;
@@ -66,7 +77,7 @@
   readonly resumeAfter: string | null;
 }
 
-/** `isOwn`: it bears the request's own id; an answer that bears none, a refusal too, may belong to an earlier request. */
+/** `isOwn`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier request. */
 export interface ResponseHead {
   readonly isOwn: boolean;
   readonly isNotRun: boolean;
@@ -89,6 +100,7 @@
   readonly rejectionBody: (message: string) => string;
 }
 
+/** A configuration that an operator puts into force: its version, its routing table, and the text it was read from. */
 export interface ConfigurationChange {
   readonly configVersion: number;
   readonly table: RoutingTable;
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -2,10 +2,15 @@
 import type { GatewayConfig, Tenant } from './gatewayConfig.js';
 import type { ActiveRouting } from './routing.js';
 
+/** What an API key admits to: the requests of one tenant. */
 export interface KeyGrant {
   readonly tenant: string;
 }
 
+/**
+ * A seat among the voters. `incarnation` is that of the node's data folder: a node with a new disk is another
+ * member.
+ */
 export interface Member {
   readonly name: string;
   readonly address: string;
@@ -28,6 +33,11 @@
   readonly targetWeights: Record<string, number>;
 }
 
+/**
+ * The state after `logIndex` changes. `configLogIndex` is the index of the change that brought the configuration,
+ * `weightsSince` and `storeSince` the index since which a pool's weights and a store's contents may be relied on;
+ * `keys` are by hash, `changeIds` by the id of the change, `targetWeights` by model.
+ */
 export interface CommittedState {
   readonly logIndex: number;
   readonly configLogIndex: number;
@@ -42,6 +52,10 @@
   readonly targetWeights: Record<string, number>;
 }
 
+/**
+ * What a change asks for. `base` names the configuration it builds on; where another is in force, it takes no
+ * effect.
+ */
 export type ChangeBody =
   | { readonly kind: 'config'; readonly config: GatewayConfig; readonly base: number }
   | { readonly kind: 'grant'; readonly keyHash: string; readonly grant: KeyGrant; readonly tenant: Tenant | null }
@@ -50,6 +64,10 @@
   | { readonly kind: 'routing'; readonly base: number; readonly routing: ActiveRouting }
   | { readonly kind: 'weights'; readonly model: string; readonly version: number };
 
+/**
+ * A change as the log carries it. `id` is chosen by who sends it and `digest` is of its contents, so that one sent
+ * twice is taken once.
+ */
 export interface Change {
   readonly id: string;
   readonly digest: string;
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -1,3 +1,4 @@
+/** The messages between edges and control nodes. */
 import type { Member } from './committedState.js';
 import type { Customer, PrefixCacheEvent, ReplicaEndpoint, Route, RoutingTable } from './routing.js';
 
@@ -14,7 +15,7 @@
   readonly rest: Omit<RoutingTable, 'routes' | 'customers'>;
 }
 
-/** A routing table, or where `from` is an configuration version, a patch that builds on it; as JSON in raw deflate. */
+/** A routing table, or where `from` is a configuration version, a patch that builds on it; as JSON in raw deflate. */
 export interface PackedRoutingTable {
   readonly from: number | null;
   readonly deflated: Uint8Array;
@@ -33,25 +34,28 @@
   readonly members: readonly Member[];
 }
 
-/** What is in force, as an edge holds it; `namedAges` tells since when the teller knows the latest named versions of each model, the newest last. */
+/** What is in force, as an edge knows it; `weightsAges` tells since when the sender knows the latest versions named of each model, the newest last. */
 export interface EdgeState extends EdgeStateFields {
   readonly table: RoutingTable | null;
 }
 
-/** What is in force, as a control node tells it to an edge; `book` is null where the edge holds that edition. */
+/** What is in force, as a control node sends it to an edge; `packedTable` is null where the edge has that configuration version. */
 export interface EdgeStateMessage extends EdgeStateFields {
   readonly packedTable: PackedRoutingTable | null;
 }
 
+/** Where a node stands: log index of the committed state, version of the configuration in force. */
 export interface StatePosition {
   readonly logIndex: number;
   readonly configVersion: number;
 }
 
+/** An edge asks a control node for the state after its position; without `wantsContent` it is told positions only. */
 export interface Subscription extends StatePosition {
   readonly wantsContent: boolean;
 }
 
+/** Endpoints that were put, by id, and ids taken away; `isWhole` tells that there are no others. */
 export interface EndpointListUpdate {
   readonly isWhole: boolean;
   readonly put: readonly ReplicaEndpoint[];
@@ -66,7 +70,7 @@
   readonly forMs: number;
 }
 
-/** Which parts one address keeps; `isWhole` says that nothing else of it is known. */
+/** Which parts one address keeps; `isWhole` tells that it keeps no others, `isHeard` whether its events are being followed. */
 export interface PrefixCacheUpdate {
   readonly address: string;
   readonly isWhole: boolean;
@@ -75,11 +79,12 @@
   readonly events: readonly PrefixCacheEvent[];
 }
 
+/** An edge's heartbeat to a control node, with its position. */
 export interface EdgePing extends StatePosition {
   readonly isReady: boolean;
 }
 
-/** `isSettled` tells whether the control node hears a majority of the members; `majorityHeardMs` how many milliseconds ago it last had bytes of each of a majority, null where it has no connection to one. */
+/** `hasMajority` tells whether the control node hears a majority of the members; `majorityHeardMs` how many milliseconds ago it last had bytes of each of a majority, null where it has no connection to one. */
 export interface EdgePong {
   readonly logIndex: number;
   readonly edgeCount: number;
@@ -88,7 +93,7 @@
   readonly listAgeMs: number | null;
 }
 
-/** A long prompt that one edge has a replica read: `tokens` is 0 once it is read. Told to the other edges, which do not see each other's requests. */
+/** A long prompt that one edge has a replica read: `tokens` is 0 once it is read. Sent to the other edges, which do not see each other's requests. */
 export interface PrefillNotice {
   readonly id: string;
   readonly replica: string;
@@ -97,7 +102,7 @@
   readonly part: string | null;
 }
 
-/** Parts that a edge's answers speak against at an address where the index has them: one strike, or decided that they are gone. With `barMs` the address does not count as keeping them for that long, whatever its events tell. */
+/** Cached parts that responses to an edge speak against, at an address where the index has them: one miss, or, with `isDecided`, enough of them to count the parts as gone. With `quarantineMs` the address does not count as keeping them for that long, whatever its events tell. */
 export interface CacheMissReport {
   readonly address: string;
   readonly salt: string;
--- a/packages/core-types/src/errors.ts
+++ b/packages/core-types/src/errors.ts
@@ -23,6 +23,7 @@
 /** Whether a rejected request may have run on a replica. */
 export type Ran = 'no' | 'unknown';
 
+/** Why a request was rejected. The codes and their HTTP statuses are part of the wire format. */
 export type RejectionCode =
   | 'bad_request'
   | 'unknown_key'
--- a/packages/core-types/src/log.ts
+++ b/packages/core-types/src/log.ts
@@ -1,3 +1,4 @@
+/** The structured log, JSON lines on standard output. */
 import './logSwitch.js';
 import { ROARR, Roarr } from 'roarr';
 import type { Log } from './ports/ports.js';
@@ -11,6 +12,7 @@
   child: (context) => over(roarr.child(context as never)),
 });
 
+/** A program's log, each line with the given fields; and a log that drops everything, for tests. */
 export const logs = {
   named: (program: string, fields: Fields): Log => {
     ROARR.write = (line) => void process.stdout.write(`${line}\n`);
--- a/packages/core-types/src/prompt.ts
+++ b/packages/core-types/src/prompt.ts
@@ -1,8 +1,14 @@
+/** Hashes: blocks of prompts for the prefix cache, API keys, and digests of JSON values. */
 import { createHash } from 'node:crypto';
 
 const blockBytes = 256;
 const bytesPerToken = 4;
 
+/**
+ * Blocks and tokens of a prompt's text. Each block's hash (24 hex digits) covers all text before it, so that equal
+ * hashes mean an equal prefix; what is left after the last whole block has none. Tokens are estimated at four
+ * bytes each.
+ */
 export const prompts = {
   blocks: (prompt: string): string[] => {
     const bytes = Buffer.from(prompt, 'utf8');
@@ -22,6 +28,7 @@
   blockTokens: blockBytes / bytesPerToken,
 };
 
+/** API keys are kept as hashes only. */
 export const keys = {
   hash: (key: string): string => createHash('sha256').update('martenworks-key:').update(key).digest('hex'),
 };
@@ -53,6 +60,7 @@
   return { o: rewritten };
 };
 
+/** Digests of JSON values. */
 export const digests = {
   /** 32 hex digits; alike for JSON values that differ only in the order of their objects' names. */
   ofCanonical: (value: unknown): string => digests.of(canonical(value, [], 0)),
--- a/packages/core-types/src/replicaEndpoints.ts
+++ b/packages/core-types/src/replicaEndpoints.ts
@@ -1,6 +1,7 @@
 /** Merging of what two sources tell of one replica. */
 import type { ReplicaEndpoint } from './routing.js';
 
+/** Joins endpoints that were received with those known. */
 export const replicaEndpoints = {
   /**
    * The received endpoint, merged with the one known before under the same id. An id names one incarnation of a
--- a/packages/core-types/src/replicaRecords.ts
+++ b/packages/core-types/src/replicaRecords.ts
@@ -1,7 +1,12 @@
 /** The record of one replica of a gateway, as the nodes gossip it, and the merge of two records of the same replica. */
 
+/** In this order: a record further along wins a merge. */
 type ReplicaState = 'ready' | 'leaving' | 'gone';
 
+/**
+ * A replica, or a cache store, of a gateway. `incarnation` grows with each run of its process; `born` is the log
+ * index at which it was announced; `sides` are the isolated tenants that it may have served.
+ */
 export interface ReplicaRecord {
   readonly name: string;
   readonly kind: 'replica' | 'store';
@@ -26,6 +31,10 @@
 const movedSide = '*moved*';
 const unknownSide = '*unknown*';
 
+/**
+ * Merges records of one replica. The merge is commutative and idempotent, so that nodes agree whatever the order
+ * they hear of them; `filled` completes a record of an older release, whose sides are unknown.
+ */
 export const replicas = {
   filled: (record: ReplicaRecord): ReplicaRecord => ({
     ...record,
--- a/packages/core-types/src/timers.ts
+++ b/packages/core-types/src/timers.ts
@@ -1,5 +1,10 @@
+/** Waiting on the clock port. */
 import type { Clock } from './ports/ports.js';
 
+/**
+ * `for` waits for some milliseconds; `within` gives what `late` returns where the work takes longer than that, and
+ * does not stop the work.
+ */
 export const pause = {
   for: (clock: Clock, delayMs: number): Promise<void> => new Promise((wake) => void clock.after(delayMs, wake)),
   within: <T>(clock: Clock, delayMs: number, work: Promise<T>, late: () => T): Promise<T> =>
@@ -18,6 +23,7 @@
     }),
 };
 
+/** Runs a task again and again, with a new delay in milliseconds each time; not at once. */
 export class RepeatingTimer {
   private timer: { cancel: () => void } | null = null;
   private isStopped = false;
@@ -38,6 +44,7 @@
     });
   };
 
+  /** Runs the task no more. */
   readonly stop = (): void => {
     this.isStopped = true;
     this.timer?.cancel();
--- a/packages/settings/src/gatewayConfigCheck.ts
+++ b/packages/settings/src/gatewayConfigCheck.ts
@@ -1,8 +1,10 @@
+/** Checks the configurations that operators of a gateway send. */
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { GatewayConfig } from '@martenworks/core-types';
 
+/** One problem, and where it is: a JSON pointer. */
 export interface ValidationIssue {
   readonly path: string;
   readonly message: string;
@@ -120,6 +122,7 @@
   return next;
 };
 
+/** Checks and merges configurations. */
 export const gatewayConfigs = {
   /** Checks a whole configuration, the names in it too, and fills in its defaults. */
   check: (given: unknown): Result<GatewayConfig, ValidationIssue[]> => {
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -1,10 +1,16 @@
+/** The settings of the gateway roles, from a file and from flags. */
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { ValidationIssue } from './gatewayConfigCheck.js';
 
+/** The roles that read these settings. */
 export type Role = 'gateway' | 'gateway-control';
 
+/**
+ * The settings of a gateway or gateway control node; what each means is the `help` of its field. Times are in
+ * milliseconds.
+ */
 export interface GatewaySettings {
   readonly role: Role;
   readonly name: string;
@@ -63,6 +69,7 @@
   switch: (raw: string): unknown => (raw === 'on' ? true : raw === 'off' ? false : raw),
 };
 
+/** Each field: how its flag is read, and its line in the help, with the default in brackets. */
 export const settingsFields = {
   name: { form: forms.text, help: "this node's name, unlike any other node's" },
   zone: { form: forms.text, help: 'the zone this machine stands in' },
--- a/packages/settings/src/nodeSettings.ts
+++ b/packages/settings/src/nodeSettings.ts
@@ -1,3 +1,4 @@
+/** The settings of an edge or control node, checked without arktype, whose loading a start would pay for. */
 import * as v from 'valibot';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -38,6 +39,7 @@
 /** What a process of the opaque path is told: its place, its bounds (milliseconds unless the name says otherwise), its limits. */
 export type NodeSettings = v.InferOutput<typeof shape>;
 
+/** The issues of a valibot check; `at` comes before each path. */
 export const validationIssues = {
   of: (issues: readonly v.BaseIssue<unknown>[], at = ''): ValidationIssue[] =>
     issues.map((issue) => ({
@@ -46,6 +48,7 @@
     })),
 };
 
+/** Checks the settings of a node. */
 export const nodeSettings = {
   check: (given: unknown): Result<NodeSettings, ValidationIssue[]> => {
     const shaped = v.safeParse(shape, given);
