--- a/packages/edge-proxy/src/forwarding/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/answerRelay.ts
@@ -94,7 +94,7 @@
 
   private readonly isRepeat = (id: string | null): boolean => {
     if (id === null || this.lastId === null) return false;
-    const [told, last] = [Number(id), Number(this.lastId)];
-    return Number.isFinite(told) && Number.isFinite(last) ? told <= last : id === this.lastId;
+    const [current, last] = [Number(id), Number(this.lastId)];
+    return Number.isFinite(current) && Number.isFinite(last) ? current <= last : id === this.lastId;
   };
 }
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -60,7 +60,7 @@
     this.mayLeave = mayRepeat && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
-    const typicalFirstMs = replicaTracker.typicalFirstMs(admission.pool);
+    const typicalFirstMs = replicaTracker.readRates.typicalFirstMs(admission.pool);
     this.firstTimeoutMs = retryPolicy.firstTimeoutMs({ targetMs: route.latencyTargetMs, costMs, typicalFirstMs });
     this.gapTimeoutMs = retryPolicy.gapTimeoutMs(route, request.leftMs());
     const timeoutMs = this.mayLeave ? this.firstTimeoutMs : this.firstTimeoutMs * 2;
@@ -135,7 +135,7 @@
   private readonly gate = (): boolean => {
     const { tracked } = this.placed;
     const isReplicaOpen =
-      !tracked.endpoint.isLeaving && !tracked.isGone && !this.context.replicaTracker.isResting(tracked);
+      !tracked.endpoint.isLeaving && !tracked.isGone && !this.context.replicaTracker.health.isResting(tracked);
     if (this.stopCause !== null || !isReplicaOpen || !this.context.isStanding(this.request.admission)) return false;
     this.isWritten = true;
     this.request.progress.mayHaveRun = true;
@@ -169,13 +169,13 @@
 
   private readonly firstIsLate = (): void => {
     const { replicaTracker } = this.context;
-    replicaTracker.slow(this.placed.tracked);
-    replicaTracker.firstSeen(this.request.admission.pool, this.firstTimeoutMs);
+    replicaTracker.health.slow(this.placed.tracked);
+    replicaTracker.readRates.firstSeen(this.request.admission.pool, this.firstTimeoutMs);
     if (this.mayStillLeave()) this.stop('silent');
   };
 
   private readonly pieceIsLate = (): void => {
-    this.context.replicaTracker.slow(this.placed.tracked);
+    this.context.replicaTracker.health.slow(this.placed.tracked);
     if (this.request.admission.view.route.isResumable && this.mayStillLeave()) this.stop('silent');
   };
 
@@ -191,7 +191,7 @@
   private readonly failed = ({ code, isUnsent }: NetworkError): AttemptOutcome => {
     const { replicaTracker, metrics } = this.context;
     if (code === 'GATED') return notSent;
-    replicaTracker.failed(this.placed.tracked);
+    replicaTracker.health.failed(this.placed.tracked);
     metrics.add('shots_failed');
     if (this.isWritten && !isUnsent) return { kind: 'may have run', cause: `the replica broke off: ${code}` };
     this.takeBack();
@@ -217,7 +217,7 @@
     if (verdict.kind === 'drop') {
       this.abort.abort();
       this.discard(response);
-      if (verdict.holdsAgainst) replicaTracker.failed(tracked);
+      if (verdict.holdsAgainst) replicaTracker.health.failed(tracked);
       return { kind: 'may have run', cause: verdict.cause };
     }
     for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
@@ -228,7 +228,7 @@
       { onFirst: () => this.firstPiece(isSuccess, isFailure), onPiece: this.heardPiece, stopped: this.stopped },
     );
     if (outcome.kind !== 'whole') this.abort.abort();
-    if (outcome.kind === 'may have run') replicaTracker.failed(tracked);
+    if (outcome.kind === 'may have run') replicaTracker.health.failed(tracked);
     return outcome;
   };
 
@@ -244,8 +244,8 @@
       resting: tracked.restUntil - ports.clock.now(),
     });
     for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
-    if (head.isElsewhere) replicaTracker.failed(tracked);
-    else replicaTracker.full(tracked, head.retryAfterMs ?? fullRestMs);
+    if (head.isElsewhere) replicaTracker.health.failed(tracked);
+    else replicaTracker.health.full(tracked, head.retryAfterMs ?? fullRestMs);
     background.run('drain a rejected response', this.drain(response));
     return { kind: 'not run', isArrival: true, retryAfterMs: head.retryAfterMs };
   };
@@ -255,9 +255,9 @@
     const { tracked } = this.placed;
     this.timing.promptRead();
     const spentMs = this.timing.spentMs();
-    if (isSuccess) replicaTracker.firstSeen(this.request.admission.pool, spentMs);
-    if (isFailure) replicaTracker.failed(tracked);
-    else replicaTracker.answered(tracked);
+    if (isSuccess) replicaTracker.readRates.firstSeen(this.request.admission.pool, spentMs);
+    if (isFailure) replicaTracker.health.failed(tracked);
+    else replicaTracker.health.answered(tracked);
     if (isSuccess) this.timing.learn(spentMs);
   };
 
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -18,7 +18,7 @@
     socket.once('close', this.closed);
   }
 
-  /** Keeps one request until its answer is whole; the verb that it returns registers whom to tell that the caller left. */
+  /** Keeps one request until its answer is whole; the function that it returns registers whom to tell that the caller left. */
   readonly begin = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
     const exchange: Exchange = { incoming, response, onGone: [] };
     this.open.add(exchange);
@@ -48,6 +48,6 @@
 
   private readonly ended = (exchange: Exchange): void => {
     if (!this.open.delete(exchange) || exchange.response.writableFinished) return;
-    for (const verb of exchange.onGone.splice(0)) verb();
+    for (const listener of exchange.onGone.splice(0)) listener();
   };
 }
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -32,7 +32,7 @@
   readonly headerBytes: number;
   readonly response: Promise<Response>;
   private settle: (response: Response) => void = () => {};
-  private readonly leavers: (() => void)[] = [];
+  private readonly goneListeners: (() => void)[] = [];
   private isOver = false;
   private wake: () => void = () => {};
 
@@ -44,18 +44,18 @@
     this.host = request.headers.get('host') ?? host;
     this.headerBytes = this.headers.reduce((sum, text) => sum + text.length + 2, 0) + this.target.length;
     this.response = new Promise((resolve) => (this.settle = resolve));
-    request.signal.addEventListener('abort', this.left, { once: true });
+    request.signal.addEventListener('abort', this.callerGone, { once: true });
   }
 
-  private readonly left = (): void => {
+  private readonly callerGone = (): void => {
     if (this.isOver) return;
     this.over();
-    for (const verb of this.leavers.splice(0)) verb();
+    for (const listener of this.goneListeners.splice(0)) listener();
   };
 
   private readonly over = (): void => {
     this.isOver = true;
-    this.request.signal.removeEventListener('abort', this.left);
+    this.request.signal.removeEventListener('abort', this.callerGone);
     this.wake();
   };
 
@@ -66,7 +66,7 @@
       listener();
       return;
     }
-    this.leavers.push(listener);
+    this.goneListeners.push(listener);
   };
 
   readonly answer = (status: number, headers: readonly string[], isLast: boolean): Reply => {
@@ -77,7 +77,7 @@
         pipe = controller;
       },
       pull: () => this.wake(),
-      cancel: this.left,
+      cancel: this.callerGone,
     });
     const act = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
       if (pipe !== null && !this.isOver) listener(pipe);
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -26,8 +26,8 @@
   constructor(private readonly clock: Clock) {}
 
   private readonly stored = (address: string): StoredPrefixes => {
-    const held = this.prefixCaches.get(address);
-    if (held !== undefined) return held;
+    const known = this.prefixCaches.get(address);
+    if (known !== undefined) return known;
     const fresh: StoredPrefixes = {
       isHeard: false,
       unheardAt: null,
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -1,6 +1,6 @@
 import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from '../edgeContext.js';
-import { heavyTokens } from '../routing/replicaTracker.js';
+import { heavyTokens } from '../routing/readRates.js';
 import type { ExpectedHit } from './staleEntryDetector.js';
 import type { Placement } from '../routing/placement.js';
 
@@ -33,7 +33,7 @@
     this.sentAt = context.ports.clock.now();
     this.pendingBefore = tracked.pendingTokens + tracked.othersTokens;
     this.isIdle =
-      tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.isSuspect(tracked);
+      tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.health.isSuspect(tracked);
     this.isAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
@@ -66,10 +66,10 @@
     if (affinityPart === null || salt === null) return;
     prefixCaches.saw(tracked.endpoint.address, salt, affinityPart.id);
     const isLate = this.isIdle && this.speaksAgainstIndex(spentMs);
-    if (this.isAlone && !isLate) replicaTracker.measured(readTokens, spentMs - pullMs);
+    if (this.isAlone && !isLate) replicaTracker.readRates.measured(readTokens, spentMs - pullMs);
     const hasReadAlone = this.aheadTokens() === 0 && (readsAll || expectedHit?.pullMs === null);
     if (!this.isIdle || isLate || !hasReadAlone) return;
-    replicaTracker.sampled(tracked, this.admission.order.tokensIn - (expectedHit?.tokens ?? 0), spentMs);
+    replicaTracker.readRates.sampled(tracked, this.admission.order.tokensIn - (expectedHit?.tokens ?? 0), spentMs);
   };
 
   private readonly aheadTokens = (): number => {
@@ -93,7 +93,7 @@
       expectedHit,
       restTokens: Math.max(0, this.admission.order.tokensIn - expectedHit.tokens),
       aheadTokens: this.aheadTokens(),
-      tokensPerMs: replicaTracker.readingRate(this.placed.tracked),
+      tokensPerMs: replicaTracker.readRates.readingRate(this.placed.tracked),
       isHeard: prefixCaches.isHeard(expectedHit.address),
       sentAt: this.sentAt,
     };
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -10,8 +10,8 @@
 const strikesHeard = 2;
 const strikesUnheard = 1;
 const forgetMs = 60_000;
-const firstBarMs = 15_000;
-const longestBarMs = 120_000;
+const firstQuarantineMs = 15_000;
+const longestQuarantineMs = 120_000;
 const mostLabels = 2_000;
 const doubtMs = 30_000;
 const doubtedLabels = 2;
@@ -81,8 +81,8 @@
     const label = labelOf(timing.expectedHit);
     if (verdict === 'found') {
       this.counts.found += 1;
-      const held = this.suspicions.get(label);
-      if (held !== undefined) held.strikes = 0;
+      const known = this.suspicions.get(label);
+      if (known !== undefined) known.strikes = 0;
       return { kind: 'none' };
     }
     const suspicion = this.suspicion(label, now);
@@ -98,7 +98,10 @@
     this.counts.drops += 1;
     if (suspicion.drops === 1 || timing.expectedHit.pullMs !== null) return { kind: 'drop', quarantineMs: null };
     this.counts.bars += 1;
-    return { kind: 'drop', quarantineMs: Math.min(longestBarMs, firstBarMs * 2 ** (suspicion.drops - 2)) };
+    return {
+      kind: 'drop',
+      quarantineMs: Math.min(longestQuarantineMs, firstQuarantineMs * 2 ** (suspicion.drops - 2)),
+    };
   };
 
   /** What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already. */
@@ -123,9 +126,9 @@
 
   private readonly fell = (address: string, label: string): void => {
     const now = this.clock.now();
-    const held = this.fallen.get(address) ?? new Map<string, number>();
-    this.fallen.set(address, held.set(label, now));
-    for (const [other, at] of held) if (now - at > doubtMs) held.delete(other);
+    const known = this.fallen.get(address) ?? new Map<string, number>();
+    this.fallen.set(address, known.set(label, now));
+    for (const [other, at] of known) if (now - at > doubtMs) known.delete(other);
   };
 
   /** Another replica has the address. */
@@ -135,8 +138,8 @@
   };
 
   private readonly suspicion = (label: string, now: number): Suspicion => {
-    const held = this.suspicions.get(label);
-    if (held !== undefined && now - held.notedAt <= forgetMs) return held;
+    const known = this.suspicions.get(label);
+    if (known !== undefined && now - known.notedAt <= forgetMs) return known;
     this.forget(now);
     const fresh: Suspicion = { strikes: 0, notedAt: -Infinity, drops: 0 };
     this.suspicions.set(label, fresh);
--- a/packages/edge-proxy/src/routing/candidateScorer.ts
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -2,7 +2,8 @@
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ScoredCandidate } from './placement.js';
 import type { PlacementRound } from './placementRound.js';
-import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
+import type { ReplicaTracker } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 import type { WeightsEligibility } from './weightsEligibility.js';
 
 const runCostMs = 4;
@@ -49,14 +50,16 @@
     const readTokens = Math.max(0, query.order.tokensIn - (isMissing ? 0 : affinity.prefixTokens));
     const pullMs = availability === 'transferable' ? round.pullMs(affinity.prefixTokens) : 0;
     const transferMs =
-      availability === 'transferable' ? this.replicaTracker.readMs(affinity.prefixTokens) * crowdingShare + pullMs : 0;
+      availability === 'transferable'
+        ? this.replicaTracker.readRates.readMs(affinity.prefixTokens) * crowdingShare + pullMs
+        : 0;
     const costMs =
-      this.replicaTracker.readMs(tracked.pendingTokens + tracked.othersTokens + readTokens) +
+      this.replicaTracker.readRates.readMs(tracked.pendingTokens + tracked.othersTokens + readTokens) +
       tracked.running * runCostMs +
       transferMs +
       (round.isPrefillRunning && isMissing ? readTwiceMs : 0) -
       this.bonusMs(round, rank, isMissing) +
-      (this.replicaTracker.isSuspect(tracked) ? suspicionMs : 0) +
+      (this.replicaTracker.health.isSuspect(tracked) ? suspicionMs : 0) +
       this.errorPenaltyMs(tracked) +
       this.oldWeightsPenaltyMs(round, version);
     const [isCached, isBeingPrefilled] = [availability === 'cached', availability === 'being prefilled'];
@@ -72,7 +75,7 @@
     if (lookup.isCachedBy(tracked, salt)) return 'cached';
     if (this.prefixCaches.isReading(tracked.endpoint.address, salt, trackedPart.id)) return 'being prefilled';
     const isHolder = (other: TrackedReplica): boolean =>
-      other !== tracked && this.replicaTracker.mayHandOver(other) && lookup.isCachedBy(other, salt);
+      other !== tracked && this.replicaTracker.health.mayHandOver(other) && lookup.isCachedBy(other, salt);
     return replicas.some(isHolder) ? 'transferable' : 'missing';
   };
 
@@ -80,11 +83,13 @@
   private readonly bonusMs = ({ affinity }: PlacementRound, rank: number, isMissing: boolean): number => {
     if (rank === 1) return secondChoiceBonusMs;
     if (rank !== 0) return 0;
-    return affinityBonusMs + (isMissing ? this.replicaTracker.readMs(affinity.prefixTokens) * crowdingShare : 0);
+    return (
+      affinityBonusMs + (isMissing ? this.replicaTracker.readRates.readMs(affinity.prefixTokens) * crowdingShare : 0)
+    );
   };
 
   private readonly errorPenaltyMs = (tracked: TrackedReplica): number => {
-    const errorRate = this.replicaTracker.errorRate(tracked);
+    const errorRate = this.replicaTracker.health.errorRate(tracked);
     return errorRate < negligibleErrorRate ? 0 : errorRate * errorPenaltyMs;
   };
 
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -5,7 +5,8 @@
 import type { Placement, ScoredCandidate } from './placement.js';
 import type { PlacementRound } from './placementRound.js';
 import { promptAffinity } from './promptAffinity.js';
-import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
+import type { ReplicaTracker } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 
 /** Cache stores for one prompt: the one that has it, and the one that should. */
 interface StoreChoice {
@@ -86,7 +87,7 @@
     salt: string,
   ): TrackedReplica | undefined => {
     if (isCached) return undefined;
-    const { isSuspect, mayHandOver } = this.replicaTracker;
+    const { isSuspect, mayHandOver } = this.replicaTracker.health;
     const holders = replicas
       .filter((other) => other !== tracked && mayHandOver(other) && lookup.isCachedBy(other, salt))
       .sort((a, b) => Number(isSuspect(a)) - Number(isSuspect(b)));
@@ -98,7 +99,7 @@
   /** Another edge may have placed the prefix already where rendezvous hashing ranks it first. */
   private readonly likelyHolder = ({ preferred }: PlacementRound, tracked: TrackedReplica): string | null => {
     if (preferred[0] === tracked) return null;
-    const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.isSuspect(other));
+    const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.health.isSuspect(other));
     return likely?.endpoint.address ?? null;
   };
 
--- a/packages/edge-proxy/src/routing/placement.ts
+++ b/packages/edge-proxy/src/routing/placement.ts
@@ -1,7 +1,7 @@
 /** The question that replica selection answers, and its answer. */
 import type { Customer, PromptPart, RequestMetadata } from '@martenworks/core-types';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
-import type { TrackedReplica } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 
 /** A candidate with its estimated cost; the cheapest one runs the request. */
 export interface ScoredCandidate {
--- a/packages/edge-proxy/src/routing/placementRound.ts
+++ b/packages/edge-proxy/src/routing/placementRound.ts
@@ -3,7 +3,7 @@
 import type { PlacementQuery, WeightsTarget } from './placement.js';
 import type { PrefixLookup } from './prefixLookup.js';
 import type { PromptAffinity } from './promptAffinity.js';
-import type { TrackedReplica } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 
 /** One request's placement: the question, the replicas of its pool, and what is known of its prompt. */
 export interface PlacementRound {
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -3,7 +3,7 @@
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
 import { promptAffinity, trackedTokens } from './promptAffinity.js';
-import type { TrackedReplica } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 
 const isTracked = (part: PromptPart): boolean => part.tokens >= trackedTokens;
 
--- a/packages/edge-proxy/src/routing/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -10,7 +10,8 @@
 import { PrefixLookup } from './prefixLookup.js';
 import { promptAffinity } from './promptAffinity.js';
 import type { PromptAffinity } from './promptAffinity.js';
-import type { ReplicaTracker, TrackedReplica } from './replicaTracker.js';
+import type { ReplicaTracker } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 import { WeightsEligibility } from './weightsEligibility.js';
 
 const affinityHash = new RendezvousHash({ algorithm: 'sha1', separator: '\n' });
@@ -64,7 +65,7 @@
     connections: number,
   ): boolean =>
     !tracked.endpoint.isLeaving &&
-    !this.replicaTracker.isResting(tracked) &&
+    !this.replicaTracker.health.isResting(tracked) &&
     this.weights.mayRun(tracked, order.model, view) &&
     !avoided.has(tracked.endpoint.id) &&
     tracked.running < connections;
@@ -118,7 +119,7 @@
     return (
       salt !== null &&
       !tracked.endpoint.isLeaving &&
-      !this.replicaTracker.isSuspect(tracked) &&
+      !this.replicaTracker.health.isSuspect(tracked) &&
       this.prefixCaches.isReading(tracked.endpoint.address, salt, trackedPart.id)
     );
   };
--- /dev/null
+++ b/packages/edge-proxy/src/routing/trackedReplica.ts
@@ -0,0 +1,46 @@
+/** One replica as an edge follows it: its endpoint, its load and its health. Times are the clock's milliseconds. */
+import type { ReplicaEndpoint } from '@martenworks/core-types';
+
+/** Milliseconds for which a replica is suspect after its first failure; doubled with each further one. */
+export const firstSuspicionMs = 400;
+
+export interface TrackedReplica {
+  endpoint: ReplicaEndpoint;
+  running: number;
+  pendingTokens: number;
+  othersTokens: number;
+  suspectUntil: number;
+  suspicionMs: number;
+  fullUntil: number;
+  restUntil: number;
+  errorRate: number;
+  errorRateAt: number;
+  isBroken: boolean;
+  isGone: boolean;
+  doubtedAt: number | null;
+  readonly whenGone: Set<() => void>;
+  readonly samples: number[];
+  readonly notes: { readonly at: number; readonly tokens: number }[];
+}
+
+export const trackedReplicas = {
+  /** A replica that nothing is known of but its endpoint. */
+  of: (endpoint: ReplicaEndpoint): TrackedReplica => ({
+    endpoint,
+    running: 0,
+    pendingTokens: 0,
+    othersTokens: 0,
+    suspectUntil: 0,
+    suspicionMs: firstSuspicionMs,
+    fullUntil: 0,
+    restUntil: 0,
+    errorRate: 0,
+    errorRateAt: 0,
+    isBroken: false,
+    isGone: false,
+    doubtedAt: null,
+    whenGone: new Set(),
+    samples: [],
+    notes: [],
+  }),
+};
--- a/packages/edge-proxy/src/routing/weightsEligibility.ts
+++ b/packages/edge-proxy/src/routing/weightsEligibility.ts
@@ -2,7 +2,7 @@
 import { salts } from '@martenworks/route-table';
 import type { RoutingTableView } from '@martenworks/route-table';
 import type { PlacementQuery, WeightsTarget } from './placement.js';
-import type { TrackedReplica } from './replicaTracker.js';
+import type { TrackedReplica } from './trackedReplica.js';
 
 /** The weights version a replica would run a request with, and the scope of its prefix cache keys. */
 export interface ServedWeights {
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -302,8 +302,8 @@
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
     for (let at = 0; at < 12; at += 1) {
-      if (at % 3 === 0) replicaTracker.failed(home.tracked);
-      else replicaTracker.answered(home.tracked);
+      if (at % 3 === 0) replicaTracker.health.failed(home.tracked);
+      else replicaTracker.health.answered(home.tracked);
     }
     expect(place(long('manual'))?.tracked).to.not.equal(home.tracked);
     await world.run(25_000);
@@ -312,7 +312,7 @@
 
   it('given a pool in which every replica fails, when a prompt is placed, then the pool is not emptied by suspicion', () => {
     const { replicaTracker, place } = office();
-    for (const tracked of replicaTracker.all()) for (let at = 0; at < 6; at += 1) replicaTracker.failed(tracked);
+    for (const tracked of replicaTracker.all()) for (let at = 0; at < 6; at += 1) replicaTracker.health.failed(tracked);
     expect(place(long('manual'))).to.not.equal(null);
   });
 });
