--- a/packages/cli/src/httpServer.ts
+++ b/packages/cli/src/httpServer.ts
@@ -1,11 +1,17 @@
+/** The real HTTP server of a role. */
 import { createAdaptorServer } from '@hono/node-server';
 import type { Server } from 'node:http';
 import { err, ok } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
 import type { HttpServer } from '@martenworks/core-types';
 
+/** Longer than the idle time of usual load balancers, so that they close first. */
 const keepAliveMs = 65_000;
+const backlog = 1024;
+/** How long open connections may go on after closing began. */
+const closeTimeoutMs = 1_000;
 
+/** Opens node's HTTP server on an address; the listener's `close` resolves once every connection is closed. */
 export const realHttpServer: HttpServer = {
   open: (address, handler) =>
     new Promise((resolve) => {
@@ -15,14 +21,14 @@
       server.once('error', (cause) =>
         resolve(err({ kind: 'net', code: (cause as { code?: string }).code ?? 'UNKNOWN', isUnsent: true })),
       );
-      server.listen(port, host, 1024, () =>
+      server.listen(port, host, backlog, () =>
         resolve(
           ok({
             close: () =>
               new Promise((closed) => {
                 server.close(() => closed());
                 server.closeIdleConnections();
-                setTimeout(() => server.closeAllConnections(), 1_000).unref();
+                setTimeout(() => server.closeAllConnections(), closeTimeoutMs).unref();
               }),
           }),
         ),
--- a/packages/cli/src/martenworks.ts
+++ b/packages/cli/src/martenworks.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The program `martenworks`. */
 import { run } from './main.js';
 
 process.exitCode = await run(process.argv.slice(2));
--- a/packages/cli/src/vitals.ts
+++ b/packages/cli/src/vitals.ts
@@ -1,19 +1,22 @@
+/** Vital signs of this process for a node's metrics page: event loop delay, processor time, memory. */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 
-const nanosPerMs = 1e6;
+const nanosecondsPerMs = 1e6;
+const microsecondsPerSecond = 1e6;
+const samplingMs = 10;
 
+/** Starts to sample the event loop's delay; the returned function gives the present lines of the metrics page. */
 export const watchVitals = (): (() => string[]) => {
-  const delay = monitorEventLoopDelay({ resolution: 10 });
+  const delay = monitorEventLoopDelay({ resolution: samplingMs });
   delay.enable();
   return () => {
     const { user, system } = process.cpuUsage();
-    const lines = [
-      `martenworks_event_loop_delay_p50_ms ${(delay.percentile(50) / nanosPerMs).toFixed(2)}`,
-      `martenworks_event_loop_delay_p99_ms ${(delay.percentile(99) / nanosPerMs).toFixed(2)}`,
-      `martenworks_event_loop_delay_max_ms ${(delay.max / nanosPerMs).toFixed(2)}`,
-      `martenworks_cpu_seconds ${((user + system) / 1e6).toFixed(3)}`,
+    return [
+      `martenworks_event_loop_delay_p50_ms ${(delay.percentile(50) / nanosecondsPerMs).toFixed(2)}`,
+      `martenworks_event_loop_delay_p99_ms ${(delay.percentile(99) / nanosecondsPerMs).toFixed(2)}`,
+      `martenworks_event_loop_delay_max_ms ${(delay.max / nanosecondsPerMs).toFixed(2)}`,
+      `martenworks_cpu_seconds ${((user + system) / microsecondsPerSecond).toFixed(3)}`,
       `martenworks_resident_bytes ${process.memoryUsage.rss()}`,
     ];
-    return lines;
   };
 };
--- a/packages/gateway/src/claims/responseStore.ts
+++ b/packages/gateway/src/claims/responseStore.ts
@@ -3,6 +3,7 @@
  * in memory only; an entry that is gone reads as unknown.
  */
 
+/** Bounds of the store: entries, their bytes in all, and the bytes of one response. */
 const entryLimit = 4_096;
 const bytesLimit = 64 * 1024 * 1024;
 const responseBytesLimit = 256 * 1024;
--- a/packages/gateway/src/limits/rateLimiter.ts
+++ b/packages/gateway/src/limits/rateLimiter.ts
@@ -1,5 +1,6 @@
 /** The rate limit of one tenant at one gateway. */
 
+/** An idle tenant may send the requests of this time at once. */
 const burstSeconds = 2;
 const smallestBurst = 2;
 const msPerSecond = 1_000;
@@ -9,8 +10,9 @@
   private tokens: number;
   private filledAt: number;
 
-  /** `perSecond` is this gateway's part of the tenant's rate; `now` is in milliseconds. */
+  /** `now` is in milliseconds, as in `take`. */
   constructor(
+    /** This gateway's part of the tenant's rate, in requests a second. */
     readonly perSecond: number,
     now: number,
   ) {
--- a/packages/gateway/src/limits/retryBudget.ts
+++ b/packages/gateway/src/limits/retryBudget.ts
@@ -1,5 +1,6 @@
 /** The retry budget of one replica pool at one gateway: retries are paid for by first attempts. */
 
+/** One retry for five first attempts. */
 const tokensPerFirstAttempt = 0.2;
 const smallestCapacity = 1;
 
@@ -7,8 +8,10 @@
 export class RetryBudget {
   private tokens = 0;
 
-  /** `allowance` is the most tokens that may be saved up, at least one. */
-  constructor(readonly allowance: number) {}
+  constructor(
+    /** The most tokens that may be saved up; less than one counts as one. */
+    readonly allowance: number,
+  ) {}
 
   /** Adds the share of a retry that one first attempt pays for. */
   readonly firstAttempt = (): void => {
--- a/packages/gateway/src/pipeline/fairQueue.ts
+++ b/packages/gateway/src/pipeline/fairQueue.ts
@@ -3,6 +3,7 @@
  * and then the oldest request of all, so that no tier starves.
  */
 
+/** The waiting items of one tenant, in order of arrival. */
 interface TenantQueue<T> {
   /** Rank of the tenant's tier; a lower rank is served first. */
   readonly rank: number;
