--- a/packages/settings/src/gatewayConfigCheck.ts
+++ b/packages/settings/src/gatewayConfigCheck.ts
@@ -51,14 +51,14 @@
 const issuesOf = (problems: type.errors): ValidationIssue[] =>
   problems.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }));
 
-const filledTenant = (given: typeof tenant.infer): GatewayConfig['tenants'][string] => ({
+const tenantWithDefaults = (given: typeof tenant.infer): GatewayConfig['tenants'][string] => ({
   tier: given.tier,
   isolated: given.isolated ?? false,
   lanes: given.lanes ?? [],
   ratePerSecond: given.ratePerSecond ?? null,
 });
 
-const filled = (given: typeof gatewayConfigSchema.infer): GatewayConfig => ({
+const withDefaults = (given: typeof gatewayConfigSchema.infer): GatewayConfig => ({
   tiers: Object.fromEntries(
     Object.entries(given.tiers).map(([key, one]) => [
       key,
@@ -79,45 +79,60 @@
     ]),
   ),
   lanes: given.lanes,
-  tenants: Object.fromEntries(Object.entries(given.tenants).map(([key, one]) => [key, filledTenant(one)])),
+  tenants: Object.fromEntries(Object.entries(given.tenants).map(([key, one]) => [key, tenantWithDefaults(one)])),
 });
 
-const named = (table: Record<string, unknown>, at: string): ValidationIssue[] =>
+const nameIssues = (table: Record<string, unknown>, at: string): ValidationIssue[] =>
   Object.keys(table)
     .filter((key) => !name.allows(key))
     .map((key) => ({ path: `/${at}/${key}`, message: 'must be a name of letters, digits, dots, dashes, at most 64' }));
 
-const absent = (config: GatewayConfig): ValidationIssue[] => [
-  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((at) => named(config[at], at)),
-  ...Object.entries(config.pools).flatMap(([key, one]) => {
-    const first = Object.entries(config.pools).find(([, other]) => one.store !== null && other.store === one.store);
-    return first === undefined || first[1].weights === one.weights
-      ? []
-      : [{ path: `/pools/${key}/store`, message: `is the store of pool ${first[0]} too, which has other weights` }];
-  }),
-  ...Object.entries(config.lanes)
-    .filter(([, one]) => !Object.hasOwn(config.pools, one.pool))
-    .map(([key, one]) => ({ path: `/lanes/${key}/pool`, message: `names the absent pool ${one.pool}` })),
-  ...Object.entries(config.tenants)
-    .filter(([, one]) => !Object.hasOwn(config.tiers, one.tier))
-    .map(([key, one]) => ({ path: `/tenants/${key}/tier`, message: `names the absent tier ${one.tier}` })),
-  ...Object.entries(config.tenants).flatMap(([key, one]) =>
-    one.lanes.flatMap((laneName, at) =>
-      Object.hasOwn(config.lanes, laneName)
+/** A store keeps parts of one kind of weights only. */
+const storeIssues = ({ pools }: GatewayConfig): ValidationIssue[] =>
+  Object.entries(pools).flatMap(([key, { store, weights }]) => {
+    const first = Object.entries(pools).find(([, other]) => store !== null && other.store === store);
+    if (first === undefined || first[1].weights === weights) return [];
+    return [{ path: `/pools/${key}/store`, message: `is the store of pool ${first[0]} too, which has other weights` }];
+  });
+
+const laneIssues = ({ lanes, pools }: GatewayConfig): ValidationIssue[] =>
+  Object.entries(lanes)
+    .filter(([, { pool }]) => !Object.hasOwn(pools, pool))
+    .map(([key, { pool }]) => ({ path: `/lanes/${key}/pool`, message: `names the absent pool ${pool}` }));
+
+const tierIssues = ({ tenants, tiers }: GatewayConfig): ValidationIssue[] =>
+  Object.entries(tenants)
+    .filter(([, { tier }]) => !Object.hasOwn(tiers, tier))
+    .map(([key, { tier }]) => ({ path: `/tenants/${key}/tier`, message: `names the absent tier ${tier}` }));
+
+const tenantLaneIssues = ({ tenants, lanes }: GatewayConfig): ValidationIssue[] =>
+  Object.entries(tenants).flatMap(([key, tenant]) =>
+    tenant.lanes.flatMap((lane, at) =>
+      Object.hasOwn(lanes, lane)
         ? []
-        : [{ path: `/tenants/${key}/lanes/${at}`, message: `names the absent lane ${laneName}` }],
+        : [{ path: `/tenants/${key}/lanes/${at}`, message: `names the absent lane ${lane}` }],
     ),
-  ),
+  );
+
+/** What the schema can't express: forms of names, and names of entries that are absent. */
+const referenceIssues = (config: GatewayConfig): ValidationIssue[] => [
+  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((at) => nameIssues(config[at], at)),
+  ...storeIssues(config),
+  ...laneIssues(config),
+  ...tierIssues(config),
+  ...tenantLaneIssues(config),
 ];
 
-const merged = (held: unknown, part: unknown): unknown => {
-  if (part === null || typeof part !== 'object' || Array.isArray(part)) return part;
-  const base =
-    held !== null && typeof held === 'object' && !Array.isArray(held) ? (held as Record<string, unknown>) : {};
+const isObject = (value: unknown): value is Record<string, unknown> =>
+  value !== null && typeof value === 'object' && !Array.isArray(value);
+
+const mergePatch = (target: unknown, patch: unknown): unknown => {
+  if (!isObject(patch)) return patch;
+  const base = isObject(target) ? target : {};
   const next: Record<string, unknown> = { ...base };
-  for (const [key, value] of Object.entries(part)) {
+  for (const [key, value] of Object.entries(patch)) {
     if (value === null) delete next[key];
-    else next[key] = merged(Object.hasOwn(base, key) ? base[key] : undefined, value);
+    else next[key] = mergePatch(Object.hasOwn(base, key) ? base[key] : undefined, value);
   }
   return next;
 };
@@ -128,15 +143,15 @@
   check: (given: unknown): Result<GatewayConfig, ValidationIssue[]> => {
     const shaped = gatewayConfigSchema(given);
     if (shaped instanceof type.errors) return err(issuesOf(shaped));
-    const config = filled(shaped);
-    const faults = absent(config);
-    return faults.length === 0 ? ok(config) : err(faults);
+    const config = withDefaults(shaped);
+    const issues = referenceIssues(config);
+    return issues.length === 0 ? ok(config) : err(issues);
   },
   /** Checks one tenant and fills in its defaults. */
   tenant: (given: unknown): Result<GatewayConfig['tenants'][string], ValidationIssue[]> => {
     const shaped = tenant(given);
-    return shaped instanceof type.errors ? err(issuesOf(shaped)) : ok(filledTenant(shaped));
+    return shaped instanceof type.errors ? err(issuesOf(shaped)) : ok(tenantWithDefaults(shaped));
   },
   /** A configuration with a partial change laid over it (RFC 7396); not checked. */
-  merge: (held: GatewayConfig, part: unknown): unknown => merged(held, part),
+  merge: (current: GatewayConfig, patch: unknown): unknown => mergePatch(current, patch),
 };
--- a/packages/settings/test/gatewaySettings.test.ts
+++ b/packages/settings/test/gatewaySettings.test.ts
@@ -35,3 +35,25 @@
       expect(pathsOf(role, more), JSON.stringify([role, more])).to.deep.equal(paths);
   });
 });
+
+describe('settings of earlier releases', () => {
+  const former = { coach: sound.peerAddress, coachListen: '10.0.0.9:7100', fronts: 4 };
+  const current = { peerAddress: sound.peerAddress, peerListenAddress: '10.0.0.9:7100', gatewayCount: 4 };
+  const { peerAddress: _, ...others } = sound;
+
+  it('given each old key, in a file or as a flag, when the settings are checked, then they are those of the new key', () => {
+    const expected = gatewaySettings.check('gateway', { ...others, ...current }, {})._unsafeUnwrap();
+    const asFlags = { coach: former.coach, coachListen: former.coachListen, fronts: String(former.fronts) };
+    expect(gatewaySettings.check('gateway', { ...others, ...former }, {})._unsafeUnwrap()).to.deep.equal(expected);
+    expect(gatewaySettings.check('gateway', others, asFlags)._unsafeUnwrap()).to.deep.equal(expected);
+  });
+
+  it('given old keys, when they are looked for, then one note for each names the new key; and new keys give none', () => {
+    expect(gatewaySettings.deprecatedIn(former)).to.deep.equal([
+      'coach: use peerAddress',
+      'coachListen: use peerListenAddress',
+      'fronts: use gatewayCount',
+    ]);
+    expect(gatewaySettings.deprecatedIn({ ...others, ...current })).to.deep.equal([]);
+  });
+});
