--- a/packages/edge-proxy/src/forwarding/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/answerRelay.ts
@@ -1,4 +1,4 @@
-import { headerLists } from '../ingress/call.js';
+import { headerLists } from '../ingress/headers.js';
 import type { Call, Reply } from '../ingress/call.js';
 import { EventCutter } from './events.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,7 +1,7 @@
 import { background } from '@martenworks/core-types';
 import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
-import { headerLists } from '../ingress/call.js';
+import { headerLists } from '../ingress/headers.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import { PromptTiming, placementNames } from '../prefixcache/promptTiming.js';
 import { retryPolicy } from './retryPolicy.js';
--- a/packages/edge-proxy/src/forwarding/events.ts
+++ b/packages/edge-proxy/src/forwarding/events.ts
@@ -14,7 +14,7 @@
 
 /** Cuts a stream of server-sent events into whole ones, byte for byte (an event ends with an empty line). */
 export class EventCutter {
-  private held: Uint8Array = new Uint8Array();
+  private pending: Uint8Array = new Uint8Array();
 
   private readonly endOf = (bytes: Uint8Array): number => {
     for (let at = 0; at < bytes.length; at += 1) {
@@ -27,16 +27,16 @@
   };
 
   readonly take = (bytes: Uint8Array): WholeEvent[] => {
-    let rest = this.held.length === 0 ? bytes : Buffer.concat([this.held, bytes]);
+    let rest = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
     const events: WholeEvent[] = [];
     for (let end = this.endOf(rest); end > 0; end = this.endOf(rest)) {
       const event = rest.subarray(0, end);
       events.push({ bytes: event, id: idIn(event) });
       rest = rest.subarray(end);
     }
-    this.held = rest;
+    this.pending = rest;
     return events;
   };
 
-  readonly left = (): Uint8Array => this.held;
+  readonly left = (): Uint8Array => this.pending;
 }
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -1,4 +1,5 @@
 export * from './ingress/call.js';
+export * from './ingress/headers.js';
 export * from './ingress/ingressServer.js';
 export * from './ingress/webCall.js';
 export * from './edgeProxy.js';
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -5,7 +5,7 @@
 import type { Result } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
 import type { CallerLimits, NetworkError } from '@martenworks/core-types';
-import { headerLists } from './call.js';
+import { headerLists } from './headers.js';
 import { bodyErrors } from '../errors.js';
 import type { BodyError } from '../errors.js';
 import type { Call, Reply } from './call.js';
