--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -79,8 +79,7 @@
 
 const unconfirmed = (c: Context): Response => c.json({ detail: noMajority }, 503, { 'retry-after': '1' });
 
-export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
-  const app = new Hono();
+const addLayoutRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/layout', async (c) => {
     const state = await controlNode.confirmed();
     if (state === null) return unconfirmed(c);
@@ -90,6 +89,9 @@
   });
   app.put('/operator/layout', (c) => changed(c, controlNode, 'whole'));
   app.patch('/operator/layout', (c) => changed(c, controlNode, 'part'));
+};
+
+const addPlanRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/operator/plans', async (c) => {
     const body = await bodyOf(c);
     if (!body.isJson) return c.json({ outcome: 'rejected', detail: 'the body is not JSON' }, 400);
@@ -111,6 +113,9 @@
       (complaints) => c.json({ outcome: 'rejected', complaints }, 422),
     );
   });
+};
+
+const addChangeRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/changes/:id', async (c) => {
     const id = c.req.param('id');
     const state = await controlNode.confirmed();
@@ -123,6 +128,9 @@
       404,
     );
   });
+};
+
+const addStatusRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/status', (c) => {
     const state = controlNode.acceptor.agreed();
     return c.json({
@@ -154,12 +162,18 @@
       segmentCount: controlNode.acceptor.segmentCount(),
     });
   });
+};
+
+const addHealthRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/healthz', (c) => c.json({ status: 'ok' }));
   app.get('/readyz', (c) =>
     controlNode.isReady()
       ? c.json({ status: 'ready' })
       : c.json({ status: 'not ready', detail: 'no majority of control nodes' }, 503, { 'retry-after': '1' }),
   );
+};
+
+const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, vitals: () => string[]): void => {
   app.get('/metrics', (c) => {
     const state = controlNode.acceptor.agreed();
     const lines = [
@@ -172,5 +186,15 @@
     ];
     return c.text(`${lines.join('\n')}\n`);
   });
+};
+
+export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
+  const app = new Hono();
+  addLayoutRoutes(app, controlNode);
+  addPlanRoutes(app, controlNode);
+  addChangeRoutes(app, controlNode);
+  addStatusRoutes(app, controlNode);
+  addHealthRoutes(app, controlNode);
+  addMetricsRoutes(app, controlNode, vitals);
   return app;
 };
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -1,9 +1,11 @@
 import { type } from 'arktype';
+import type { ArkErrors } from 'arktype';
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import { keys } from '@martenworks/core-types';
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
 import { gatewayConfigs } from '@martenworks/settings';
+import type { ValidationIssue } from '@martenworks/settings';
 import { bodyOf, changeIdOf, replyTo } from './operatorApi.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 
@@ -72,38 +74,43 @@
       });
 };
 
-export const replicaApi = (controlNode: GatewayControlNode): Hono => {
-  const app = new Hono();
-  const badRequest = (c: Context, detail: string): Response => c.json({ outcome: 'rejected', detail }, 400);
+const badRequest = (c: Context, detail: string): Response => c.json({ outcome: 'rejected', detail }, 400);
+
+const invalid = (c: Context, errors: ArkErrors): Response => {
+  const complaints = errors.map((error) => ({ path: `/${error.path.join('/')}`, message: error.message }));
+  return c.json({ outcome: 'rejected', complaints }, 422);
+};
+
+const missingKey = (c: Context): Response =>
+  c.json({ outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] }, 422);
+
+const keyHashOf = (given: typeof keyRef.infer): string | undefined =>
+  given.keyHash ?? (given.key === undefined ? undefined : keys.hash(given.key));
+
+/** Complaints about replicas that are announced in another pool under an incarnation that already serves one. */
+const movedReplicas = (
+  controlNode: GatewayControlNode,
+  announcements: readonly (typeof announcement.infer)[],
+): ValidationIssue[] =>
+  announcements.flatMap(({ name, incarnation, pool }, at) => {
+    const known = controlNode.table.find(name);
+    const isMoved =
+      known !== undefined && known.incarnation === incarnation && pool !== undefined && pool !== known.pool;
+    if (!isMoved) return [];
+    const message = `this incarnation serves pool ${known.pool}; in another pool it must be a new one`;
+    return [{ path: `/${at}/pool`, message }];
+  });
 
+const addReplicaRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/platform/replicas', (c) => c.json({ replicas: controlNode.table.records() }));
 
   app.post('/platform/replicas', async (c) => {
     const body = await bodyOf(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = announcement.array()(Array.isArray(body.value) ? body.value : [body.value]);
-    if (checked instanceof type.errors)
-      return c.json(
-        {
-          outcome: 'rejected',
-          complaints: checked.map((one) => ({ path: `/${one.path.join('/')}`, message: one.message })),
-        },
-        422,
-      );
+    if (checked instanceof type.errors) return invalid(c, checked);
     if (!(await controlNode.replicas.learn(checked.map((one) => one.name)))) return unheard(c);
-    const moved = checked.flatMap((one, at) => {
-      const held = controlNode.table.find(one.name);
-      const isMoved =
-        held !== undefined && held.incarnation === one.incarnation && one.pool !== undefined && one.pool !== held.pool;
-      return isMoved
-        ? [
-            {
-              path: `/${at}/pool`,
-              message: `this incarnation serves pool ${held.pool}; in another pool it must be a new one`,
-            },
-          ]
-        : [];
-    });
+    const moved = movedReplicas(controlNode, checked);
     if (moved.length > 0) return c.json({ outcome: 'rejected', complaints: moved }, 422);
     return announced(
       c,
@@ -113,7 +120,9 @@
       ),
     );
   });
+};
 
+const addDepartureRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   const moved = async (c: Context, state: 'leaving' | 'gone'): Promise<Response> => {
     const name = c.req.param('name') ?? '';
     if (!(await controlNode.replicas.learn([name]))) return unheard(c);
@@ -123,25 +132,16 @@
   };
   app.post('/platform/replicas/:name/leaving', (c) => moved(c, 'leaving'));
   app.delete('/platform/replicas/:name', (c) => moved(c, 'gone'));
+};
 
+const addClientRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/platform/clients', async (c) => {
     const body = await bodyOf(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = client(body.value);
-    if (checked instanceof type.errors)
-      return c.json(
-        {
-          outcome: 'rejected',
-          complaints: checked.map((one) => ({ path: `/${one.path.join('/')}`, message: one.message })),
-        },
-        422,
-      );
-    const keyHash = checked.keyHash ?? (checked.key === undefined ? undefined : keys.hash(checked.key));
-    if (keyHash === undefined)
-      return c.json(
-        { outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] },
-        422,
-      );
+    if (checked instanceof type.errors) return invalid(c, checked);
+    const keyHash = keyHashOf(checked);
+    if (keyHash === undefined) return missingKey(c);
     let tenant: Tenant | null = null;
     if (checked.grant !== undefined) {
       const shaped = gatewayConfigs.tenant(checked.grant);
@@ -151,20 +151,26 @@
     const changeId = changeIdOf(c, controlNode);
     return replyTo(c, changeId, await controlNode.changes.grant(changeId, keyHash, { tenant: checked.tenant }, tenant));
   });
+};
 
+const addRevocationRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/platform/keys/revoke', async (c) => {
     const body = await bodyOf(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = keyRef(body.value);
     if (checked instanceof type.errors) return c.json({ outcome: 'rejected', detail: checked.summary }, 422);
-    const keyHash = checked.keyHash ?? (checked.key === undefined ? undefined : keys.hash(checked.key));
-    if (keyHash === undefined)
-      return c.json(
-        { outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] },
-        422,
-      );
+    const keyHash = keyHashOf(checked);
+    if (keyHash === undefined) return missingKey(c);
     const changeId = changeIdOf(c, controlNode);
     return replyTo(c, changeId, await controlNode.changes.revoke(changeId, keyHash));
   });
+};
+
+export const replicaApi = (controlNode: GatewayControlNode): Hono => {
+  const app = new Hono();
+  addReplicaRoutes(app, controlNode);
+  addDepartureRoutes(app, controlNode);
+  addClientRoutes(app, controlNode);
+  addRevocationRoutes(app, controlNode);
   return app;
 };
--- a/packages/control-plane/src/configuration/plan.ts
+++ b/packages/control-plane/src/configuration/plan.ts
@@ -56,46 +56,50 @@
   return held ?? null;
 };
 
+const changesBetween = (config: GatewayConfig, next: GatewayConfig): Plan['changes'] =>
+  jsonPatch.compare(config, next).map(({ op, path }) => ({
+    op,
+    path,
+    before: op === 'add' ? null : valueAt(config, path),
+    after: op === 'remove' ? null : valueAt(next, path),
+  }));
+
+const namesIn = (table: keyof GatewayConfig, changes: Plan['changes']): string[] => [
+  ...new Set(
+    changes.filter((change) => change.path.startsWith(`/${table}/`)).map((change) => change.path.split('/')[2] ?? ''),
+  ),
+];
+
+const newWeightsIn = (config: GatewayConfig, next: GatewayConfig): string[] =>
+  Object.entries(next.pools).flatMap(([name, pool]) =>
+    config.pools[name] !== undefined && config.pools[name].weights !== pool.weights ? [`${name}: ${pool.weights}`] : [],
+  );
+
+const touchedBy = (state: CommittedState, next: GatewayConfig, changes: Plan['changes']): Plan['touches'] => {
+  const tiers = new Set(namesIn('tiers', changes));
+  const pools = new Set(namesIn('pools', changes));
+  const lanesOfPools = Object.entries(next.lanes).flatMap(([name, lane]) => (pools.has(lane.pool) ? [name] : []));
+  const lanes = new Set([...namesIn('lanes', changes), ...lanesOfPools]);
+  const tenantsOfLanes = Object.entries(next.tenants).flatMap(([name, tenant]) =>
+    tiers.has(tenant.tier) || tenant.lanes.some((lane) => lanes.has(lane)) ? [name] : [],
+  );
+  const tenants = new Set([...namesIn('tenants', changes), ...tenantsOfLanes]);
+  return {
+    tenants: [...tenants].sort(),
+    lanes: [...lanes].sort(),
+    pools: [...pools].sort(),
+    keys: Object.values(state.keys).filter((grant) => tenants.has(grant.tenant)).length,
+    newWeights: newWeightsIn(state.config, next),
+  };
+};
+
 export const drawPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
   editConfig(state.config, edit).map((next) => {
-    const changes = jsonPatch.compare(state.config, next).map((op) => ({
-      op: op.op,
-      path: op.path,
-      before: op.op === 'add' ? null : valueAt(state.config, op.path),
-      after: op.op === 'remove' ? null : valueAt(next, op.path),
-    }));
-    const named = (table: keyof GatewayConfig): string[] => [
-      ...new Set(
-        changes
-          .filter((change) => change.path.startsWith(`/${table}/`))
-          .map((change) => change.path.split('/')[2] ?? ''),
-      ),
-    ];
-    const [tiers, pools] = [new Set(named('tiers')), new Set(named('pools'))];
-    const lanes = new Set([
-      ...named('lanes'),
-      ...Object.entries(next.lanes).flatMap(([name, lane]) => (pools.has(lane.pool) ? [name] : [])),
-    ]);
-    const tenants = new Set([
-      ...named('tenants'),
-      ...Object.entries(next.tenants).flatMap(([name, tenant]) =>
-        tiers.has(tenant.tier) || tenant.lanes.some((lane) => lanes.has(lane)) ? [name] : [],
-      ),
-    ]);
+    const changes = changesBetween(state.config, next);
     return {
       planId: planIds.of(state.configLogIndex, edit),
       base: state.configLogIndex,
       changes,
-      touches: {
-        tenants: [...tenants].sort(),
-        lanes: [...lanes].sort(),
-        pools: [...pools].sort(),
-        keys: Object.values(state.keys).filter((grant) => tenants.has(grant.tenant)).length,
-        newWeights: Object.entries(next.pools).flatMap(([name, pool]) =>
-          state.config.pools[name] !== undefined && state.config.pools[name].weights !== pool.weights
-            ? [`${name}: ${pool.weights}`]
-            : [],
-        ),
-      },
+      touches: touchedBy(state, next, changes),
     };
   });
--- a/packages/control-plane/src/membership/founding.ts
+++ b/packages/control-plane/src/membership/founding.ts
@@ -38,29 +38,41 @@
   readonly step = async (): Promise<void> => {
     if (this.acceptor.agreed() !== null) return;
     const reached = this.controlNodes();
-    const memberStatuses = new Map<string, MemberStatus>();
-    for (const [incarnation, connection] of reached) {
-      const told = await connection.ask('memberStatus', null, timeoutMs);
-      if (told.isErr() || !consensusMessages.isMemberStatus(told.value)) return;
-      const memberStatus = told.value;
-      if (memberStatus.logIndex >= 0) return this.catchUpFrom(connection);
-      memberStatuses.set(incarnation, memberStatus);
+    const statuses: MemberStatus[] = [];
+    for (const connection of reached.values()) {
+      const reply = await connection.ask('memberStatus', null, timeoutMs);
+      if (reply.isErr() || !consensusMessages.isMemberStatus(reply.value)) return;
+      if (reply.value.logIndex >= 0) return this.catchUpFrom(connection);
+      statuses.push(reply.value);
     }
     if (reached.size < this.coreSize - 1 || this.known().length !== reached.size) return;
-    const members = [this.own(), ...[...reached.values()].flatMap((connection) => connection.peer ?? [])]
+    const members = this.candidates(reached);
+    if (!members.some((member) => member.incarnation === this.own().incarnation)) return;
+    if (new Set(members.map((member) => member.name)).size !== this.coreSize) return;
+    await this.proposeMembers(members, statuses, reached);
+  };
+
+  /** The members that every node would choose which reaches the same nodes: the first of them by name. */
+  private readonly candidates = (reached: Map<string, PeerConnection>): Member[] =>
+    [this.own(), ...[...reached.values()].flatMap((connection) => connection.peer ?? [])]
       .map(memberOf)
       .sort((a, b) => (a.name < b.name ? -1 : 1))
       .slice(0, this.coreSize);
-    if (!members.some((member) => member.incarnation === this.own().incarnation)) return;
-    if (new Set(members.map((member) => member.name)).size !== this.coreSize) return;
-    const foundingVotes = [
-      this.acceptor.foundingVoteCast(),
-      ...[...memberStatuses.values()].map((memberStatus) => memberStatus.foundingVote),
-    ].filter((foundingVote) => foundingVote !== null);
-    const texts = foundingVotes.map((foundingVote) => JSON.stringify(foundingVote));
-    const shared = foundingVotes.find((_, at) => texts.filter((text) => text === texts[at]).length > this.coreSize / 2);
-    if (shared !== undefined && JSON.stringify(shared) !== JSON.stringify(members)) return this.found(shared);
-    if (texts.some((text) => text !== JSON.stringify(members)) || !this.acceptor.isFresh) return;
+
+  /** Founds the cluster with the members that a majority voted for before, or else asks for votes for `members`. */
+  private readonly proposeMembers = async (
+    members: readonly Member[],
+    statuses: readonly MemberStatus[],
+    reached: Map<string, PeerConnection>,
+  ): Promise<void> => {
+    const votes = [this.acceptor.foundingVoteCast(), ...statuses.map((status) => status.foundingVote)].filter(
+      (vote) => vote !== null,
+    );
+    const texts = votes.map((vote) => JSON.stringify(vote));
+    const wanted = JSON.stringify(members);
+    const chosen = votes.find((_, at) => texts.filter((text) => text === texts[at]).length > this.coreSize / 2);
+    if (chosen !== undefined && JSON.stringify(chosen) !== wanted) return this.found(chosen);
+    if (texts.some((text) => text !== wanted) || !this.acceptor.isFresh) return;
     await this.collect(members, reached);
   };
 
@@ -72,8 +84,8 @@
     if (!own.isGranted) return;
     for (const [incarnation, connection] of reached) {
       if (!members.some((member) => member.incarnation === incarnation)) continue;
-      const told = await connection.ask('foundingVote', members, timeoutMs);
-      if (told.isErr() || !consensusMessages.isFoundingVoteReply(told.value) || !told.value.isGranted) return;
+      const reply = await connection.ask('foundingVote', members, timeoutMs);
+      if (reply.isErr() || !consensusMessages.isFoundingVoteReply(reply.value) || !reply.value.isGranted) return;
     }
     await this.found(members);
   };
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -65,19 +65,12 @@
     terms: LeaseTerms,
     seeds: readonly string[],
   ) {
-    const { clock, random, log } = ports;
-    this.memberList = new MemberList(clock, this.hello);
+    const { clock } = ports;
+    const { hello } = this;
+    this.memberList = new MemberList(clock, hello);
+    const { memberList } = this;
     this.consensus = new ConsensusMember(
-      {
-        ports,
-        hello: this.hello,
-        memberList: this.memberList,
-        seeds,
-        acceptor,
-        leases,
-        terms,
-        coreSize: settings.voters,
-      },
+      { ports, hello, memberList, seeds, acceptor, leases, terms, coreSize: settings.voters },
       this.role(),
       consensusPace,
     );
@@ -85,40 +78,50 @@
     this.proposer = this.consensus.proposer;
     this.leaseManager = this.consensus.leaseManager;
     this.configService = new ConfigService(this.proposer);
-    this.endpointList = new EndpointListReader(
-      backendClient,
-      clock,
-      random,
-      log,
-      {
-        everyMs: settings.listIntervalMs,
-        perSecond: settings.listPerSecond,
-        readers: () => acceptor.agreed()?.members.length ?? settings.voters,
-      },
-      (update) => {
-        this.statePublisher.tellContent('endpoints', update);
-        this.alignPrefixCaches();
-      },
-    );
-    this.prefixCaches = new PrefixCacheFollower(
-      backendClient,
+    this.endpointList = this.createEndpointList();
+    this.prefixCaches = this.createPrefixCaches();
+    this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
+      this.statePublisher.tellContent('prefill', bundle);
+      this.consensus.tellPeers('prefillRelay', bundle);
+    });
+    this.statePublisher = new StatePublisher(acceptor, clock, this.endpointList.ageMs, this.sendContent);
+    this.weightsRollout = this.createWeightsRollout();
+    this.consensus.start();
+    acceptor.watch(this.alignPrefixCaches);
+    this.alignPrefixCaches();
+    this.weightsStep = new RepeatingTimer(clock, () => weightsStepMs, this.weightsRollout.step);
+  }
+
+  private readonly createEndpointList = (): EndpointListReader => {
+    const { settings, acceptor } = this;
+    const { clock, random, log } = this.ports;
+    const pace = {
+      everyMs: settings.listIntervalMs,
+      perSecond: settings.listPerSecond,
+      readers: () => acceptor.agreed()?.members.length ?? settings.voters,
+    };
+    return new EndpointListReader(this.backendClient, clock, random, log, pace, (update) => {
+      this.statePublisher.tellContent('endpoints', update);
+      this.alignPrefixCaches();
+    });
+  };
+
+  private readonly createPrefixCaches = (): PrefixCacheFollower => {
+    const { clock, random, log } = this.ports;
+    return new PrefixCacheFollower(
+      this.backendClient,
       clock,
       random,
       log,
       (update) => this.statePublisher.tellContent('prefixCaches', update),
       (update) => this.consensus.tellPeers('prefixCacheRelay', update),
     );
-    this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
-      this.statePublisher.tellContent('prefill', bundle);
-      this.consensus.tellPeers('prefillRelay', bundle);
-    });
-    this.statePublisher = new StatePublisher(acceptor, clock, this.endpointList.ageMs, (connection) => {
-      if (this.endpointList.ageMs() !== null)
-        connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
-      connection.tell('prefixCaches', this.prefixCaches.whole());
-    });
-    this.weightsRollout = new WeightsRollout(
-      backendClient,
+  };
+
+  private readonly createWeightsRollout = (): WeightsRollout => {
+    const { clock, log } = this.ports;
+    return new WeightsRollout(
+      this.backendClient,
       clock,
       log,
       this.endpointList.all,
@@ -128,11 +131,14 @@
       (update) => this.statePublisher.tellAll('weights', update),
       this.endpointList.holds,
     );
-    this.consensus.start();
-    acceptor.watch(this.alignPrefixCaches);
-    this.alignPrefixCaches();
-    this.weightsStep = new RepeatingTimer(clock, () => weightsStepMs, this.weightsRollout.step);
-  }
+  };
+
+  /** Sends an edge that now takes its content from this node the endpoint list and the prefix caches as a whole. */
+  private readonly sendContent = (connection: PeerConnection): void => {
+    if (this.endpointList.ageMs() !== null)
+      connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
+    connection.tell('prefixCaches', this.prefixCaches.whole());
+  };
 
   readonly hello = (): Hello =>
     hellos.of(
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -42,7 +42,7 @@
   leaseTimeoutMs: 700,
 };
 
-const kvDuty = (replica: string): string => `kv/${replica}`;
+const kvLease = (replica: string): string => `kv/${replica}`;
 
 export class GatewayControlNode {
   readonly memberList: MemberList;
@@ -87,12 +87,7 @@
     this.proposer = this.consensus.proposer;
     this.leaseManager = this.consensus.leaseManager;
     this.changes = new ChangeService(this.proposer);
-    this.kv = new KvEventFollower(
-      ports,
-      (update) => this.push.tellKv(update),
-      (relayed) => this.consensus.tellPeers('kvRelay', relayed),
-      (replica) => this.leaseManager.fenceOf(kvDuty(replica)),
-    );
+    this.kv = this.createKvEventFollower();
     this.push = new GatewayPublisher(acceptor, clock, table.records, this.kv.snapshots);
     this.sides = new IsolationRegistry(table, clock);
     this.replicas = new ReplicaRegistry(table, claims, acceptor, () => this.peerPool);
@@ -109,6 +104,14 @@
     );
   }
 
+  private readonly createKvEventFollower = (): KvEventFollower =>
+    new KvEventFollower(
+      this.ports,
+      (update) => this.push.tellKv(update),
+      (relayed) => this.consensus.tellPeers('kvRelay', relayed),
+      (replica) => this.leaseManager.fenceOf(kvLease(replica)),
+    );
+
   readonly hello = (): Hello => hellos.of('control', this.settings, this.acceptor.incarnation);
 
   readonly open = async (): Promise<Result<void, NetworkError>> => {
@@ -170,7 +173,7 @@
       this.table
         .records()
         .filter((record) => record.state !== 'gone')
-        .map((record) => kvDuty(record.name)),
+        .map((record) => kvLease(record.name)),
     leasesChanged: () => this.kv.align(this.table.records()),
     needsCopies: true,
     syncedFrom: () => [...this.replicas.syncedFrom],
