--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -1,144 +1,26 @@
+/**
+ * Bringing a member that is behind up to the newest committed state.
+ *
+ * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state where
+ * that is smaller, so that the cost is bounded by the newest state. The member pulls it page by page, one page and one
+ * transfer at a time, and goes on where it stopped after a fault, at any source that encodes the same bytes.
+ */
 import { createHash } from 'node:crypto';
 import { background, cbor } from '@martenworks/core-types';
 import type { Clock, Log } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
 import type { CompressedCommit } from './ballots.js';
-import { messageChecks } from '../messages/messageChecks.js';
+import { catchUpMessages, catchUpTopics } from './catchUpMessages.js';
+import type { Page, PageAsk } from './catchUpMessages.js';
 import { compressedChanges, compressedStates } from './compression.js';
+import { TransferSource } from './transferSource.js';
 
-/**
- * Bringing a member that is behind up to the newest agreed state.
- *
- * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state where
- * that is smaller, so that the cost is bounded by the newest state. The member pulls it page by page, one page and one
- * transfer at a time, and goes on where it stopped after a fault, at any source that encodes the same bytes.
- */
-
-/** Bytes of a transfer in one reply. */
-export const pageBytes = 64 * 1024;
 const pageTimeoutMs = 1_500;
 const heldTimeoutMs = 800;
-const transfersKept = 8;
-const transferBytesKept = 16 * 1024 * 1024;
 const transferLimitBytes = 128 * 1024 * 1024;
 const mostTransfersInRun = 8;
 
-/** What a node asks of another to catch up. */
-export const catchUpTopics = {
-  /** Body null; the reply is the generation held, or null where nothing is. */
-  held: 'stateHeld',
-  /** Body `PageAsk`; the reply is `Page`, or null where the asker lacks nothing. */
-  page: 'statePage',
-  /** Body null: the asker holds more than the one that is asked, which catches up from it and replies the generation it then holds. */
-  behind: 'stateBehind',
-} as const;
-
-export interface PageAsk {
-  /** The generation that the asker holds, -1 for none. */
-  readonly logIndex: number;
-  /** The transfer that was begun, by the SHA-256 of its bytes in hex; null to begin one. */
-  readonly digest: string | null;
-  /** Bytes of it that the asker has. */
-  readonly offset: number;
-}
-
-export interface Page {
-  readonly kind: 'changes' | 'snapshot';
-  readonly digest: string;
-  readonly size: number;
-  readonly offset: number;
-  readonly bytes: Uint8Array;
-}
-
-const { isObject, isText, isInteger, isBytes, isNullOr } = messageChecks;
-
-const isPageAsk = (value: unknown): value is PageAsk =>
-  isObject(value) &&
-  isInteger(value.logIndex) &&
-  isNullOr(isText)(value.digest) &&
-  isInteger(value.offset) &&
-  value.offset >= 0;
-
-const isPage = (value: unknown): value is Page =>
-  isObject(value) &&
-  (value.kind === 'changes' || value.kind === 'snapshot') &&
-  isText(value.digest) &&
-  isInteger(value.size) &&
-  isInteger(value.offset) &&
-  isBytes(value.bytes);
-
-interface Transfer {
-  readonly kind: Page['kind'];
-  readonly logIndex: number;
-  readonly digest: string;
-  readonly bytes: Uint8Array;
-}
-
-/** Makes the transfers of one node and keeps the few that are being read; the snapshot of a generation is encoded once. */
-export class TransferSource {
-  private readonly kept = new Map<string, Transfer>();
-
-  constructor(private readonly acceptor: Acceptor) {}
-
-  /** One page for the asker: of the transfer it has begun if that is still kept or comes out the same, else of a new one from its start. */
-  readonly page = ({ logIndex, digest, offset }: PageAsk): Page | null => {
-    const begun = digest === null ? undefined : this.kept.get(digest);
-    const transfer = begun ?? this.make(logIndex);
-    if (transfer === null) return null;
-    this.keep(transfer);
-    const from = transfer.digest === digest && offset <= transfer.bytes.length ? offset : 0;
-    return {
-      kind: transfer.kind,
-      digest: transfer.digest,
-      size: transfer.bytes.length,
-      offset: from,
-      bytes: transfer.bytes.slice(from, from + pageBytes),
-    };
-  };
-
-  private readonly make = (after: number): Transfer | null => {
-    const state = this.acceptor.agreed();
-    if (state === null || state.logIndex <= after) return null;
-    const missed = this.acceptor.changesAfter(after);
-    const missedBytes = (missed ?? []).reduce((sum, { change }) => sum + change.length, 0);
-    if (missed !== null && missedBytes <= pageBytes) return this.changes(missed);
-    const snapshot = this.snapshot();
-    return missed !== null && missedBytes < snapshot.bytes.length ? this.changes(missed) : snapshot;
-  };
-
-  private readonly changes = (missed: readonly CompressedCommit[]): Transfer =>
-    this.transfer('changes', missed.at(-1)?.logIndex ?? -1, cbor.encode(missed));
-
-  private readonly snapshot = (): Transfer => {
-    const state = this.acceptor.agreed();
-    const logIndex = state?.logIndex ?? -1;
-    const held = [...this.kept.values()].find((one) => one.kind === 'snapshot' && one.logIndex === logIndex);
-    return (
-      held ?? this.transfer('snapshot', logIndex, state === null ? new Uint8Array() : compressedStates.encode(state))
-    );
-  };
-
-  private readonly transfer = (kind: Page['kind'], logIndex: number, bytes: Uint8Array): Transfer => ({
-    kind,
-    logIndex,
-    digest: createHash('sha256').update(bytes).digest('hex'),
-    bytes: bytes.slice(),
-  });
-
-  /** Keeps the transfers used last, bounded in number and bytes; the newest one always. */
-  private readonly keep = (transfer: Transfer): void => {
-    this.kept.delete(transfer.digest);
-    this.kept.set(transfer.digest, transfer);
-    let bytes = [...this.kept.values()].reduce((sum, one) => sum + one.bytes.length, 0);
-    for (const [digest, one] of this.kept) {
-      if (this.kept.size === 1 || (this.kept.size <= transfersKept && bytes <= transferBytesKept)) return;
-      this.kept.delete(digest);
-      bytes -= one.bytes.length;
-    }
-  };
-}
-
 interface Progress {
   readonly kind: Page['kind'];
   readonly digest: string;
@@ -147,6 +29,7 @@
   received: number;
 }
 
+/** One member's catching up, and its answers to members that catch up from it. */
 export class CatchUp {
   private readonly source: TransferSource;
   private running: Promise<void> | null = null;
@@ -210,7 +93,7 @@
       case catchUpTopics.held:
         return this.logIndex();
       case catchUpTopics.page:
-        return isPageAsk(body) ? this.source.page(body) : null;
+        return catchUpMessages.isPageAsk(body) ? this.source.page(body) : null;
       case catchUpTopics.behind:
         await this.from(peer);
         return this.logIndex();
@@ -260,7 +143,7 @@
         this.progress = null;
         return true;
       }
-      if (!isPage(reply.value) || !this.take(reply.value)) return false;
+      if (!catchUpMessages.isPage(reply.value) || !this.take(reply.value)) return false;
       const taken = this.progress;
       if (taken !== null && taken.received === taken.size) return this.apply(taken);
     }
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -3,7 +3,7 @@
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { MemberStatus } from '../membership/foundingMessages.js';
 import type { Acceptor } from './acceptor.js';
-import { catchUpTopics } from './catchUp.js';
+import { catchUpTopics } from './catchUpMessages.js';
 import type { CatchUp } from './catchUp.js';
 import { consensusMessages } from './consensusMessages.js';
 import type { ConsensusRole } from './consensusOptions.js';
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -1,6 +1,8 @@
 export * from './consensus/acceptor.js';
 export * from './consensus/ballots.js';
 export * from './consensus/catchUp.js';
+export { catchUpTopics, pageBytes } from './consensus/catchUpMessages.js';
+export type { Page } from './consensus/catchUpMessages.js';
 export * from './consensus/compression.js';
 export * from './consensus/proposer.js';
 export * from './consensus/quorumCall.js';
