--- a/packages/cluster-membership/src/failureDetector.ts
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -9,7 +9,10 @@
 
 const frozenMs = 1_200;
 
-/** Runs on every node. A tick that comes much too late tells that this process stood still: its own silence is not held against the others. */
+/**
+ * Runs on every node. A tick that comes much too late tells that this process stood still: its own silence is not held
+ * against the others.
+ */
 export class FailureDetector {
   /** The heartbeats that this node watches. */
   readonly watch: HeartbeatMonitor;
--- a/packages/cluster-membership/src/hashRing.ts
+++ b/packages/cluster-membership/src/hashRing.ts
@@ -19,7 +19,10 @@
 
 const watcherCount = 3;
 
-/** `watchersOf` names the three nodes that follow a node on the ring, those of other zones first; any loss moves few of them. */
+/**
+ * `watchersOf` names the three nodes that follow a node on the ring, those of other zones first; any loss moves few of
+ * them.
+ */
 export const hashRing = {
   watchersOf: (name: string, nodes: readonly RingNode[]): string[] => {
     const own = nodes.find((node) => node.name === name);
--- a/packages/cluster-membership/src/heartbeatMonitor.ts
+++ b/packages/cluster-membership/src/heartbeatMonitor.ts
@@ -22,7 +22,10 @@
   spreadMs: heartbeatIntervalMs / 4,
 });
 
-/** Suspects a node once it is silent for longer than the mean gap between its heartbeats and six times their mean deviation, and at least 1.8 s. */
+/**
+ * Suspects a node once it is silent for longer than the mean gap between its heartbeats and six times their mean
+ * deviation, and at least 1.8 s.
+ */
 export class HeartbeatMonitor {
   private readonly histories = new Map<string, HeartbeatHistory>();
 
--- a/packages/cluster-membership/src/leaseManager.ts
+++ b/packages/cluster-membership/src/leaseManager.ts
@@ -21,7 +21,10 @@
   readonly leftMs: number;
 }
 
-/** The holder's side of the leases: keeps those of the wanted duties, each counted from before it was asked for and ended a margin early, by a clock that has not jumped. */
+/**
+ * The holder's side of the leases: keeps those of the wanted duties, each counted from before it was asked for and
+ * ended a margin early, by a clock that has not jumped.
+ */
 export class LeaseManager {
   private readonly leases = new Map<string, HeldLease>();
   private readonly fences = new Map<string, number>();
@@ -58,7 +61,10 @@
     return this.peers().filter((name) => score(name) > own).length;
   };
 
-  /** Drops leases that ended or are no longer wanted, renews the others, and asks for those wanted. Nothing is asked while an earlier request is open. */
+  /**
+   * Drops leases that ended or are no longer wanted, renews the others, and asks for those wanted. Nothing is asked
+   * while an earlier request is open.
+   */
   readonly tick = async (): Promise<void> => {
     const wanted = new Set(this.wanted());
     this.dropEnded(wanted);
@@ -80,7 +86,10 @@
     if (hasChanged) this.changed();
   };
 
-  /** A renewal, or a request for a duty that has stood idle for as long as this node's rank for it asks; null before that. */
+  /**
+   * A renewal, or a request for a duty that has stood idle for as long as this node's rank for it asks; null before
+   * that.
+   */
   private readonly requestFor = (duty: string): DutyFence | null => {
     const fence = this.fenceOf(duty);
     if (fence !== null) {
--- a/packages/cluster-membership/src/leaseTable.ts
+++ b/packages/cluster-membership/src/leaseTable.ts
@@ -16,7 +16,10 @@
   isReleased: boolean;
 }
 
-/** One voter's part of the leases: a grant is told only once its record is on disk, and a failed write leaves the table as it was. */
+/**
+ * One voter's part of the leases: a grant is told only once its record is on disk, and a failed write leaves the table
+ * as it was.
+ */
 export class LeaseTable {
   private readonly grants = new Map<string, Grant>();
   private readonly pending = new Map<string, PendingGrant>();
@@ -48,7 +51,10 @@
   /** The highest fencing token granted of each duty, for the snapshot of the log. */
   readonly fences = (): [string, number][] => [...this.grants].map(([duty, grant]) => [duty, grant.fence]);
 
-  /** Renews what the holder has, and grants what is free under a token above all earlier ones; ends once the grants are on disk. */
+  /**
+   * Renews what the holder has, and grants what is free under a token above all earlier ones; ends once the grants are
+   * on disk.
+   */
   readonly grant = async ({ holder, duties }: LeaseRequest): Promise<LeaseReply> => {
     const granted: string[] = [];
     const fences: Record<string, number> = {};
--- a/packages/cluster-membership/src/leaseTerms.ts
+++ b/packages/cluster-membership/src/leaseTerms.ts
@@ -1,4 +1,6 @@
-/** The messages and terms of leases: a duty's lease is held by the node to which a majority of the voters granted it. */
+/**
+ * The messages and terms of leases: a duty's lease is held by the node to which a majority of the voters granted it.
+ */
 
 /** Milliseconds that a grant lasts unless it is renewed. */
 export const leaseMs = 3_000;
@@ -22,7 +24,10 @@
   readonly fences: Record<string, number>;
 }
 
-/** Milliseconds: how long a grant lasts, how much earlier its holder stops, how long after its end nobody else gets it; and the fence that any new one must pass. */
+/**
+ * Milliseconds: how long a grant lasts, how much earlier its holder stops, how long after its end nobody else gets it;
+ * and the fence that any new one must pass.
+ */
 export interface LeaseTerms {
   readonly leaseMs: number;
   readonly marginMs: number;
--- a/packages/cluster-membership/src/peerPool.ts
+++ b/packages/cluster-membership/src/peerPool.ts
@@ -25,7 +25,10 @@
   isStopped: boolean;
 }
 
-/** Owns the dialled connections: one to each known control node, and to the seeds while fewer than three control nodes are connected. */
+/**
+ * Owns the dialled connections: one to each known control node, and to the seeds while fewer than three control nodes
+ * are connected.
+ */
 export class PeerPool {
   private readonly peers = new Map<string, PooledPeer>();
   private readonly refresher: RepeatingTimer;
@@ -80,7 +83,10 @@
 
   private readonly isEnded = (pooled: PooledPeer): boolean => pooled.isStopped || this.isStopped;
 
-  /** Dials until the peer is no longer wanted, with a wait that doubles up to the pace's longest; a connection that held for that long begins it anew. */
+  /**
+   * Dials until the peer is no longer wanted, with a wait that doubles up to the pace's longest; a connection that held
+   * for that long begins it anew.
+   */
   private readonly keepConnected = async (address: string, pooled: PooledPeer): Promise<void> => {
     const { clock, random } = this.ports;
     let waitMs = firstWaitMs;
--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -10,7 +10,10 @@
   readonly fence: number;
 }
 
-/** `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fencing token was seen; `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken. */
+/**
+ * `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fencing token was seen;
+ * `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken.
+ */
 export type WeightsOrderOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
 interface ReplicaReport {
@@ -35,7 +38,10 @@
   readonly held: readonly PrefixCacheEvent[];
 }
 
-/** What control nodes ask of the platform and its replicas. Times are in milliseconds; each call ends within its timeout. */
+/**
+ * What control nodes ask of the platform and its replicas. Times are in milliseconds; each call ends within its
+ * timeout.
+ */
 export interface BackendClient {
   readonly replicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
   readonly order: (endpoint: ReplicaEndpoint, order: WeightsOrder) => Promise<WeightsOrderOutcome>;
@@ -77,7 +83,10 @@
   readonly resumeAfter: string | null;
 }
 
-/** `isOwn`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier request. */
+/**
+ * `isOwn`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier
+ * request.
+ */
 export interface ResponseHead {
   readonly isOwn: boolean;
   readonly isNotRun: boolean;
--- a/packages/core-types/src/changeRecords.ts
+++ b/packages/core-types/src/changeRecords.ts
@@ -39,7 +39,10 @@
   return { ...forgotten, targetWeights: { ...forgotten.targetWeights, [model]: newest } };
 };
 
-/** Keeps the records of the last `keptChangeIds` changes, and by rule that of the configuration in force, however many changes of other kinds followed it. */
+/**
+ * Keeps the records of the last `keptChangeIds` changes, and by rule that of the configuration in force, however many
+ * changes of other kinds followed it.
+ */
 const remember = (
   agreed: CommittedState,
   change: Change,
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -21,7 +21,9 @@
 export interface ChangeRecord {
   readonly logIndex: number;
   readonly digest: string;
-  /** The configuration version it brought into force; absent for other kinds of change, and in states of older releases. */
+  /**
+   * The configuration version it brought into force; absent for other kinds of change, and in states of older releases.
+   */
   readonly configVersion?: number;
 }
 
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -8,7 +8,10 @@
   readonly gone: readonly string[];
 }
 
-/** What changed from the configuration version `from` to a later one: routes put and names taken away, customers likewise (null where the later one has none); the rest of a routing table is small and comes whole. */
+/**
+ * What changed from the configuration version `from` to a later one: routes put and names taken away, customers
+ * likewise (null where the later one has none); the rest of a routing table is small and comes whole.
+ */
 export interface RoutingTablePatch extends ListPatch<Route> {
   readonly from: number;
   readonly customers: ListPatch<Customer> | null;
@@ -34,12 +37,18 @@
   readonly members: readonly Member[];
 }
 
-/** What is in force, as an edge knows it; `weightsAges` tells since when the sender knows the latest versions named of each model, the newest last. */
+/**
+ * What is in force, as an edge knows it; `weightsAges` tells since when the sender knows the latest versions named of
+ * each model, the newest last.
+ */
 export interface EdgeState extends EdgeStateFields {
   readonly table: RoutingTable | null;
 }
 
-/** What is in force, as a control node sends it to an edge; `packedTable` is null where the edge has that configuration version. */
+/**
+ * What is in force, as a control node sends it to an edge; `packedTable` is null where the edge has that configuration
+ * version.
+ */
 export interface EdgeStateMessage extends EdgeStateFields {
   readonly packedTable: PackedRoutingTable | null;
 }
@@ -62,7 +71,9 @@
   readonly gone: readonly string[];
 }
 
-/** A replica that is being brought to other weights: `version` is null while it is, and the new one once it holds it. */
+/**
+ * A replica that is being brought to other weights: `version` is null while it is, and the new one once it holds it.
+ */
 export interface WeightsUpdate {
   readonly id: string;
   readonly model: string;
@@ -70,7 +81,10 @@
   readonly forMs: number;
 }
 
-/** Which parts one address keeps; `isWhole` tells that it keeps no others, `isHeard` whether its events are being followed. */
+/**
+ * Which parts one address keeps; `isWhole` tells that it keeps no others, `isHeard` whether its events are being
+ * followed.
+ */
 export interface PrefixCacheUpdate {
   readonly address: string;
   readonly isWhole: boolean;
@@ -84,7 +98,10 @@
   readonly isReady: boolean;
 }
 
-/** `hasMajority` tells whether the control node hears a majority of the members; `majorityHeardMs` how many milliseconds ago it last had bytes of each of a majority, null where it has no connection to one. */
+/**
+ * `hasMajority` tells whether the control node hears a majority of the members; `majorityHeardMs` how many milliseconds
+ * ago it last had bytes of each of a majority, null where it has no connection to one.
+ */
 export interface EdgePong {
   readonly logIndex: number;
   readonly edgeCount: number;
@@ -93,7 +110,10 @@
   readonly listAgeMs: number | null;
 }
 
-/** A long prompt that one edge has a replica read: `tokens` is 0 once it is read. Sent to the other edges, which do not see each other's requests. */
+/**
+ * A long prompt that one edge has a replica read: `tokens` is 0 once it is read. Sent to the other edges, which do not
+ * see each other's requests.
+ */
 export interface PrefillNotice {
   readonly id: string;
   readonly replica: string;
@@ -102,7 +122,11 @@
   readonly part: string | null;
 }
 
-/** Cached parts that responses to an edge speak against, at an address where the index has them: one miss, or, with `isDecided`, enough of them to count the parts as gone. With `quarantineMs` the address does not count as keeping them for that long, whatever its events tell. */
+/**
+ * Cached parts that responses to an edge speak against, at an address where the index has them: one miss, or, with
+ * `isDecided`, enough of them to count the parts as gone. With `quarantineMs` the address does not count as keeping
+ * them for that long, whatever its events tell.
+ */
 export interface CacheMissReport {
   readonly address: string;
   readonly salt: string;
--- a/packages/core-types/src/errors.ts
+++ b/packages/core-types/src/errors.ts
@@ -1,13 +1,21 @@
-/** The errors of this package. Each has a `kind` that tells its type, and a `code` that stays the same between releases. */
+/**
+ * The errors of this package. Each has a `kind` that tells its type, and a `code` that stays the same between releases.
+ */
 
-/** A disk call that failed. `code` is that of the operating system (`ENOSPC`, `EIO`), or `NODATA` on a node without a data folder. */
+/**
+ * A disk call that failed. `code` is that of the operating system (`ENOSPC`, `EIO`), or `NODATA` on a node without a
+ * data folder.
+ */
 export interface DiskError {
   readonly kind: 'disk';
   readonly code: string;
   readonly detail: string;
 }
 
-/** A connection or request that failed. `isUnsent` tells that no byte of it reached the network, so that it may be repeated. `code` is that of the operating system or of the HTTP client. */
+/**
+ * A connection or request that failed. `isUnsent` tells that no byte of it reached the network, so that it may be
+ * repeated. `code` is that of the operating system or of the HTTP client.
+ */
 export interface NetworkError {
   readonly kind: 'net';
   readonly code: string;
@@ -46,7 +54,10 @@
   | 'caller_left'
   | 'no_such_page';
 
-/** The response to a request that a gateway doesn't answer with a replica's response. `retryAfterSeconds` is null where repeating it is of no use. */
+/**
+ * The response to a request that a gateway doesn't answer with a replica's response. `retryAfterSeconds` is null where
+ * repeating it is of no use.
+ */
 export interface Rejection {
   readonly kind: 'rejection';
   readonly code: RejectionCode;
--- a/packages/core-types/src/gatewayMessages.ts
+++ b/packages/core-types/src/gatewayMessages.ts
@@ -1,4 +1,7 @@
-/** What gateways and their control nodes tell each other: cache events, isolation claims, load reports and heartbeat replies. */
+/**
+ * What gateways and their control nodes tell each other: cache events, isolation claims, load reports and heartbeat
+ * replies.
+ */
 
 /**
  * An event of a replica's prefix cache. `seq` counts up by one within an incarnation, so that a lost event is
--- a/packages/core-types/src/incarnationMatcher.ts
+++ b/packages/core-types/src/incarnationMatcher.ts
@@ -3,7 +3,11 @@
 
 const matchMs = 10_000;
 
-/** Pairs what two sources tell of a restarted replica at one address: the list of replicas by another id, the events by another epoch, in either order. The first of the two to come empties what is known of the address, the second one does not. */
+/**
+ * Pairs what two sources tell of a restarted replica at one address: the list of replicas by another id, the events by
+ * another epoch, in either order. The first of the two to come empties what is known of the address, the second one
+ * does not.
+ */
 export class IncarnationMatcher {
   private idAt: number | null = null;
   private epochAt: number | null = null;
--- a/packages/core-types/src/prompt.ts
+++ b/packages/core-types/src/prompt.ts
@@ -44,7 +44,11 @@
   return at === given.length;
 };
 
-/** Rewrites a JSON value so that equal values give equal JSON: each object becomes `{ o: [sorted names, their values in that order] }`. The order of the last object at each depth is kept, as the items of a list mostly have the same names. */
+/**
+ * Rewrites a JSON value so that equal values give equal JSON: each object becomes `{ o: [sorted names, their values in
+ * that order] }`. The order of the last object at each depth is kept, as the items of a list mostly have the same
+ * names.
+ */
 const canonical = (value: unknown, orders: NameOrder[], depth: number): unknown => {
   if (value === null || typeof value !== 'object') return value;
   if (Array.isArray(value)) return value.map((item) => canonical(item, orders, depth + 1));
--- a/packages/core-types/src/rejection.ts
+++ b/packages/core-types/src/rejection.ts
@@ -38,7 +38,10 @@
   'no_claim',
 ]);
 
-/** Builds rejections, and tells their HTTP status. Codes that pass by themselves are retried after a second unless told otherwise. */
+/**
+ * Builds rejections, and tells their HTTP status. Codes that pass by themselves are retried after a second unless told
+ * otherwise.
+ */
 export const rejections = {
   of: (code: RejectionCode, ran: Ran, detail: string, retryAfterSeconds?: number): Rejection => ({
     kind: 'rejection',
--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -56,7 +56,10 @@
 const maySwap = (state: CommittedState, outgoing: string, incoming: Member): boolean =>
   holdsSeat(state, outgoing) && !holdsSeat(state, incoming.incarnation);
 
-/** The voters: one for each distinct incarnation, also where an older release gave one of them two seats. A majority is still counted of all seats. */
+/**
+ * The voters: one for each distinct incarnation, also where an older release gave one of them two seats. A majority is
+ * still counted of all seats.
+ */
 const distinctVoters = (state: CommittedState | null): Member[] => [
   ...new Map((state?.members ?? []).map((member) => [member.incarnation, member])).values(),
 ];
--- a/packages/peer-transport/src/errors.ts
+++ b/packages/peer-transport/src/errors.ts
@@ -1,6 +1,9 @@
 /** The error of a peer connection. */
 
-/** A peer that can't be asked: `closed` (the connection ended), `late` (no progress within the timeout; the peer may have acted), `full` (too many calls are open) or `unreachable` (no connection within the timeout). */
+/**
+ * A peer that can't be asked: `closed` (the connection ended), `late` (no progress within the timeout; the peer may
+ * have acted), `full` (too many calls are open) or `unreachable` (no connection within the timeout).
+ */
 export interface PeerError {
   readonly kind: 'peer';
   readonly code: 'closed' | 'late' | 'full' | 'unreachable';
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -13,7 +13,10 @@
   readonly bytes: Uint8Array;
 }
 
-/** What travels on a connection: a hello, a message (`tell`), a call (`ask`) and its `reply`, a part of any of these, and the acknowledgement of a part (`got`). */
+/**
+ * What travels on a connection: a hello, a message (`tell`), a call (`ask`) and its `reply`, a part of any of these,
+ * and the acknowledgement of a part (`got`).
+ */
 export type Frame =
   | { readonly f: 'hello'; readonly hello: unknown }
   | { readonly f: 'tell'; readonly topic: string; readonly body: unknown }
@@ -122,5 +125,8 @@
   }
 };
 
-/** Encodes, decodes and checks frames; `pack` gives a message's bytes with the length in front, `withLength` takes it encoded already. `decode` throws on bytes that are no CBOR. */
+/**
+ * Encodes, decodes and checks frames; `pack` gives a message's bytes with the length in front, `withLength` takes it
+ * encoded already. `decode` throws on bytes that are no CBOR.
+ */
 export const frames = { isFrame, pack, encode: cbor.encode, decode: cbor.decode, withLength };
--- a/packages/peer-transport/src/hello.ts
+++ b/packages/peer-transport/src/hello.ts
@@ -3,7 +3,10 @@
 /** The version of the protocol between nodes; peers of another version are not talked to. */
 export const wireRelease = 4;
 
-/** A node as it presents itself. `address` takes peer connections, `http` serves its pages (empty where there are none); `incarnation` is new for each run of a process, or each data folder on a node that keeps one. */
+/**
+ * A node as it presents itself. `address` takes peer connections, `http` serves its pages (empty where there are none);
+ * `incarnation` is new for each run of a process, or each data folder on a node that keeps one.
+ */
 export interface Hello {
   readonly release: number;
   readonly name: string;
@@ -50,5 +53,7 @@
 const releaseOf = (value: unknown): unknown =>
   typeof value === 'object' && value !== null ? (value as { release?: unknown }).release : undefined;
 
-/** Builds the hello of a node, and checks one that came from another: `releaseOf` reads its release whatever its form. */
+/**
+ * Builds the hello of a node, and checks one that came from another: `releaseOf` reads its release whatever its form.
+ */
 export const hellos = { of, isHello, releaseOf };
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -15,7 +15,10 @@
 import { StallDetector } from './stallDetector.js';
 import { streams } from './streams.js';
 
-/** What the owner of a connection does with what comes on it. Bodies are as the peer sent them: each topic's reader checks its own. */
+/**
+ * What the owner of a connection does with what comes on it. Bodies are as the peer sent them: each topic's reader
+ * checks its own.
+ */
 export interface Handlers {
   readonly told: (from: PeerConnection, topic: string, body: unknown) => void;
   readonly asked: (from: PeerConnection, topic: string, body: unknown) => Promise<unknown>;
@@ -166,11 +169,15 @@
   private readonly answer = (id: number, topic: string, body: unknown): Promise<unknown> =>
     this.handlers.asked(this, topic, body).then((reply) => this.send(topic, { f: 'reply', id, body: reply }));
 
-  /** Sends a message. False where the connection is closed, or was dropped as the peer reads nothing or the message passes the limit; true tells nothing of its arrival. */
+  /**
+   * Sends a message. False where the connection is closed, or was dropped as the peer reads nothing or the message
+   * passes the limit; true tells nothing of its arrival.
+   */
   readonly tell = (topic: string, body: unknown): boolean => this.send(topic, { f: 'tell', topic, body });
 
   /** Asks and waits for the reply.
-   * @param timeoutMs how long without progress: each part that arrives or is acknowledged on the ask's stream begins it anew
+   * @param timeoutMs milliseconds without progress: each part that arrives or is acknowledged on the ask's stream
+   *   begins them anew
    * @returns the reply's body, or `late`, `full` (too many calls are open) or `closed` */
   readonly ask = (topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => {
     if (!this.isOpen) return Promise.resolve(err(peerError('closed')));
--- a/packages/peer-transport/src/peerConnections.ts
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -10,7 +10,10 @@
 
 const helloTimeoutMs = 2000;
 
-/** Accepts and dials connections. Each end drops the other where its hello does not come within the timeout (2 s unless given, in milliseconds); `dial` ends once the hello is there. */
+/**
+ * Accepts and dials connections. Each end drops the other where its hello does not come within the timeout (2 s unless
+ * given, in milliseconds); `dial` ends once the hello is there.
+ */
 export const peerConnections = {
   listen: (
     net: Net,
--- a/packages/peer-transport/src/sendQueue.ts
+++ b/packages/peer-transport/src/sendQueue.ts
@@ -21,7 +21,11 @@
   readonly sentAt: number;
 }
 
-/** Owns what waits on one connection. At most a window of bytes is unacknowledged; the window follows the delay that this connection's own parts add on their path (as in LEDBAT), so that small frames don't wait long behind them in buffers below. Streams take turns, a part each. */
+/**
+ * Owns what waits on one connection. At most a window of bytes is unacknowledged; the window follows the delay that
+ * this connection's own parts add on their path (as in LEDBAT), so that small frames don't wait long behind them in
+ * buffers below. Streams take turns, a part each.
+ */
 export class SendQueue {
   private readonly waiting = new Map<string, QueuedMessage[]>();
   private readonly unacknowledged: UnacknowledgedPart[] = [];
--- a/packages/peer-transport/src/streams.ts
+++ b/packages/peer-transport/src/streams.ts
@@ -18,7 +18,10 @@
 
 /** The stream of each topic. */
 export const streams = {
-  /** Messages of one stream arrive in the order they were sent; large ones of different streams share the connection in turns. A reply takes the stream of its ask. Topics without a stream of their own share one. */
+  /**
+   * Messages of one stream arrive in the order they were sent; large ones of different streams share the connection in
+   * turns. A reply takes the stream of its ask. Topics without a stream of their own share one.
+   */
   of: (topic: string): string =>
     Object.hasOwn(streamsByTopic, topic) ? (streamsByTopic[topic] as string) : mainStream,
 };
--- a/packages/settings/src/nodeSettings.ts
+++ b/packages/settings/src/nodeSettings.ts
@@ -36,7 +36,10 @@
   detectsStaleEntries: v.optional(v.boolean(), true),
 });
 
-/** What a process of the opaque path is told: its place, its bounds (milliseconds unless the name says otherwise), its limits. */
+/**
+ * What a process of the opaque path is told: its place, its bounds (milliseconds unless the name says otherwise), its
+ * limits.
+ */
 export type NodeSettings = v.InferOutput<typeof shape>;
 
 /** The issues of a valibot check; `at` comes before each path. */
--- a/packages/write-ahead-log/src/errors.ts
+++ b/packages/write-ahead-log/src/errors.ts
@@ -1,7 +1,10 @@
 /** The errors of the write-ahead log. */
 import type { DiskError } from '@martenworks/core-types';
 
-/** A file of the log that is damaged before its tail, or that follows a file that is missing. The log must not be opened: it has lost records that were acknowledged. */
+/**
+ * A file of the log that is damaged before its tail, or that follows a file that is missing. The log must not be
+ * opened: it has lost records that were acknowledged.
+ */
 export interface CorruptionError {
   readonly kind: 'corrupt';
   readonly file: string;
--- a/packages/write-ahead-log/src/fileChain.ts
+++ b/packages/write-ahead-log/src/fileChain.ts
@@ -1,4 +1,6 @@
-/** The links between the files of a log, by which a lost file is found out: each names the batch it was written after. */
+/**
+ * The links between the files of a log, by which a lost file is found out: each names the batch it was written after.
+ */
 
 /** The last batch of a segment, or a snapshot: the number of its file and the checksum of its bytes. */
 export interface Tip {
@@ -6,7 +8,10 @@
   readonly checksum: number;
 }
 
-/** Stands first in each segment, and behind the state in each snapshot: what it follows, null for the first segment of a log. */
+/**
+ * Stands first in each segment, and behind the state in each snapshot: what it follows, null for the first segment of a
+ * log.
+ */
 export interface Link {
   readonly walLink: { readonly after: Tip | null };
 }
--- a/packages/write-ahead-log/src/openLog.ts
+++ b/packages/write-ahead-log/src/openLog.ts
@@ -18,7 +18,10 @@
 
 /** Opens, checks and removes logs; a log is all files of one prefix on a disk. */
 export const writeAheadLogs = {
-  /** Opens the log of this prefix: its newest snapshot, the records after it, and its end, from which a torn tail is cut. A file that is damaged before its tail, or follows one that is missing, is a `corrupt` fault. */
+  /**
+   * Opens the log of this prefix: its newest snapshot, the records after it, and its end, from which a torn tail is
+   * cut. A file that is damaged before its tail, or follows one that is missing, is a `corrupt` fault.
+   */
   open: async (
     disk: Disk,
     prefix: string,
@@ -39,7 +42,10 @@
   check: async (disk: Disk, prefix: string, options: LogOptions = {}): Promise<Result<void, WriteAheadLogError>> =>
     (await readLog(disk, prefix, options)).map(() => undefined),
 
-  /** Removes all files of the log, snapshots and then segments, the oldest first: what a loss of power leaves in between has lost its beginning. */
+  /**
+   * Removes all files of the log, snapshots and then segments, the oldest first: what a loss of power leaves in between
+   * has lost its beginning.
+   */
   discard: async (disk: Disk, prefix: string): Promise<Result<readonly string[], WriteAheadLogError>> => {
     const listed = await disk.list();
     if (listed.isErr()) return err(listed.error);
--- a/packages/write-ahead-log/src/recordBatch.ts
+++ b/packages/write-ahead-log/src/recordBatch.ts
@@ -1,4 +1,6 @@
-/** A batch of records as it stands in a file: length and checksum (CRC-32) of four bytes each, then the records in CBOR. */
+/**
+ * A batch of records as it stands in a file: length and checksum (CRC-32) of four bytes each, then the records in CBOR.
+ */
 import { crc32 } from 'node:zlib';
 import { cbor } from '@martenworks/core-types';
 
@@ -48,5 +50,8 @@
 
 const records = (batch: Batch): readonly unknown[] => cbor.decode(batch.body) as readonly unknown[];
 
-/** Encodes batches and finds them: `at` is null where no whole batch that passes its checksum begins, `isAnyAfter` tells whether one begins at any later byte. */
+/**
+ * Encodes batches and finds them: `at` is null where no whole batch that passes its checksum begins, `isAnyAfter` tells
+ * whether one begins at any later byte.
+ */
 export const recordBatches = { encode, at, isAnyAfter, records };
--- a/packages/write-ahead-log/src/writeAheadLog.ts
+++ b/packages/write-ahead-log/src/writeAheadLog.ts
@@ -17,7 +17,10 @@
   readonly settle: (result: Result<void, WriteAheadLogError>) => void;
 }
 
-/** The writing end of a log: appends records in batches, each synced before it is acknowledged. Opened by `writeAheadLogs.open`. */
+/**
+ * The writing end of a log: appends records in batches, each synced before it is acknowledged. Opened by
+ * `writeAheadLogs.open`.
+ */
 export class WriteAheadLog {
   private readonly writer = new CommandQueue();
   private waiting: WaitingRecord[] = [];
