--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -17,7 +17,7 @@
 import { TransferSource } from './transferSource.js';
 
 const pageTimeoutMs = 1_500;
-const heldTimeoutMs = 800;
+const logIndexTimeoutMs = 800;
 const transferLimitBytes = 128 * 1024 * 1024;
 const mostTransfersInRun = 8;
 
@@ -51,11 +51,11 @@
   readonly step = async (): Promise<void> => {
     if (this.running !== null) return this.running;
     const positions = await Promise.all(
-      this.peers().map(async (peer) => ({ peer, held: await this.heldBy(peer, heldTimeoutMs) })),
+      this.peers().map(async (peer) => ({ peer, logIndex: await this.logIndexOf(peer, logIndexTimeoutMs) })),
     );
     const ahead = positions
-      .filter(({ held }) => held !== null && held > this.logIndex())
-      .sort((a, b) => (b.held ?? -1) - (a.held ?? -1));
+      .filter(({ logIndex }) => logIndex !== null && logIndex > this.logIndex())
+      .sort((a, b) => (b.logIndex ?? -1) - (a.logIndex ?? -1));
     const chosen = ahead.find(({ peer }) => peer.peer?.incarnation !== this.failedSource) ?? ahead[0];
     if (chosen !== undefined) await this.from(chosen.peer);
   };
@@ -70,10 +70,10 @@
 
   /** Whether the peer answered and this node then holds all that it told of. False also where a transfer took longer than the patience, or this node's disk did not take it. */
   readonly ask = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
-    const held = await this.heldBy(peer, timeoutMs);
-    if (held === null) return false;
-    if (held > this.logIndex()) await this.within(this.from(peer), timeoutMs);
-    return held <= this.logIndex();
+    const peerLogIndex = await this.logIndexOf(peer, timeoutMs);
+    if (peerLogIndex === null) return false;
+    if (peerLogIndex > this.logIndex()) await this.within(this.from(peer), timeoutMs);
+    return peerLogIndex <= this.logIndex();
   };
 
   /** Asks a peer that is behind to catch up from this node. */
@@ -90,7 +90,7 @@
   /** The reply to a peer that catches up; undefined for topics of others. */
   readonly answer = async (peer: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
-      case catchUpTopics.held:
+      case catchUpTopics.logIndex:
         return this.logIndex();
       case catchUpTopics.page:
         return catchUpMessages.isPageAsk(body) ? this.source.page(body) : null;
@@ -102,8 +102,8 @@
     }
   };
 
-  private readonly heldBy = async (peer: PeerConnection, timeoutMs: number): Promise<number | null> => {
-    const reply = await peer.ask(catchUpTopics.held, null, timeoutMs);
+  private readonly logIndexOf = async (peer: PeerConnection, timeoutMs: number): Promise<number | null> => {
+    const reply = await peer.ask(catchUpTopics.logIndex, null, timeoutMs);
     return reply.isOk() && typeof reply.value === 'number' ? reply.value : null;
   };
 
--- a/packages/control-plane/src/consensus/catchUpMessages.ts
+++ b/packages/control-plane/src/consensus/catchUpMessages.ts
@@ -7,7 +7,7 @@
 /** What a node asks of another to catch up. */
 export const catchUpTopics = {
   /** Body null; the reply is the log index committed, or null where nothing is. */
-  held: 'stateHeld',
+  logIndex: 'stateHeld',
   /** Body `PageAsk`; the reply is `Page`, or null where the asker lacks nothing. */
   page: 'statePage',
   /** Body null: the asker holds more than the one that is asked, which catches up from it and replies the log index it then has. */
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -40,7 +40,7 @@
         return isAccept(body) ? acceptor.accept(body.slot, body.ballot, acceptor.changeOf(body.change)) : null;
       case 'position':
         return positions.of(acceptor);
-      case catchUpTopics.held:
+      case catchUpTopics.logIndex:
       case catchUpTopics.page:
       case catchUpTopics.behind:
         return this.catchUp.answer(connection, topic, body);
