--- /dev/null
+++ b/packages/peer-transport/test/frameChecks.test.ts
@@ -0,0 +1,71 @@
+import { expect } from 'chai';
+import { frames, hellos, peerConnections, wireRelease } from '@martenworks/peer-transport';
+import type { Handlers, Hello } from '@martenworks/peer-transport';
+import { SimWorld } from '@martenworks/test-fleet';
+
+const nearHost = '10.0.0.1';
+const farHost = '10.0.0.2';
+const farAddress = `${farHost}:7640`;
+
+const helloOf = (host: string): Hello =>
+  hellos.of(
+    'control',
+    { name: host, peerAddress: `${host}:7640`, http: `${host}:8200`, operators: null, zone: 'zone-a' },
+    host,
+  );
+
+const quiet: Handlers = { told: () => {}, asked: async () => null, joined: () => {}, left: () => {} };
+
+/** Dials a peer that presents itself with this value; the outcome, and the causes of dropped connections. */
+const dialPeerWith = async (hello: unknown): Promise<{ code: string; causes: unknown[] }> => {
+  const world = new SimWorld(5);
+  const far = world.machine(farHost).ports();
+  (
+    await far.net.listen(farAddress, (connection) => connection.write(frames.pack({ f: 'hello', hello })))
+  )._unsafeUnwrap();
+  const near = world.machine(nearHost).ports();
+  let code = '';
+  void peerConnections.dial(near.net, near.clock, near.log, helloOf(nearHost), farAddress, quiet).then((dialed) => {
+    code = dialed.isOk() ? 'ok' : dialed.error.code;
+  });
+  await world.until('the outcome', () => code !== '');
+  const dropped = world.logLines.filter(({ message }) => message === 'connection dropped');
+  return { code, causes: dropped.map(({ context }) => context.cause) };
+};
+
+describe('checks of what a peer sends', () => {
+  it('given a hello that lacks a field, or has one of another type, when it comes, then the connection is dropped and the cause logged', async () => {
+    const sound = helloOf(farHost);
+    expect(await dialPeerWith(sound)).to.deep.equal({ code: 'ok', causes: [] });
+    for (const field of ['name', 'role', 'address', 'http', 'zone', 'incarnation'])
+      for (const value of [undefined, 7])
+        expect(await dialPeerWith({ ...sound, [field]: value }), `${field} ${value}`).to.deep.equal({
+          code: 'unreachable',
+          causes: ['hello is not readable'],
+        });
+  });
+
+  it('given a hello of another release, whatever its form, when it comes, then the version mismatch is the cause', async () => {
+    for (const hello of [{ ...helloOf(farHost), release: wireRelease + 1 }, { release: 1 }, 'hello', null])
+      expect((await dialPeerWith(hello)).causes, JSON.stringify(hello)).to.deep.equal([
+        'peer protocol version mismatch',
+      ]);
+  });
+
+  it('given each kind of frame with a field missing, when it is checked, then it is no frame; and whole ones are', () => {
+    const whole = [
+      { f: 'hello', hello: null },
+      { f: 'got' },
+      { f: 'tell', topic: 't' },
+      { f: 'ask', id: 1, topic: 't' },
+      { f: 'reply', id: 1 },
+      { f: 'part', stream: 's', isLast: true, bytes: new Uint8Array(1) },
+    ];
+    for (const frame of whole) expect(frames.isFrame(frame), JSON.stringify(frame)).to.equal(true);
+    for (const frame of whole)
+      for (const field of Object.keys(frame).filter((name) => name !== 'hello')) {
+        const { [field]: _, ...rest } = frame as Record<string, unknown>;
+        expect(frames.isFrame(rest), `${frame.f} without ${field}`).to.equal(false);
+      }
+  });
+});
