--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -41,7 +41,7 @@
     await fleet.startCounter(0);
     await fleet.world.until('fresh with one seed down', () => fleet.gateways[0]?.freshness.isFresh() === true, 5_000);
     await fleet.bootControlNode(0);
-    await fleet.world.until('three voices', () => fleet.gateways[0]?.freshness.voiceCount() === 3, 5_000);
+    await fleet.world.until('three voices', () => fleet.gateways[0]?.freshness.freshNodeCount() === 3, 5_000);
   });
 
   it('given only two of three control nodes, when they wait, then they found nothing; and with the third they do', async () => {
--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -130,7 +130,7 @@
   const isReady = gateway.freshness.isFresh() && !gateway.stages.isDraining;
   return isReady
     ? c.json({ status: 'ready', generation: gateway.stateView.logIndex() })
-    : c.json({ status: 'not ready', voices: gateway.freshness.voiceCount() }, 503, { 'retry-after': '1' });
+    : c.json({ status: 'not ready', voices: gateway.freshness.freshNodeCount() }, 503, { 'retry-after': '1' });
 };
 
 /** The routes of one gateway's caller address. */
--- a/packages/gateway/src/peers/controlReporter.ts
+++ b/packages/gateway/src/peers/controlReporter.ts
@@ -53,7 +53,7 @@
     const pong = peerMessages.pong(response.value);
     if (pong === null) return;
     freshness.heard(stamp, pong);
-    replicaTracker.toldOthers(pong.loads);
+    replicaTracker.takeOtherLoads(pong.loads);
     stages.placementStage.takeContention(pong.contention);
     const broken = stateView.index.broken();
     if (broken.length > 0) connection.tell('indexSnapshotRequest', broken);
--- a/packages/gateway/src/peers/isolationAdmission.ts
+++ b/packages/gateway/src/peers/isolationAdmission.ts
@@ -42,13 +42,13 @@
 
   /** Asks for all claims that are open, if no round is running. */
   readonly run = async (): Promise<void> => {
-    const claims = this.gateway.stateView.sidesWanted();
+    const claims = this.gateway.stateView.wantedIsolationClaims();
     if (this.isRunning || claims.length === 0) return;
     this.isRunning = true;
     const statuses = await this.ask(claims);
     this.isRunning = false;
     if (statuses.length === 0) return;
-    this.gateway.stateView.sidesAdmitted(statuses);
+    this.gateway.stateView.takeIsolationStatuses(statuses);
     this.gateway.stages.placementStage.pumpAll();
   };
 
--- a/packages/gateway/src/peers/peerMessageHandlers.ts
+++ b/packages/gateway/src/peers/peerMessageHandlers.ts
@@ -39,7 +39,7 @@
     }),
   ],
   ['replicas', handler(peerMessages.replicas, (gateway, records) => gateway.stateView.takeReplicas(records))],
-  ['loads', handler(peerMessages.loads, (gateway, loads) => gateway.replicaTracker.toldOthers(loads))],
+  ['loads', handler(peerMessages.loads, (gateway, loads) => gateway.replicaTracker.takeOtherLoads(loads))],
   [
     'indexSnapshot',
     handler(peerMessages.indexSnapshot, (gateway, snapshot) => gateway.stateView.takeIndexSnapshot(snapshot)),
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -4,6 +4,18 @@
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 
+/** Resolves with the piece that ends the relay, once the request ends or is cut. */
+const untilStopped = (request: GatewayRequest): Promise<Piece> =>
+  new Promise((resolve) => {
+    const stop = (): void => resolve({ kind: 'cut', cause: request.cutCause ?? 'the request ended' });
+    request.abortController.signal.addEventListener('abort', stop, { once: true });
+  });
+
+/** A response under an idempotency key may be asked for again. */
+const keepForReplay = (request: GatewayRequest, piece: Piece): void => {
+  if (request.claim !== null && piece.kind === 'piece') request.relayedDatas.push(piece.data);
+};
+
 /** Makes the generators from which the callers' responses are read. */
 export class RelayStage {
   constructor(private readonly context: StageContext) {}
@@ -41,6 +53,17 @@
     );
   };
 
+  private readonly noteEnd = (request: GatewayRequest, replica: string, last: Piece): void => {
+    const { metrics, replicaTracker } = this.context;
+    if (last.kind === 'done') {
+      metrics.add('finished');
+      request.isWhole = true;
+      return;
+    }
+    metrics.add('cut');
+    if (request.cutCause === null && !request.isEnded) replicaTracker.failed(replica);
+  };
+
   /** The pieces of a running attempt: the first, then the rest; `release` is called when the relay ends. */
   readonly relay = async function* (
     this: RelayStage,
@@ -50,35 +73,19 @@
     rest: AsyncGenerator<Piece>,
     release: () => void,
   ): AsyncGenerator<Piece> {
-    const stopped = new Promise<Piece>((resolve) => {
-      request.abortController.signal.addEventListener(
-        'abort',
-        () => resolve({ kind: 'cut', cause: request.cutCause ?? 'the request ended' }),
-        { once: true },
-      );
-    });
-    const keep = (piece: Piece): void => {
-      if (request.claim !== null && piece.kind === 'piece') request.relayedDatas.push(piece.data);
-    };
+    const stopped = untilStopped(request);
     try {
-      keep(first);
+      keepForReplay(request, first);
       yield first;
       for (;;) {
         const piece = await this.nextPiece(request, rest, stopped);
-        keep(piece);
+        keepForReplay(request, piece);
         if (piece.kind === 'piece') {
           yield piece;
           continue;
         }
-        if (piece.kind === 'done') {
-          this.context.metrics.add('finished');
-          request.isWhole = true;
-          yield piece;
-          return;
-        }
-        this.context.metrics.add('cut');
-        if (request.cutCause === null && !request.isEnded) this.context.replicaTracker.failed(replica);
-        yield { kind: 'cut', cause: piece.cause };
+        this.noteEnd(request, replica, piece);
+        yield piece.kind === 'done' ? piece : { kind: 'cut', cause: piece.cause };
         return;
       }
     } finally {
--- a/packages/gateway/src/replicas/replicaTracker.ts
+++ b/packages/gateway/src/replicas/replicaTracker.ts
@@ -102,7 +102,7 @@
   };
 
   /** Takes the loads that other gateways put on the replicas; a replica not named has none. */
-  readonly toldOthers = (loads: Loads): void => {
+  readonly takeOtherLoads = (loads: Loads): void => {
     for (const [replica, tracked] of this.held) {
       if (loads[replica] !== undefined) continue;
       tracked.othersRunning = 0;
--- a/packages/gateway/src/state/freshness.ts
+++ b/packages/gateway/src/state/freshness.ts
@@ -57,12 +57,12 @@
   };
 
   /** The number of control nodes whose newest pong still counts. */
-  readonly voiceCount = (): number =>
+  readonly freshNodeCount = (): number =>
     this.members().filter((member) => this.isPongFresh(this.pongs.get(member.incarnation))).length;
 
   /** Whether a majority of control nodes confirm the held state. */
   readonly isFresh = (): boolean => {
     const members = this.members();
-    return members.length > 0 && this.voiceCount() > members.length / 2;
+    return members.length > 0 && this.freshNodeCount() > members.length / 2;
   };
 }
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -114,10 +114,10 @@
   };
 
   /** Isolated tenants to be admitted to replicas. */
-  readonly sidesWanted = (): IsolationClaim[] => this.tenantPartitions.wanted(this.clock.now());
+  readonly wantedIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.wanted(this.clock.now());
 
   /** Takes what the control nodes know of the replicas' isolated tenants. */
-  readonly sidesAdmitted = (statuses: readonly IsolationStatus[]): void => {
+  readonly takeIsolationStatuses = (statuses: readonly IsolationStatus[]): void => {
     for (const status of statuses)
       this.tenantPartitions.admitted(status, this.index.isUsed(status.replica), this.clock.now());
   };
--- a/packages/gateway/test/path.test.ts
+++ b/packages/gateway/test/path.test.ts
@@ -20,7 +20,7 @@
       await fleet.up();
       await fleet.world.run(500);
       expect(
-        fleet.gateways.map((gateway) => gateway?.freshness.voiceCount()),
+        fleet.gateways.map((gateway) => gateway?.freshness.freshNodeCount()),
         `seed ${seed}`,
       ).to.deep.equal(Array.from({ length: 9 }, () => 3));
     }
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -92,7 +92,7 @@
   ping(
     count,
     connections.map((_, at) => reportOf(at, load)),
-    (pong) => replicaTracker.toldOthers((pong as Pong).loads),
+    (pong) => replicaTracker.takeOtherLoads((pong as Pong).loads),
   );
 
 const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -509,7 +509,7 @@
       permanentLoss: 'control node lost for good',
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.freshness).isFresh = () => gateway.freshness.voiceCount() === 3;
+          loosened(gateway.freshness).isFresh = () => gateway.freshness.freshNodeCount() === 3;
         },
       },
     },
