--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -1,4 +1,4 @@
-/** A edge's connections to the control nodes: which of them is its source, and how it learns what is in force. */
+/** An edge's connections to the control nodes: which of them is its source, and how it learns what is in force. */
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type {
   EndpointListUpdate,
@@ -27,6 +27,9 @@
 const edgeCountHoldFactor = 2;
 const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
 
+/**
+ * Who is told what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
+ */
 export interface ControlListeners {
   readonly state: (update: EdgeState) => void;
   readonly endpoints: (update: EndpointListUpdate) => void;
@@ -37,7 +40,7 @@
   readonly isReady: () => boolean;
 }
 
-/** Holds a connection to every core node. One of them, in this edge's own zone where there is one, tells all its news; the others tell only which generation they hold, and are asked for it if this edge does not hold it yet. */
+/** Holds a connection to every control node. One of them, the source, pushes all updates; the others announce only their log index, and are asked for the state if this edge doesn't have it yet. */
 export class ControlConnection {
   private readonly memberList: MemberList;
   private readonly peerPool: PeerPool;
@@ -141,6 +144,7 @@
     this.peerPool.align();
   };
 
+  /** Log index and configuration version of the state that this edge has; -1 and 0 before the first. */
   readonly statePosition = (): StatePosition => this.receiver.position();
 
   private readonly controlNodes = (): PeerConnection[] =>
@@ -191,10 +195,19 @@
     this.receiver.takeAnnouncement(connection, pong.logIndex);
   };
 
+  /**
+   * Sends a report of missing cache entries to the source; lost where there is none, since each edge decides by its own
+   * strikes too.
+   */
   readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.tell('cacheMiss', update);
 
+  /**
+   * Tells the source that a long prefill begins or ends; lost where there is none, and forgotten by the receivers after
+   * a while.
+   */
   readonly reportPrefill = (update: PrefillNotice): void => void this.source?.tell('prefill', update);
 
+  /** The newest state that this edge has received; null before the first. */
   readonly state = (): EdgeState | null => this.receiver.state();
 
   private readonly noteEdgeCount = (edges: number): void => {
@@ -209,6 +222,7 @@
   /** Milliseconds since a control node that heard a majority of the members was heard, counted from when the majority was. */
   readonly unheardMs = (): number => this.ports.clock.now() - this.lastHeardAt;
 
+  /** The control connections for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
     content: this.source?.peer?.name ?? null,
     cores: this.controlNodes().map((connection) => ({
@@ -219,6 +233,7 @@
     held: this.statePosition(),
   });
 
+  /** Stops the timers and the peer pool. */
   readonly stop = (): void => {
     for (const repeat of this.timers) repeat.stop();
     this.peerPool.stop();
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -17,10 +17,13 @@
     private readonly listAgeLimitMs: number,
   ) {}
 
+  /** Takes the latest pong of a control node in place of the one before. */
   readonly take = (connection: PeerConnection, pong: EdgePong): void => void this.pongs.set(connection, pong);
 
+  /** Drops what is known of a connection that closed; it scores 0 from then on. */
   readonly forget = (connection: PeerConnection): void => void this.pongs.delete(connection);
 
+  /** The latest pong of a control node, for the operators' pages. */
   readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
 
   /** Whether the connection has brought nothing for so long that the node may be gone. */
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -43,6 +43,7 @@
     configVersion: this.latest?.configVersion ?? 0,
   });
 
+  /** Drops the announced position of a connection that closed, so that it doesn't count as ahead. */
   readonly forget = (connection: PeerConnection): void => void this.announced.delete(connection);
 
   /** Takes a state where it is newer, and acknowledges what the edge has afterwards. */
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -1,3 +1,4 @@
+/** What the modules of an edge share while a request is on its way. */
 import type { RequestMetadata, Customer, Ports, HeaderCodec, MetricCounters } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 import type { Call } from './ingress/call.js';
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,3 +1,4 @@
+/** The edge process without its entry point: wiring of ingress, replica selection, forwarding and control connection. */
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, RepeatingTimer } from '@martenworks/core-types';
 import type {
@@ -34,15 +35,18 @@
 const versionShare = 0.8;
 const metricsIntervalMs = 10_000;
 
-/** A edge on the opaque path: takes callers' requests, places each, and passes what the replica answers. */
+/** An edge: takes callers' requests, places each, and relays what the replica answers. */
 export class EdgeProxy implements EdgeContext {
   readonly replicaTracker: ReplicaTracker;
   readonly prefixCaches: PrefixCacheIndex;
+  /** Decides when answers have spoken often enough against an entry of the prefix index. */
   readonly staleEntryDetector: StaleEntryDetector;
   readonly budget: RetryBudget;
   readonly control: ControlConnection;
+  /** The server that callers connect to; unused where an HTTP server port hands requests to `receive`. */
   readonly ingress: IngressServer;
   readonly metrics = new MetricCounters();
+  /** Requests that are admitted and not yet answered. */
   readonly live = new Set<ForwardedRequest>();
   private readonly replicaSelector: ReplicaSelector;
   private readonly prefillIdPrefix: string;
@@ -56,6 +60,7 @@
   isClosing = false;
 
   constructor(
+    /** Settings of this node as checked at its start; they don't change while it runs. */
     readonly settings: NodeSettings,
     readonly ports: Ports,
     readonly wire: HeaderCodec,
@@ -135,7 +140,7 @@
 
   readonly readingId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
 
-  /** Takes the state in force as a control node tells it; an configuration version that is held already changes nothing. */
+  /** Takes the state in force as a control node tells it; a configuration version that it has already changes nothing. */
   readonly takeState = (update: EdgeState): void => {
     this.weightsTargets.take(update.weightsAges);
     if (update.table === null || this.view?.configVersion === update.configVersion) return;
@@ -147,6 +152,10 @@
     });
   };
 
+  /**
+   * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and has heard
+   * of a majority within `controlLossTimeoutMs` where that is set.
+   */
   readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isUnheard();
 
   private readonly admittingView = (): RoutingTableView | null =>
@@ -196,6 +205,7 @@
   /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
   readonly compare = (timing: AnswerTiming, spentMs: number): boolean => this.eviction.compare(timing, spentMs);
 
+  /** Listens on the address of the settings; fails with the network error of the system, for instance `EADDRINUSE`. */
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
 
   /** Takes no new connections after a while, finishes what runs, within `drainMs`. */
@@ -204,6 +214,7 @@
     return ingressDrain.run(this.ports.clock, this.ingress, this.settings.drainMs, () => this.live.size === 0);
   };
 
+  /** The state of this edge for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
     name: this.settings.name,
     zone: this.settings.zone,
@@ -224,6 +235,10 @@
     stale: { isOn: this.settings.detectsStaleEntries, ...this.staleEntryDetector.status() },
   });
 
+  /**
+   * Ends at once: timers, connections to control nodes and connections of callers. `drain` comes before it where
+   * requests should end first.
+   */
   readonly stop = (): void => {
     this.metricsTimer.stop();
     this.control.stop();
--- a/packages/edge-proxy/src/errors.ts
+++ b/packages/edge-proxy/src/errors.ts
@@ -38,6 +38,7 @@
   more: Partial<Pick<AdmissionError, 'retryAfterMs' | 'closesConnection'>> = {},
 ): AdmissionError => ({ code, status, message, retryAfterMs: null, closesConnection: false, ...more });
 
+/** The two body errors, as values to compare and return. */
 export const bodyErrors: { readonly tooLarge: BodyError; readonly callerGone: BodyError } = {
   tooLarge: { code: 'BODY_TOO_LARGE' },
   callerGone: { code: 'CALLER_GONE' },
--- a/packages/edge-proxy/src/forwarding/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/answerRelay.ts
@@ -1,3 +1,4 @@
+/** Relays the responses of one request's attempts to its caller as one response. */
 import { headerLists } from '../ingress/headers.js';
 import type { Call, Reply } from '../ingress/call.js';
 import { EventCutter } from './events.js';
@@ -29,6 +30,7 @@
 
   constructor(private readonly call: Call) {}
 
+  /** Whether the response to the caller has begun: from then on no status can be sent any more. */
   readonly hasReply = (): boolean => this.reply !== null;
 
   /** The id of the last event that was passed on whole, after which a resumption goes on. */
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,3 +1,4 @@
+/** One attempt of a request at one replica: timeouts, outcome and what it teaches of the replica. */
 import { background } from '@martenworks/core-types';
 import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
--- a/packages/edge-proxy/src/forwarding/events.ts
+++ b/packages/edge-proxy/src/forwarding/events.ts
@@ -1,6 +1,10 @@
+/** Server-sent events (WHATWG HTML, "Server-sent events") without change to their bytes, so that a stream can be cut and resumed between two. */
+
+/** ASCII code of the line feed that ends every line of an event, after a carriage return or not. */
 const newline = 10;
 const carriageReturn = 13;
 
+/** One event with its terminating empty line; `id` is its last `id` field's value, null where it has none. */
 export interface WholeEvent {
   readonly bytes: Uint8Array;
   readonly id: string | null;
@@ -26,6 +30,7 @@
     return -1;
   };
 
+  /** The events that are whole with these bytes; the rest is kept for the next call. */
   readonly take = (bytes: Uint8Array): WholeEvent[] => {
     let rest = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
     const events: WholeEvent[] = [];
@@ -38,5 +43,6 @@
     return events;
   };
 
+  /** Bytes after the last whole event; of a stream that ended in order they are passed on too. */
   readonly left = (): Uint8Array => this.pending;
 }
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -1,3 +1,4 @@
+/** The life of an admitted request: placement, attempts one after another, and one response or rejection. */
 import { AnswerRelay } from './answerRelay.js';
 import { Attempt } from './attempt.js';
 import type { RequestProgress } from './attempt.js';
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -1,3 +1,4 @@
+/** The retry budget: a bound on retries relative to first attempts, so that retries can't multiply an overload. */
 import type { Clock } from '@martenworks/core-types';
 
 /** The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over all edges together. */
@@ -41,10 +42,12 @@
     return fresh;
   };
 
+  /** Counts a first attempt at the pool; it earns a part of a retry. */
   readonly first = (pool: string): void => {
     this.bucket(pool).first += 1;
   };
 
+  /** Retries that this edge may still make at the pool in the current window. */
   readonly left = (pool: string): number => {
     this.bucket(pool);
     const buckets = this.pools.get(pool) ?? [];
@@ -54,6 +57,7 @@
     return Math.floor(sum('first') * this.terms.ratio * cautiousShare + slack) - sum('extra');
   };
 
+  /** Spends one retry at the pool; false where none is left, and then nothing is spent. */
   readonly take = (pool: string): boolean => {
     if (this.left(pool) < 1) return false;
     this.bucket(pool).extra += 1;
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -1,3 +1,4 @@
+/** When an attempt is given up and what may follow it, as rules without state. */
 import type { ResponseHead, Route } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 
@@ -52,12 +53,20 @@
   return { kind: 'pass on', isSuccess, isFailure };
 };
 
+/**
+ * What the time allowed for a first piece depends on, all in milliseconds: the route's latency target, the placement's
+ * estimated cost, and the pool's typical time to a first piece.
+ */
 export interface FirstPatience {
   readonly targetMs: number;
   readonly costMs: number;
   readonly typicalFirstMs: number;
 }
 
+/**
+ * The rules of retries. A request may be sent again only where no replica ran it or its route allows repetition (RFC
+ * 9110, 9.2.2, for methods; here by route).
+ */
 export const retryPolicy = {
   headVerdict,
 
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -1,3 +1,4 @@
+/** The edge proxy: it takes callers' requests, selects a replica for each and relays the response. */
 export * from './ingress/call.js';
 export * from './ingress/headers.js';
 export * from './ingress/ingressServer.js';
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -1,3 +1,4 @@
+/** The open exchanges of one caller's connection, pipelined ones included (RFC 9112, 9.3.2). */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
--- a/packages/edge-proxy/src/ingress/headers.ts
+++ b/packages/edge-proxy/src/ingress/headers.ts
@@ -1,4 +1,6 @@
 /** Operations on lists of headers, in which names and values alternate as they came (`rawHeaders` of Node). */
+
+/** Headers of one connection (RFC 9110, 7.6.1), and `Expect`, which the ingress server answers itself. */
 const hopByHop = new Set([
   'connection',
   'keep-alive',
@@ -18,6 +20,9 @@
   return null;
 };
 
+/**
+ * Lookup and removal of headers; names are compared without regard to case (RFC 9110, 5.1), order and spelling stay.
+ */
 export const headerLists = {
   find,
   /** Without the headers that concern one connection only (RFC 9110, 7.6.1), those that `Connection` names among them. */
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -1,3 +1,4 @@
+/** The HTTP/1.1 server that callers connect to (RFC 9112). */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -65,6 +66,9 @@
   },
 };
 
+/**
+ * Who is handed each call, and whether connections should be closed after the response because the edge is draining.
+ */
 export interface IngressServerOptions {
   readonly onCall: (call: Call) => void;
   readonly isClosing: () => boolean;
@@ -119,11 +123,15 @@
     });
   };
 
+  /**
+   * Takes the idle and header timeouts, in milliseconds, of the routing table in force.
+   */
   readonly limit = (limits: CallerLimits): void => {
     this.server.keepAliveTimeout = limits.idleMs;
     this.server.headersTimeout = limits.headerMs;
   };
 
+  /** Listens on `host:port`; fails with the network error of the system, for instance `EADDRINUSE`. */
   readonly open = (address: string): Promise<Result<void, NetworkError>> =>
     new Promise((resolve) => {
       const { host, port } = addresses.split(address);
@@ -133,15 +141,19 @@
       this.server.listen(port, host, 1_024, () => resolve(ok(undefined)));
     });
 
+  /** Stops accepting connections and closes the idle ones; running requests go on. */
   readonly shut = (): void => {
     this.server.close();
     this.server.closeIdleConnections();
   };
 
+  /** Whether no connection is open; true also where the system can't tell. */
   readonly isEmpty = (): Promise<boolean> =>
     new Promise((resolve) => this.server.getConnections((cause, count) => resolve(cause !== null || count === 0)));
 
+  /** Closes the connections on which no request is running. */
   readonly closeIdle = (): void => this.server.closeIdleConnections();
 
+  /** Closes every connection at once, whatever runs on it. */
   readonly destroy = (): void => this.server.closeAllConnections();
 }
--- a/packages/edge-proxy/src/ingress/rejectionWriter.ts
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -14,6 +14,7 @@
 const msPerSecond = 1_000;
 const retryAfterDigits = 2;
 
+/** Writes a rejection as a whole response with a JSON body; a response to HEAD has no body (RFC 9110, 9.3.2). */
 export const rejectionWriter = {
   write: (wire: HeaderCodec, call: Call, { status, message, retryAfterMs, closesConnection }: Rejection): void => {
     const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -1,3 +1,4 @@
+/** Calls that come as `Request` of the Fetch standard, for an edge behind an HTTP server that isn't its own. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
@@ -102,6 +103,7 @@
   };
 }
 
+/** Adapts an edge to the handler of an HTTP server port. */
 export const webCalls = {
   /** Answers a `Request` by whoever receives calls: an edge without its own server. */
   handler:
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -1,3 +1,4 @@
+/** The edge's prefix index: which address has which prompt part cached, as far as events, own answers and reports tell. */
 import { IncarnationMatcher } from '@martenworks/core-types';
 import type { Clock, PrefixCacheUpdate } from '@martenworks/core-types';
 
@@ -19,7 +20,7 @@
 
 const labelOf = (salt: string, part: string): string => `${salt}\n${part}`;
 
-/** The edge's index: which address keeps how many tokens of which part under which salt, from what the core tells and, for a while, from what this edge saw itself. */
+/** The edge's index: which address keeps how many tokens of which part under which salt, from what control nodes send and, for a while, from what this edge saw itself. */
 export class PrefixCacheIndex {
   private readonly prefixCaches = new Map<string, StoredPrefixes>();
 
@@ -42,6 +43,7 @@
     return fresh;
   };
 
+  /** Takes updates from the control plane: whole lists or changes of one address's entries. */
   readonly take = (bundle: readonly PrefixCacheUpdate[]): void => {
     for (const { address, isWhole, isHeard, epoch, events: update } of bundle) {
       const stored = this.stored(address);
@@ -71,12 +73,14 @@
     stored.quarantined.clear();
   };
 
+  /** No replica has the address any more: everything known of it is dropped. */
   readonly onAddressVacated = (address: string): void => void this.prefixCaches.delete(address);
 
   /** Whatever is told, the address does not count as keeping the part for a while. */
   readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
     void this.stored(address).quarantined.set(labelOf(salt, part), this.clock.now() + forMs);
 
+  /** Whether entries of the part at the address are ignored for now, after they proved wrong. */
   readonly isQuarantined = (address: string, salt: string, part: string): boolean => {
     const quarantined = this.prefixCaches.get(address)?.quarantined;
     const label = labelOf(salt, part);
@@ -95,6 +99,7 @@
   readonly reads = (address: string, salt: string, part: string): void =>
     void this.stored(address).reading.set(labelOf(salt, part), this.clock.now());
 
+  /** Whether a prefill of the part is running at the address, by a notice of the last 2.5 s. */
   readonly isReading = (address: string, salt: string, part: string): boolean => {
     const stored = this.prefixCaches.get(address);
     const label = labelOf(salt, part);
@@ -127,8 +132,10 @@
     return false;
   };
 
+  /** Whether a control node follows the address's cache events at present. */
   readonly isHeard = (address: string): boolean => this.prefixCaches.get(address)?.isHeard === true;
 
+  /** Entries per address, for the operators' pages. */
   readonly sizes = (): { address: string; parts: number; isHeard: boolean; quarantined: number }[] =>
     [...this.prefixCaches].map(([address, { kept, isHeard, quarantined }]) => ({
       address,
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -1,11 +1,13 @@
+/** What the time to an attempt's first piece tells: the prefill rate of the replica, and whether the prefix was cached as the index says. */
 import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import { heavyTokens } from '../routing/readRates.js';
 import type { ExpectedHit } from './staleEntryDetector.js';
 import type { Placement } from '../routing/placement.js';
 
+/** Names of the metrics that count placements by prompt length and source of the prefix. */
 export const placementNames = {
-  /** The gateway that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
+  /** The counter that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
   of: ({ affinityPart, isCached, isBeingPrefilled, isPreferred, holder }: Placement): string => {
     if (affinityPart === null || affinityPart.tokens < heavyTokens)
       return isPreferred ? 'placed_short_home' : 'placed_short_elsewhere';
@@ -37,6 +39,7 @@
     this.isAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
+  /** Milliseconds since the attempt began. */
   readonly spentMs = (): number => this.context.ports.clock.now() - this.sentAt;
 
   /** Tells the other edges of a long prompt that is about to be read. */
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -1,3 +1,4 @@
+/** Finds entries of the prefix index that don't hold any more, by answers that come as late as if the prefix had been prefilled. */
 import type { Clock, CacheMissReport } from '@martenworks/core-types';
 
 const missingShare = 0.6;
@@ -35,8 +36,13 @@
   readonly sentAt: number;
 }
 
+/** What one answer's timing says of the promised parts; `unclear` where noise could explain either. */
 export type Verdict = 'missing' | 'found' | 'unclear';
 
+/**
+ * What follows from an answer: nothing, a strike to be reported, or the eviction of the entry, with a quarantine in
+ * milliseconds where it fell before.
+ */
 export type Decision =
   | { readonly kind: 'none' }
   | { readonly kind: 'strike' }
@@ -74,6 +80,7 @@
 
   constructor(private readonly clock: Clock) {}
 
+  /** Takes one answer's time to its first piece, in milliseconds, and decides about the entry that it relied on. */
   readonly take = (timing: AnswerTiming, spentMs: number): Decision => {
     const verdict = answerTimings.judge(timing, spentMs);
     if (verdict === 'unclear') return { kind: 'none' };
@@ -152,6 +159,7 @@
       if (now - notedAt > forgetMs || this.suspicions.size > mostLabels) this.suspicions.delete(label);
   };
 
+  /** Counts since the start, and the entries with a strike, for the operators' pages. */
   readonly status = (): Record<string, number> => ({
     ...this.counts,
     suspected: [...this.suspicions.values()].filter(({ strikes }) => strikes > 0).length,
--- a/packages/edge-proxy/src/routing/promptAffinity.ts
+++ b/packages/edge-proxy/src/routing/promptAffinity.ts
@@ -17,6 +17,7 @@
 
 const sum = (parts: readonly PromptPart[]): number => parts.reduce((total, part) => total + part.tokens, 0);
 
+/** Finds the affinity part of a prompt and judges whether its prefix should be stored. */
 export const promptAffinity = {
   tokens: sum,
 
--- a/packages/edge-proxy/src/routing/readRates.ts
+++ b/packages/edge-proxy/src/routing/readRates.ts
@@ -7,6 +7,10 @@
 const startTokensPerMs = 40;
 const slowestTokensPerMs = 10;
 const fastestTokensPerMs = 1_000;
+/**
+ * Tokens from which on a prefill is long: it is announced to the other edges, and its time is a sample of the prefill
+ * rate.
+ */
 export const heavyTokens = 1_000;
 const mostSamples = 9;
 const mostPoolSamples = 31;
@@ -33,6 +37,7 @@
     this.firsts.set(pool, known + (spentMs - known) * typicalBlend);
   };
 
+  /** The moving average of `firstSeen`, in milliseconds; 0 before the first sample. */
   readonly typicalFirstMs = (pool: string): number => this.firsts.get(pool) ?? 0;
 
   /** Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against. */
@@ -59,5 +64,6 @@
       : ([...samples].sort((a, b) => a - b)[Math.floor(samples.length * quickShare)] as number);
   };
 
+  /** Estimated milliseconds for a replica to prefill so many tokens. */
   readonly readMs = (tokens: number): number => tokens / this.tokensPerMs;
 }
--- a/packages/edge-proxy/src/routing/replicaHealth.ts
+++ b/packages/edge-proxy/src/routing/replicaHealth.ts
@@ -12,8 +12,10 @@
 export class ReplicaHealth {
   constructor(private readonly clock: Clock) {}
 
+  /** Whether the replica failed or was silent lately; others are preferred until its suspicion ends. */
   readonly isSuspect = (tracked: TrackedReplica): boolean => tracked.suspectUntil > this.clock.now();
 
+  /** Whether the replica takes no requests now: it changes weights, or rejected one because it is full. */
   readonly isResting = (tracked: TrackedReplica): boolean =>
     Math.max(tracked.restUntil, tracked.fullUntil) > this.clock.now();
 
@@ -27,6 +29,7 @@
     tracked.errorRateAt = this.clock.now();
   };
 
+  /** An attempt got its answer: the suspicion ends, and its duration starts from the shortest again. */
   readonly answered = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, successWeight, false);
     tracked.isBroken = false;
@@ -37,6 +40,7 @@
   /** It was silent for longer than it should be: avoided for a while, without being known ill. */
   readonly slow = (tracked: TrackedReplica): void => this.suspect(tracked);
 
+  /** An attempt failed by the replica's fault: it counts as broken and becomes suspect, longer each time in a row. */
   readonly failed = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, failureWeight, true);
     tracked.isBroken = true;
@@ -54,6 +58,7 @@
     tracked.suspicionMs = Math.min(longestSuspicionMs, tracked.suspicionMs * 2);
   };
 
+  /** The replica rejected an attempt because it is full: it rests for so many milliseconds. */
   readonly full = (tracked: TrackedReplica, forMs: number): void => {
     tracked.fullUntil = Math.max(tracked.fullUntil, this.clock.now() + forMs);
   };
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -1,3 +1,4 @@
+/** The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own attempts. */
 import { ReadRates } from './readRates.js';
 import { ReplicaHealth } from './replicaHealth.js';
 import { trackedReplicas } from './trackedReplica.js';
@@ -24,7 +25,9 @@
   private readonly byPool = new Map<string, TrackedReplica[]>();
   private readonly readings = new Map<string, { readonly replica: string; readonly tokens: number }>();
 
+  /** Health of the tracked replicas, by the outcomes of this edge's attempts. */
   readonly health: ReplicaHealth;
+  /** Prefill rates, by the times to first pieces that this edge saw. */
   readonly readRates = new ReadRates();
 
   constructor(private readonly clock: Clock) {
@@ -87,6 +90,7 @@
     for (const listener of [...tracked.whenGone]) listener();
   };
 
+  /** A replica begins to change its weights and rests for `forMs` milliseconds, or has its new version. */
   readonly takeWeights = ({ id, model, version, forMs }: WeightsUpdate): void => {
     const tracked = this.replicas.get(id);
     if (tracked === undefined) return;
@@ -122,27 +126,37 @@
   readonly cameWith = ({ notes }: TrackedReplica, sentAt: number): number =>
     notes.reduce((sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum), 0);
 
+  /** The address of the replica with the id; null where it isn't tracked. */
   readonly addressOf = (id: string): string | null => this.replicas.get(id)?.endpoint.address ?? null;
 
+  /**
+   * An answer or update shows that the replica runs at least this version of the model's weights; a lower one changes
+   * nothing.
+   */
   readonly holds = (tracked: TrackedReplica, model: string, version: number): void => {
     if ((tracked.endpoint.weights[model] ?? 0) < version)
       tracked.endpoint = { ...tracked.endpoint, weights: { ...tracked.endpoint.weights, [model]: version } };
   };
 
+  /** The tracked replicas of a pool, leaving ones included. */
   readonly inPool = (pool: string): readonly TrackedReplica[] => this.byPool.get(pool) ?? [];
 
+  /** The tracked replicas of all pools. */
   readonly all = (): TrackedReplica[] => [...this.replicas.values()];
 
+  /** An attempt began at the replica, with so many tokens to prefill. */
   readonly began = (tracked: TrackedReplica, tokens: number): void => {
     tracked.running += 1;
     tracked.pendingTokens += tokens;
     this.note(tracked, tokens);
   };
 
+  /** The replica has prefilled the prompt, or won't: the tokens aren't pending any more. */
   readonly given = (tracked: TrackedReplica, tokens: number): void => {
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
   };
 
+  /** An attempt at the replica is over, however it ended. */
   readonly ended = (tracked: TrackedReplica): void => {
     tracked.running = Math.max(0, tracked.running - 1);
   };
--- a/packages/edge-proxy/src/routing/trackedReplica.ts
+++ b/packages/edge-proxy/src/routing/trackedReplica.ts
@@ -4,6 +4,10 @@
 /** Milliseconds for which a replica is suspect after its first failure; doubled with each further one. */
 export const firstSuspicionMs = 400;
 
+/**
+ * A replica's mutable record. `running` and `pendingTokens` count this edge's attempts, `othersTokens` what other edges
+ * announced; `...Until` and `...At` are points in time in milliseconds.
+ */
 export interface TrackedReplica {
   endpoint: ReplicaEndpoint;
   running: number;
@@ -23,6 +27,7 @@
   readonly notes: { readonly at: number; readonly tokens: number }[];
 }
 
+/** Creates the record of a replica that appears in the endpoint list. */
 export const trackedReplicas = {
   /** A replica that nothing is known of but its endpoint. */
   of: (endpoint: ReplicaEndpoint): TrackedReplica => ({
--- a/packages/edge-proxy/src/routing/weightsEligibility.ts
+++ b/packages/edge-proxy/src/routing/weightsEligibility.ts
@@ -13,6 +13,7 @@
 /** Admits replicas to a request by their weights versions: old ones only for a while after a newer target was named. */
 export class WeightsEligibility {
   constructor(
+    /** The weights version that a model is being moved to; null where none was announced. */
     readonly targetOf: (model: string) => WeightsTarget | null,
     private readonly oldWeightsForMs: number,
   ) {}
@@ -29,6 +30,7 @@
     );
   };
 
+  /** The version of the request's model that the replica runs, and the salt that its cache entries have. */
   readonly servedBy = ({ endpoint }: TrackedReplica, { order, customer }: PlacementQuery): ServedWeights => {
     const version = order.model === null ? undefined : endpoint.weights[order.model];
     if (order.model === null || version === undefined) return { version: null, salt: null };
--- a/packages/prefix-index/src/placement.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -1,3 +1,4 @@
+/** Chooses a replica for a prompt by the estimated milliseconds to its first token, after "A System for Microserving of LLMs". */
 import type { Pool, ReplicaRecord } from '@martenworks/core-types';
 import { prompts, RendezvousHash } from '@martenworks/core-types';
 import type { PrefixIndex } from './prefixIndex.js';
@@ -8,6 +9,10 @@
   readonly pendingTokens: number;
 }
 
+/**
+ * One prompt with the replicas that may run it. `tieBreak` is a random number from 0 to below 1; `pullExcessMs` is what
+ * transfers between two replicas lately took beyond the estimate.
+ */
 export interface PlaceQuestion {
   readonly pool: Pool;
   readonly blocks: readonly string[];
@@ -22,6 +27,7 @@
   readonly pullExcessMs: (holder: string, receiver: string) => number;
 }
 
+/** A replica with what it would prefill, pull and have cached, in tokens, and the estimated cost in milliseconds. */
 export interface Placement {
   readonly record: ReplicaRecord;
   readonly holder: ReplicaRecord | null;
@@ -81,6 +87,7 @@
   return best;
 };
 
+/** The placements on all candidates with their costs, in an order turned by `tieBreak` so that equal costs spread. */
 export const weigh = (index: PrefixIndex, question: PlaceQuestion): Placement[] => {
   const { pool, blocks, now, isolatedTenant } = question;
   const keptBy = (record: ReplicaRecord) => index.kept(record.name, blocks, isolatedTenant, now);
@@ -126,6 +133,7 @@
   return weighed;
 };
 
+/** The placement with the lowest cost; null where there is no candidate. */
 export const place = (index: PrefixIndex, question: PlaceQuestion): Placement | null =>
   weigh(index, question).reduce<Placement | null>(
     (best, one) => (best === null || one.costMs < best.costMs ? one : best),
--- a/packages/prefix-index/src/prefixIndex.ts
+++ b/packages/prefix-index/src/prefixIndex.ts
@@ -1,3 +1,4 @@
+/** Which blocks of which prompts each replica has cached, by its cache events. */
 import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
 import { DenseIndex } from '@martenworks/core-types';
 
@@ -18,11 +19,16 @@
   blocks: Map<string, Entry>;
 }
 
+/**
+ * How many leading blocks of a prompt a replica has cached, and whether it may be named as a source of them to another
+ * replica.
+ */
 export interface Kept {
   readonly blockCount: number;
   readonly isNameable: boolean;
 }
 
+/** One replica's entries as they are handed to a gateway that starts; ages are in milliseconds. */
 export interface PrefixIndexSnapshot {
   readonly replica: string;
   readonly incarnation: number;
@@ -34,6 +40,10 @@
 
 const keptMaximum = 200_000;
 
+/**
+ * Follows the cache events of replicas by sequence number. After a gap the entries of a replica are dropped and not
+ * trusted as a source until it clears its cache or another gateway's entries repair the gap.
+ */
 export class PrefixIndex {
   private readonly prefixCaches = new Map<string, StoredPrefixes>();
   private readonly tenants = new DenseIndex();
@@ -45,6 +55,9 @@
     return tenant === null ? sharedTenant : this.tenants.indexOf(tenant);
   };
 
+  /**
+   * Aligns the index with the replica records: entries of former incarnations, eras and absent replicas are dropped.
+   */
   readonly reconcile = (records: Iterable<ReplicaRecord>, eraOf: (record: ReplicaRecord) => number): void => {
     const seen = new Set<string>();
     for (const record of records) {
@@ -70,6 +83,7 @@
     for (const name of [...this.prefixCaches.keys()]) if (!seen.has(name)) this.prefixCaches.delete(name);
   };
 
+  /** Takes one cache event at the time `now`; events of other incarnations and repeated ones are ignored. */
   readonly take = (update: KvCacheEvent, now: number): void => {
     const stored = this.prefixCaches.get(update.replica);
     if (stored === undefined || update.incarnation !== stored.incarnation) return;
@@ -109,6 +123,10 @@
     }
   };
 
+  /**
+   * The leading blocks that the replica has cached for the tenant (null: shared); blocks older than the age limit don't
+   * count.
+   */
   readonly kept = (replica: string, blocks: readonly string[], isolatedTenant: string | null, now: number): Kept => {
     const stored = this.prefixCaches.get(replica);
     if (stored === undefined) return { blockCount: 0, isNameable: false };
@@ -127,6 +145,7 @@
     return { blockCount, isNameable: blockCount > 0 && isUnmixed };
   };
 
+  /** The entries of all replicas, for a gateway that starts. */
   readonly snapshot = (now: number): PrefixIndexSnapshot[] =>
     [...this.prefixCaches].map(([replica, stored]) => ({
       replica,
@@ -137,6 +156,7 @@
       blocks: [...stored.blocks].map(([block, entry]) => [block, this.tenantName(entry.tenant), now - entry.bornAt]),
     }));
 
+  /** Takes another gateway's entries of a replica where they are newer or repair a gap; tells whether it did. */
   readonly restore = (snapshot: PrefixIndexSnapshot, now: number): boolean => {
     const stored = this.prefixCaches.get(snapshot.replica);
     if (stored === undefined || stored.incarnation !== snapshot.incarnation) return false;
@@ -157,6 +177,7 @@
   private readonly tenantNumber = (name: string): number =>
     name === '?' ? wildTenant : name === '' ? sharedTenant : this.tenants.indexOf(name);
 
+  /** Entries per replica, for the operators' pages. */
   readonly sizes = (): {
     replica: string;
     incarnation: number;
@@ -174,14 +195,17 @@
       scopes: [...stored.scopes].map(this.tenantName),
     }));
 
+  /** Names of the replicas whose events had a gap. */
   readonly broken = (): string[] =>
     [...this.prefixCaches].filter(([, stored]) => !stored.isWhole).map(([name]) => name);
 
+  /** Whether the replica may have anything cached. */
   readonly isUsed = (replica: string): boolean => {
     const stored = this.prefixCaches.get(replica);
     return stored === undefined || !stored.isWhole || stored.seq > 0;
   };
 
+  /** The last sequence number that was taken of the incarnation, after which its events are followed; 0 for none. */
   readonly seqOf = (replica: string, incarnation: number): number => {
     const stored = this.prefixCaches.get(replica);
     return stored !== undefined && stored.incarnation === incarnation ? stored.seq : 0;
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -1,3 +1,4 @@
+/** Divides the replicas of a pool between single isolated tenants, all shared tenants, and mixed use. */
 import { RendezvousHash } from '@martenworks/core-types';
 import type { CommittedState, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 
@@ -39,9 +40,17 @@
 const admits = (role: string, isolatedTenant: string | null): boolean =>
   role === mixed || role === (isolatedTenant ?? shared);
 
+/**
+ * Assigns replicas to tenants by rendezvous hashing (Thaler and Ravishankar), alike at every gateway; a replica changes
+ * over only once it was claimed.
+ */
 export class TenantPartitions {
   private readonly seats = new Map<string, Seat>();
 
+  /**
+   * Assigns the ready replicas by the tenants of the committed state. Replicas keep their time of assignment while it
+   * stays the same.
+   */
   readonly align = (records: Iterable<ReplicaRecord>, state: CommittedState | null, now: number): void => {
     if (state === null) return;
     const isolated = Object.entries(state.config.tenants).filter(([, tenant]) => tenant.isolated);
@@ -70,11 +79,16 @@
     else if (held.role !== role) Object.assign(held, { role, roleSince: now });
   };
 
+  /** Claims that this gateway has to make before it may send requests to replicas by their new assignments. */
   readonly wanted = (now: number): IsolationClaim[] =>
     [...this.seats].flatMap(([replica, { incarnation, role, roleSince, openAt }]) =>
       openAt.has(role) || (openAt.size > 0 && now - roleSince < steadyMs) ? [] : [{ replica, incarnation, side: role }],
     );
 
+  /**
+   * A claim was granted: the replica opens to its tenant at once where it served no other, else after the time that
+   * earlier requests and cache entries may last.
+   */
   readonly admitted = (
     { replica, incarnation, side, sides, ageMs }: IsolationStatus,
     isUsed: boolean,
@@ -86,6 +100,7 @@
     seat.openAt.set(side, isSole ? now : now + Math.max(0, (isUsed ? usedGraceMs : unusedGraceMs) - ageMs));
   };
 
+  /** Whether a request of the tenant (null: any that isn't isolated) may run on the replica now. */
   readonly mayRun = (record: ReplicaRecord, isolatedTenant: string | null, now: number): boolean => {
     const seat = this.seats.get(record.name);
     if (seat === undefined || seat.incarnation !== record.incarnation || !admits(seat.role, isolatedTenant))
@@ -93,6 +108,7 @@
     return [...seat.openAt].some(([role, openAt]) => admits(role, isolatedTenant) && now >= openAt);
   };
 
+  /** Whether the replica may be named as a source of cache entries for the tenant. */
   readonly mayName = (record: ReplicaRecord, isolatedTenant: string | null): boolean => {
     if (record.kind === 'store') return isolatedTenant === null;
     const side = isolatedTenant ?? shared;
@@ -105,6 +121,7 @@
     );
   };
 
+  /** Each replica's assignment, for the operators' pages. */
   readonly roles = (): { replica: string; role: string }[] =>
     [...this.seats].map(([replica, seat]) => ({ replica, role: seat.role }));
 }
--- a/packages/route-table/src/packedRoutingTables.ts
+++ b/packages/route-table/src/packedRoutingTables.ts
@@ -13,11 +13,13 @@
 const inflated = (bytes: Uint8Array): unknown =>
   JSON.parse(inflateRawSync(bytes, { maxOutputLength: mostInflatedBytes }).toString('utf8'));
 
+/** Why a packed table can't be opened: its bytes are unreadable, or the patch builds on another version. */
 export interface PackedRoutingTableError {
   readonly kind: 'packedBook';
   readonly code: 'unreadable' | 'otherBase';
 }
 
+/** Packs tables and patches, and opens them again. */
 export const packedRoutingTables = {
   whole: (routingTable: RoutingTable): PackedRoutingTable => ({ from: null, deflated: deflated(routingTable) }),
   patch: (patch: RoutingTablePatch): PackedRoutingTable => ({ from: patch.from, deflated: deflated(patch) }),
--- a/packages/route-table/src/patches.ts
+++ b/packages/route-table/src/patches.ts
@@ -38,6 +38,7 @@
 const customersBetween = (before: RoutingTable, after: RoutingTable): ListPatch<Customer> | null =>
   after.customers === null ? null : lists.between(before.customers ?? [], after.customers);
 
+/** Makes, joins and applies patches. Entries are compared by name and JSON text. */
 export const patches = {
   between: (from: number, before: RoutingTable, after: RoutingTable): RoutingTablePatch => {
     const { routes, customers: _, ...rest } = after;
--- a/packages/route-table/src/routeLookup.ts
+++ b/packages/route-table/src/routeLookup.ts
@@ -1,12 +1,17 @@
+/** Lookup of routes, customers and pools in a routing table that is in force. */
 import { DenseIndex } from '@martenworks/core-types';
 import type { Customer, Route, RoutingTable, ReplicaPool } from '@martenworks/core-types';
 
+/** A route with its stable number and whether its requests may be sent again. */
 export interface RouteView {
   readonly index: number;
   readonly route: Route;
   readonly mayRepeat: boolean;
 }
 
+/**
+ * A routing table indexed for lookup. A route matches by host, without port or case, and by the longest path prefix.
+ */
 export interface RoutingTableView {
   readonly routingTable: RoutingTable;
   readonly configVersion: number;
@@ -18,9 +23,11 @@
 
 const hostNameOf = (host: string): string => host.toLowerCase().replace(/:\d+$/, '');
 
+/** Indexes routing tables; a route's name keeps its number across versions. */
 export class RoutingTableIndexer {
   private readonly routeNames = new DenseIndex();
 
+  /** The indexed form of one version; cost grows with its routes and key hashes. */
   readonly view = (configVersion: number, routingTable: RoutingTable): RoutingTableView => {
     const byHost = new Map<string, RouteView[]>();
     for (const route of routingTable.routes) {
@@ -50,6 +57,7 @@
   };
 }
 
+/** Draws a pool by the shares of a route; `fraction` is a random number from 0 to below 1. */
 export const shares = {
   draw: (route: Route, fraction: number): string => {
     const total = route.shares.reduce((sum, one) => sum + one.share, 0);
--- a/packages/route-table/src/routingTables.ts
+++ b/packages/route-table/src/routingTables.ts
@@ -1,7 +1,9 @@
+/** Validity of routing tables beyond their shape. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { RoutingTable } from '@martenworks/core-types';
 
+/** One error with the JSON pointer of the entry that has it. */
 export interface RoutingTableError {
   readonly path: string;
   readonly message: string;
@@ -70,6 +72,7 @@
   ...keyFaults(routingTable),
 ];
 
+/** Checks a routing table and returns it, or all errors that it has. */
 export const routingTables = {
   check: (routingTable: RoutingTable): Result<RoutingTable, RoutingTableError[]> => {
     const faults = faultsOf(routingTable);
--- a/packages/upstream/src/gatedAgent.ts
+++ b/packages/upstream/src/gatedAgent.ts
@@ -1,3 +1,4 @@
+/** An undici agent that asks before a request's first byte is written and as its response head arrives. */
 import { Agent, type Dispatcher } from 'undici';
 import type { AnswerHead } from '@martenworks/core-types';
 
--- a/packages/upstream/src/httpClient.ts
+++ b/packages/upstream/src/httpClient.ts
@@ -1,3 +1,4 @@
+/** The HTTP client towards replicas and other services: one request per connection at a time, never retried by the library. */
 import { err, ok } from 'neverthrow';
 import type { HttpClient } from '@martenworks/core-types';
 import { GatedAgent } from './gatedAgent.js';
@@ -32,6 +33,10 @@
 
 const usualTerms: HttpClientOptions = { connections: 256, connectMs: 1_000 };
 
+/**
+ * Creates clients on real sockets. Their errors carry the code of undici or of the system and tell whether any byte was
+ * written.
+ */
 export const httpClients = {
   real: (localHost: string | null, terms: HttpClientOptions = usualTerms): HttpClient => {
     const agent = new GatedAgent({
--- a/packages/upstream/src/kvEvents.ts
+++ b/packages/upstream/src/kvEvents.ts
@@ -1,3 +1,4 @@
+/** Follows the stream of cache events of one replica and reconnects where it breaks. */
 import { background, pause } from '@martenworks/core-types';
 import type { HttpClient, Clock, KvCacheEvent, Log, Random } from '@martenworks/core-types';
 import { backWire } from './replicaClient.js';
@@ -24,10 +25,15 @@
   };
 };
 
+/** A running subscription; `stop` ends it for good. */
 export interface Follower {
   readonly stop: () => void;
 }
 
+/**
+ * Subscribes to `/kv-events`. Reconnects after the last sequence number with a doubling pause of 100 ms to 2 s;
+ * malformed events are skipped.
+ */
 export const kvFollow = {
   follow: (
     httpClient: HttpClient,
--- a/packages/upstream/src/replicaClient.ts
+++ b/packages/upstream/src/replicaClient.ts
@@ -1,10 +1,16 @@
+/** The completion protocol between a gateway and a replica: one attempt, its event stream and its errors. */
 import { createParser } from 'eventsource-parser';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { HttpClient, HttpClientResponse } from '@martenworks/core-types';
 
+/** The two completion endpoints that are served. */
 export type CompletionPath = '/v1/completions' | '/v1/chat/completions';
 
+/**
+ * One attempt at one replica; `weights` is the model version that it has to run, `cacheFrom` the address to pull the
+ * prefix from.
+ */
 export interface ReplicaAttempt {
   readonly requestId: string;
   readonly replica: string;
@@ -19,12 +25,20 @@
   readonly gate: () => boolean;
 }
 
+/**
+ * One step of a response: a chunk as JSON text, its regular end, a cut stream, or a chunk from other weights than asked
+ * for.
+ */
 export type Piece =
   | { readonly kind: 'piece'; readonly data: string }
   | { readonly kind: 'done' }
   | { readonly kind: 'cut'; readonly cause: string }
   | { readonly kind: 'wrong'; readonly cause: string };
 
+/**
+ * An attempt that brought no stream; `isUnsent` tells that no byte reached the replica, `status` is null where no
+ * response came.
+ */
 export interface ReplicaAttemptError {
   readonly kind: 'shot';
   readonly isUnsent: boolean;
@@ -142,6 +156,7 @@
   };
 };
 
+/** Encoding and decoding of the completion protocol. */
 export const backWire = {
   assemble,
   send: async (
