--- a/packages/model-check/src/scheduler.ts
+++ b/packages/model-check/src/scheduler.ts
@@ -1,3 +1,4 @@
+/** Chooses the steps of a schedule. */
 import { choiceKinds } from './choices.js';
 import type { Choice, ChoiceKind } from './choices.js';
 import { Courses, crashShares } from './courses.js';
@@ -7,7 +8,7 @@
 import type { World } from './world.js';
 
 const passLengths = [300, 700, 1_300, 2_600];
-const votes = /:(accept|leaseAsk)(:reply)?$/;
+const votes = /:(accept|leaseRequest)(:reply)?$/;
 
 /** Draws the next step of a schedule from those that are possible. */
 export class Scheduler {
@@ -23,6 +24,7 @@
     this.courses = new Courses(world, random);
   }
 
+  /** The next step: trouble for a voter right after its vote, a planned step, or one drawn by the profile's weights. */
   readonly next = (): Choice => {
     if (this.planned.length === 0 && this.random.chance(this.profile.course))
       this.planned = this.courses.plan(this.random.pick(this.profile.courses));
