--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -1,3 +1,7 @@
+/**
+ * The operators' HTTP interface of a gateway control node (docs/wire.md): configuration, plans, changes by id, status,
+ * health and metrics.
+ */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import { drawPlan, planIds } from '../configuration/plan.js';
@@ -7,6 +11,10 @@
 import type { ProposalError } from '../errors.js';
 import type { Result } from 'neverthrow';
 
+/**
+ * The HTTP response to a proposed change: 200, or 409, 422, 504 and 503 for the codes of `ProposalError` in their
+ * order.
+ */
 export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
   if (outcome.isOk())
     return c.json(
@@ -34,6 +42,7 @@
   }
 };
 
+/** The request's body parsed as JSON; `isJson` is false, and `value` null, where it is not JSON. */
 export const bodyOf = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
   try {
     return { isJson: true, value: (await c.req.json()) as unknown };
@@ -42,6 +51,7 @@
   }
 };
 
+/** The caller's `change-id` header, or a fresh id: a change sent again under the same id is applied once. */
 export const changeIdOf = (c: Context, controlNode: GatewayControlNode): string =>
   c.req.header('change-id') ?? controlNode.ports.random.token(12);
 
@@ -188,6 +198,7 @@
   });
 };
 
+/** The routes of one node; `vitals` gives further lines for `/metrics`, in the Prometheus text format. */
 export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
   const app = new Hono();
   addLayoutRoutes(app, controlNode);
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -1,3 +1,7 @@
+/**
+ * The platform's HTTP interface of a gateway control node (docs/wire.md): replicas that come and go, clients and their
+ * keys.
+ */
 import { type } from 'arktype';
 import type { ArkErrors } from 'arktype';
 import { Hono } from 'hono';
@@ -166,6 +170,7 @@
   });
 };
 
+/** The routes of one node. An announcement is acknowledged once a majority of the control nodes has it on disk. */
 export const replicaApi = (controlNode: GatewayControlNode): Hono => {
   const app = new Hono();
   addReplicaRoutes(app, controlNode);
--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -1,3 +1,4 @@
+/** Changes of the gateways' configuration, and of the keys granted under it, as proposals to the consensus group. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
@@ -24,6 +25,7 @@
     .mapErr(proposalErrors.rejected);
 };
 
+/** Proposes changes, each checked against the state it is applied to; every call answers within 3 s. */
 export class ChangeService {
   constructor(private readonly proposer: Proposer) {}
 
@@ -38,6 +40,10 @@
     return this.proposer.propose(check, id, digest, timeoutMs);
   };
 
+  /**
+   * Replaces or edits the configuration that was committed at log index `base`; `conflict` where another one is in
+   * force.
+   */
   readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['layout', base, edit], (state) => {
       if (state.configLogIndex !== base)
@@ -47,6 +53,10 @@
       return edited(state, edit).map((config) => ({ kind: 'config', config, base }));
     });
 
+  /**
+   * Grants a key to a tenant, which is created from `tenant` where it is absent; `rejected` where another tenant has
+   * the key.
+   */
   readonly grant = (
     id: string,
     keyHash: string,
@@ -60,6 +70,7 @@
       return checkGrant(state, grant.tenant, tenant).map(() => ({ kind: 'grant', keyHash, grant, tenant }));
     });
 
+  /** Revokes a key by its hash; revoking one that is not granted is committed as well. */
   readonly revoke = (id: string, keyHash: string): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['revoke', keyHash], () => ok({ kind: 'revoke', keyHash }));
 }
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -1,3 +1,4 @@
+/** Changes of the routing table and of the target weights' versions, as proposals to the consensus group. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -1,3 +1,4 @@
+/** Sends gateways the committed state, replica records, prefix index updates and each other's load. */
 import type { Clock, KvCacheEvent, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
@@ -15,6 +16,7 @@
   report: LoadReport;
 }
 
+/** One subscribed gateway: the last log index it acknowledged, and how many milliseconds ago it did. */
 export interface GatewayStatus {
   readonly gateway: string;
   readonly http: string;
@@ -23,6 +25,9 @@
   readonly ackAgeMs: number;
 }
 
+/**
+ * The gateways subscribed to this node. Each gets every committed change once, in order, or a whole state after a gap.
+ */
 export class GatewayPublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
 
@@ -35,6 +40,10 @@
     acceptor.watch(this.updateAll);
   }
 
+  /**
+   * Begins to send to a gateway that has the state of `logIndex`, -1 for none; starts with all replica records and
+   * snapshots.
+   */
   readonly subscribe = (connection: PeerConnection, logIndex: number): void => {
     this.subscribers.set(connection, {
       sent: logIndex,
@@ -48,6 +57,7 @@
     this.update(connection);
   };
 
+  /** Forgets a gateway whose connection has closed. */
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (committed: CommittedChange | null): void => {
@@ -72,6 +82,7 @@
     }
   };
 
+  /** A gateway has applied the state of `logIndex`. */
   readonly acked = (connection: PeerConnection, logIndex: number): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
@@ -117,11 +128,17 @@
     return contention;
   };
 
+  /**
+   * A gateway's load has changed by a long prompt: the others are told at once, without waiting for their next ping.
+   */
   readonly longPrompts = (connection: PeerConnection, report: LoadReport): void => {
     this.report(connection, report);
     for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
   };
 
+  /**
+   * The reply to a gateway's ping: this node's position, and the load of the other gateways reported in the last 2 s.
+   */
   readonly pong = (connection: PeerConnection, report: LoadReport): Pong => {
     this.report(connection, report);
     return {
@@ -134,24 +151,29 @@
     };
   };
 
+  /** Sends changed replica records to all gateways. */
   readonly tellReplicas = (records: readonly ReplicaRecord[]): void => {
     for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
   };
 
+  /** Sends whole prefix indexes of replicas to all gateways. */
   readonly tellSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
     for (const connection of this.subscribers.keys())
       for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
   };
 
+  /** Sends cache events to all gateways. */
   readonly tellKv = (update: readonly KvCacheEvent[]): void => {
     for (const connection of this.subscribers.keys()) connection.tell('kv', update);
   };
 
+  /** Closes the connections of gateways that have sent no ping for 6 s; they dial again. */
   readonly dropSilent = (): void => {
     const now = this.clock.now();
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
 
+  /** The subscribed gateways, for the status page. */
   readonly acks = (): GatewayStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
--- a/packages/control-plane/src/configuration/plan.ts
+++ b/packages/control-plane/src/configuration/plan.ts
@@ -1,3 +1,4 @@
+/** Edits of the gateways' configuration, and plans that show what an edit would change before it is made. */
 import jsonPatch from 'fast-json-patch';
 import type { Operation } from 'fast-json-patch';
 import { err, ok } from 'neverthrow';
@@ -7,8 +8,16 @@
 import { gatewayConfigs } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
 
+/**
+ * An edit as an operator sent it: a whole configuration, a part merged into the current one, or a JSON Patch (RFC
+ * 6902).
+ */
 export type GatewayConfigEdit = { readonly kind: 'whole' | 'part' | 'ops'; readonly given: unknown };
 
+/**
+ * What an edit of the configuration at log index `base` would change, and which tenants, lanes, pools and keys that
+ * concerns.
+ */
 export interface Plan {
   readonly planId: string;
   readonly base: number;
@@ -35,6 +44,7 @@
   return ok(jsonPatch.applyPatch(jsonPatch.deepClone(config), given as Operation[], true).newDocument);
 };
 
+/** The configuration after an edit, checked as a whole; the errors name each place that is invalid. */
 export const editConfig = (
   config: GatewayConfig,
   edit: GatewayConfigEdit,
@@ -49,6 +59,9 @@
   }
 };
 
+/**
+ * Ids of plans: the same edit of the same base has the same id, so that an operator can apply exactly what was shown.
+ */
 export const planIds = { of: (base: number, edit: GatewayConfigEdit): string => digests.of(['plan', base, edit]) };
 
 const valueAt = (config: GatewayConfig, path: string): unknown => {
@@ -93,6 +106,7 @@
   };
 };
 
+/** The plan for an edit of the current configuration; the errors are those of `editConfig`. Nothing is changed. */
 export const drawPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
   editConfig(state.config, edit).map((next) => {
     const changes = changesBetween(state.config, next);
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -32,6 +32,7 @@
   wantsContent: boolean;
 }
 
+/** One subscribed edge: the last log index it acknowledged, and whether it takes its content from this node. */
 export interface EdgeStatus {
   readonly edge: string;
   readonly zone: string;
@@ -45,6 +46,10 @@
   readonly at: number;
 }
 
+/**
+ * The edges subscribed to this node. At most one state is on the way to an edge; a newer one follows its
+ * acknowledgement.
+ */
 export class StatePublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
   private readonly named = new Map<string, readonly VersionSince[]>();
@@ -89,6 +94,10 @@
     };
   };
 
+  /**
+   * Begins to send to an edge that has the given position, or takes in that an edge wants its content from here or no
+   * longer does.
+   */
   readonly subscribe = (connection: PeerConnection, { logIndex, configVersion, wantsContent }: Subscription): void => {
     const before = this.subscribers.get(connection);
     const wasContent = before?.wantsContent === true;
@@ -104,6 +113,7 @@
     if (wantsContent && !wasContent) this.greet(connection);
   };
 
+  /** Forgets an edge whose connection has closed. */
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (): void => {
@@ -130,6 +140,7 @@
     return state === null ? null : this.message(state, held);
   };
 
+  /** An edge has applied the state of the given position; a newer one is sent if there is one. */
   readonly acked = (connection: PeerConnection, { logIndex, configVersion }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
@@ -144,6 +155,7 @@
     return this.clock.now() - underWay.sentAt > resendMs && !connection.isSending('state');
   };
 
+  /** The reply to an edge's ping, which counts as an acknowledgement too. Times in milliseconds. */
   readonly pong = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
     this.acked(connection, ping);
     return {
@@ -155,29 +167,35 @@
     };
   };
 
+  /** Edges heard from in the last 4 s; an edge divides shared limits by it. */
   readonly edgeCount = (): number => {
     const now = this.clock.now();
     return [...this.subscribers.values()].filter(({ heardAt }) => now - heardAt <= silentMs).length;
   };
 
+  /** Sends a message to all subscribed edges. */
   readonly tellAll = (topic: string, body: unknown): void => {
     for (const connection of this.subscribers.keys()) connection.tell(topic, body);
   };
 
+  /** Sends a message to the edges that take their content from this node. */
   readonly tellContent = (topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.tell(topic, body);
   };
 
+  /** Sends a message to the edges that take their content from this node, other than its sender. */
   readonly tellOthers = (sender: PeerConnection, topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers)
       if (wantsContent && connection !== sender) connection.tell(topic, body);
   };
 
+  /** Closes the connections of edges that were not heard for 4 s; they dial again. */
   readonly dropSilent = (): void => {
     const now = this.clock.now();
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
 
+  /** The subscribed edges, for the status page. */
   readonly status = (): EdgeStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -40,7 +40,7 @@
   private acceptedAt = 0;
   /** Identity of this log; a node that loses its disk comes back under another one. Empty until `identify`. */
   incarnation = '';
-  /** Whether the log was created empty rather than after a loss; only such a node may take part in a founding. */
+  /** Whether this log began with a new node, not after a loss; only such a node asks others for founding votes. */
   isFresh = true;
 
   constructor(
@@ -254,6 +254,7 @@
   /** Segments of the log on disk. */
   readonly segmentCount = (): number => this.wal.segmentCount();
 
+  /** Closes the log. */
   readonly close = (): Promise<void> => this.wal.close();
 }
 
--- a/packages/control-plane/src/consensus/confirmedRead.ts
+++ b/packages/control-plane/src/consensus/confirmedRead.ts
@@ -1,3 +1,7 @@
+/**
+ * Linearizable reads without a log entry: a majority confirms that the local state is the newest
+ * (docs/control/operators.md).
+ */
 import { stateMachine, pause } from '@martenworks/core-types';
 import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -21,8 +21,11 @@
 
 /** Wires the parts of one member together and takes its repeated steps. */
 export class ConsensusMember {
+  /** The held connections to other nodes. */
   readonly peerPool: PeerPool;
+  /** Fetches committed changes that this node missed. */
   readonly catchUp: CatchUp;
+  /** Gets changes committed. */
   readonly proposer: Proposer;
   /** Keeps the leases that this node holds. */
   readonly leaseManager: LeaseManager;
@@ -125,6 +128,7 @@
     for (const timer of this.timers) timer.stop();
   };
 
+  /** Whether this node has begun to hand over its seat. */
   readonly isLeaving = (): boolean => this.membership.isLeaving();
 
   /** Tells all peers that this node leaves, gives up its leases, and hands its seat over where somebody can have it: for `budgetMs` at most. */
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -20,6 +20,7 @@
     private readonly role: ConsensusRole,
   ) {}
 
+  /** The reply to a request; null for a malformed one. */
   readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     const { acceptor } = this;
     const { isAccept, isLeaseAsk, isMembers, isPrepare } = consensusMessages;
--- a/packages/control-plane/src/consensus/leaseLog.ts
+++ b/packages/control-plane/src/consensus/leaseLog.ts
@@ -1,3 +1,4 @@
+/** The log of granted fencing tokens: a voter that restarts never grants a token that it granted before. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Clock, Disk, Log } from '@martenworks/core-types';
@@ -11,11 +12,13 @@
 
 type FenceRecord = readonly [duty: string, fence: number];
 
+/** A lease table whose grants are on disk before they are told, and the log to close with it. */
 export interface PersistedLeases {
   readonly table: LeaseTable;
   readonly close: () => Promise<void>;
 }
 
+/** Opens the lease table of a node. The error is that of the disk, or a damaged log. */
 export const leaseTables = {
   open: async (
     disk: Disk,
--- a/packages/control-plane/src/consensus/memberLogs.ts
+++ b/packages/control-plane/src/consensus/memberLogs.ts
@@ -1,3 +1,4 @@
+/** The logs of a control node as a set: they are checked together, and removed together where one is damaged. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, Log } from '@martenworks/core-types';
--- a/packages/control-plane/src/consensus/memberPeers.ts
+++ b/packages/control-plane/src/consensus/memberPeers.ts
@@ -20,6 +20,7 @@
   /** The members with each incarnation once. */
   readonly distinctVoters = (): Member[] => stateMachine.distinctVoters(this.acceptor.agreed());
 
+  /** Whether the member is this node. */
   readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
 
   /** The open connection to a member, if there is one. */
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -1,3 +1,7 @@
+/**
+ * The proposer: runs Paxos ballots (Lamport, "Paxos Made Simple", 2001) to get changes committed, one log index after
+ * another.
+ */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
@@ -118,6 +122,7 @@
     return pause.within(this.clock, timeoutMs, work, () => null);
   };
 
+  /** Proposals that run or wait in the queue. */
   readonly depth = (): number => this.queue.depth();
 
   private readonly push = async (check: Check, attempt: Attempt): Promise<Result<Applied, ProposalError>> => {
@@ -168,6 +173,7 @@
     return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, mostBackoffs));
   };
 
+  /** Applies what another member has committed beyond this node's log index. */
   readonly learn = async (since: Since): Promise<void> => {
     if (since.kind === 'checkpoint') await this.acceptor.adopt(since.agreed);
     if (since.kind === 'changes') for (const committed of since.committed) await this.acceptor.commit(committed);
--- a/packages/control-plane/src/consensus/quorumCall.ts
+++ b/packages/control-plane/src/consensus/quorumCall.ts
@@ -1,3 +1,4 @@
+/** Calls on all voters at once that end as soon as a quorum's replies decide them. */
 import type { Acceptor } from './acceptor.js';
 import type { Ballot, CommittedChange, Since, Vote } from './ballots.js';
 import { background } from '@martenworks/core-types';
@@ -19,6 +20,7 @@
   readonly supply: (member: Member, since: Since) => Promise<void>;
 }
 
+/** Positions of acceptors in the log. */
 export const positions = {
   /** Null while the acceptor belongs to no founded fleet. */
   of: (acceptor: Acceptor): Position | null => {
@@ -27,6 +29,7 @@
   },
 };
 
+/** The least number of members of which any two such sets have one in common. */
 export const majorityOf = (members: readonly Member[]): number => Math.floor(members.length / 2) + 1;
 
 /** Asks all members at once and settles as soon as `decide` gives an outcome; it is called after each reply with the replies so far (null for a member that gave none) and how many are still open. At the last reply it must decide. */
--- a/packages/control-plane/src/consensus/recentChanges.ts
+++ b/packages/control-plane/src/consensus/recentChanges.ts
@@ -18,6 +18,7 @@
     while (this.isOverLimit()) this.bytes -= this.changes.shift()?.change.length ?? 0;
   };
 
+  /** Forgets all changes; the next one may have any log index. */
   readonly clear = (): void => {
     this.changes.length = 0;
     this.bytes = 0;
--- a/packages/control-plane/src/consensus/recovery.ts
+++ b/packages/control-plane/src/consensus/recovery.ts
@@ -1,3 +1,4 @@
+/** Recovery by hand after a majority of the members has lost its disks (docs/control/membership.md). */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Clock, Disk, Log, Member, Random } from '@martenworks/core-types';
@@ -13,6 +14,10 @@
   detail,
 });
 
+/**
+ * Gives the state of a stopped node new members, at a log index far above any that the lost members may have committed.
+ * Changes that only they knew are lost.
+ */
 export const recovery = {
   recover: async (
     disk: Disk,
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -1,3 +1,7 @@
+/**
+ * Claims of gateways on idempotency keys, one single-decree Paxos for each key and turn, kept in a log that is trimmed
+ * by age.
+ */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { claimBallots } from '@martenworks/core-types';
@@ -41,6 +45,10 @@
   return { turn: a.turn, promised, accepted };
 };
 
+/**
+ * One voter's promises and votes on claims, each on disk before it is told. Claims older than the retention are
+ * forgotten.
+ */
 export class ClaimTable {
   private readonly entries = new Map<string, Entry>();
   private readonly filledAt = new Map<number, number>();
@@ -53,6 +61,7 @@
     private readonly retentionMs: number,
   ) {}
 
+  /** Restores the claims from disk; called once, before any other method. */
   readonly replay = (records: readonly ClaimRecord[]): void => {
     for (const [key, state] of records) this.put(key, earlierRecords.claim(state), true);
     this.filledAt.set(this.wal.currentSegment() - 1, this.clock.now());
@@ -87,6 +96,10 @@
     return state.turn < turn ? { turn, promised: null, accepted: null } : state;
   };
 
+  /**
+   * Phase 1: promises the ballot for a key's turn unless a higher one was promised; `unavailable` where the disk
+   * failed.
+   */
   readonly prepare = async (key: string, turn: number, ballot: ClaimBallot): Promise<ClaimVote> => {
     const state = this.at(key, turn);
     if (state.turn > turn || (state.promised !== null && claimBallots.compare(ballot, state.promised) <= 0))
@@ -95,6 +108,10 @@
     return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
+  /**
+   * Phase 2: accepts the claimant for a key's turn unless a higher ballot was promised; `unavailable` where the disk
+   * failed.
+   */
   readonly accept = async (key: string, turn: number, ballot: ClaimBallot, claimant: Claimant): Promise<ClaimVote> => {
     const state = this.at(key, turn);
     if (state.turn > turn || claimBallots.isOver(state.promised, ballot))
@@ -103,12 +120,17 @@
     return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
+  /** Ends a key's turn, so that it can be claimed anew in the next; false where the disk failed. */
   readonly release = async (key: string, turn: number): Promise<boolean> => {
     const held = this.stateOf(key);
     if (held.turn > turn) return this.isDurable(key) || this.keep(key, held);
     return this.keep(key, { turn: turn + 1, promised: null, accepted: null });
   };
 
+  /**
+   * Up to 4,000 claims that were changed after the serial number `from`; `next` is the serial number to go on from,
+   * null at the end.
+   */
   readonly page = (from: number): ClaimPage => {
     const entries: ClaimRecord[] = [];
     for (const [key, entry] of this.entries) {
@@ -119,6 +141,7 @@
     return { entries, next: null };
   };
 
+  /** Merges another voter's claims into the own ones; false where the disk did not take all of them. */
   readonly takePage = async (page: ClaimPage): Promise<boolean> => {
     const kept = await Promise.all(
       page.entries.map(async ([key, received]) => {
@@ -130,6 +153,7 @@
     return kept.every(Boolean);
   };
 
+  /** Forgets claims untouched for the retention time, and removes the log segments that hold only such. */
   readonly trim = async (): Promise<void> => {
     const now = this.clock.now();
     for (const [key, entry] of this.entries) {
@@ -142,11 +166,17 @@
     await this.wal.dropBefore(keepFrom);
   };
 
+  /** Number of claims in memory. */
   readonly size = (): number => this.entries.size;
 
+  /** Closes the log. */
   readonly close = (): Promise<void> => this.wal.close();
 }
 
+/**
+ * Opens the claim table of a node; `retentionMs` is how long a claim is kept. The error is that of the disk, or a
+ * damaged log.
+ */
 export const claimTables = {
   open: async (
     disk: Disk,
--- a/packages/control-plane/src/endpoints/endpointListReader.ts
+++ b/packages/control-plane/src/endpoints/endpointListReader.ts
@@ -1,3 +1,4 @@
+/** Reads the platform's list of replica endpoints at a pace that all control nodes share. */
 import { background, pause } from '@martenworks/core-types';
 import type { BackendClient, EndpointListUpdate, Clock, Log, Random, ReplicaEndpoint } from '@martenworks/core-types';
 
@@ -67,18 +68,23 @@
     if (isWhole || put.length > 0 || gone.length > 0) this.tell({ isWhole, put, gone });
   };
 
+  /** A replica has loaded a version of a model's weights, before the list shows it. */
   readonly holds = (id: string, model: string, version: number): void => {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined || (endpoint.weights[model] ?? 0) >= version) return;
     this.endpoints.set(id, { ...endpoint, weights: { ...endpoint.weights, [model]: version } });
   };
 
+  /** The endpoints known now. */
   readonly all = (): ReplicaEndpoint[] => [...this.endpoints.values()];
 
+  /** The endpoint with this id, if it is known. */
   readonly find = (id: string): ReplicaEndpoint | undefined => this.endpoints.get(id);
 
+  /** Milliseconds since the list was last read; null before the first reading. */
   readonly ageMs = (): number | null => (this.readAt === null ? null : Math.round(this.clock.now() - this.readAt));
 
+  /** Ends the reading; one under way is ignored. */
   readonly stop = (): void => {
     this.isStopped = true;
   };
--- a/packages/control-plane/src/endpoints/isolationRegistry.ts
+++ b/packages/control-plane/src/endpoints/isolationRegistry.ts
@@ -1,6 +1,8 @@
+/** Which sides (isolated tenants) each replica may have served, and since when this node knows it. */
 import type { Clock, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 import type { ReplicaTable } from './replicaTable.js';
 
+/** Writes the sides that gateways claim of replicas into the replica records, and keeps the time of each. */
 export class IsolationRegistry {
   private readonly since = new Map<string, number>();
 
@@ -25,6 +27,10 @@
     }
   };
 
+  /**
+   * Records that replicas serve a side; replies all sides of each and how long ago this node learnt of the claimed one,
+   * in milliseconds. Null where the disk failed; replicas that are unknown under their incarnation are left out.
+   */
   readonly admit = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[] | null> => {
     const known = claims.filter(({ replica, incarnation }) => this.table.find(replica)?.incarnation === incarnation);
     const records = known.map(({ replica, side }) => ({
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -1,3 +1,4 @@
+/** Replica records agreed on by a majority of the control nodes, without a log entry: records merge in any order. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
@@ -12,7 +13,9 @@
 
 const timeoutMs = 1_500;
 
+/** Announces records to the other control nodes, learns theirs, and copies whole tables from them. */
 export class ReplicaRegistry {
+  /** The members, by incarnation, whose records and claims were copied since their connection opened. */
   readonly syncedFrom = new Set<string>();
 
   constructor(
@@ -54,6 +57,10 @@
     });
   };
 
+  /**
+   * Writes records to this node's disk and a majority's. `unknown`: fewer have confirmed them so far; announcing them
+   * again is safe.
+   */
   readonly announce = async (records: readonly ReplicaRecord[]): Promise<Result<void, AnnouncementError>> => {
     const kept = await this.table.take(records);
     if (kept.isErr()) return err({ kind: 'announcement', code: 'disk' });
@@ -63,6 +70,7 @@
       : err({ kind: 'announcement', code: 'unknown' });
   };
 
+  /** Takes in what a majority knows of these replicas; false where no majority replied in time. */
   readonly learn = (names: readonly string[]): Promise<boolean> =>
     this.byMajority(
       'replicaLook',
@@ -70,12 +78,18 @@
       async (reply) => gatewayMessages.isReplicaRecords(reply) && (await this.takeRecords(reply)),
     );
 
+  /** What this node knows of these replicas; null where it is no voter. */
   readonly look = (names: readonly string[]): ReplicaRecord[] | null =>
     this.acceptor.isVoter() ? names.flatMap((name) => this.table.find(name) ?? []) : null;
 
+  /** Merges records of another node; false where the disk failed. */
   readonly takeRecords = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
     (await this.table.take(records)).isOk();
 
+  /**
+   * Copies the records and claims of a member, and sends it the own records; ends quietly where the member does not
+   * reply.
+   */
   readonly reconcile = async (incarnation: string, peerPool: PeerPool): Promise<void> => {
     const connection = peerPool.to(incarnation);
     if (connection === undefined) return;
--- a/packages/control-plane/src/endpoints/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -1,3 +1,4 @@
+/** The replica records of a gateway control node, in a log of their own. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { CommandQueue, replicas } from '@martenworks/core-types';
@@ -8,6 +9,7 @@
 
 const segmentsBeforeSnapshot = 4;
 
+/** One record for each replica, by name; a record is on disk before its watchers see it. */
 export class ReplicaTable {
   private readonly queue = new CommandQueue();
   private readonly byName = new Map<string, ReplicaRecord>();
@@ -18,13 +20,16 @@
     private readonly log: Log,
   ) {}
 
+  /** Restores the records from disk; called once, before any other method. */
   readonly replay = (records: readonly ReplicaRecord[]): void => {
     for (const record of records)
       this.byName.set(record.name, replicas.merge(this.byName.get(record.name), replicas.filled(record)));
   };
 
+  /** Calls the listener with each set of records that changed. */
   readonly watch = (listener: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(listener);
 
+  /** Merges records and gives those that were new. On a failed write the records before it stay merged. */
   readonly take = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
     this.queue.run(async () => {
       const update = records
@@ -51,13 +56,17 @@
     if (kept.length > 0) for (const watcher of this.watchers) watcher(kept);
   };
 
+  /** All records. */
   readonly records = (): ReplicaRecord[] => [...this.byName.values()];
 
+  /** The record of this name, if there is one. */
   readonly find = (name: string): ReplicaRecord | undefined => this.byName.get(name);
 
+  /** Closes the log. */
   readonly close = (): Promise<void> => this.wal.close();
 }
 
+/** Opens the replica table of a node. The error is that of the disk, or a damaged log. */
 export const replicaTables = {
   open: async (disk: Disk, log: Log): Promise<Result<ReplicaTable, WriteAheadLogError>> => {
     const opened = await writeAheadLogs.open(disk, logPrefixes.replicas);
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -1,3 +1,7 @@
+/**
+ * The control plane: consensus on the configuration, membership, endpoint lists, prefix caches, and the two kinds of
+ * node that run it.
+ */
 export * from './consensus/acceptor.js';
 export * from './consensus/ballots.js';
 export * from './consensus/catchUp.js';
--- a/packages/control-plane/src/membership/founding.ts
+++ b/packages/control-plane/src/membership/founding.ts
@@ -1,3 +1,6 @@
+/**
+ * Founding of a cluster by nodes that know of none: all must vote for the same members (docs/control/membership.md).
+ */
 import { stateMachine } from '@martenworks/core-types';
 import type { Log, Member } from '@martenworks/core-types';
 import type { PeerConnection, Hello } from '@martenworks/peer-transport';
@@ -15,6 +18,7 @@
   incarnation: hello.incarnation,
 });
 
+/** Steps of one node towards a founded cluster. A node votes for one set of founding members only, on disk. */
 export class Founding {
   constructor(
     private readonly acceptor: Acceptor,
@@ -35,6 +39,7 @@
         ),
     );
 
+  /** Founds the cluster where all reached nodes agree on its members; joins one that exists already. */
   readonly step = async (): Promise<void> => {
     if (this.acceptor.agreed() !== null) return;
     const reached = this.controlNodes();
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -19,6 +19,7 @@
 const confirmTimeoutMs = 1_000;
 const retryMs = 50;
 
+/** Conditions on giving a seat away. */
 export interface MembershipTerms {
   /** Milliseconds that a member must be lost before a node of another name may have its seat. */
   readonly strangerWaitMs?: number;
@@ -34,6 +35,7 @@
   return true;
 };
 
+/** Proposes swaps of members: one seat at a time, so that old and new majorities always have a member in common. */
 export class Membership {
   private readonly lostAt = new Map<string, number>();
   private readonly leaving = new Set<string>();
@@ -58,6 +60,7 @@
     if (incarnation !== this.acceptor.incarnation) this.leaving.delete(incarnation);
   };
 
+  /** Whether this node has said that it leaves. */
   readonly isLeaving = (): boolean => this.leaving.has(this.acceptor.incarnation);
 
   private readonly noteLost = (members: readonly Member[]): void => {
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -1,3 +1,4 @@
+/** A control node of the platform's edges: the consensus member with all that it publishes to edges. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { RepeatingTimer } from '@martenworks/core-types';
@@ -41,25 +42,40 @@
   dialPace: { timeoutMs: 700, longestWaitMs: 400 },
 };
 
+/** Wires the parts of a control node together and dispatches the messages of edges and other control nodes. */
 export class ControlNode {
+  /** The nodes this one has heard of. */
   readonly memberList: MemberList;
+  /** The held connections to other control nodes. */
   readonly peerPool: PeerPool;
+  /** Gets changes committed. */
   readonly proposer: Proposer;
+  /** Takes the operator's changes. */
   readonly configService: ConfigService;
+  /** Sends edges the committed state and content. */
   readonly statePublisher: StatePublisher;
+  /** The platform's list of replica endpoints. */
   readonly endpointList: EndpointListReader;
+  /** What replicas and stores keep in their prefix caches. */
   readonly prefixCaches: PrefixCacheFollower;
+  /** Relays notices of long prompts between edges. */
   readonly prefillNotices: PrefillNoticeRelay;
+  /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
+  /** Loads new weights onto replicas while this node holds the lease for it. */
   readonly weightsRollout: WeightsRollout;
   private readonly consensus: ConsensusMember;
   private readonly weightsStep: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
+    /** The node's settings. */
     readonly settings: NodeSettings,
+    /** Clock, network, disk, random numbers and log. */
     readonly ports: Ports,
+    /** Calls on the platform and on replicas. */
     readonly backendClient: BackendClient,
+    /** This node's vote and committed state. */
     readonly acceptor: Acceptor,
     private readonly leases: PersistedLeases,
     terms: LeaseTerms,
@@ -140,6 +156,7 @@
     connection.tell('prefixCaches', this.prefixCaches.whole());
   };
 
+  /** What this node says of itself when a connection opens. */
   readonly hello = (): Hello =>
     hellos.of(
       'control',
@@ -153,6 +170,7 @@
       this.acceptor.incarnation,
     );
 
+  /** Listens for peers; the error is that of the address. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -278,6 +296,7 @@
   /** Whether this node may take requests: it stays, and reaches a majority of the members. */
   readonly isReady = (): boolean => !this.consensus.isLeaving() && this.consensus.reachesMajority();
 
+  /** The status page's content, as JSON values. Times in milliseconds. */
   readonly status = (): Record<string, unknown> => {
     const state = this.acceptor.agreed();
     return {
@@ -303,6 +322,7 @@
   /** Hands the seat over by agreement, gives up the leases and tells the others, within a share of the drain time; to be called before `stop`. */
   readonly leave = (): Promise<void> => this.consensus.leave(this.settings.drainMs * handoverShare);
 
+  /** Ends all work and closes the logs; `leave` comes first where the node is to hand over its seat. */
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
     this.weightsStep.stop();
@@ -316,6 +336,7 @@
   };
 }
 
+/** Starts control nodes from their logs; `seeds` are addresses to dial before any member is known. */
 export const controlNodes = {
   start: async (
     settings: NodeSettings,
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -1,3 +1,6 @@
+/**
+ * A control node of gateways: the consensus member with replica records, claims, prefix indexes and failure detection.
+ */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, RepeatingTimer } from '@martenworks/core-types';
@@ -44,27 +47,46 @@
 
 const kvLease = (replica: string): string => `kv/${replica}`;
 
+/**
+ * Wires the parts of a gateway control node together and dispatches the messages of gateways and other control nodes.
+ */
 export class GatewayControlNode {
+  /** The nodes this one has heard of. */
   readonly memberList: MemberList;
+  /** The held connections to other nodes. */
   readonly peerPool: PeerPool;
+  /** Gets changes committed. */
   readonly proposer: Proposer;
+  /** Takes the operators' changes. */
   readonly changes: ChangeService;
+  /** Sends gateways the committed state and content. */
   readonly push: GatewayPublisher;
+  /** Agrees on replica records with the other control nodes. */
   readonly replicas: ReplicaRegistry;
+  /** Which isolation sides each replica serves. */
   readonly sides: IsolationRegistry;
+  /** Follows the cache events of the replicas whose lease this node holds. */
   readonly kv: KvEventFollower;
+  /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
+  /** Watches the nodes that the ring assigns to this one. */
   readonly failureDetector: FailureDetector;
+  /** Which nodes count as down, by the reports of those that watch them. */
   readonly verdicts: FailureVerdicts;
   private readonly consensus: ConsensusMember;
   private readonly trimStep: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
+    /** The node's settings. */
     readonly settings: GatewaySettings,
+    /** Clock, network, disk, random numbers and log. */
     readonly ports: Ports,
+    /** This node's vote and committed state. */
     readonly acceptor: Acceptor,
+    /** The replica records. */
     readonly table: ReplicaTable,
+    /** The claims on idempotency keys. */
     readonly claims: ClaimTable,
     private readonly leases: PersistedLeases,
   ) {
@@ -112,8 +134,10 @@
       (replica) => this.leaseManager.fenceOf(kvLease(replica)),
     );
 
+  /** What this node says of itself when a connection opens. */
   readonly hello = (): Hello => hellos.of('control', this.settings, this.acceptor.incarnation);
 
+  /** Listens for peers; the error is that of the address. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -270,11 +294,13 @@
   /** The newest agreed state, or null where no majority of voters confirmed it within `confirmPatienceMs`. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
+  /** Number of voters with an open connection, this node counted if it is one. */
   readonly reachable = (): number => this.consensus.reachableVoters().length;
 
   /** Whether this node may take requests: it reaches a majority of the members. */
   readonly isReady = (): boolean => this.consensus.reachesMajority();
 
+  /** Ends all work and closes the logs. */
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
     this.trimStep.stop();
@@ -290,6 +316,7 @@
   };
 }
 
+/** Starts gateway control nodes from their logs. */
 export const gatewayControlNodes = {
   start: async (settings: GatewaySettings, ports: Ports): Promise<Result<GatewayControlNode, StartError>> => {
     const acceptor = await acceptors.open(ports.disk, ports.clock, ports.random, ports.log);
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -1,3 +1,4 @@
+/** Follows the cache events of replicas for gateways: each replica by the control node that holds its lease. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { KvCacheEvent, Ports, ReplicaRecord } from '@martenworks/core-types';
 import { kvFollow } from '@martenworks/upstream';
@@ -9,6 +10,7 @@
 const bundleMs = 20;
 const ageLimitMs = 3_600_000;
 
+/** Events that another control node followed, with the fencing token of its lease for each replica. */
 export interface RelayedKvEvents {
   readonly fences: Record<string, number>;
   readonly events: readonly KvCacheEvent[];
@@ -19,6 +21,7 @@
   readonly follower: Follower;
 }
 
+/** Keeps the prefix index, sends gateways its events in bundles, and relays them to the other control nodes. */
 export class KvEventFollower {
   private readonly index = new PrefixIndex(ageLimitMs);
   private readonly followed = new Map<string, Followed>();
@@ -48,6 +51,7 @@
     this.relay({ fences, events: update });
   };
 
+  /** Takes in another node's events; those under a fencing token below the highest one seen are dropped. */
   readonly takeRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
     const admitted = update.filter(
@@ -57,11 +61,14 @@
     if (admitted.length > 0) this.tell(admitted);
   };
 
+  /** Replicas whose events have a gap, so that a whole index is needed. */
   readonly broken = (): string[] => this.index.broken();
 
+  /** Restores whole indexes and gives those that were newer than the own ones. */
   readonly takeSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
     snapshots.filter((snapshot) => this.index.restore(snapshot, this.ports.clock.now()));
 
+  /** Follows exactly the replicas that are present and whose lease this node holds. */
   readonly align = (records: readonly ReplicaRecord[]): void => {
     this.index.reconcile(records, () => 0);
     const wanted = new Map(
@@ -97,15 +104,19 @@
     this.bundle.push(update);
   };
 
+  /** Whole indexes of the named replicas; of all that have events where no names are given. */
   readonly snapshots = (names: readonly string[] | null = null): PrefixIndexSnapshot[] =>
     this.index
       .snapshot(this.ports.clock.now())
       .filter((snapshot) => (names === null ? snapshot.seq > 0 : names.includes(snapshot.replica) && snapshot.isWhole));
 
+  /** Number of replicas that this node follows. */
   readonly followedCount = (): number => this.followed.size;
 
+  /** Sizes of the index, for the status page. */
   readonly sizes = (): ReturnType<PrefixIndex['sizes']> => this.index.sizes();
 
+  /** Ends the following and the sending of bundles. */
   readonly stop = (): void => {
     this.bundleTimer.stop();
     for (const followed of this.followed.values()) followed.follower.stop();
--- a/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
+++ b/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
@@ -1,3 +1,4 @@
+/** Relays edges' notices of long prompts that a replica is reading, in bundles. */
 import type { Clock, PrefillNotice } from '@martenworks/core-types';
 
 const bundleMs = 15;
@@ -14,6 +15,7 @@
     private readonly send: (bundle: readonly PrefillNotice[]) => void,
   ) {}
 
+  /** Adds an edge's notice to the bundle that is sent within 15 ms; notices beyond 2,000 are dropped. */
   readonly take = (update: PrefillNotice): void => {
     if (update.tokens > 0) this.begun.add(update.id);
     if (update.tokens <= 0 && this.begun.has(update.id)) this.bundle.delete(update.id);
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -1,3 +1,4 @@
+/** Follows what replicas and stores keep in their prefix caches, for edges: each address by one control node. */
 import { background, IncarnationMatcher, pause } from '@martenworks/core-types';
 import type {
   BackendClient,
@@ -112,6 +113,7 @@
     }
   };
 
+  /** Takes in what another control node followed, for addresses that this node does not follow itself. */
   readonly takeRelayed = (bundle: readonly PrefixCacheUpdate[]): void => {
     const accepted = bundle.filter(({ address, isWhole, isHeard, events: update }) => {
       const stored = this.prefixCaches.get(address);
@@ -206,6 +208,7 @@
     this.relay(bundle);
   };
 
+  /** All that is known, as updates that replace what the receiver knows. */
   readonly whole = (): PrefixCacheUpdate[] =>
     [...this.prefixCaches].map(([address, stored]) => ({
       address,
@@ -215,6 +218,7 @@
       events: [...stored.kept.values()],
     }));
 
+  /** What this node follows itself, as updates that replace what the receiver knows. */
   readonly followed = (): PrefixCacheUpdate[] =>
     [...this.prefixCaches]
       .filter(([, stored]) => !stored.isStopped && stored.epoch !== '')
@@ -225,10 +229,13 @@
         events: [...stored.kept.values()],
       }));
 
+  /** Number of kept parts for each address, for the status page. */
   readonly sizes = (): { address: string; parts: number; isHeard: boolean }[] =>
     [...this.prefixCaches].map(([address, stored]) => ({ address, parts: stored.kept.size, isHeard: stored.isHeard }));
 
+  /** Counters of detected stale entries, for the status page. */
   readonly stale = (): Record<string, number> => ({ ...this.counts });
 
+  /** Ends the following of all addresses. */
   readonly stop = (): void => this.align(new Set(), () => false);
 }
--- a/packages/control-plane/src/weights/weightsRollout.ts
+++ b/packages/control-plane/src/weights/weightsRollout.ts
@@ -1,3 +1,4 @@
+/** Brings replicas to the target versions of their models' weights, under a lease that one control node holds. */
 import { background, pause } from '@martenworks/core-types';
 import type { BackendClient, Clock, Log, ReplicaEndpoint, WeightsUpdate } from '@martenworks/core-types';
 
@@ -60,6 +61,7 @@
     };
   };
 
+  /** Orders loads for replicas that are behind, at most a quarter of a pool (one at least) at once; does nothing without the lease. */
   readonly step = (): void => {
     if (this.fence() === null) return;
     const { waiting, poolSizes } = this.pending();
@@ -122,6 +124,7 @@
     this.postpone(one, againMs);
   };
 
+  /** Replicas that are loading now and orders sent so far, for the status page. */
   readonly status = (): { underWay: string[]; orders: number } => ({
     underWay: [...this.underWay.keys()],
     orders: this.orders,
--- a/packages/model-check/src/breaks.ts
+++ b/packages/model-check/src/breaks.ts
@@ -1,3 +1,4 @@
+/** Faults put into the product on purpose, each of which the checker must find: the check of the check. */
 import { LeaseTable } from '@martenworks/cluster-membership';
 import type { LeaseTerms } from '@martenworks/cluster-membership';
 import type { Acceptor, Ballot, Proposer, CommittedChange, MemberStatus, Voters } from '@martenworks/control-plane';
--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -1,3 +1,4 @@
+/** The rules that every schedule must keep, judged from what nodes show outside (docs/proof.md). */
 import type { CommittedState, Change } from '@martenworks/core-types';
 
 /** The rules that a schedule must keep. */
@@ -16,6 +17,7 @@
   | 'catching up'
   | 'progress';
 
+/** A rule that a schedule broke, and how. */
 export interface Violation {
   readonly rule: Rule;
   readonly detail: string;
@@ -53,6 +55,7 @@
 
 /** Judges one schedule from outside: it counts votes by itself and compares what nodes tell with it. */
 export class Checker {
+  /** The violations so far, the oldest first. */
   readonly violations: Violation[] = [];
   private readonly states = new Map<number, CommittedState>();
   private readonly texts = new Map<number, string>();
@@ -74,8 +77,10 @@
 
   private readonly tell = (rule: Rule, detail: string): void => void this.violations.push({ rule, detail });
 
+  /** The highest log index for which a change was chosen. */
   readonly newestGeneration = (): number => this.newestChosenGeneration;
 
+  /** The committed state of the highest log index that is known whole. */
   readonly newestState = (): CommittedState => this.states.get(this.newestStateGeneration()) as CommittedState;
 
   private readonly newestStateGeneration = (): number => {
@@ -160,6 +165,7 @@
   /** The generation that a read beginning now may not fall short of. */
   readonly readFloor = (): number => Math.max(this.newestAcknowledged, this.newestRead);
 
+  /** A node confirmed a read as of `logIndex`; `floor` is what `readFloor` gave when the read began. */
   readonly readAnswered = (floor: number, logIndex: number, node: string): void => {
     if (logIndex < floor) this.tell('stale read', `${node} confirmed generation ${logIndex}, ${floor} was known`);
     this.newestRead = Math.max(this.newestRead, logIndex);
--- a/packages/model-check/src/choices.ts
+++ b/packages/model-check/src/choices.ts
@@ -1,3 +1,5 @@
+/** Steps of a schedule, and scripts of them that run again. */
+
 /** One step of a schedule. A script is a list of these; a step that is not possible where it stands is skipped. */
 export type Choice =
   | { readonly do: 'deliver'; readonly message: string; readonly at: number }
@@ -21,6 +23,7 @@
   | { readonly do: 'nextTimer' }
   | { readonly do: 'pass'; readonly ms: number };
 
+/** The kinds of step. */
 export type ChoiceKind = Choice['do'];
 
 /** What a run needs to happen again: `--replay` takes this as JSON. */
@@ -31,6 +34,7 @@
   readonly choices: readonly Choice[];
 }
 
+/** All kinds of step, in the order in which counts of them are printed. */
 export const choiceKinds: readonly ChoiceKind[] = [
   'deliver',
   'drop',
--- a/packages/model-check/src/courses.ts
+++ b/packages/model-check/src/courses.ts
@@ -1,3 +1,4 @@
+/** Courses: short plans of steps that bring about states which random steps alone rarely reach. */
 import type { Choice } from './choices.js';
 import type { CourseName } from './profiles.js';
 import type { SeededRandom } from './random.js';
--- a/packages/model-check/src/explorer.ts
+++ b/packages/model-check/src/explorer.ts
@@ -1,3 +1,4 @@
+/** Explores schedules by seeds, and shrinks a schedule that breaks a rule to a short script. */
 import { breaks } from './breaks.js';
 import type { Rule, Violation } from './checker.js';
 import type { Choice, ChoiceKind, Script } from './choices.js';
@@ -29,6 +30,7 @@
   readonly violation: Violation;
 }
 
+/** What an exploration has covered, and the counterexample that ended it, if any. */
 export interface Outcome {
   readonly schedules: number;
   readonly steps: Partial<Record<ChoiceKind, number>>;
--- a/packages/model-check/src/fairEnd.ts
+++ b/packages/model-check/src/fairEnd.ts
@@ -1,3 +1,4 @@
+/** The fair end of a schedule, in which progress is checked: safety rules alone would allow to do nothing. */
 import type { Checker, Observed } from './checker.js';
 import type { FleetUnderTest } from './fleetUnderTest.js';
 import type { ModelNode } from './modelNode.js';
@@ -20,6 +21,7 @@
     private readonly operator: Operator,
   ) {}
 
+  /** Runs rounds until all nodes have caught up and an order was acknowledged, for 80 rounds at most. */
   readonly run = async (): Promise<void> => {
     for (let round = 0; round < mostRounds; round += 1) {
       await this.begin(round);
--- a/packages/model-check/src/index.ts
+++ b/packages/model-check/src/index.ts
@@ -1,3 +1,4 @@
+/** Explores schedules of the consensus group over simulated disks and links, and checks them (docs/proof.md). */
 export * from './breaks.js';
 export * from './checker.js';
 export * from './choices.js';
--- a/packages/model-check/src/lossBound.ts
+++ b/packages/model-check/src/lossBound.ts
@@ -1,3 +1,4 @@
+/** Which losses a schedule may contain: no more at once than the consensus group is built to survive. */
 import type { Change, Member } from '@martenworks/core-types';
 import type { Checker, Observed } from './checker.js';
 
--- a/packages/model-check/src/modelCommand.ts
+++ b/packages/model-check/src/modelCommand.ts
@@ -1,3 +1,4 @@
+/** The command `npm run model`: explores schedules, on several cores where asked, or replays a script. */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
--- a/packages/model-check/src/modelDisk.ts
+++ b/packages/model-check/src/modelDisk.ts
@@ -1,3 +1,4 @@
+/** A disk in memory with scheduled syncs, crashes and losses. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
@@ -32,6 +33,7 @@
   /** A deliberate fault: syncs are acknowledged and nothing becomes durable. */
   isLying = false;
 
+  /** Syncs that wait for the scheduler. */
   readonly pendingCount = (): number => this.pending.length;
 
   /** Completes the oldest waiting sync. */
@@ -65,6 +67,7 @@
     }
   };
 
+  /** Loses all files, as with a replaced disk. */
   readonly lose = (): void => {
     this.pending = [];
     this.files = new Map();
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -1,3 +1,4 @@
+/** One control node of a schedule: the product's consensus member over a simulated disk, clock and network. */
 import { err, ok } from 'neverthrow';
 import { MemberList } from '@martenworks/cluster-membership';
 import type { LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
@@ -78,6 +79,7 @@
 
 /** One control node: the product's own agreement, membership and leases, wired as the control node wires them. */
 export class ModelNode {
+  /** The node's disk; it outlives the process. */
   readonly disk = new ModelDisk();
   private parts: Parts | null = null;
   private run = 0;
@@ -89,14 +91,18 @@
   isAway = true;
 
   constructor(
+    /** The node's name. */
     readonly name: string,
     private readonly world: Surroundings,
   ) {}
 
+  /** Whether its process runs. */
   readonly isAlive = (): boolean => this.parts !== null;
 
+  /** The running process's acceptor; null while none runs. */
   readonly acceptor = (): Acceptor | null => this.parts?.acceptor ?? null;
 
+  /** The incarnation of the last process; empty after the disk was lost. */
   readonly incarnation = (): string => this.lastIncarnation;
 
   private readonly clockOf = (isLive: () => boolean): Clock => ({
@@ -245,6 +251,7 @@
     if (told.kind === 'promised' && told.accepted !== null) this.vote = { slot, changeId: told.accepted.change.id };
   };
 
+  /** Ends the process and loses its disk. */
   readonly loseDisk = async (): Promise<void> => {
     this.run += 1;
     this.parts = null;
@@ -333,6 +340,7 @@
   /** What the control node does where an accepted change stays unsettled. */
   readonly commitPending = (): void => this.parts?.inside.commitPending();
 
+  /** What the control node does each 300 ms: ask for the leases it wants. */
   readonly dutyTick = (): void => void this.parts?.member.leaseManager.tick();
 
   /** The state of a confirmed read; null where no majority answered. */
@@ -341,11 +349,13 @@
     return this.parts.member.proposer.confirm(confirmTimeoutMs);
   };
 
+  /** Proposes as the product's proposer does; throws where no process runs. */
   readonly propose: Proposer['propose'] = (...order) => {
     if (this.parts === null) throw new Error(`${this.name} is not running`);
     return this.parts.member.proposer.propose(...order);
   };
 
+  /** What the checker may see of the node now. */
   readonly observed = (): Observed => {
     const acceptor = this.acceptor();
     if (acceptor !== null) this.lastState = acceptor.agreed();
--- a/packages/model-check/src/network.ts
+++ b/packages/model-check/src/network.ts
@@ -1,3 +1,4 @@
+/** Links between simulated nodes, whose messages move when the scheduler says so. */
 import type { VirtualClock } from './virtualClock.js';
 
 /** One run of a node's process, from its start to its crash. */
@@ -21,16 +22,22 @@
 
 /** Links between all nodes. Messages wait until the scheduler delivers, drops or doubles them, in any order. */
 export class Network {
+  /** Messages that were sent and neither delivered nor dropped, the oldest first. */
   readonly inFlight: Message[] = [];
   private readonly cuts = new Map<string, { isNoticed: boolean }>();
 
   constructor(private readonly clock: VirtualClock) {}
 
+  /**
+   * Cuts one direction of a link; `isNoticed` says whether both ends lose their connection or messages vanish silently.
+   */
   readonly cut = (from: string, to: string, isNoticed: boolean): void =>
     void this.cuts.set(`${from}>${to}`, { isNoticed });
 
+  /** Restores one direction of a link; false where it was not cut. */
   readonly heal = (from: string, to: string): boolean => this.cuts.delete(`${from}>${to}`);
 
+  /** The directions that are cut. */
   readonly cutLinks = (): (readonly [from: string, to: string])[] =>
     [...this.cuts.keys()].map((key) => key.split('>') as [string, string]);
 
@@ -60,6 +67,7 @@
       });
     });
 
+  /** Sends a message without a reply. */
   readonly tell = (from: Process, to: Process, topic: string, body: unknown): void =>
     this.send(from, to, topic, () => void to.handle(topic, body, from));
 
@@ -67,6 +75,7 @@
   readonly find = (label: string, at: number): Message | undefined =>
     this.inFlight.filter((message) => message.label === label)[at];
 
+  /** Takes a message off the network without delivering it. */
   readonly remove = (message: Message): void => {
     const place = this.inFlight.indexOf(message);
     if (place >= 0) this.inFlight.splice(place, 1);
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -1,3 +1,4 @@
+/** Operators of a schedule, who order changes of the configuration and judge the answers. */
 import { err, ok } from 'neverthrow';
 import { proposalErrors } from '@martenworks/control-plane';
 import type { Proposer } from '@martenworks/control-plane';
--- a/packages/model-check/src/profiles.ts
+++ b/packages/model-check/src/profiles.ts
@@ -1,3 +1,4 @@
+/** Profiles: how often each kind of step is drawn, with the weight on one part of the product in each. */
 import type { ChoiceKind } from './choices.js';
 
 type Weights = Readonly<Record<ChoiceKind, number>>;
@@ -93,4 +94,5 @@
   courses: ['calm', 'newcomer', 'differing losses', 'lease moves', 'minority', 'rivals'],
 };
 
+/** All profiles; an exploration takes them in turn. */
 export const profiles: readonly Profile[] = [ballots, membership, leases, mixed];
--- a/packages/model-check/src/random.ts
+++ b/packages/model-check/src/random.ts
@@ -1,3 +1,5 @@
+/** Seeded random numbers, so that a schedule runs the same again. */
+
 /** A seeded generator of pseudo-random numbers (mulberry32): equal seeds give equal sequences. */
 export class SeededRandom {
   private state: number;
--- a/packages/model-check/src/virtualClock.ts
+++ b/packages/model-check/src/virtualClock.ts
@@ -1,3 +1,4 @@
+/** The clock of a schedule. */
 import type { Timer } from '@martenworks/core-types';
 
 interface ScheduledTimer {
@@ -12,8 +13,12 @@
   private created = 0;
   private time = 1_000;
 
+  /** The time in milliseconds. */
   readonly now = (): number => this.time;
 
+  /**
+   * Rings once, `delayMs` milliseconds from now at the earliest; timers of equal time ring in the order they were set.
+   */
   readonly after = (delayMs: number, ring: () => void): Timer => {
     const timer: ScheduledTimer = { at: this.time + Math.max(0, delayMs), order: ++this.created, ring };
     this.timers.push(timer);
@@ -32,6 +37,7 @@
     return first;
   };
 
+  /** Whether any timer is set. */
   readonly hasTimers = (): boolean => this.timers.length > 0;
 
   /** Moves to the next timer and rings it; false where none is set, or none is due by `until`. */
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -1,3 +1,4 @@
+/** The world of one schedule: nodes, network, clock, operators and checker. */
 import { stateMachine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
 import type { Break } from './breaks.js';
@@ -22,6 +23,7 @@
   readonly clock = new VirtualClock();
   readonly network = new Network(this.clock);
   readonly nodes: readonly ModelNode[];
+  /** The operators. */
   readonly operators: readonly Operator[];
   private readonly random: SeededRandom;
   private readonly keepsDown: boolean;
@@ -30,6 +32,7 @@
   private judge: Checker | null = null;
 
   constructor(
+    /** Number of founding voters. */
     readonly voterCount: number,
     seed: number,
     broken: Break | null,
@@ -82,6 +85,7 @@
   /** Lets everything run on until it waits for the scheduler: all work between two steps is promises alone. */
   readonly drain = (): Promise<void> => new Promise((done) => setImmediate(done));
 
+  /** The node of this name, if there is one. */
   readonly node = (name: string): ModelNode | undefined => this.nodes.find((node) => node.name === name);
 
   /** What the checker may see of each node now. */
