--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -21,6 +21,8 @@
 export * from './errors.js';
 export * from './prefixcache/kvEventFollower.js';
 export * from './endpoints/claims.js';
+export { edgeMessages } from './messages/edgeMessages.js';
+export { gatewayMessages } from './messages/gatewayMessages.js';
 export type { MemberStatus } from './membership/foundingMessages.js';
 export * from './consensus/leaseLog.js';
 export * from './consensus/consensusMember.js';
