--- a/packages/control-plane/src/configuration/routingTableHistory.ts
+++ b/packages/control-plane/src/configuration/routingTableHistory.ts
@@ -9,14 +9,14 @@
   readonly to: number;
 }
 
-/** Keeps the differences between successive configuration versions, as many as name no more entries together than the routing table does, and packs each message once for all fronts. */
+/** Keeps the differences between successive configuration versions, as many as name no more entries together than the routing table does, and packs each message once for all edges. */
 export class RoutingTableHistory {
   private steps: Step[] = [];
   private packed = new Map<number, PackedRoutingTable>();
   private whole: PackedRoutingTable | null = null;
   private current: ActiveRouting | null = null;
 
-  /** Takes the routes in force now; told of the same configuration version again, it changes nothing. */
+  /** Takes the routing in force now; the same configuration version again changes nothing. */
   readonly note = (routes: ActiveRouting | null): void => {
     if (routes === null || routes.configVersion === this.current?.configVersion) return;
     const before = this.current;
@@ -45,7 +45,7 @@
     this.steps = kept === 0 ? [] : this.steps.slice(-kept);
   };
 
-  /** What brings an edge from its configuration version to the one in force: null where it holds it, a patch where one is known and smaller, else the whole book. */
+  /** What brings an edge from its configuration version to the one in force: null where it has that one, a patch where one is known and smaller, else the whole table. */
   readonly messageFrom = (configVersion: number): PackedRoutingTable | null => {
     if (this.current === null || this.current.configVersion === configVersion) return null;
     const held = this.packed.get(configVersion);
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -1,4 +1,4 @@
-/** Tells edges what is in force: all of it to those whose source this node is, the bare generation to the others. */
+/** Sends edges what is in force: all of it to those that take their content from this node, the bare log index to the others. */
 import type {
   CommittedState,
   Clock,
@@ -22,7 +22,7 @@
   readonly sentAt: number;
 }
 
-/** `generation` and `edition` are what the edge is known to hold. */
+/** A subscribed edge; `logIndex` and `configVersion` are what it is known to have. */
 interface Subscriber {
   logIndex: number;
   configVersion: number;
@@ -122,7 +122,7 @@
     for (const connection of this.subscribers.keys()) this.update(connection);
   };
 
-  /** Announces the generation in force and, to an edge whose source this is, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
+  /** Announces the log index in force and, to an edge that takes its content from here, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.agreed();
--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -29,7 +29,7 @@
 const segmentsBeforeSnapshot = 4;
 const noBallot: BallotState = { promised: null, accepted: null };
 
-/** One voter's part of the agreement: what it promised, accepted and knows to be committed, on disk before it is told. */
+/** One voter's part of the agreement: what it promised, accepted and knows to be committed, on disk before it is reported. */
 export class Acceptor {
   private readonly commands = new CommandQueue();
   private readonly recent = new RecentChanges();
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -68,7 +68,7 @@
     return this.running;
   };
 
-  /** Whether the peer answered and this node then holds all that it told of. False also where a transfer took longer than the patience, or this node's disk did not take it. */
+  /** Whether the peer answered and this node then has all that the peer had. False also where a transfer took longer than `timeoutMs`, or this node's disk failed. */
   readonly ask = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
     const peerLogIndex = await this.logIndexOf(peer, timeoutMs);
     if (peerLogIndex === null) return false;
@@ -80,7 +80,7 @@
   readonly supply = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
     void (await peer.ask(catchUpTopics.behind, null, timeoutMs));
 
-  /** Settles a change that a peer tells of, or catches up where earlier ones are missing. */
+  /** Commits a change that a peer sent, or catches up where earlier ones are missing. */
   readonly commit = async (peer: PeerConnection, { logIndex, change }: CompressedCommit): Promise<void> => {
     if (logIndex <= this.logIndex()) return;
     if (logIndex > this.logIndex() + 1) return this.from(peer);
--- a/packages/control-plane/src/consensus/leaseLog.ts
+++ b/packages/control-plane/src/consensus/leaseLog.ts
@@ -12,7 +12,7 @@
 
 type FenceRecord = readonly [duty: string, fence: number];
 
-/** A lease table whose grants are on disk before they are told, and the log to close with it. */
+/** A lease table whose grants are on disk before they are sent, and the log to close with it. */
 export interface PersistedLeases {
   readonly table: LeaseTable;
   readonly close: () => Promise<void>;
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -59,7 +59,7 @@
     return !this.isOver;
   };
 
-  /** Another change was decided in the slot for which this one had been offered. */
+  /** Another change was committed in the slot for which this one had been offered. */
   readonly lostSlot = (): void => {
     this.wasOffered = false;
   };
@@ -68,14 +68,14 @@
 
   readonly isEnded = (): boolean => this.isOver;
 
-  /** Ends it: nothing is offered any more. `unavailable` is told only where no acceptor can hold the value. */
+  /** Ends it: nothing is offered any more. `unavailable` is returned only where no acceptor can hold the value. */
   readonly giveUp = (detail: string): Result<Applied, ProposalError> => {
     this.isOver = true;
     return err(this.wasOffered ? proposalErrors.unknown(this.changeId) : proposalErrors.unavailable(detail));
   };
 }
 
-/** Gets changes decided, one generation after another, by ballots among the voters; one order at a time, others wait in a queue. */
+/** Gets changes committed, one log index after another, by ballots among the voters; one change at a time, others wait in a queue. */
 export class Proposer {
   private readonly queue = new CommandQueue();
   private readonly read: ConfirmedRead;
@@ -260,7 +260,7 @@
     return { kind: 'committed', committed };
   };
 
-  /** The value that may already be decided: the one accepted under the highest ballot. */
+  /** The value that may already be chosen: the one accepted under the highest ballot. */
   private readonly newestAccepted = (promises: readonly Vote[]): Accepted | null => {
     let newest: Accepted | null = null;
     for (const vote of promises) {
--- a/packages/control-plane/src/consensus/quorumCall.ts
+++ b/packages/control-plane/src/consensus/quorumCall.ts
@@ -4,7 +4,7 @@
 import { background } from '@martenworks/core-types';
 import type { Change, Member } from '@martenworks/core-types';
 
-/** Where one acceptor stands: the last generation it knows to be decided, and the slot of a value it accepted after that, if any. */
+/** An acceptor's position: the highest log index it has committed, and the slot of a change it accepted after that, if any. */
 export interface Position {
   readonly logIndex: number;
   readonly acceptedSlot: number | null;
@@ -32,7 +32,7 @@
 /** The least number of members of which any two such sets have one in common. */
 export const majorityOf = (members: readonly Member[]): number => Math.floor(members.length / 2) + 1;
 
-/** Asks all members at once and settles as soon as `decide` gives an outcome; it is called after each reply with the replies so far (null for a member that gave none) and how many are still open. At the last reply it must decide. */
+/** Asks all members at once and resolves as soon as `decide` gives an outcome; it is called after each reply with the replies so far (null for a member that gave none) and how many are still open. At the last reply it must decide. */
 export const askMembers = <Reply, Outcome>(
   members: readonly Member[],
   ask: (member: Member) => Promise<Reply | null>,
--- a/packages/control-plane/src/consensus/transferSource.ts
+++ b/packages/control-plane/src/consensus/transferSource.ts
@@ -17,7 +17,7 @@
   readonly bytes: Uint8Array;
 }
 
-/** Makes the transfers of one node and keeps the few that are being read; the snapshot of a generation is encoded once. */
+/** Makes the transfers of one node and keeps the few that are being read; the snapshot of a log index is encoded once. */
 export class TransferSource {
   private readonly kept = new Map<string, Transfer>();
 
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -290,7 +290,7 @@
     return null;
   };
 
-  /** The newest agreed state, with what a majority had accepted settled before: null where no majority was heard. */
+  /** The newest committed state, after finishing what a majority had accepted; null where no majority replied in time. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
   /** Whether this node may take requests: it stays, and reaches a majority of the members. */
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -291,7 +291,7 @@
     return { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } };
   };
 
-  /** The newest agreed state, or null where no majority of voters confirmed it within `confirmPatienceMs`. */
+  /** The newest committed state, or null where no majority of voters confirmed it within 700 ms. */
   readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
   /** Number of voters with an open connection, this node counted if it is one. */
--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -39,7 +39,7 @@
   readonly isLost: boolean;
   /** The state that is durable there, as far as it was seen. */
   readonly state: CommittedState | null;
-  /** The change that is accepted there and not known to be settled. */
+  /** The change that is accepted there and not known to be committed. */
   readonly accepted: { readonly slot: number; readonly changeId: string } | null;
   /** The fence of the lease that it holds at this moment. */
   readonly fence: number | null;
@@ -89,10 +89,10 @@
     return newest;
   };
 
-  /** The state that was agreed as `generation`, where any node has shown it. */
+  /** The committed state of a log index, where any node has shown it. */
   readonly stateAt = (logIndex: number): CommittedState | undefined => this.states.get(logIndex);
 
-  /** Takes note of a state that a node holds durable; states of one generation must be equal. */
+  /** Takes note of a state that a node holds durable; states of one log index must be equal. */
   readonly learn = (state: CommittedState, where: string): void => {
     if (this.compared.has(state)) return;
     this.compared.add(state);
@@ -112,7 +112,7 @@
     this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, state.routing?.configVersion ?? 0);
   };
 
-  /** An acceptor told, or was about to tell, that it has accepted a change. */
+  /** An acceptor reported, or was about to report, that it has accepted a change. */
   readonly accepted = (voter: string, slot: number, ballot: string, change: Change): void => {
     const votes = this.votes.get(slot) ?? [];
     this.votes.set(slot, votes);
@@ -141,7 +141,7 @@
       this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, change.body.routing.configVersion);
   };
 
-  /** An operator was told that its change was settled as `generation`. */
+  /** An operator got the reply that its change was committed at a log index. */
   readonly orderAcknowledged = (order: Order, logIndex: number): void => {
     const known = this.acknowledged.get(order.id);
     if (known !== undefined && known !== logIndex)
@@ -153,7 +153,7 @@
       this.tell('acknowledged in force', `${order.id} acknowledged as ${logIndex}, which is ${chosen ?? 'not chosen'}`);
   };
 
-  /** An operator was told that its change cannot be made on the version it named. */
+  /** An operator got the reply that its change cannot be made on the version it named. */
   readonly orderRefused = (order: Order, node: string): void => {
     const isInForce =
       [...this.chosen.values()].includes(order.id) && this.newestChosenConfigVersion === order.configVersion;
@@ -162,7 +162,7 @@
       this.tell('newest base refused', `${order.id} on ${order.base}, the newest, was refused at ${node}`);
   };
 
-  /** The generation that a read beginning now may not fall short of. */
+  /** The log index that a read beginning now may not fall short of. */
   readonly readFloor = (): number => Math.max(this.newestAcknowledged, this.newestRead);
 
   /** A node confirmed a read as of `logIndex`; `floor` is what `readFloor` gave when the read began. */
--- a/packages/model-check/src/lossBound.ts
+++ b/packages/model-check/src/lossBound.ts
@@ -2,10 +2,10 @@
 import type { Change, Member } from '@martenworks/core-types';
 import type { Checker, Observed } from './checker.js';
 
-/** Milliseconds after a newcomer told its standing in which it may be proposed for a seat: the ask's patience and the proposal's. */
+/** Milliseconds after a newcomer reported its status in which it may be proposed for a seat: the timeouts of request and proposal. */
 const candidateMs = 4_000;
 
-/** Who would vote after generation `slot`. */
+/** Who would vote after log index `slot`. */
 interface Seats {
   readonly slot: number;
   readonly members: readonly Member[];
@@ -30,7 +30,7 @@
     this.offeredSeats.set(`${slot} ${body.outgoing} ${body.incoming.incarnation}`, { slot, members });
   };
 
-  /** A newcomer told its standing: whoever heard it may be about to seat it. */
+  /** A newcomer reported its status: whoever received it may be about to seat it. */
   readonly noteMemberStatus = (incarnation: string): void =>
     void this.candidatesUntil.set(incarnation, this.now() + candidateMs);
 
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -27,7 +27,7 @@
 const leaveBudgetMs = 3_000;
 const orderGapMs = 200;
 const log = logs.silent();
-/** Messages that are told; all others are asked and get an answer. */
+/** Messages without a reply; all others are requests. */
 const toldTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
 /** Connections are modelled above the network, so nothing is ever dialled. */
 const unreachableNet = { dial: () => new Promise<never>(() => {}), listen: () => new Promise<never>(() => {}) };
@@ -41,7 +41,7 @@
   readonly nodes: () => readonly ModelNode[];
   readonly onAccepted: (voter: Acceptor, slot: number, ballot: Ballot, change: Change) => void;
   readonly onOffered: (slot: number, change: Change) => void;
-  /** A node has told where it stands; who asked may give it a seat on the strength of that. */
+  /** A node has reported its status, on which the one that asked may give it a seat. */
   readonly onMemberStatus: (incarnation: string) => void;
 }
 
--- a/packages/model-check/src/network.ts
+++ b/packages/model-check/src/network.ts
@@ -17,7 +17,7 @@
   readonly deliver: () => void;
 }
 
-/** How an ask ended: with the value that was told, or without one in time. */
+/** How a request ended: with a reply, or without one in time. */
 export type Answer = { readonly isAnswered: true; readonly value: unknown } | { readonly isAnswered: false };
 
 /** Links between all nodes. Messages wait until the scheduler delivers, drops or doubles them, in any order. */
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -20,7 +20,7 @@
   return [check, order.id, order.id, orderTimeoutMs];
 };
 
-/** One operator: builds each order on the newest version it has been told of, and may send its last one again. */
+/** One operator: builds each order on the newest version it knows, and may send its last one again. */
 export class Operator {
   private known = 0;
   private sent = 0;
