--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -28,7 +28,7 @@
 const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
 
 /**
- * Who is told what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
+ * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
  */
 export interface ControlListeners {
   readonly state: (update: EdgeState) => void;
@@ -40,7 +40,10 @@
   readonly isReady: () => boolean;
 }
 
-/** Holds a connection to every control node. One of them, the source, pushes all updates; the others announce only their log index, and are asked for the state if this edge doesn't have it yet. */
+/**
+ * Holds a connection to every control node. One of them, the source, pushes all updates; the others announce only their
+ * log index, and are asked for the state if this edge doesn't have it yet.
+ */
 export class ControlConnection {
   private readonly memberList: MemberList;
   private readonly peerPool: PeerPool;
@@ -216,10 +219,16 @@
     if (edges >= this.edgeCountReport.edges || isOver) this.edgeCountReport = { edges: Math.max(1, edges), at: now };
   };
 
-  /** How many edges there are, by the most that was told within two windows of the budget: one that hears nobody, or only control nodes just started, is not alone for that. */
+  /**
+   * How many edges there are, by the highest count reported within two windows of the retry budget: an edge without
+   * connections, or with control nodes that have just started, mustn't take itself for the only one.
+   */
   readonly edgeCount = (): number => this.edgeCountReport.edges;
 
-  /** Milliseconds since a control node that heard a majority of the members was heard, counted from when the majority was. */
+  /**
+   * Milliseconds since a majority of the members was alive for sure: by the latest pong, less the age of the majority's
+   * messages that it states.
+   */
   readonly unheardMs = (): number => this.ports.clock.now() - this.lastHeardAt;
 
   /** The control connections for the operators' pages, as JSON. */
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -4,7 +4,10 @@
 
 const silenceLimitMs = 800;
 
-/** A control node that hears a majority comes before one with a current endpoint list, and that before one in the edge's zone. */
+/**
+ * A control node that hears a majority comes before one with a current endpoint list, and that before one in the edge's
+ * zone.
+ */
 const scores = { answering: 1, near: 1, currentList: 4, majority: 8 } as const;
 
 /** Scores control nodes by their latest pongs. */
@@ -36,7 +39,9 @@
       null,
     );
 
-  /** Whether another node should replace the source; one that hears a majority isn't left while a state arrives from it. */
+  /**
+   * Whether another node should replace the source; one that hears a majority isn't left while a state arrives from it.
+   */
   readonly isBetter = (candidate: PeerConnection, source: PeerConnection): boolean => {
     if (this.score(candidate) <= this.score(source)) return false;
     const hearsMajority = this.pongs.get(source)?.hasMajority === true;
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -37,7 +37,7 @@
   /** The newest state; null before the first. */
   readonly state = (): EdgeState | null => this.latest;
 
-  /** The position that control nodes are told: log index -1 and version 0 before the first state. */
+  /** The position that is sent to control nodes: log index -1 and version 0 before the first state. */
   readonly position = (): StatePosition => ({
     logIndex: this.latest?.logIndex ?? -1,
     configVersion: this.latest?.configVersion ?? 0,
@@ -63,7 +63,10 @@
     clock.after(source() === null ? 0 : sourceGraceMs, this.fetchNewer);
   };
 
-  /** Fetches a state that some control node has and this edge doesn't, from one node at a time and never while one arrives. */
+  /**
+   * Fetches a state that some control node has and this edge doesn't, from one node at a time and never while one
+   * arrives.
+   */
   readonly fetchNewer = (): void => {
     if (this.pendingFetch !== null || this.isStateArriving() || this.isSourceTrusted()) return;
     const { scorer, source, controlNodes } = this.options;
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -1,4 +1,4 @@
-/** What the modules of an edge share while a request is on its way. */
+/** What the modules of an edge share while a request is being forwarded. */
 import type { RequestMetadata, Customer, Ports, HeaderCodec, MetricCounters } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 import type { Call } from './ingress/call.js';
@@ -9,7 +9,10 @@
 import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
-/** A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it is hashed once). */
+/**
+ * A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it
+ * is hashed once).
+ */
 export interface Admission {
   readonly call: Call;
   readonly order: RequestMetadata;
@@ -20,7 +23,7 @@
   readonly body: Uint8Array;
 }
 
-/** What a request on its way needs of the edge that it came to. Times are in milliseconds. */
+/** What the forwarding of a request needs of its edge. Times are in milliseconds. */
 export interface EdgeContext {
   readonly ports: Ports;
   readonly wire: HeaderCodec;
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,4 +1,6 @@
-/** The edge process without its entry point: wiring of ingress, replica selection, forwarding and control connection. */
+/**
+ * The edge process without its entry point: wiring of ingress, replica selection, forwarding and control connection.
+ */
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, RepeatingTimer } from '@martenworks/core-types';
 import type {
@@ -140,7 +142,9 @@
 
   readonly readingId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
 
-  /** Takes the state in force as a control node tells it; a configuration version that it has already changes nothing. */
+  /**
+   * Takes the state in force as a control node tells it; a configuration version that it has already changes nothing.
+   */
   readonly takeState = (update: EdgeState): void => {
     this.weightsTargets.take(update.weightsAges);
     if (update.table === null || this.view?.configVersion === update.configVersion) return;
--- a/packages/edge-proxy/src/forwarding/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/answerRelay.ts
@@ -22,7 +22,9 @@
   readonly stopped: Promise<StopCause>;
 }
 
-/** The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut. */
+/**
+ * The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut.
+ */
 export class AnswerRelay {
   private reply: Reply | null = null;
   private lastId: string | null = null;
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -32,7 +32,10 @@
   readonly leftMs: () => number;
 }
 
-/** One sending of a request to one replica: from the gate to the end of the answer, or to the moment when the replica is left. */
+/**
+ * One sending of a request to one replica: from the gate to the end of the answer, or to the moment when the replica is
+ * left.
+ */
 export class Attempt {
   private readonly abort = new AbortController();
   private readonly stopped: Promise<StopCause>;
@@ -132,7 +135,9 @@
     });
   };
 
-  /** Asked as the first byte is about to be written: whatever the request was admitted by and placed on must still hold. */
+  /**
+   * Asked as the first byte is about to be written: whatever the request was admitted by and placed on must still hold.
+   */
   private readonly gate = (): boolean => {
     const { tracked } = this.placed;
     const isReplicaOpen =
--- a/packages/edge-proxy/src/forwarding/events.ts
+++ b/packages/edge-proxy/src/forwarding/events.ts
@@ -1,4 +1,7 @@
-/** Server-sent events (WHATWG HTML, "Server-sent events") without change to their bytes, so that a stream can be cut and resumed between two. */
+/**
+ * Server-sent events (WHATWG HTML, "Server-sent events") without change to their bytes, so that a stream can be cut and
+ * resumed between two.
+ */
 
 /** ASCII code of the line feed that ends every line of an event, after a carriage return or not. */
 const newline = 10;
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -15,7 +15,7 @@
 
 const statuses = { badGateway: 502, unavailable: 503, lateGateway: 504 } as const;
 
-/** One caller's request on its way: placed, sent to one replica after another where it may be, answered once. */
+/** One caller's request: placed, attempted at one replica after another where it may be, and answered once. */
 export class ForwardedRequest {
   private readonly arrivedAt: number;
   private readonly deadlineAt: number;
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -1,7 +1,10 @@
 /** The retry budget: a bound on retries relative to first attempts, so that retries can't multiply an overload. */
 import type { Clock } from '@martenworks/core-types';
 
-/** The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over all edges together. */
+/**
+ * The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over
+ * all edges together.
+ */
 export interface ExtraTerms {
   readonly ratio: number;
   readonly windowMs: number;
@@ -17,7 +20,10 @@
   extra: number;
 }
 
-/** This edge's part: what its own requests earn, and an equal part of the slack. Sums over edges keep the fleet's bound, since each keeps its part in each window. */
+/**
+ * This edge's part: what its own requests earn, and an equal part of the slack. Sums over edges keep the fleet's bound,
+ * since each keeps its part in each window.
+ */
 export class RetryBudget {
   private readonly pools = new Map<string, Bucket[]>();
   private readonly startedAt: number;
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -10,7 +10,10 @@
 const silenceShare = 0.6;
 const usualGapMs = 1_000;
 
-/** To a caller these promise that a request has not run and never will (RFC 9110 leaves it open; the callers' wire does not). */
+/**
+ * To a caller these promise that a request has not run and never will (RFC 9110 leaves it open; the callers' wire does
+ * not).
+ */
 const promises = new Set([408, 421, 429, 503]);
 
 /** Why an attempt is stopped from this side. */
@@ -26,7 +29,7 @@
   | { readonly kind: 'not run'; readonly isArrival: boolean; readonly retryAfterMs: number | null }
   | { readonly kind: 'may have run'; readonly cause: string };
 
-/** What an answer's head leads to; `holdsAgainst` tells that the replica is taken to be unwell. */
+/** What an answer's head leads to; with `holdsAgainst` it counts as a failure of the replica. */
 type HeadVerdict =
   | { readonly kind: 'connection rejected' }
   | { readonly kind: 'pass on'; readonly isSuccess: boolean; readonly isFailure: boolean }
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -19,7 +19,10 @@
     socket.once('close', this.closed);
   }
 
-  /** Keeps one request until its answer is whole; the function that it returns registers whom to tell that the caller left. */
+  /**
+   * Keeps one request until its answer is whole; the function that it returns registers whom to tell that the caller
+   * left.
+   */
   readonly begin = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
     const exchange: Exchange = { incoming, response, onGone: [] };
     this.open.add(exchange);
--- a/packages/edge-proxy/src/ingress/drain.ts
+++ b/packages/edge-proxy/src/ingress/drain.ts
@@ -8,7 +8,10 @@
 
 /** The drain of an ingress server before its process ends. */
 export const ingressDrain = {
-  /** Keeps accepting connections for a while, so that load balancers notice that the edge isn't ready any more; then waits until nothing runs, at most until shortly before `drainMs` are over. */
+  /**
+   * Keeps accepting connections for a while, so that load balancers notice that the edge isn't ready any more; then
+   * waits until nothing runs, at most until shortly before `drainMs` are over.
+   */
   run: async (clock: Clock, ingress: IngressServer, drainMs: number, isIdle: () => boolean): Promise<void> => {
     const startedAt = clock.now();
     const step = (): Promise<void> => new Promise((wake) => void clock.after(drainStepMs, wake));
--- a/packages/edge-proxy/src/ingress/headers.ts
+++ b/packages/edge-proxy/src/ingress/headers.ts
@@ -25,7 +25,9 @@
  */
 export const headerLists = {
   find,
-  /** Without the headers that concern one connection only (RFC 9110, 7.6.1), those that `Connection` names among them. */
+  /**
+   * Without the headers that concern one connection only (RFC 9110, 7.6.1), those that `Connection` names among them.
+   */
   endToEnd: (headers: readonly string[]): string[] => {
     const named = new Set((find(headers, 'connection') ?? '').split(',').map((name) => name.trim().toLowerCase()));
     const kept: string[] = [];
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -37,7 +37,10 @@
 
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
 
-/** `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset cuts it. */
+/**
+ * `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset
+ * cuts it.
+ */
 const replyOver = (response: ServerResponse, isDelimited: boolean): Reply => ({
   write: (bytes) =>
     new Promise((resolve) => {
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -56,7 +56,9 @@
     );
   };
 
-  /** Whether what a request was admitted by still holds: its route, its key, the key's customer and what that may share. */
+  /**
+   * Whether what a request was admitted by still holds: its route, its key, the key's customer and what that may share.
+   */
   readonly isStanding = ({ call, view, customer, keyHash }: Admission): boolean => {
     const current = this.grant(call, keyHash);
     if (current.isErr()) return false;
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -24,7 +24,9 @@
   }
 };
 
-/** One call that came as a `Request`. What `answer` is told becomes the `Response`; a cut answer is a body that breaks. */
+/**
+ * One call that came as a `Request`. What `answer` is told becomes the `Response`; a cut answer is a body that breaks.
+ */
 class WebCall implements Call {
   readonly method: string;
   readonly target: string;
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -1,4 +1,6 @@
-/** The edge's prefix index: which address has which prompt part cached, as far as events, own answers and reports tell. */
+/**
+ * The edge's prefix index: which address has which prompt part cached, as far as events, own answers and reports tell.
+ */
 import { IncarnationMatcher } from '@martenworks/core-types';
 import type { Clock, PrefixCacheUpdate } from '@martenworks/core-types';
 
@@ -20,7 +22,10 @@
 
 const labelOf = (salt: string, part: string): string => `${salt}\n${part}`;
 
-/** The edge's index: which address keeps how many tokens of which part under which salt, from what control nodes send and, for a while, from what this edge saw itself. */
+/**
+ * The edge's index: which address keeps how many tokens of which part under which salt, from what control nodes send
+ * and, for a while, from what this edge saw itself.
+ */
 export class PrefixCacheIndex {
   private readonly prefixCaches = new Map<string, StoredPrefixes>();
 
@@ -63,7 +68,10 @@
     }
   };
 
-  /** Another replica has the address: nothing that the one before kept is there, unless its events told so before. */
+  /**
+   * Another replica has the address: nothing that the one before cached is there, unless the entries already come from
+   * the new one's events.
+   */
   readonly onIncarnationChange = (address: string): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return;
@@ -76,7 +84,7 @@
   /** No replica has the address any more: everything known of it is dropped. */
   readonly onAddressVacated = (address: string): void => void this.prefixCaches.delete(address);
 
-  /** Whatever is told, the address does not count as keeping the part for a while. */
+  /** Ignores entries of the part at the address for `forMs` milliseconds, whatever events say. */
   readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
     void this.stored(address).quarantined.set(labelOf(salt, part), this.clock.now() + forMs);
 
@@ -110,7 +118,7 @@
     return false;
   };
 
-  /** The address was found without the part: what the index says of it is wrong until told anew. */
+  /** The address was found without the part: its entry is wrong until another event brings it. */
   readonly missed = (address: string, salt: string, part: string): void => {
     const stored = this.stored(address);
     stored.own.delete(labelOf(salt, part));
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -1,4 +1,7 @@
-/** What the time to an attempt's first piece tells: the prefill rate of the replica, and whether the prefix was cached as the index says. */
+/**
+ * What the time to an attempt's first piece tells: the prefill rate of the replica, and whether the prefix was cached
+ * as the index says.
+ */
 import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import { heavyTokens } from '../routing/readRates.js';
@@ -7,7 +10,10 @@
 
 /** Names of the metrics that count placements by prompt length and source of the prefix. */
 export const placementNames = {
-  /** The counter that a placement adds to: how long its prompt is, where the replica gets it from, whether it is at home. */
+  /**
+   * The counter that a placement adds to: how long its prompt is, where the replica gets its prefix from, and whether
+   * rendezvous hashing ranks the replica first.
+   */
   of: ({ affinityPart, isCached, isBeingPrefilled, isPreferred, holder }: Placement): string => {
     if (affinityPart === null || affinityPart.tokens < heavyTokens)
       return isPreferred ? 'placed_short_home' : 'placed_short_elsewhere';
@@ -16,7 +22,10 @@
   },
 };
 
-/** How long one attempt's prompt takes to be read, and what that tells of the replica and of the index of kept prompts. Made as the attempt begins. */
+/**
+ * Measures how long one attempt's prompt takes to prefill, and what that says of the replica and of the prefix index.
+ * Created as the attempt begins.
+ */
 export class PromptTiming {
   private readonly sentAt: number;
   private readonly pendingBefore: number;
@@ -42,7 +51,7 @@
   /** Milliseconds since the attempt began. */
   readonly spentMs = (): number => this.context.ports.clock.now() - this.sentAt;
 
-  /** Tells the other edges of a long prompt that is about to be read. */
+  /** Announces a long prompt that is about to be prefilled to the other edges. */
   readonly promptSent = (): void => {
     const { tracked, readTokens, salt, affinityPart } = this.placed;
     if (readTokens < heavyTokens) return;
@@ -54,7 +63,7 @@
       this.context.prefixCaches.reads(endpoint.address, salt, affinityPart.id);
   };
 
-  /** Notes, once, that the prompt is read or the attempt over. */
+  /** Records, once, that the prompt is prefilled or the attempt over. */
   readonly promptRead = (): void => {
     if (!this.isReading) return;
     this.isReading = false;
@@ -62,7 +71,9 @@
     if (this.reading !== null) this.context.control.reportPrefill({ ...this.reading, tokens: 0 });
   };
 
-  /** Takes from the time to a first piece how fast the replica reads, and whether it kept what the index says. */
+  /**
+   * Learns from the time to a first piece how fast the replica prefills, and whether it had cached what the index says.
+   */
   readonly learn = (spentMs: number): void => {
     const { replicaTracker, prefixCaches } = this.context;
     const { tracked, affinityPart, salt, readTokens, pullMs, readsAll, expectedHit } = this.placed;
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -1,4 +1,7 @@
-/** Finds entries of the prefix index that don't hold any more, by answers that come as late as if the prefix had been prefilled. */
+/**
+ * Finds entries of the prefix index that don't hold any more, by answers that come as late as if the prefix had been
+ * prefilled.
+ */
 import type { Clock, CacheMissReport } from '@martenworks/core-types';
 
 const missingShare = 0.6;
@@ -17,7 +20,10 @@
 const doubtMs = 30_000;
 const doubtedLabels = 2;
 
-/** What the index said as a prompt was placed: `address` keeps these parts. `pullMs` is the time to hand them over, null where the replica itself keeps them. */
+/**
+ * What the index said as a prompt was placed: `address` keeps these parts. `pullMs` is the time to hand them over, null
+ * where the replica itself keeps them.
+ */
 export interface ExpectedHit {
   readonly address: string;
   readonly salt: string;
@@ -26,7 +32,10 @@
   readonly pullMs: number | null;
 }
 
-/** What an answer's first piece is measured against; `aheadTokens` were pending at the replica as the prompt was sent or came there with it. */
+/**
+ * What an answer's first piece is measured against; `aheadTokens` were pending at the replica as the prompt was sent or
+ * came there with it.
+ */
 export interface AnswerTiming {
   readonly expectedHit: ExpectedHit;
   readonly restTokens: number;
@@ -41,7 +50,7 @@
 
 /**
  * What follows from an answer: nothing, a strike to be reported, or the eviction of the entry, with a quarantine in
- * milliseconds where it fell before.
+ * milliseconds where it was evicted before.
  */
 export type Decision =
   | { readonly kind: 'none' }
@@ -72,7 +81,13 @@
   },
 };
 
-/** Gathers strikes against what the index says of an address. Queueing explains a single late answer, so an entry falls at the second strike within ten seconds, each by a request sent after the one before was answered; an answer in time clears it. Where the address's events are not heard, one strike is enough. An entry that falls again within a minute is barred for a while, longer each time, where it kept the parts for itself (one that only hands over may be filled anew). Once two entries of an address fell within half a minute, one strike fells and bars the next. */
+/**
+ * Counts strikes against entries of the index. Queueing explains a single late answer, so an entry is evicted at the
+ * second strike within ten seconds, each by a request sent after the one before was answered; an answer in time clears
+ * them. Where nobody follows the address's events, one strike is enough. An entry that is evicted again within a minute
+ * is quarantined, longer each time, where the replica was to use it itself (a source of transfers may be filled anew).
+ * Once two entries of an address were evicted within half a minute, one strike evicts and quarantines the next.
+ */
 export class StaleEntryDetector {
   private readonly suspicions = new Map<string, Suspicion>();
   private readonly fallen = new Map<string, Map<string, number>>();
@@ -111,7 +126,9 @@
     };
   };
 
-  /** What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already. */
+  /**
+   * What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already.
+   */
   readonly takeReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
     const suspicion = this.suspicion(labelOf(update), now);
@@ -122,7 +139,7 @@
     this.fell(update.address, labelOf(update));
   };
 
-  /** Two other entries of the address fell a short while ago: it forgets as such. */
+  /** Two other entries of the address were evicted a short while ago: the address as a whole loses entries. */
   private readonly isDoubted = (address: string, label: string): boolean => {
     const now = this.clock.now();
     return (
--- a/packages/edge-proxy/src/routing/candidateScorer.ts
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -16,7 +16,10 @@
 const errorPenaltyMs = 800;
 const negligibleErrorRate = 0.05;
 
-/** How a candidate can get at the tracked prefix: from its own cache, from a prefill that runs there, from another replica, or not. */
+/**
+ * How a candidate can get at the tracked prefix: from its own cache, from a prefill that runs there, from another
+ * replica, or not.
+ */
 type PrefixAvailability = 'cached' | 'being prefilled' | 'transferable' | 'missing';
 
 /** Scores the candidates of one placement by estimated milliseconds; the lowest cost wins. */
@@ -79,7 +82,10 @@
     return replicas.some(isHolder) ? 'transferable' : 'missing';
   };
 
-  /** What a preferred replica may cost more before another one is taken; more where the prefix has to be prefilled anyway, so that it is cached at its preferred replica. */
+  /**
+   * What a preferred replica may cost more before another one is taken; more where the prefix has to be prefilled
+   * anyway, so that it is cached at its preferred replica.
+   */
   private readonly bonusMs = ({ affinity }: PlacementRound, rank: number, isMissing: boolean): number => {
     if (rank === 1) return secondChoiceBonusMs;
     if (rank !== 0) return 0;
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -80,7 +80,9 @@
     return { known, holder: preferredStore?.address ?? this.likelyHolder(round, chosen.tracked) };
   };
 
-  /** A replica that has the prefix by the index: a healthy one in the candidate's zone, else a healthy one, else any. */
+  /**
+   * A replica that has the prefix by the index: a healthy one in the candidate's zone, else a healthy one, else any.
+   */
   private readonly nearestHolder = (
     { replicas, lookup }: PlacementRound,
     { tracked, isCached }: ScoredCandidate,
--- a/packages/edge-proxy/src/routing/placement.ts
+++ b/packages/edge-proxy/src/routing/placement.ts
@@ -6,7 +6,9 @@
 /** A candidate with its estimated cost; the cheapest one runs the request. */
 export interface ScoredCandidate {
   readonly tracked: TrackedReplica;
-  /** Version of the request's model that the replica runs; null where the request names no model or the replica none. */
+  /**
+   * Version of the request's model that the replica runs; null where the request names no model or the replica none.
+   */
   readonly version: number | null;
   /** Scope of prefix cache keys for this model, version and customer; null where nothing may be shared. */
   readonly salt: string | null;
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -30,7 +30,10 @@
     return isCached;
   };
 
-  /** The entry of the index that a request relies on which is sent to or pulls from the address; null where there is none. `pullMs` estimates a transfer, null where the replica itself has the parts. */
+  /**
+   * The entry of the index that a request relies on which is sent to or pulls from the address; null where there is
+   * none. `pullMs` estimates a transfer, null where the replica itself has the parts.
+   */
   readonly expectedHit = (
     address: string,
     salt: string,
--- a/packages/edge-proxy/src/routing/promptAffinity.ts
+++ b/packages/edge-proxy/src/routing/promptAffinity.ts
@@ -21,7 +21,10 @@
 export const promptAffinity = {
   tokens: sum,
 
-  /** The last shareable part that is long enough to be worth caching, else the last shareable one: a prompt's last part is its own or its session's. */
+  /**
+   * The last shareable part that is long enough to be worth caching, else the last shareable one: a prompt's last part
+   * is its own or its session's.
+   */
   of: (parts: readonly PromptPart[]): PromptAffinity => {
     const shareable = parts.length > 1 ? parts.slice(0, -1) : parts;
     const lastLong = shareable.findLastIndex((part) => part.tokens >= trackedTokens);
@@ -31,7 +34,10 @@
     return { part, index, trackedPart, prefixTokens: trackedPart === null ? 0 : sum(parts.slice(0, index + 1)) };
   },
 
-  /** Whether a cache store should take the prompt. It is sent every part, and a long rest would fill it with tokens that no other prompt shares. */
+  /**
+   * Whether a cache store should take the prompt. It is sent every part, and a long rest would fill it with tokens that
+   * no other prompt shares.
+   */
   isWorthStoring: (parts: readonly PromptPart[], { index }: PromptAffinity): boolean =>
     sum(parts.slice(index + 1)) <= sum(parts.slice(0, index + 1)) * uploadShare,
 };
--- a/packages/edge-proxy/src/routing/readRates.ts
+++ b/packages/edge-proxy/src/routing/readRates.ts
@@ -17,12 +17,18 @@
 const leastSamples = 3;
 const quickShare = 0.75;
 
-/** Prefill rates in tokens per millisecond: one over all replicas for placement, and one of each replica for its late answers. */
+/**
+ * Prefill rates in tokens per millisecond: one over all replicas for placement, and one of each replica for its late
+ * answers.
+ */
 export class ReadRates {
   private readonly poolSamples = new Map<string, number[]>();
   private tokensPerMs = startTokensPerMs;
 
-  /** The reading rate follows quick answers at once and slow ones hardly: what an edge does not see can only make an answer slower, and in a crowded pool every answer is slow. */
+  /**
+   * The reading rate follows quick answers at once and slow ones hardly: what an edge does not see can only make an
+   * answer slower, and in a crowded pool every answer is slow.
+   */
   readonly measured = (tokens: number, spentMs: number): void => {
     if (tokens < heavyTokens || spentMs <= 0) return;
     const seen = Math.min(fastestTokensPerMs, Math.max(slowestTokensPerMs, tokens / spentMs));
@@ -31,7 +37,10 @@
 
   private readonly firsts = new Map<string, number>();
 
-  /** Milliseconds until first events in this pool lately, long prompts and waits included: where all are slow, none is to be left for its slowness. */
+  /**
+   * Milliseconds until first events in this pool lately, long prompts and waits included: where all are slow, none is
+   * to be left for its slowness.
+   */
   readonly firstSeen = (pool: string, spentMs: number): void => {
     const known = this.firsts.get(pool) ?? 0;
     this.firsts.set(pool, known + (spentMs - known) * typicalBlend);
@@ -40,7 +49,9 @@
   /** The moving average of `firstSeen`, in milliseconds; 0 before the first sample. */
   readonly typicalFirstMs = (pool: string): number => this.firsts.get(pool) ?? 0;
 
-  /** Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against. */
+  /**
+   * Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against.
+   */
   readonly sampled = (tracked: TrackedReplica, tokens: number, spentMs: number): void => {
     if (tokens < heavyTokens || spentMs <= 0) return;
     const { pool } = tracked.endpoint;
@@ -55,7 +66,11 @@
     }
   };
 
-  /** Tokens that the replica reads in a millisecond: by the quicker of its own samples, else of its pool's, since what this edge doesn't see (a wait, a part that was not kept) only slows them, and too slow a rate speaks against nobody; null while too few are there. */
+  /**
+   * Tokens that the replica reads in a millisecond: by the quicker of its own samples, else of its pool's, since what
+   * this edge doesn't see (a wait, a part that was not kept) only slows them, and too slow a rate speaks against
+   * nobody; null while too few are there.
+   */
   readonly readingRate = (tracked: TrackedReplica): number | null => {
     const samples =
       tracked.samples.length >= leastSamples ? tracked.samples : (this.poolSamples.get(tracked.endpoint.pool) ?? []);
--- a/packages/edge-proxy/src/routing/replicaHealth.ts
+++ b/packages/edge-proxy/src/routing/replicaHealth.ts
@@ -19,7 +19,10 @@
   readonly isResting = (tracked: TrackedReplica): boolean =>
     Math.max(tracked.restUntil, tracked.fullUntil) > this.clock.now();
 
-  /** How much of what was sent there lately failed, 0 to 1, forgotten by half every four seconds: a replica may look well and fail a part of its requests. */
+  /**
+   * How much of what was sent there lately failed, 0 to 1, forgotten by half every four seconds: a replica may look
+   * well and fail a part of its requests.
+   */
   readonly errorRate = (tracked: TrackedReplica): number =>
     tracked.errorRate * 0.5 ** ((this.clock.now() - tracked.errorRateAt) / errorRateHalfLifeMs);
 
@@ -37,7 +40,7 @@
     tracked.suspicionMs = firstSuspicionMs;
   };
 
-  /** It was silent for longer than it should be: avoided for a while, without being known ill. */
+  /** It was silent for longer than it should be: suspect for a while, but not counted as broken. */
   readonly slow = (tracked: TrackedReplica): void => this.suspect(tracked);
 
   /** An attempt failed by the replica's fault: it counts as broken and becomes suspect, longer each time in a row. */
@@ -47,7 +50,10 @@
     this.suspect(tracked);
   };
 
-  /** Whether it may hand over what it keeps: one that is only slow may, one whose last word was a failure costs its receiver some hundred milliseconds if it is dead. */
+  /**
+   * Whether it may hand over what it keeps: one that is only slow may, one whose last word was a failure costs its
+   * receiver some hundred milliseconds if it is dead.
+   */
   readonly mayHandOver = (tracked: TrackedReplica): boolean =>
     !tracked.isGone && !(tracked.isBroken && this.isSuspect(tracked));
 
--- a/packages/edge-proxy/src/routing/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -47,7 +47,10 @@
     this.holders = new HolderSelector(replicaTracker, prefixCaches, affinityHash);
   }
 
-  /** Places a request; null where no replica of its pool may take it now. `connections` is how many requests this edge may have running at one replica. */
+  /**
+   * Places a request; null where no replica of its pool may take it now. `connections` is how many requests this edge
+   * may have running at one replica.
+   */
   readonly place = (query: PlacementQuery, view: RoutingTableView, connections: number): Placement | null => {
     const replicas = this.replicaTracker.inPool(query.pool);
     const candidates = replicas.filter((tracked) => this.isCandidate(tracked, query, view, connections));
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -1,4 +1,7 @@
-/** The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own attempts. */
+/**
+ * The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own
+ * attempts.
+ */
 import { ReadRates } from './readRates.js';
 import { ReplicaHealth } from './replicaHealth.js';
 import { trackedReplicas } from './trackedReplica.js';
@@ -70,7 +73,10 @@
     return found;
   };
 
-  /** A whole list may come from a control node that has read it less lately than the one before: what it lacks is gone only if it is not told of again. */
+  /**
+   * A whole list may be older than the one before, since it may come from another control node: what it lacks is
+   * removed only if no update names it for four seconds.
+   */
   private readonly doubt = (tracked: TrackedReplica): void => {
     if (tracked.doubtedAt !== null) return;
     const at = this.clock.now();
@@ -122,7 +128,10 @@
     while (notes.length > mostNotes || at - (notes[0]?.at ?? at) > notesMs) notes.shift();
   };
 
-  /** Tokens that came to the replica just after `sentAt`; other fronts' notes travel for a while, so some of them were there before. */
+  /**
+   * Tokens that came to the replica just after `sentAt`; other fronts' notes travel for a while, so some of them were
+   * there before.
+   */
   readonly cameWith = ({ notes }: TrackedReplica, sentAt: number): number =>
     notes.reduce((sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum), 0);
 
--- a/packages/prefix-index/src/placement.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -1,4 +1,7 @@
-/** Chooses a replica for a prompt by the estimated milliseconds to its first token, after "A System for Microserving of LLMs". */
+/**
+ * Chooses a replica for a prompt by the estimated milliseconds to its first token, after "A System for Microserving of
+ * LLMs".
+ */
 import type { Pool, ReplicaRecord } from '@martenworks/core-types';
 import { prompts, RendezvousHash } from '@martenworks/core-types';
 import type { PrefixIndex } from './prefixIndex.js';
--- a/packages/route-table/src/packedRoutingTables.ts
+++ b/packages/route-table/src/packedRoutingTables.ts
@@ -23,7 +23,10 @@
 export const packedRoutingTables = {
   whole: (routingTable: RoutingTable): PackedRoutingTable => ({ from: null, deflated: deflated(routingTable) }),
   patch: (patch: RoutingTablePatch): PackedRoutingTable => ({ from: patch.from, deflated: deflated(patch) }),
-  /** The routing table that is meant, built on the held one where it is a patch; `otherBase` where that is another edition's. */
+  /**
+   * The routing table that was packed; a patch is applied to the given one. Fails with `otherBase` where the patch
+   * builds on another version, with `unreadable` where the bytes aren't a packed table.
+   */
   open: (
     { from, deflated: bytes }: PackedRoutingTable,
     held: { readonly configVersion: number; readonly routingTable: RoutingTable | null },
--- a/packages/route-table/src/patches.ts
+++ b/packages/route-table/src/patches.ts
@@ -59,10 +59,10 @@
         : lists.joined(first.customers, second.customers),
     rest: second.rest,
   }),
-  /** How many ways and customers the patch names. */
+  /** How many routes and customers the patch names. */
   size: (patch: RoutingTablePatch): number =>
     patch.put.length + patch.gone.length + (patch.customers?.put.length ?? 0) + (patch.customers?.gone.length ?? 0),
-  /** Whether the patch is worth sending in place of the book. */
+  /** Whether the patch is worth sending in place of the whole table. */
   isSmaller: (patch: RoutingTablePatch, routingTable: RoutingTable): boolean =>
     patches.size(patch) < routingTable.routes.length + (routingTable.customers?.length ?? 0),
 };
--- a/packages/route-table/src/routingTables.ts
+++ b/packages/route-table/src/routingTables.ts
@@ -50,7 +50,10 @@
   );
 };
 
-/** What makes a routing table invalid beyond its shape: absent pools, two ways in one place, no weight, no deadline, shared keys. Source: PROTOCOL's list of invalid configurations, in the product's terms. */
+/**
+ * What makes a routing table invalid beyond its shape: absent pools, two routes with one host and prefix, shares that
+ * sum to 0, no deadline, shared keys. Source: PROTOCOL's list of invalid configurations, in the product's terms.
+ */
 const faultsOf = (routingTable: RoutingTable): RoutingTableError[] => [
   ...routingErrorsOf(routingTable),
   ...repeated(routingTable.routes.map((route) => route.name)).map(({ label, at }) => ({
--- a/packages/upstream/src/httpClient.ts
+++ b/packages/upstream/src/httpClient.ts
@@ -1,4 +1,7 @@
-/** The HTTP client towards replicas and other services: one request per connection at a time, never retried by the library. */
+/**
+ * The HTTP client towards replicas and other services: one request per connection at a time, never retried by the
+ * library.
+ */
 import { err, ok } from 'neverthrow';
 import type { HttpClient } from '@martenworks/core-types';
 import { GatedAgent } from './gatedAgent.js';
