--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -9,6 +9,7 @@
 export type { SampleRequest } from './workload/sampleDeployments.js';
 export { knownRed } from './runner/knownRed.js';
 export type { TestResult } from './runner/knownRed.js';
+export { failureText } from './runner/failureText.js';
 export { slowestTests } from './runner/slowestTests.js';
 export { TestClaims } from './runner/testClaims.js';
 export { testLength } from './runner/testLength.js';
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -11,6 +11,7 @@
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
 import Mocha from 'mocha';
+import { failureText } from './failureText.js';
 import { knownRed } from './knownRed.js';
 import type { TestResult } from './knownRed.js';
 import { slowestTests } from './slowestTests.js';
@@ -83,7 +84,7 @@
   runner.on('pass', (test) => {
     if (!left.has(test)) tell(test, null);
   });
-  runner.on('fail', (test, cause: Error) => tell(test, String(cause.stack ?? cause)));
+  runner.on('fail', (test, cause: unknown) => tell(test, failureText.of(cause)));
 };
 
 const readArguments = (): { wanted: string; slowest: number } => {
@@ -122,9 +123,7 @@
           selected = message.selected;
         }
       });
-      worker.on('error', (cause) =>
-        take({ title: `part ${at}`, fault: String(cause.stack ?? cause), isTest: false }, 0),
-      );
+      worker.on('error', (cause) => take({ title: `part ${at}`, fault: failureText.of(cause), isTest: false }, 0));
       worker.on('exit', () => done());
     });
   await Promise.all(Array.from({ length: count }, (_, at) => work(at)));
--- /dev/null
+++ b/packages/test-fleet/test/failureText.test.ts
@@ -0,0 +1,23 @@
+import { expect } from 'chai';
+import { err } from 'neverthrow';
+import { failureText } from '@martenworks/test-fleet';
+
+const thrownBy = (work: () => unknown): unknown => {
+  try {
+    work();
+  } catch (cause) {
+    return cause;
+  }
+  throw new Error('nothing was thrown');
+};
+
+describe('the text of a failed test', () => {
+  it('given an error, when it is printed, then its stack is', () => {
+    expect(failureText.of(new Error('too late'))).to.match(/^Error: too late\n\s+at /);
+  });
+
+  it('given the value that a failed unwrapping throws, when it is printed, then its fields are', () => {
+    const cause = thrownBy(() => err({ kind: 'settings', code: 'unknown-key' })._unsafeUnwrap());
+    expect(failureText.of(cause)).to.include('unknown-key');
+  });
+});
