--- a/packages/edge-proxy/test/replicaConnections.test.ts
+++ b/packages/edge-proxy/test/replicaConnections.test.ts
@@ -226,6 +226,7 @@
     harm: 'harmless',
     act: (request) => void setTimeout(() => send(request, properAnswer(request)), 150),
   },
+  /** 150 ms of silence against a gap timeout of 250 ms, on the real clock: a machine with several times more load than cores can exceed it. */
   {
     name: 'a silence within the body',
     harm: 'harmless',
