--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -67,7 +67,10 @@
   Array.isArray(body.blocks);
 
 const isKvEvent = (event: unknown): boolean =>
-  isObject(event) && isText(event.replica) && [event.incarnation, event.seq].every(isNumber);
+  isObject(event) &&
+  [event.replica, event.kind].every(isText) &&
+  [event.incarnation, event.seq].every(isNumber) &&
+  isListOf(event.blocks, isText);
 
 const isPong = (body: unknown): boolean =>
   isObject(body) &&
