--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -7,7 +7,7 @@
 import { drawPlan, planIds } from '../configuration/plan.js';
 import type { GatewayConfigEdit } from '../configuration/plan.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
-import type { Applied } from '../consensus/proposer.js';
+import type { AppliedChange } from '../consensus/proposer.js';
 import type { ProposalError } from '../errors.js';
 import type { Result } from 'neverthrow';
 
@@ -15,7 +15,7 @@
  * The HTTP response to a proposed change: 200, or 409, 422, 504 and 503 for the codes of `ProposalError` in their
  * order.
  */
-export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
+export const replyTo = (c: Context, changeId: string, outcome: Result<AppliedChange, ProposalError>): Response => {
   if (outcome.isOk())
     return c.json(
       { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
@@ -142,7 +142,7 @@
 
 const addStatusRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/status', (c) => {
-    const state = controlNode.acceptor.agreed();
+    const state = controlNode.acceptor.committedState();
     return c.json({
       name: controlNode.settings.name,
       zone: controlNode.settings.zone,
@@ -185,7 +185,7 @@
 
 const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, vitals: () => string[]): void => {
   app.get('/metrics', (c) => {
-    const state = controlNode.acceptor.agreed();
+    const state = controlNode.acceptor.committedState();
     const lines = [
       `martenworks_generation ${state?.logIndex ?? -1}`,
       `martenworks_members_reachable ${controlNode.reachable()}`,
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -120,7 +120,7 @@
       c,
       controlNode,
       checked.map((one) =>
-        recordOf(one, controlNode.table.find(one.name), controlNode.acceptor.agreed()?.logIndex ?? 0),
+        recordOf(one, controlNode.table.find(one.name), controlNode.acceptor.committedState()?.logIndex ?? 0),
       ),
     );
   });
--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -6,7 +6,7 @@
 import { gatewayConfigs } from '@martenworks/settings';
 import { editConfig } from './plan.js';
 import type { GatewayConfigEdit } from './plan.js';
-import type { Proposer, Applied } from '../consensus/proposer.js';
+import type { Proposer, AppliedChange } from '../consensus/proposer.js';
 import { proposalErrors } from '../errors.js';
 import type { ProposalError } from '../errors.js';
 
@@ -33,7 +33,7 @@
     id: string,
     asked: unknown,
     bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
-  ): Promise<Result<Applied, ProposalError>> => {
+  ): Promise<Result<AppliedChange, ProposalError>> => {
     const digest = digests.of(asked);
     const check = (state: CommittedState): Result<Change, ProposalError> =>
       bodyFor(state).map((body) => ({ id, digest, body }));
@@ -44,7 +44,11 @@
    * Replaces or edits the configuration that was committed at log index `base`; `conflict` where another one is in
    * force.
    */
-  readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposalError>> =>
+  readonly config = (
+    id: string,
+    base: number,
+    edit: GatewayConfigEdit,
+  ): Promise<Result<AppliedChange, ProposalError>> =>
     this.put(id, ['layout', base, edit], (state) => {
       if (state.configLogIndex !== base)
         return err(
@@ -62,7 +66,7 @@
     keyHash: string,
     grant: KeyGrant,
     tenant: Tenant | null,
-  ): Promise<Result<Applied, ProposalError>> =>
+  ): Promise<Result<AppliedChange, ProposalError>> =>
     this.put(id, ['grant', keyHash, grant, tenant], (state) => {
       const current = state.keys[keyHash];
       if (current !== undefined && current.tenant !== grant.tenant)
@@ -71,6 +75,6 @@
     });
 
   /** Revokes a key by its hash; revoking one that is not granted is committed as well. */
-  readonly revoke = (id: string, keyHash: string): Promise<Result<Applied, ProposalError>> =>
+  readonly revoke = (id: string, keyHash: string): Promise<Result<AppliedChange, ProposalError>> =>
     this.put(id, ['revoke', keyHash], () => ok({ kind: 'revoke', keyHash }));
 }
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -5,7 +5,7 @@
 import type { CommittedState, Change, ChangeBody, ConfigurationChange, ActiveRouting } from '@martenworks/core-types';
 import { routingTables } from '@martenworks/route-table';
 import type { RoutingTableError } from '@martenworks/route-table';
-import type { Applied, Proposer } from '../consensus/proposer.js';
+import type { AppliedChange, Proposer } from '../consensus/proposer.js';
 import { proposalErrors } from '../errors.js';
 import type { ProposalError } from '../errors.js';
 
@@ -47,7 +47,7 @@
     digest: string,
     withinMs: number,
     bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
-  ): Promise<Result<Applied, ProposalError>> =>
+  ): Promise<Result<AppliedChange, ProposalError>> =>
     this.proposer.propose(
       (state): Result<Change, ProposalError> => bodyFor(state).map((body) => ({ id, digest, body })),
       id,
@@ -63,7 +63,7 @@
     asked,
     byteCount,
     editOf,
-  }: ConfigOrder): Promise<Result<Applied, ProposalError>> => {
+  }: ConfigOrder): Promise<Result<AppliedChange, ProposalError>> => {
     const digest = digests.ofCanonical([kind, base, asked]);
     const id = `ways/${digest}`;
     const checked = checkedOnce(editOf);
@@ -92,7 +92,7 @@
   };
 
   /** Names the version of a model's weights; faults as for `change`, within 700 ms. */
-  readonly name = (model: string, version: number): Promise<Result<Applied, ProposalError>> => {
+  readonly name = (model: string, version: number): Promise<Result<AppliedChange, ProposalError>> => {
     const digest = digests.of(['weights', model, version]);
     const id = `weights/${model}/${version}`;
     return this.put(id, digest, nameTimeoutMs, (state) => {
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -69,7 +69,7 @@
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    const since = this.acceptor.since(subscriber.sent);
+    const since = this.acceptor.logSuffixAfter(subscriber.sent);
     if (since.kind === 'nothing') return;
     if (since.kind === 'checkpoint') {
       connection.tell('checkpoint', since.agreed);
@@ -142,7 +142,7 @@
   readonly pong = (connection: PeerConnection, report: LoadReport): Pong => {
     this.report(connection, report);
     return {
-      logIndex: this.acceptor.agreed()?.logIndex ?? -1,
+      logIndex: this.acceptor.committedState()?.logIndex ?? -1,
       acceptedSlot: this.acceptor.acceptedSlot(),
       incarnation: this.acceptor.incarnation,
       loads: this.loadsFor(connection),
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -56,12 +56,12 @@
     private readonly greet: (connection: PeerConnection) => void,
     private readonly namedWeights: NamedWeights,
   ) {
-    this.history.note(acceptor.agreed()?.routing ?? null);
+    this.history.note(acceptor.committedState()?.routing ?? null);
     this.noteNamed();
     acceptor.watch(this.updateAll);
   }
 
-  private readonly noteNamed = (): void => this.namedWeights.note(this.acceptor.agreed()?.targetWeights ?? {});
+  private readonly noteNamed = (): void => this.namedWeights.note(this.acceptor.committedState()?.targetWeights ?? {});
 
   private readonly message = (state: CommittedState, held: StatePosition): EdgeStateMessage => {
     const configVersion = state.routing?.configVersion ?? 0;
@@ -99,7 +99,7 @@
   readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (): void => {
-    this.history.note(this.acceptor.agreed()?.routing ?? null);
+    this.history.note(this.acceptor.committedState()?.routing ?? null);
     this.noteNamed();
     for (const connection of this.subscribers.keys()) this.update(connection);
   };
@@ -107,7 +107,7 @@
   /** Announces the log index in force and, to an edge that takes its content from here, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
     if (state.logIndex > subscriber.announced) connection.tell('stateAnnounced', state.logIndex);
     subscriber.announced = state.logIndex;
@@ -118,7 +118,7 @@
 
   /** What is in force for an edge that asks: null where nothing was agreed. */
   readonly stateFor = (held: StatePosition): EdgeStateMessage | null => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     return state === null ? null : this.message(state, held);
   };
 
@@ -141,7 +141,7 @@
   readonly pong = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
     this.acked(connection, ping);
     return {
-      logIndex: this.acceptor.agreed()?.logIndex ?? -1,
+      logIndex: this.acceptor.committedState()?.logIndex ?? -1,
       edgeCount: this.edgeCount(),
       hasMajority: majorityHeardMs !== null,
       majorityHeardMs,
--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -11,7 +11,7 @@
 import { acceptorLog } from './acceptorLog.js';
 import type { AcceptorEvent, AcceptorRecord, BallotState, CompressedSnapshot, StoredSnapshot } from './acceptorLog.js';
 import { ballots } from './ballots.js';
-import type { Ballot, CommittedChange, CompressedCommit, Since, Vote } from './ballots.js';
+import type { Ballot, CommittedChange, CompressedCommit, LogSuffix, Vote } from './ballots.js';
 import { compressedChanges } from './compression.js';
 import { logPrefixes, removeDamagedLogs } from './memberLogs.js';
 import { RecentChanges } from './recentChanges.js';
@@ -20,7 +20,7 @@
 type CommitListener = (committed: CommittedChange | null) => void;
 
 /** A reply to a request for a founding vote: `members` are those voted for, null where no vote was cast. */
-interface FoundingVote {
+interface BootstrapVote {
   readonly isGranted: boolean;
   readonly members: readonly Member[] | null;
 }
@@ -36,12 +36,12 @@
   private readonly listeners: CommitListener[] = [];
   private state: CommittedState | null = null;
   private ballotState: BallotState = noBallot;
-  private foundingVote: readonly Member[] | null = null;
+  private bootstrapVote: readonly Member[] | null = null;
   private acceptedAt = 0;
   /** Identity of this log; a node that loses its disk comes back under another one. Empty until `identify`. */
   incarnation = '';
   /** Whether this log began with a new node, not after a loss; only such a node asks others for founding votes. */
-  isFresh = true;
+  isNewNode = true;
 
   constructor(
     private readonly wal: WriteAheadLog,
@@ -62,8 +62,8 @@
   private readonly restore = (stored: StoredSnapshot): void => {
     const snapshot = acceptorLog.decodeSnapshot(stored);
     this.incarnation = snapshot.incarnation;
-    this.isFresh = snapshot.isFresh ?? true;
-    this.foundingVote = snapshot.foundingVote;
+    this.isNewNode = snapshot.isFresh ?? true;
+    this.bootstrapVote = snapshot.foundingVote;
     this.state = snapshot.agreed === null ? null : stateMachine.filled(snapshot.agreed);
     this.ballotState = snapshot.live;
   };
@@ -72,10 +72,10 @@
     switch (event.t) {
       case 'identity':
         this.incarnation = event.incarnation;
-        this.isFresh = event.isFresh ?? true;
+        this.isNewNode = event.isFresh ?? true;
         return;
       case 'vow':
-        this.foundingVote = event.members;
+        this.bootstrapVote = event.members;
         return;
       case 'adopted':
         this.state = stateMachine.filled(event.agreed);
@@ -121,8 +121,8 @@
   private readonly capture = (): CompressedSnapshot =>
     acceptorLog.encodeSnapshot({
       incarnation: this.incarnation,
-      isFresh: this.isFresh,
-      foundingVote: this.foundingVote,
+      isFresh: this.isNewNode,
+      foundingVote: this.bootstrapVote,
       agreed: this.state,
       live: this.ballotState,
     });
@@ -134,7 +134,7 @@
     );
 
   /** The committed state; null while the node belongs to no founded cluster. */
-  readonly agreed = (): CommittedState | null => this.state;
+  readonly committedState = (): CommittedState | null => this.state;
 
   /** The slot that is open for votes; -1 without a committed state. */
   readonly nextLogIndex = (): number => (this.state === null ? -1 : this.state.logIndex + 1);
@@ -164,18 +164,18 @@
   };
 
   /** Votes for a set of founding members, once: later requests are granted for the same set only. */
-  readonly voteFounding = (members: readonly Member[]): Promise<FoundingVote> =>
+  readonly voteForInitialMembers = (members: readonly Member[]): Promise<BootstrapVote> =>
     this.commands.run(async () => {
       if (this.state !== null) return { isGranted: false, members: null };
-      if (this.foundingVote === null) {
+      if (this.bootstrapVote === null) {
         const persisted = await this.persist({ t: 'vow', members });
         if (persisted.isErr()) return { isGranted: false, members: null };
       }
-      return { isGranted: JSON.stringify(this.foundingVote) === JSON.stringify(members), members: this.foundingVote };
+      return { isGranted: JSON.stringify(this.bootstrapVote) === JSON.stringify(members), members: this.bootstrapVote };
     });
 
   /** The founding members this node voted for; null where it cast no vote. */
-  readonly foundingVoteCast = (): readonly Member[] | null => this.foundingVote;
+  readonly initialMembersVotedFor = (): readonly Member[] | null => this.bootstrapVote;
 
   /** Takes a whole state that is newer than the own one; false where it is not, or the disk failed. */
   readonly adopt = (agreed: CommittedState): Promise<boolean> =>
@@ -228,7 +228,7 @@
     });
 
   /** What this node holds beyond a log index: a few changes one by one, a larger gap as a whole state. */
-  readonly since = (logIndex: number): Since => {
+  readonly logSuffixAfter = (logIndex: number): LogSuffix => {
     if (this.state === null) return { kind: 'nothing' };
     if (logIndex >= this.state.logIndex) return { kind: 'changes', committed: [] };
     const isNear = this.state.logIndex - logIndex <= sinceLimit;
@@ -241,7 +241,7 @@
   };
 
   /** The change in these bytes, which is mostly the one accepted already; throws on damaged bytes. */
-  readonly changeOf = (bytes: Uint8Array): Change => {
+  readonly decodeChange = (bytes: Uint8Array): Change => {
     const accepted = this.ballotState.accepted?.change;
     return accepted !== undefined && acceptorLog.isSameBytes(compressedChanges.encode(accepted), bytes)
       ? accepted
@@ -283,7 +283,7 @@
       wal: logPrefixes.acceptor,
       hasSnapshot: snapshot !== null,
       records: records.length,
-      logIndex: acceptor.agreed()?.logIndex ?? null,
+      logIndex: acceptor.committedState()?.logIndex ?? null,
     });
     const identified = await acceptor.identify(random, isFresh && !removed.value);
     return identified.isErr() ? err(identified.error) : ok(acceptor);
--- a/packages/control-plane/src/consensus/acceptorLog.ts
+++ b/packages/control-plane/src/consensus/acceptorLog.ts
@@ -5,7 +5,7 @@
 import type { CommittedState, Member } from '@martenworks/core-types';
 import type { Accepted, Ballot, CommittedChange } from './ballots.js';
 import { compressedChanges, compressedStates } from './compression.js';
-import { earlierRecords } from './earlierRecords.js';
+import { legacyRecords } from './legacyRecords.js';
 
 /** What an acceptor has promised and accepted in the slot after its committed state. */
 export interface BallotState {
@@ -56,14 +56,14 @@
 
 const upgradeAccepted = ({ ballot, change }: Accepted): Accepted => ({
   ballot,
-  change: earlierRecords.change(change),
+  change: legacyRecords.upgradeChange(change),
 });
 
 const upgradeSnapshot = (snapshot: AcceptorSnapshot): AcceptorSnapshot => {
   const { agreed, live } = snapshot;
   return {
     ...snapshot,
-    agreed: agreed === null ? null : earlierRecords.state(agreed),
+    agreed: agreed === null ? null : legacyRecords.upgradeState(agreed),
     live: { ...live, accepted: live.accepted === null ? null : upgradeAccepted(live.accepted) },
   };
 };
@@ -71,12 +71,12 @@
 const upgradeEvent = (event: AcceptorEvent): AcceptorEvent => {
   switch (event.t) {
     case 'adopted':
-      return { ...event, agreed: earlierRecords.state(event.agreed) };
+      return { ...event, agreed: legacyRecords.upgradeState(event.agreed) };
     case 'accepted':
       return { ...event, accepted: upgradeAccepted(event.accepted) };
     case 'settled': {
       const { logIndex, change } = event.committed;
-      return { ...event, committed: { logIndex, change: earlierRecords.change(change) } };
+      return { ...event, committed: { logIndex, change: legacyRecords.upgradeChange(change) } };
     }
     default:
       return event;
@@ -112,7 +112,7 @@
    * null for a committed change that refers to an acceptance of another slot.
    */
   decodeRecord: (stored: AcceptorRecord, nextLogIndex: number, accepted: Accepted | null): AcceptorEvent | null => {
-    const record = earlierRecords.fields(stored);
+    const record = legacyRecords.upgradeFields(stored);
     switch (record.t) {
       case 'adoptedCompressed':
         return { t: 'adopted', agreed: compressedStates.decode(record.agreed) };
@@ -148,7 +148,7 @@
 
   /** The snapshot that any release wrote. */
   decodeSnapshot: (stored: StoredSnapshot): AcceptorSnapshot => {
-    const snapshot = earlierRecords.fields(stored);
+    const snapshot = legacyRecords.upgradeFields(stored);
     if (!('compressedAgreed' in snapshot)) return upgradeSnapshot(snapshot);
     const { compressedAgreed, promised, accepted, ...rest } = snapshot;
     const decoded =
--- a/packages/control-plane/src/consensus/ballots.ts
+++ b/packages/control-plane/src/consensus/ballots.ts
@@ -38,7 +38,7 @@
   | { readonly kind: 'unavailable'; readonly cause: 'unfounded' | 'no voter' | 'disk' };
 
 /** What a node holds beyond a given log index: the missing changes, or a whole state where they are no longer kept. */
-export type Since =
+export type LogSuffix =
   | { readonly kind: 'changes'; readonly committed: readonly CommittedChange[] }
   | { readonly kind: 'checkpoint'; readonly agreed: CommittedState }
   | { readonly kind: 'nothing' };
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -12,7 +12,7 @@
 import type { Acceptor } from './acceptor.js';
 import type { CompressedCommit } from './ballots.js';
 import { catchUpMessages, catchUpTopics } from './catchUpMessages.js';
-import type { Page, PageAsk } from './catchUpMessages.js';
+import type { Page, PageRequest } from './catchUpMessages.js';
 import { compressedChanges, compressedStates } from './compression.js';
 import { TransferSource } from './transferSource.js';
 
@@ -45,10 +45,10 @@
     this.source = new TransferSource(acceptor);
   }
 
-  private readonly logIndex = (): number => this.acceptor.agreed()?.logIndex ?? -1;
+  private readonly logIndex = (): number => this.acceptor.committedState()?.logIndex ?? -1;
 
   /** Asks all others how far they are and catches up from one that is ahead. */
-  readonly step = async (): Promise<void> => {
+  readonly fromNewestPeer = async (): Promise<void> => {
     if (this.running !== null) return this.running;
     const positions = await Promise.all(
       this.peers().map(async (peer) => ({ peer, logIndex: await this.logIndexOf(peer, logIndexTimeoutMs) })),
@@ -57,11 +57,11 @@
       .filter(({ logIndex }) => logIndex !== null && logIndex > this.logIndex())
       .sort((a, b) => (b.logIndex ?? -1) - (a.logIndex ?? -1));
     const chosen = ahead.find(({ peer }) => peer.peer?.incarnation !== this.failedSource) ?? ahead[0];
-    if (chosen !== undefined) await this.from(chosen.peer);
+    if (chosen !== undefined) await this.fromPeer(chosen.peer);
   };
 
   /** Catches up from one peer, or waits for the transfer that is on the way from any. */
-  readonly from = (peer: PeerConnection): Promise<void> => {
+  readonly fromPeer = (peer: PeerConnection): Promise<void> => {
     this.running ??= this.run(peer).finally(() => {
       this.running = null;
     });
@@ -69,33 +69,33 @@
   };
 
   /** Whether the peer answered and this node then has all that the peer had. False also where a transfer took longer than `timeoutMs`, or this node's disk failed. */
-  readonly ask = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
+  readonly syncWith = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
     const peerLogIndex = await this.logIndexOf(peer, timeoutMs);
     if (peerLogIndex === null) return false;
-    if (peerLogIndex > this.logIndex()) await this.within(this.from(peer), timeoutMs);
+    if (peerLogIndex > this.logIndex()) await this.within(this.fromPeer(peer), timeoutMs);
     return peerLogIndex <= this.logIndex();
   };
 
   /** Asks a peer that is behind to catch up from this node. */
-  readonly supply = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
+  readonly bringUpToDate = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
     void (await peer.ask(catchUpTopics.behind, null, timeoutMs));
 
   /** Commits a change that a peer sent, or catches up where earlier ones are missing. */
   readonly commit = async (peer: PeerConnection, { logIndex, change }: CompressedCommit): Promise<void> => {
     if (logIndex <= this.logIndex()) return;
-    if (logIndex > this.logIndex() + 1) return this.from(peer);
-    await this.acceptor.commit({ logIndex, change: this.acceptor.changeOf(change) });
+    if (logIndex > this.logIndex() + 1) return this.fromPeer(peer);
+    await this.acceptor.commit({ logIndex, change: this.acceptor.decodeChange(change) });
   };
 
   /** The reply to a peer that catches up; undefined for topics of others. */
-  readonly answer = async (peer: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+  readonly handleRequest = async (peer: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case catchUpTopics.logIndex:
         return this.logIndex();
       case catchUpTopics.page:
-        return catchUpMessages.isPageAsk(body) ? this.source.page(body) : null;
+        return catchUpMessages.isPageRequest(body) ? this.source.page(body) : null;
       case catchUpTopics.behind:
-        await this.from(peer);
+        await this.fromPeer(peer);
         return this.logIndex();
       default:
         return undefined;
@@ -132,7 +132,7 @@
   private readonly pull = async (peer: PeerConnection): Promise<boolean> => {
     for (;;) {
       const { progress } = this;
-      const ask: PageAsk = {
+      const ask: PageRequest = {
         logIndex: this.logIndex(),
         digest: progress?.digest ?? null,
         offset: progress?.received ?? 0,
--- a/packages/control-plane/src/consensus/catchUpMessages.ts
+++ b/packages/control-plane/src/consensus/catchUpMessages.ts
@@ -15,7 +15,7 @@
 } as const;
 
 /** A request for one page of a transfer. */
-export interface PageAsk {
+export interface PageRequest {
   /** The log index that the asker has committed, -1 for none. */
   readonly logIndex: number;
   /** The transfer that was begun, by the SHA-256 of its bytes in hex; null to begin one. */
@@ -35,7 +35,7 @@
 
 const { isObject, isText, isInteger, isBytes, isNullOr } = messageChecks;
 
-const isPageAsk = (value: unknown): value is PageAsk =>
+const isPageRequest = (value: unknown): value is PageRequest =>
   isObject(value) &&
   isInteger(value.logIndex) &&
   isNullOr(isText)(value.digest) &&
@@ -51,4 +51,4 @@
   isBytes(value.bytes);
 
 /** True where a body has the shape of the message. */
-export const catchUpMessages = { isPageAsk, isPage };
+export const catchUpMessages = { isPageRequest, isPage };
--- a/packages/control-plane/src/consensus/compression.ts
+++ b/packages/control-plane/src/consensus/compression.ts
@@ -5,7 +5,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { cbor, stateMachine } from '@martenworks/core-types';
 import type { CommittedState, Change } from '@martenworks/core-types';
-import { earlierRecords } from './earlierRecords.js';
+import { legacyRecords } from './legacyRecords.js';
 
 const compressionLevel = 1;
 const inflatedLimitBytes = 256 * 1024 * 1024;
@@ -31,7 +31,7 @@
   /** The change in these bytes; throws on bytes that `encode` did not make. */
   decode: (bytes: Uint8Array): Change => {
     const stored = inflated(bytes) as Change;
-    const change = earlierRecords.change(stored);
+    const change = legacyRecords.upgradeChange(stored);
     if (change === stored) changeBytes.set(change, bytes.slice());
     return change;
   },
@@ -44,5 +44,5 @@
 
   /** The state in these bytes; throws on bytes that `encode` did not make. */
   decode: (bytes: Uint8Array): CommittedState =>
-    stateMachine.filled(earlierRecords.state(inflated(bytes) as CommittedState)),
+    stateMachine.filled(legacyRecords.upgradeState(inflated(bytes) as CommittedState)),
 };
--- a/packages/control-plane/src/consensus/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -2,7 +2,7 @@
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
 import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
 import type { Accepted, Ballot, CompressedCommit, Vote } from './ballots.js';
-import type { MemberStatus, FoundingVoteReply } from '../membership/foundingMessages.js';
+import type { MemberStatus, BootstrapVoteReply } from '../membership/bootstrapMessages.js';
 import { messageChecks } from '../messages/messageChecks.js';
 import type { Position } from './quorumCall.js';
 
@@ -91,13 +91,13 @@
   isNullOr(isMembers)(value.foundingVote) &&
   isTexts(value.syncedFrom);
 
-const isFoundingVoteReply = (value: unknown): value is FoundingVoteReply =>
+const isBootstrapVoteReply = (value: unknown): value is BootstrapVoteReply =>
   isObject(value) && typeof value.isGranted === 'boolean' && isNullOr(isMembers)(value.members);
 
 const isDutyAsk = (value: unknown): value is LeaseRequest['duties'][number] =>
   isObject(value) && isText(value.duty) && isNumber(value.fence);
 
-const isLeaseAsk = (value: unknown): value is ElectorateLeaseRequest =>
+const isLeaseRequest = (value: unknown): value is ElectorateLeaseRequest =>
   isObject(value) &&
   isText(value.holder) &&
   isListOf(isDutyAsk)(value.duties) &&
@@ -120,7 +120,7 @@
   isAccept,
   isChange,
   isInteger,
-  isLeaseAsk,
+  isLeaseRequest,
   isLeaseReply,
   isMembers,
   isPosition,
@@ -129,5 +129,5 @@
   isCommitted,
   isMemberStatus,
   isVote,
-  isFoundingVoteReply,
+  isBootstrapVoteReply,
 };
--- a/packages/control-plane/src/consensus/consensusOptions.ts
+++ b/packages/control-plane/src/consensus/consensusOptions.ts
@@ -6,13 +6,13 @@
 import type { PersistedLeases } from './leaseLog.js';
 
 /** Timing in milliseconds: how often each step is taken, and how long a reply is waited for. */
-export interface ConsensusPace {
+export interface ConsensusTiming {
   /** How long a vote, a position or a page of state is waited for. */
   readonly voteTimeoutMs: number;
   /** Mean time between two tries at founding the cluster. */
-  readonly foundingMs: number;
+  readonly bootstrapIntervalMs: number;
   /** Mean time between two rounds of catching up and looking after the seats. */
-  readonly upkeepMs: number;
+  readonly membershipIntervalMs: number;
   readonly keepaliveIntervalMs: number;
   /** A peer that does not answer a keepalive for this long is disconnected. */
   readonly keepaliveTimeoutMs: number;
@@ -20,11 +20,11 @@
   readonly leaseTimeoutMs: number;
   readonly dialPace?: DialPace;
   /** How long a member must be lost before a node of another name may take its seat. */
-  readonly strangerWaitMs?: number;
+  readonly replacementDelayMs?: number;
 }
 
 /** What the kind of node adds to the group's own work; its handlers get the topics that are not the group's. */
-export interface ConsensusRole extends Handlers {
+export interface ConsensusHooks extends Handlers {
   /** Addresses to hold connections to, besides those of the members. */
   readonly extraAddresses: () => readonly string[];
   /** Whether a lost member of this name is known to be down. */
@@ -34,17 +34,17 @@
   /** Called after a lease was won or lost. */
   readonly leasesChanged: () => void;
   /** Whether a newcomer must have copied data beside the committed state from every member before it may vote. */
-  readonly needsCopies: boolean;
+  readonly requiresSync: boolean;
   /** The members, by incarnation, whose data beside the committed state is held here. */
   readonly syncedFrom: () => readonly string[];
   /** Work to be done before each step of membership; catching up is part of it. */
-  readonly prepareUpkeep: () => Promise<void>;
+  readonly beforeMembershipCheck: () => Promise<void>;
   /** Entries of the member list that a peer is told of. */
   readonly sharedMembers: (entries: MemberEntry[]) => MemberEntry[];
 }
 
 /** The collaborators of a consensus member. */
-export interface ConsensusParts {
+export interface ConsensusDependencies {
   readonly ports: Ports;
   /** What this node says of itself when a connection opens. */
   readonly hello: () => Hello;
@@ -55,5 +55,5 @@
   readonly leases: PersistedLeases;
   readonly terms?: LeaseTerms;
   /** Number of founding members. */
-  readonly coreSize?: number;
+  readonly initialMemberCount?: number;
 }
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -1,12 +1,12 @@
 /** Replies to the requests that members of the consensus group send each other. */
 import type { MemberEntry, MemberList } from '@martenworks/cluster-membership';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { MemberStatus } from '../membership/foundingMessages.js';
+import type { MemberStatus } from '../membership/bootstrapMessages.js';
 import type { Acceptor } from './acceptor.js';
 import { catchUpTopics } from './catchUpMessages.js';
 import type { CatchUp } from './catchUp.js';
 import { consensusMessages } from './consensusMessages.js';
-import type { ConsensusRole } from './consensusOptions.js';
+import type { ConsensusHooks } from './consensusOptions.js';
 import type { MemberLeases } from './memberLeases.js';
 import { positions } from './quorumCall.js';
 
@@ -17,13 +17,13 @@
     private readonly catchUp: CatchUp,
     private readonly leases: MemberLeases,
     private readonly memberList: MemberList,
-    private readonly role: ConsensusRole,
+    private readonly role: ConsensusHooks,
   ) {}
 
   /** The reply to a request; null for a malformed one. */
-  readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+  readonly handleRequest = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     const { acceptor } = this;
-    const { isAccept, isLeaseAsk, isMembers, isPrepare } = consensusMessages;
+    const { isAccept, isLeaseRequest, isMembers, isPrepare } = consensusMessages;
     switch (topic) {
       case 'keepalive':
         return true;
@@ -32,19 +32,19 @@
       case 'memberList':
         return this.exchangeMemberList(body);
       case 'leaseRequest':
-        return isLeaseAsk(body) ? this.leases.grant(body) : null;
+        return isLeaseRequest(body) ? this.leases.grant(body) : null;
       case 'foundingVote':
-        return isMembers(body) ? acceptor.voteFounding(body) : null;
+        return isMembers(body) ? acceptor.voteForInitialMembers(body) : null;
       case 'prepare':
         return isPrepare(body) ? acceptor.prepare(body.slot, body.ballot) : null;
       case 'accept':
-        return isAccept(body) ? acceptor.accept(body.slot, body.ballot, acceptor.changeOf(body.change)) : null;
+        return isAccept(body) ? acceptor.accept(body.slot, body.ballot, acceptor.decodeChange(body.change)) : null;
       case 'position':
         return positions.of(acceptor);
       case catchUpTopics.logIndex:
       case catchUpTopics.page:
       case catchUpTopics.behind:
-        return this.catchUp.answer(connection, topic, body);
+        return this.catchUp.handleRequest(connection, topic, body);
       default:
         return this.role.asked(connection, topic, body);
     }
@@ -52,9 +52,9 @@
 
   private readonly memberStatus = (): MemberStatus => ({
     incarnation: this.acceptor.incarnation,
-    logIndex: this.acceptor.agreed()?.logIndex ?? -1,
+    logIndex: this.acceptor.committedState()?.logIndex ?? -1,
     isVoter: this.acceptor.isVoter(),
-    foundingVote: this.acceptor.foundingVoteCast(),
+    foundingVote: this.acceptor.initialMembersVotedFor(),
     syncedFrom: this.role.syncedFrom(),
   });
 
--- a/packages/control-plane/src/consensus/earlierRecords.ts
+++ b/packages/control-plane/src/consensus/legacyRecords.ts
@@ -61,14 +61,14 @@
 };
 
 /** A change of any release. */
-const change = (held: Change): Change => {
+const upgradeChange = (held: Change): Change => {
   const kind: string = held.body.kind;
   const isFormer = kind === 'layout' || kind === 'ways';
   return isFormer ? { ...held, body: bodyFrom(held.body as unknown as Table) as ChangeBody } : held;
 };
 
 /** An agreed state of any release; fields that its release did not know stay absent. */
-const state = (held: CommittedState): CommittedState => {
+const upgradeState = (held: CommittedState): CommittedState => {
   if (!('generation' in held)) return held;
   const { changeIds, forgotten, ...rest } = withFields(held, stateFields);
   return {
@@ -80,7 +80,7 @@
 };
 
 /** A claim's state of any release. */
-const claim = (held: ClaimState): ClaimState => {
+const upgradeClaim = (held: ClaimState): ClaimState => {
   const { accepted } = held;
   if (accepted === null || !('counter' in accepted.claimant)) return held;
   const { counter, ...claimant } = accepted.claimant as unknown as Table;
@@ -88,13 +88,13 @@
 };
 
 /** A log record with its fields as they are called today; changes and states inside it are not converted. */
-const fields = <T>(record: T): T => {
+const upgradeFields = <T>(record: T): T => {
   if (!isTable(record)) return record;
   const isFormer = 'generation' in record || 'settled' in record || 'vow' in record;
   if (!isFormer) return record;
   const named = withFields(record, { generation: 'logIndex', settled: 'committed', vow: 'foundingVote' });
-  return (isTable(named.committed) ? { ...named, committed: fields(named.committed) } : named) as T;
+  return (isTable(named.committed) ? { ...named, committed: upgradeFields(named.committed) } : named) as T;
 };
 
 /** Records of earlier releases, in today's form. */
-export const earlierRecords = { change, state, claim, fields };
+export const legacyRecords = { upgradeChange, upgradeState, upgradeClaim, upgradeFields };
--- a/packages/control-plane/src/consensus/confirmedRead.ts
+++ b/packages/control-plane/src/consensus/linearizableRead.ts
@@ -5,7 +5,7 @@
 import { stateMachine, pause } from '@martenworks/core-types';
 import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
-import type { Since } from './ballots.js';
+import type { LogSuffix } from './ballots.js';
 import { askMembers, majorityOf, positions } from './quorumCall.js';
 import type { Position, Voters } from './quorumCall.js';
 
@@ -26,13 +26,13 @@
 /** Finds a state at least as new as any change that was acknowledged before the read began.
  *
  * A change counts once a majority has accepted it. So a majority that was asked after the read began, none of which knows a newer generation or holds an accepted value for the next slot, shows that the state held here is the newest. Such a look writes nothing and disturbs no proposal. Only where a value stays accepted and undecided over two looks is it settled, by a ballot. */
-export class ConfirmedRead {
+export class LinearizableRead {
   constructor(
     private readonly acceptor: Acceptor,
     private readonly voters: Voters,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly learn: (since: Since) => Promise<void>,
+    private readonly learn: (since: LogSuffix) => Promise<void>,
   ) {}
 
   /** The newest state, or null where no majority replied, or none agreed before `until` (on this node's clock, ms). `settlePending` runs one ballot that finishes what was accepted. */
@@ -42,15 +42,15 @@
   ): Promise<CommittedState | null> => {
     let pendingLooks = 0;
     do {
-      const state = this.acceptor.agreed();
+      const state = this.acceptor.committedState();
       if (state === null) return null;
       const look = await this.look(state);
-      if (look.kind === 'newest') return this.acceptor.agreed();
+      if (look.kind === 'newest') return this.acceptor.committedState();
       if (look.kind === 'no majority') return null;
       if (look.kind === 'ahead') await this.catchUpFrom(look.member, state.logIndex);
       else if (++pendingLooks < looksBeforeBallot)
         await pause.for(this.clock, pendingPauseMs * (0.5 + this.random.fraction()));
-      else if (this.acceptor.agreed()?.logIndex === state.logIndex) await settlePending(state);
+      else if (this.acceptor.committedState()?.logIndex === state.logIndex) await settlePending(state);
     } while (this.clock.now() < until);
     return null;
   };
@@ -79,7 +79,7 @@
       : this.voters.position(member);
 
   private readonly catchUpFrom = async (member: Member, logIndex: number): Promise<void> => {
-    const since = await this.voters.since(member, logIndex);
+    const since = await this.voters.logSuffixAfter(member, logIndex);
     if (since !== null) await this.learn(since);
   };
 }
--- a/packages/control-plane/src/consensus/memberLeases.ts
+++ b/packages/control-plane/src/consensus/memberLeases.ts
@@ -5,7 +5,7 @@
 import type { Acceptor } from './acceptor.js';
 import { consensusMessages } from './consensusMessages.js';
 import type { ElectorateLeaseRequest } from './consensusMessages.js';
-import type { ConsensusParts } from './consensusOptions.js';
+import type { ConsensusDependencies } from './consensusOptions.js';
 import type { MemberPeers } from './memberPeers.js';
 import { majorityOf } from './quorumCall.js';
 
@@ -24,7 +24,7 @@
   private noGrantsUntil = 0;
 
   constructor(
-    private readonly parts: ConsensusParts,
+    private readonly parts: ConsensusDependencies,
     private readonly peers: MemberPeers,
     private readonly timeoutMs: number,
     interest: LeaseInterest,
@@ -54,8 +54,8 @@
     this.mayGrant(request.electorate ?? this.electorate()) ? this.parts.leases.table.grant(request) : null;
 
   /** A peer has given up leases. Malformed messages are ignored. */
-  readonly takeRelease = (body: unknown): void => {
-    if (consensusMessages.isLeaseAsk(body)) this.parts.leases.table.release(body);
+  readonly handleRelease = (body: unknown): void => {
+    if (consensusMessages.isLeaseRequest(body)) this.parts.leases.table.release(body);
   };
 
   /**
@@ -64,7 +64,7 @@
    */
   private readonly noteSeat = (): void => {
     const isVoter = this.acceptor.isVoter();
-    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.agreed()?.logIndex ?? 0) > 0;
+    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.committedState()?.logIndex ?? 0) > 0;
     this.wasVoter = isVoter;
     if (!isNewlySeated) return;
     const { terms, ports } = this.parts;
@@ -97,6 +97,6 @@
 
   private readonly release = (request: LeaseRequest): void => {
     this.parts.leases.table.release(request);
-    this.peers.tellAll('leaseRelease', request);
+    this.peers.broadcast('leaseRelease', request);
   };
 }
--- a/packages/control-plane/src/consensus/memberPeers.ts
+++ b/packages/control-plane/src/consensus/memberPeers.ts
@@ -15,10 +15,10 @@
   ) {}
 
   /** The members of the committed state; none before the cluster is founded. */
-  readonly members = (): readonly Member[] => this.acceptor.agreed()?.members ?? [];
+  readonly members = (): readonly Member[] => this.acceptor.committedState()?.members ?? [];
 
   /** The members with each incarnation once. */
-  readonly distinctVoters = (): Member[] => stateMachine.distinctVoters(this.acceptor.agreed());
+  readonly distinctVoters = (): Member[] => stateMachine.distinctVoters(this.acceptor.committedState());
 
   /** Whether the member is this node. */
   readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
@@ -33,7 +33,7 @@
       .filter((connection) => connection.peer?.role === 'control');
 
   /** Sends a message to all other control nodes, without a reply. */
-  readonly tellAll = (topic: string, body: unknown): void => {
+  readonly broadcast = (topic: string, body: unknown): void => {
     for (const connection of this.controlNodes()) connection.tell(topic, body);
   };
 
@@ -47,7 +47,7 @@
    * Milliseconds since this node last had bytes of each of a majority of the voters, itself counted; null where it has
    * no connection to one.
    */
-  readonly majorityHeardMs = (): number | null => {
+  readonly majorityContactAgeMs = (): number | null => {
     const silences = this.distinctVoters().flatMap((member) => {
       if (this.isSelf(member)) return [0];
       const connection = this.connectionTo(member);
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -10,13 +10,13 @@
 import type { ProposalError } from '../errors.js';
 import { ballots } from './ballots.js';
 import type { Acceptor } from './acceptor.js';
-import type { Accepted, Ballot, CommittedChange, Since, Vote } from './ballots.js';
-import { ConfirmedRead } from './confirmedRead.js';
+import type { Accepted, Ballot, CommittedChange, LogSuffix, Vote } from './ballots.js';
+import { LinearizableRead } from './linearizableRead.js';
 import { askMembers, majorityOf } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
 
 /** A change that is committed at `logIndex`; `isRepeat` where it was committed before the call. */
-export interface Applied {
+export interface AppliedChange {
   readonly logIndex: number;
   readonly isRepeat: boolean;
 }
@@ -69,7 +69,7 @@
   readonly isEnded = (): boolean => this.isOver;
 
   /** Ends it: nothing is offered any more. `unavailable` is returned only where no acceptor can hold the value. */
-  readonly giveUp = (detail: string): Result<Applied, ProposalError> => {
+  readonly giveUp = (detail: string): Result<AppliedChange, ProposalError> => {
     this.isOver = true;
     return err(this.wasOffered ? proposalErrors.unknown(this.changeId) : proposalErrors.unavailable(detail));
   };
@@ -78,7 +78,7 @@
 /** Gets changes committed, one log index after another, by ballots among the voters; one change at a time, others wait in a queue. */
 export class Proposer {
   private readonly queue = new CommandQueue();
-  private readonly read: ConfirmedRead;
+  private readonly read: LinearizableRead;
   private seenRound = 0;
   private lastRoundMs = 0;
 
@@ -89,7 +89,7 @@
     private readonly random: Random,
     private readonly log: Log,
   ) {
-    this.read = new ConfirmedRead(acceptor, voters, clock, random, this.learn);
+    this.read = new LinearizableRead(acceptor, voters, clock, random, this.learn);
   }
 
   /** Answers within `patienceMs`, waiting in the queue included. A refusal (`conflict`, `rejected`) and a repeat rest on a majority's replies to messages sent after the call came; `unavailable` says that this call's value was offered to no acceptor; `unknown` that it may yet be taken. */
@@ -98,7 +98,7 @@
     changeId: string,
     digest: string,
     timeoutMs: number,
-  ): Promise<Result<Applied, ProposalError>> => {
+  ): Promise<Result<AppliedChange, ProposalError>> => {
     const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
     if (this.queue.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
     const work = this.queue.run(() => this.push(check, attempt));
@@ -108,14 +108,14 @@
   /** Settles a value that was accepted here and whose proposer may be gone. */
   readonly finishPending = (): Promise<void> =>
     this.queue.run(async () => {
-      const state = this.acceptor.agreed();
+      const state = this.acceptor.committedState();
       const pendingMs = this.acceptor.pendingForMs();
       if (state === null || pendingMs === null || pendingMs < this.rescueAfterMs()) return;
       await this.round(state, null, null);
     });
 
   /** A state as new as any that was acknowledged before the call, or null where no majority confirmed one within `patienceMs`. */
-  readonly confirm = (timeoutMs: number): Promise<CommittedState | null> => {
+  readonly linearizableRead = (timeoutMs: number): Promise<CommittedState | null> => {
     const settlePending = (state: CommittedState): Promise<unknown> =>
       this.queue.run(() => this.round(state, null, null));
     const work = this.read.newest(this.clock.now() + timeoutMs, settlePending);
@@ -123,12 +123,12 @@
   };
 
   /** Proposals that run or wait in the queue. */
-  readonly depth = (): number => this.queue.depth();
+  readonly queueDepth = (): number => this.queue.depth();
 
-  private readonly push = async (check: Check, attempt: Attempt): Promise<Result<Applied, ProposalError>> => {
+  private readonly push = async (check: Check, attempt: Attempt): Promise<Result<AppliedChange, ProposalError>> => {
     for (let attemptNumber = 0; ; attemptNumber += 1) {
       if (attempt.isEnded() || this.clock.now() >= attempt.until) return attempt.giveUp(lateDetail);
-      const state = this.acceptor.agreed();
+      const state = this.acceptor.committedState();
       if (state === null) return attempt.giveUp('no fleet is founded yet');
       const answered = this.answeredBy(state, attempt, attemptNumber === 0);
       const checked = check(state);
@@ -154,7 +154,7 @@
     { changeIds, configLogIndex }: CommittedState,
     { changeId, digest }: Attempt,
     isRepeat: boolean,
-  ): Result<Applied, ProposalError> | null => {
+  ): Result<AppliedChange, ProposalError> | null => {
     const known = Object.hasOwn(changeIds, changeId) ? changeIds[changeId] : undefined;
     if (known === undefined) return null;
     if (known.digest === digest) return ok({ logIndex: known.logIndex, isRepeat });
@@ -174,7 +174,7 @@
   };
 
   /** Applies what another member has committed beyond this node's log index. */
-  readonly learn = async (since: Since): Promise<void> => {
+  readonly learn = async (since: LogSuffix): Promise<void> => {
     if (since.kind === 'checkpoint') await this.acceptor.adopt(since.agreed);
     if (since.kind === 'changes') for (const committed of since.committed) await this.acceptor.commit(committed);
   };
@@ -207,7 +207,7 @@
   private readonly heed = async (member: Member, vote: Vote, state: CommittedState): Promise<void> => {
     if (vote.kind === 'rejected') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
     if (vote.kind !== 'ahead') return;
-    const since = await this.voters.since(member, state.logIndex);
+    const since = await this.voters.logSuffixAfter(member, state.logIndex);
     if (since !== null) await this.learn(since);
   };
 
@@ -217,7 +217,7 @@
   ): Promise<Vote | null> => {
     const vote = await call(member);
     if (vote?.kind !== 'behind') return vote;
-    await this.voters.supply(member, this.acceptor.since(vote.logIndex));
+    await this.voters.bringUpToDate(member, this.acceptor.logSuffixAfter(vote.logIndex));
     return call(member);
   };
 
@@ -248,7 +248,7 @@
     const accepts = await this.vote(state, (member) => this.voters.accept(member, slot, ballot, change), 'accepted');
     if (accepts === 'again' || accepts === 'no majority') return { kind: accepts };
     const committed: CommittedChange = { logIndex: slot, change };
-    this.voters.commit(committed);
+    this.voters.broadcastCommit(committed);
     const isKept = await this.acceptor.commit(committed);
     this.log.info('log entry committed', {
       logIndex: slot,
--- a/packages/control-plane/src/consensus/quorumCall.ts
+++ b/packages/control-plane/src/consensus/quorumCall.ts
@@ -1,6 +1,6 @@
 /** Calls on all voters at once that end as soon as a quorum's replies decide them. */
 import type { Acceptor } from './acceptor.js';
-import type { Ballot, CommittedChange, Since, Vote } from './ballots.js';
+import type { Ballot, CommittedChange, LogSuffix, Vote } from './ballots.js';
 import { background } from '@martenworks/core-types';
 import type { Change, Member } from '@martenworks/core-types';
 
@@ -15,16 +15,16 @@
   readonly prepare: (member: Member, slot: number, ballot: Ballot) => Promise<Vote | null>;
   readonly accept: (member: Member, slot: number, ballot: Ballot, change: Change) => Promise<Vote | null>;
   readonly position: (member: Member) => Promise<Position | null>;
-  readonly commit: (committed: CommittedChange) => void;
-  readonly since: (member: Member, logIndex: number) => Promise<Since | null>;
-  readonly supply: (member: Member, since: Since) => Promise<void>;
+  readonly broadcastCommit: (committed: CommittedChange) => void;
+  readonly logSuffixAfter: (member: Member, logIndex: number) => Promise<LogSuffix | null>;
+  readonly bringUpToDate: (member: Member, since: LogSuffix) => Promise<void>;
 }
 
 /** Positions of acceptors in the log. */
 export const positions = {
   /** Null while the acceptor belongs to no founded fleet. */
   of: (acceptor: Acceptor): Position | null => {
-    const state = acceptor.agreed();
+    const state = acceptor.committedState();
     return state === null ? null : { logIndex: state.logIndex, acceptedSlot: acceptor.acceptedSlot() };
   },
 };
--- a/packages/control-plane/src/consensus/recovery.ts
+++ b/packages/control-plane/src/consensus/recovery.ts
@@ -31,7 +31,7 @@
     const opened = await acceptors.open(disk, clock, random, log);
     if (opened.isErr()) return err(opened.error);
     const acceptor = opened.value;
-    const state = acceptor.agreed();
+    const state = acceptor.committedState();
     if (state === null) return err(failure('no_state', 'this data folder holds no agreed state'));
     if (!members.some((member) => member.incarnation === acceptor.incarnation))
       return err(failure('not_a_member', `the new members must include this one, incarnation ${acceptor.incarnation}`));
--- a/packages/control-plane/src/consensus/remoteVoters.ts
+++ b/packages/control-plane/src/consensus/remoteVoters.ts
@@ -1,7 +1,7 @@
 /** Calls of a proposer on the voters: directly on this node's own acceptor, by messages on those of the others. */
 import type { Member } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
-import type { CompressedCommit, Since } from './ballots.js';
+import type { CompressedCommit, LogSuffix } from './ballots.js';
 import type { CatchUp } from './catchUp.js';
 import { compressedChanges } from './compression.js';
 import { consensusMessages } from './consensusMessages.js';
@@ -13,9 +13,9 @@
   const { isPosition, isVote } = consensusMessages;
 
   /** Brings this node up to what the member holds; null where that was not done in time. */
-  const catchUpFrom = async (member: Member): Promise<Since | null> => {
+  const catchUpFrom = async (member: Member): Promise<LogSuffix | null> => {
     const connection = peers.connectionTo(member);
-    const isDone = connection !== undefined && (await catchUp.ask(connection, timeoutMs));
+    const isDone = connection !== undefined && (await catchUp.syncWith(connection, timeoutMs));
     return isDone ? { kind: 'nothing' } : null;
   };
 
@@ -30,14 +30,15 @@
       return peers.ask(member, 'accept', body, isVote, timeoutMs);
     },
     position: (member) => peers.ask(member, 'position', null, isPosition, timeoutMs),
-    commit: ({ logIndex, change }) => {
+    broadcastCommit: ({ logIndex, change }) => {
       const body: CompressedCommit = { logIndex, change: compressedChanges.encode(change) };
-      peers.tellAll('committed', body);
+      peers.broadcast('committed', body);
     },
-    since: async (member, logIndex) => (peers.isSelf(member) ? acceptor.since(logIndex) : catchUpFrom(member)),
-    supply: async (member) => {
+    logSuffixAfter: async (member, logIndex) =>
+      peers.isSelf(member) ? acceptor.logSuffixAfter(logIndex) : catchUpFrom(member),
+    bringUpToDate: async (member) => {
       const connection = peers.connectionTo(member);
-      if (connection !== undefined) await catchUp.supply(connection, timeoutMs);
+      if (connection !== undefined) await catchUp.bringUpToDate(connection, timeoutMs);
     },
   };
 };
--- a/packages/control-plane/src/consensus/transferSource.ts
+++ b/packages/control-plane/src/consensus/transferSource.ts
@@ -4,7 +4,7 @@
 import type { Acceptor } from './acceptor.js';
 import type { CompressedCommit } from './ballots.js';
 import { pageBytes } from './catchUpMessages.js';
-import type { Page, PageAsk } from './catchUpMessages.js';
+import type { Page, PageRequest } from './catchUpMessages.js';
 import { compressedStates } from './compression.js';
 
 const transfersKept = 8;
@@ -24,7 +24,7 @@
   constructor(private readonly acceptor: Acceptor) {}
 
   /** One page for the asker: of the transfer it has begun if that is still kept or comes out the same, else of a new one from its start. */
-  readonly page = ({ logIndex, digest, offset }: PageAsk): Page | null => {
+  readonly page = ({ logIndex, digest, offset }: PageRequest): Page | null => {
     const begun = digest === null ? undefined : this.kept.get(digest);
     const transfer = begun ?? this.make(logIndex);
     if (transfer === null) return null;
@@ -40,7 +40,7 @@
   };
 
   private readonly make = (after: number): Transfer | null => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     if (state === null || state.logIndex <= after) return null;
     const missed = this.acceptor.changesAfter(after);
     const missedBytes = (missed ?? []).reduce((sum, { change }) => sum + change.length, 0);
@@ -53,7 +53,7 @@
     this.transfer('changes', missed.at(-1)?.logIndex ?? -1, cbor.encode(missed));
 
   private readonly snapshot = (): Transfer => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     const logIndex = state?.logIndex ?? -1;
     const held = [...this.kept.values()].find((one) => one.kind === 'snapshot' && one.logIndex === logIndex);
     return (
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -17,7 +17,7 @@
 } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
-import { earlierRecords } from '../consensus/earlierRecords.js';
+import { legacyRecords } from '../consensus/legacyRecords.js';
 import { claimLogOptions, logPrefixes } from '../consensus/memberLogs.js';
 
 const pageSize = 4_000;
@@ -63,7 +63,7 @@
 
   /** Restores the claims from disk; called once, before any other method. */
   readonly replay = (records: readonly ClaimRecord[]): void => {
-    for (const [key, state] of records) this.put(key, earlierRecords.claim(state), true);
+    for (const [key, state] of records) this.put(key, legacyRecords.upgradeClaim(state), true);
     this.filledAt.set(this.wal.currentSegment() - 1, this.clock.now());
   };
 
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -30,7 +30,7 @@
     body: unknown,
     isHeard: (reply: unknown) => boolean | Promise<boolean>,
   ): Promise<boolean> => {
-    const members = this.acceptor.agreed()?.members ?? [];
+    const members = this.acceptor.committedState()?.members ?? [];
     const majority = majorityOf(members);
     const others = members.filter((member) => member.incarnation !== this.acceptor.incarnation);
     return new Promise((resolve) => {
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -23,7 +23,7 @@
 export * from './endpoints/claims.js';
 export { edgeMessages } from './messages/edgeMessages.js';
 export { gatewayMessages } from './messages/gatewayMessages.js';
-export type { MemberStatus } from './membership/foundingMessages.js';
+export type { MemberStatus } from './membership/bootstrapMessages.js';
 export * from './consensus/leaseLog.js';
 export * from './consensus/consensusMember.js';
 export * from './consensus/consensusOptions.js';
--- a/packages/control-plane/src/membership/foundingMessages.ts
+++ b/packages/control-plane/src/membership/bootstrapMessages.ts
@@ -11,7 +11,7 @@
 }
 
 /** The answer to a request to vow for a set of founding members; `members` are those vowed for, null where none. */
-export interface FoundingVoteReply {
+export interface BootstrapVoteReply {
   readonly isGranted: boolean;
   readonly members: readonly Member[] | null;
 }
--- a/packages/control-plane/src/membership/founding.ts
+++ b/packages/control-plane/src/membership/clusterBootstrap.ts
@@ -7,7 +7,7 @@
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { consensusMessages } from '../consensus/consensusMessages.js';
-import type { MemberStatus } from './foundingMessages.js';
+import type { MemberStatus } from './bootstrapMessages.js';
 
 const usualCoreSize = 3;
 const timeoutMs = 1_000;
@@ -19,7 +19,7 @@
 });
 
 /** Steps of one node towards a founded cluster. A node votes for one set of founding members only, on disk. */
-export class Founding {
+export class ClusterBootstrap {
   constructor(
     private readonly acceptor: Acceptor,
     private readonly own: () => Hello,
@@ -41,7 +41,7 @@
 
   /** Founds the cluster where all reached nodes agree on its members; joins one that exists already. */
   readonly step = async (): Promise<void> => {
-    if (this.acceptor.agreed() !== null) return;
+    if (this.acceptor.committedState() !== null) return;
     const reached = this.controlNodes();
     const statuses: MemberStatus[] = [];
     for (const connection of reached.values()) {
@@ -70,14 +70,14 @@
     statuses: readonly MemberStatus[],
     reached: Map<string, PeerConnection>,
   ): Promise<void> => {
-    const votes = [this.acceptor.foundingVoteCast(), ...statuses.map((status) => status.foundingVote)].filter(
+    const votes = [this.acceptor.initialMembersVotedFor(), ...statuses.map((status) => status.foundingVote)].filter(
       (vote) => vote !== null,
     );
     const texts = votes.map((vote) => JSON.stringify(vote));
     const wanted = JSON.stringify(members);
     const chosen = votes.find((_, at) => texts.filter((text) => text === texts[at]).length > this.coreSize / 2);
     if (chosen !== undefined && JSON.stringify(chosen) !== wanted) return this.found(chosen);
-    if (texts.some((text) => text !== wanted) || !this.acceptor.isFresh) return;
+    if (texts.some((text) => text !== wanted) || !this.acceptor.isNewNode) return;
     await this.collect(members, reached);
   };
 
@@ -85,12 +85,12 @@
     members: readonly Member[],
     reached: Map<string, PeerConnection>,
   ): Promise<void> => {
-    const own = await this.acceptor.voteFounding(members);
+    const own = await this.acceptor.voteForInitialMembers(members);
     if (!own.isGranted) return;
     for (const [incarnation, connection] of reached) {
       if (!members.some((member) => member.incarnation === incarnation)) continue;
       const reply = await connection.ask('foundingVote', members, timeoutMs);
-      if (reply.isErr() || !consensusMessages.isFoundingVoteReply(reply.value) || !reply.value.isGranted) return;
+      if (reply.isErr() || !consensusMessages.isBootstrapVoteReply(reply.value) || !reply.value.isGranted) return;
     }
     await this.found(members);
   };
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -7,7 +7,7 @@
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { consensusMessages } from '../consensus/consensusMessages.js';
-import type { MemberStatus } from './foundingMessages.js';
+import type { MemberStatus } from './bootstrapMessages.js';
 import { proposalErrors } from '../errors.js';
 import type { ProposalError } from '../errors.js';
 import type { Proposer } from '../consensus/proposer.js';
@@ -20,11 +20,11 @@
 const retryMs = 50;
 
 /** Conditions on giving a seat away. */
-export interface MembershipTerms {
+export interface MembershipOptions {
   /** Milliseconds that a member must be lost before a node of another name may have its seat. */
-  readonly strangerWaitMs?: number;
+  readonly replacementDelayMs?: number;
   /** Whether a newcomer must have copied data from every member, beside the agreed state, before it may vote. */
-  readonly needsCopies: boolean;
+  readonly requiresSync: boolean;
 }
 
 const pollUntil = async (clock: Clock, untilMs: number, isDone: () => Promise<boolean>): Promise<boolean> => {
@@ -47,16 +47,16 @@
     private readonly peerPool: () => PeerPool,
     private readonly isDown: (name: string) => boolean,
     private readonly log: Log,
-    private readonly terms: MembershipTerms,
+    private readonly terms: MembershipOptions,
     /** Has the peer catch up from this node. */
     private readonly supply: (connection: PeerConnection) => Promise<void>,
   ) {}
 
   /** A node has said that it leaves: its seat may be given away without a wait, and it gets no other one. */
-  readonly noteLeaving = (incarnation: string): void => void this.leaving.add(incarnation);
+  readonly markLeaving = (incarnation: string): void => void this.leaving.add(incarnation);
 
   /** A node is there again: what it said of leaving is over. */
-  readonly noteBack = (incarnation: string): void => {
+  readonly markReturned = (incarnation: string): void => {
     if (incarnation !== this.acceptor.incarnation) this.leaving.delete(incarnation);
   };
 
@@ -84,7 +84,7 @@
 
   private readonly isLostForLong = (member: Member): boolean => {
     const lostAt = this.lostAt.get(member.incarnation);
-    const waitMs = this.terms.strangerWaitMs ?? usualStrangerWaitMs;
+    const waitMs = this.terms.replacementDelayMs ?? usualStrangerWaitMs;
     return lostAt !== undefined && this.isDown(member.name) && this.clock.now() - lostAt > waitMs;
   };
 
@@ -117,7 +117,7 @@
 
   private readonly isCaughtUp = (memberStatus: MemberStatus, state: CommittedState, outgoing: Member): boolean => {
     if (memberStatus.logIndex < state.logIndex) return false;
-    if (!this.terms.needsCopies) return true;
+    if (!this.terms.requiresSync) return true;
     return state.members.every(
       (member) => member.incarnation === outgoing.incarnation || memberStatus.syncedFrom.includes(member.incarnation),
     );
@@ -125,7 +125,7 @@
 
   /** Gives one free seat to a newcomer that is caught up, where there are both. */
   readonly step = async (): Promise<void> => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     if (state === null || !this.acceptor.isVoter()) return;
     this.noteLost(state.members);
     this.forgetGone(state);
@@ -143,8 +143,8 @@
    * hand over or nobody to have it; else when the new member and a majority of the new members hold the swap.
    */
   readonly leave = async (budgetMs: number): Promise<void> => {
-    this.noteLeaving(this.acceptor.incarnation);
-    const before = this.acceptor.agreed();
+    this.markLeaving(this.acceptor.incarnation);
+    const before = this.acceptor.committedState();
     if (before === null || !this.acceptor.isVoter()) return;
     const untilMs = this.clock.now() + budgetMs;
     const handover = pollUntil(this.clock, untilMs, () => this.handOver(before));
@@ -154,7 +154,7 @@
 
   /** One try at handing over this node's seat: true where nothing is left to be done. */
   private readonly handOver = async (before: CommittedState): Promise<boolean> => {
-    const state = this.acceptor.agreed() ?? before;
+    const state = this.acceptor.committedState() ?? before;
     if (!this.acceptor.isVoter()) return this.isHeldByNewMajority(before, state);
     if (this.newcomers(state).length === 0) return true;
     await this.step();
@@ -184,7 +184,7 @@
       if (refusal === null) return ok({ id, digest, body });
       return err(proposalErrors.conflict(state.configLogIndex, refusal));
     };
-    const before = this.acceptor.agreed() as CommittedState;
+    const before = this.acceptor.committedState() as CommittedState;
     const outcome = await this.proposer.propose(check, id, digest, swapTimeoutMs);
     this.log.info('membership change proposed', {
       outgoing: outgoing.name,
@@ -194,7 +194,7 @@
     if (outcome.isErr()) return;
     const untilMs = this.clock.now() + confirmTimeoutMs;
     const isHeld = await pollUntil(this.clock, untilMs, () =>
-      this.isHeldByNewMajority(before, this.acceptor.agreed() ?? before),
+      this.isHeldByNewMajority(before, this.acceptor.committedState() ?? before),
     );
     this.log.info('membership change committed', { incoming: incoming.name, isHeldByNewMajority: isHeld });
   };
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -20,7 +20,7 @@
 import { acceptors } from '../consensus/acceptor.js';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
-import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
+import type { ConsensusTiming, ConsensusHooks } from '../consensus/consensusOptions.js';
 import { leaseTables } from '../consensus/leaseLog.js';
 import type { PersistedLeases } from '../consensus/leaseLog.js';
 import type { Proposer } from '../consensus/proposer.js';
@@ -39,7 +39,7 @@
 const weightsStepMs = 60;
 const { confirmTimeoutMs, weightsLease } = controlNodeSettings;
 
-const consensusPace: ConsensusPace = {
+const consensusPace: ConsensusTiming = {
   ...controlNodeSettings.consensusPace,
   dialPace: { timeoutMs: 700, longestWaitMs: 400 },
 };
@@ -89,7 +89,7 @@
     this.memberList = new MemberList(clock, hello);
     const { memberList } = this;
     this.consensus = new ConsensusMember(
-      { ports, hello, memberList, seeds, acceptor, leases, terms, coreSize: settings.voters },
+      { ports, hello, memberList, seeds, acceptor, leases, terms, initialMemberCount: settings.voters },
       this.role(),
       consensusPace,
     );
@@ -101,7 +101,7 @@
     this.prefixCaches = this.createPrefixCaches();
     this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
       this.statePublisher.tellContent('prefill', bundle);
-      this.consensus.tellPeers('prefillRelay', bundle);
+      this.consensus.broadcast('prefillRelay', bundle);
     });
     this.namedWeights = new NamedWeights(clock);
     this.statePublisher = new StatePublisher(
@@ -124,7 +124,7 @@
     const pace = {
       everyMs: settings.listIntervalMs,
       perSecond: settings.listPerSecond,
-      readers: () => acceptor.agreed()?.members.length ?? settings.voters,
+      readers: () => acceptor.committedState()?.members.length ?? settings.voters,
     };
     return new EndpointListReader(this.backendClient, clock, random, log, pace, (update) => {
       this.statePublisher.tellContent('endpoints', update);
@@ -140,7 +140,7 @@
       random,
       log,
       (update) => this.statePublisher.tellContent('prefixCaches', update),
-      (update) => this.consensus.tellPeers('prefixCacheRelay', update),
+      (update) => this.consensus.broadcast('prefixCacheRelay', update),
     );
   };
 
@@ -197,7 +197,7 @@
   };
 
   private readonly wantedWeights = (): { pool: string; model: string; version: number }[] => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     return (state?.routing?.table.pools ?? []).flatMap(({ name, engine }) =>
       (engine?.models ?? []).flatMap((model) => {
         const version = state?.targetWeights[model];
@@ -207,7 +207,7 @@
   };
 
   private readonly alignPrefixCaches = (): void => {
-    const routingTable = this.acceptor.agreed()?.routing?.table;
+    const routingTable = this.acceptor.committedState()?.routing?.table;
     if (routingTable === undefined) return;
     const engines = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
     const voters = this.consensus.reachableVoters();
@@ -233,18 +233,18 @@
   private readonly prepareUpkeep = async (): Promise<void> => {
     this.statePublisher.dropSilent();
     this.alignPrefixCaches();
-    if (this.acceptor.agreed() === null) return;
-    await this.consensus.catchUp.step();
+    if (this.acceptor.committedState() === null) return;
+    await this.consensus.catchUp.fromNewestPeer();
   };
 
-  private readonly role = (): ConsensusRole => ({
+  private readonly role = (): ConsensusHooks => ({
     extraAddresses: () => [],
     isDown: () => true,
     wantedLeases: () => (this.acceptor.isVoter() ? [weightsLease] : []),
     leasesChanged: () => {},
-    needsCopies: false,
+    requiresSync: false,
     syncedFrom: () => [],
-    prepareUpkeep: this.prepareUpkeep,
+    beforeMembershipCheck: this.prepareUpkeep,
     sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
     joined: (connection) => {
       if (connection.peer?.role !== 'control') return;
@@ -289,7 +289,7 @@
   private readonly takeCacheMiss = (connection: PeerConnection, report: CacheMissReport): void => {
     this.prefixCaches.missed(report);
     this.statePublisher.tellOthers(connection, 'cacheMiss', report);
-    this.consensus.tellPeers('cacheMissRelay', report);
+    this.consensus.broadcast('cacheMissRelay', report);
   };
 
   private readonly takeRelayedCacheMiss = (report: CacheMissReport): void => {
@@ -300,7 +300,7 @@
   /** Answers an edge; null for a request that is malformed or of an unknown topic. */
   private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     if (topic === 'ping' && edgeMessages.isEdgePing(body))
-      return this.statePublisher.pong(connection, body, this.consensus.majorityHeardMs());
+      return this.statePublisher.pong(connection, body, this.consensus.majorityContactAgeMs());
     if (topic === 'state' && edgeMessages.isStatePosition(body)) return this.statePublisher.stateFor(body);
     return null;
   };
@@ -308,14 +308,14 @@
   /** The newest committed state, after finishing what a majority had accepted; null where no majority replied in time. */
   readonly confirmed = async (): Promise<CommittedState | null> => {
     const askedAt = this.ports.clock.now();
-    const state = await this.proposer.confirm(confirmTimeoutMs);
+    const state = await this.proposer.linearizableRead(confirmTimeoutMs);
     if (state === null)
       this.ports.log.warn('read not confirmed by a majority', {
-        logIndex: this.acceptor.agreed()?.logIndex ?? null,
-        members: this.acceptor.agreed()?.members.length ?? 0,
+        logIndex: this.acceptor.committedState()?.logIndex ?? null,
+        members: this.acceptor.committedState()?.members.length ?? 0,
         reachable: this.consensus.reachableVoters().length,
         pendingMs: this.acceptor.pendingForMs(),
-        proposals: this.proposer.depth(),
+        proposals: this.proposer.queueDepth(),
         afterMs: Math.round(this.ports.clock.now() - askedAt),
       });
     return state;
@@ -326,7 +326,7 @@
 
   /** The status page's content, as JSON values. Times in milliseconds. */
   readonly status = (): Record<string, unknown> => {
-    const state = this.acceptor.agreed();
+    const state = this.acceptor.committedState();
     return {
       name: this.settings.name,
       zone: this.settings.zone,
--- a/packages/control-plane/src/nodes/controlNodeSettings.ts
+++ b/packages/control-plane/src/nodes/controlNodeSettings.ts
@@ -1,7 +1,7 @@
 /** Timing of a control node's consensus and leases, shared with the model check so that it explores the same values. */
 import type { LeaseTerms } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
-import type { ConsensusPace } from '../consensus/consensusOptions.js';
+import type { ConsensusTiming } from '../consensus/consensusOptions.js';
 
 const leaseMs = 1_600;
 const leaseMarginMs = 400;
@@ -18,14 +18,14 @@
   /** Timing of the consensus group's steps. */
   consensusPace: {
     voteTimeoutMs: 800,
-    foundingMs: 150,
-    upkeepMs: 300,
+    bootstrapIntervalMs: 150,
+    membershipIntervalMs: 300,
     keepaliveIntervalMs: 400,
     keepaliveTimeoutMs: 900,
     leaseIntervalMs: 300,
     leaseTimeoutMs: 500,
-    strangerWaitMs: 2_500,
-  } satisfies ConsensusPace,
+    replacementDelayMs: 2_500,
+  } satisfies ConsensusTiming,
 
   /**
    * Terms of the leases; `orderGapMs` milliseconds lie between two holders of one. Fencing tokens start above all that
@@ -35,6 +35,6 @@
     leaseMs,
     marginMs: leaseMarginMs,
     gapMs: orderGapMs,
-    floor: () => (acceptor.agreed()?.logIndex ?? 0) * fencesPerLogIndex,
+    floor: () => (acceptor.committedState()?.logIndex ?? 0) * fencesPerLogIndex,
   }),
 };
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -15,7 +15,7 @@
 import { claimTables } from '../endpoints/claims.js';
 import type { ClaimTable } from '../endpoints/claims.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
-import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
+import type { ConsensusTiming, ConsensusHooks } from '../consensus/consensusOptions.js';
 import { ChangeService } from '../configuration/changeService.js';
 import { KvEventFollower } from '../prefixcache/kvEventFollower.js';
 import { leaseTables } from '../consensus/leaseLog.js';
@@ -35,10 +35,10 @@
 const confirmTimeoutMs = 700;
 const trimMs = 5_000;
 
-const consensusPace: ConsensusPace = {
+const consensusPace: ConsensusTiming = {
   voteTimeoutMs: 1_000,
-  foundingMs: 200,
-  upkeepMs: 500,
+  bootstrapIntervalMs: 200,
+  membershipIntervalMs: 500,
   keepaliveIntervalMs: 500,
   keepaliveTimeoutMs: 1_200,
   leaseIntervalMs: 400,
@@ -130,7 +130,7 @@
     new KvEventFollower(
       this.ports,
       (update) => this.push.tellKv(update),
-      (relayed) => this.consensus.tellPeers('kvRelay', relayed),
+      (relayed) => this.consensus.broadcast('kvRelay', relayed),
       (replica) => this.leaseManager.fenceOf(kvLease(replica)),
     );
 
@@ -160,7 +160,7 @@
   };
 
   private readonly catchUp = async (): Promise<void> => {
-    if (this.acceptor.agreed() === null) return;
+    if (this.acceptor.committedState() === null) return;
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
       const { incarnation } = connection.peer;
@@ -172,7 +172,7 @@
         );
       }
     }
-    await this.consensus.catchUp.step();
+    await this.consensus.catchUp.fromNewestPeer();
   };
 
   private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
@@ -190,7 +190,7 @@
     }
   };
 
-  private readonly role = (): ConsensusRole => ({
+  private readonly role = (): ConsensusHooks => ({
     extraAddresses: () => this.failureDetector.watcherAddresses(),
     isDown: this.verdicts.isDown,
     wantedLeases: () =>
@@ -199,9 +199,9 @@
         .filter((record) => record.state !== 'gone')
         .map((record) => kvLease(record.name)),
     leasesChanged: () => this.kv.align(this.table.records()),
-    needsCopies: true,
+    requiresSync: true,
     syncedFrom: () => [...this.replicas.syncedFrom],
-    prepareUpkeep: this.prepareUpkeep,
+    beforeMembershipCheck: this.prepareUpkeep,
     sharedMembers: (entries) => entries,
     joined: () => {},
     left: (connection) => {
@@ -292,7 +292,7 @@
   };
 
   /** The newest committed state, or null where no majority of voters confirmed it within 700 ms. */
-  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
+  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.linearizableRead(confirmTimeoutMs);
 
   /** Number of voters with an open connection, this node counted if it is one. */
   readonly reachable = (): number => this.consensus.reachableVoters().length;
--- a/packages/control-plane/test/catchUp.test.ts
+++ b/packages/control-plane/test/catchUp.test.ts
@@ -96,7 +96,7 @@
         peer: { incarnation: acceptor.incarnation, role: 'control' },
         ask: async (topic: string, body: unknown) => {
           if (topic !== catchUpTopics.page)
-            return ok(await catchUps[at]?.answer(peers[at] as PeerConnection, topic, body));
+            return ok(await catchUps[at]?.handleRequest(peers[at] as PeerConnection, topic, body));
           traffic.open += 1;
           traffic.mostOpen = Math.max(traffic.mostOpen, traffic.open);
           traffic.pages += 1;
@@ -105,7 +105,7 @@
           traffic.open -= 1;
           if (isBroken) return err({ kind: 'peer', code: 'closed' });
           await rules.onPage();
-          const page = (await catchUps[at]?.answer(peers[at] as PeerConnection, topic, body)) as Page | null;
+          const page = (await catchUps[at]?.handleRequest(peers[at] as PeerConnection, topic, body)) as Page | null;
           if (page !== null) {
             traffic.bytes += page.bytes.length;
             traffic.largest = Math.max(traffic.largest, page.bytes.length);
@@ -127,8 +127,11 @@
       const { world, members, catchUps, traffic, settle } = await stage(2);
       for (let configVersion = 1; configVersion <= missed; configVersion += 1)
         await settle(1, configVersion, routingChange(configVersion, 2_000));
-      await finish(world, Promise.all([catchUps[0].step(), catchUps[0].step(), catchUps[0].step()]));
-      expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
+      await finish(
+        world,
+        Promise.all([catchUps[0].fromNewestPeer(), catchUps[0].fromNewestPeer(), catchUps[0].fromNewestPeer()]),
+      );
+      expect(members[0]?.acceptor.committedState()).to.deep.equal(members[1]?.acceptor.committedState());
       expect(traffic.largest).to.be.at.most(pageBytes);
       expect(traffic.mostOpen).to.equal(1);
       bytes.push(traffic.bytes);
@@ -142,9 +145,9 @@
       for (let configVersion = 1; configVersion <= 3; configVersion += 1)
         await settle(at, configVersion, routingChange(configVersion, 12_000));
     rules.breaks = (_, page) => page % 2 === 0;
-    for (let tries = 0; tries < 60 && members[0]?.acceptor.agreed()?.logIndex !== 3; tries += 1)
-      await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
+    for (let tries = 0; tries < 60 && members[0]?.acceptor.committedState()?.logIndex !== 3; tries += 1)
+      await finish(world, catchUps[0].fromNewestPeer());
+    expect(members[0]?.acceptor.committedState()).to.deep.equal(members[1]?.acceptor.committedState());
     expect(traffic.offsets.length).to.be.greaterThan(3);
     expect(traffic.offsets).to.deep.equal(traffic.offsets.map((_, at) => at * pageBytes));
   });
@@ -157,8 +160,8 @@
       if (page === 3) dead.add(source);
       return dead.has(source);
     };
-    for (let tries = 0; tries < 4; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(1);
+    for (let tries = 0; tries < 4; tries += 1) await finish(world, catchUps[0].fromNewestPeer());
+    expect(members[0]?.acceptor.committedState()?.logIndex).to.equal(1);
     expect(traffic.offsets).to.deep.equal(traffic.offsets.map((_, at) => at * pageBytes));
   });
 
@@ -173,9 +176,9 @@
       logIndex += 1;
       await members[1]?.acceptor.commit({ logIndex, change: routingChange(logIndex, 4_000) });
     };
-    for (let tries = 0; tries < 6; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(20);
-    expect(members[0]?.acceptor.agreed()).to.deep.equal(members[1]?.acceptor.agreed());
+    for (let tries = 0; tries < 6; tries += 1) await finish(world, catchUps[0].fromNewestPeer());
+    expect(members[0]?.acceptor.committedState()?.logIndex).to.equal(20);
+    expect(members[0]?.acceptor.committedState()).to.deep.equal(members[1]?.acceptor.committedState());
   });
 
   it('given a member whose disk is full, when it catches up, then nothing is held for settled, nothing is sent again meanwhile, and with room it takes the transfer it has', async () => {
@@ -183,14 +186,14 @@
     await settle(1, 1, routingChange(1, 2_000));
     const disk = (members[0] as Member).machine.disk;
     disk.faults.isFull = true;
-    await finish(world, catchUps[0].step());
+    await finish(world, catchUps[0].fromNewestPeer());
     const sent = traffic.bytes;
-    for (let tries = 0; tries < 5; tries += 1) await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(0);
+    for (let tries = 0; tries < 5; tries += 1) await finish(world, catchUps[0].fromNewestPeer());
+    expect(members[0]?.acceptor.committedState()?.logIndex).to.equal(0);
     expect(traffic.bytes).to.equal(sent);
     disk.faults.isFull = false;
-    await finish(world, catchUps[0].step());
-    expect(members[0]?.acceptor.agreed()?.logIndex).to.equal(1);
+    await finish(world, catchUps[0].fromNewestPeer());
+    expect(members[0]?.acceptor.committedState()?.logIndex).to.equal(1);
     expect(traffic.bytes).to.equal(sent);
   });
 
@@ -208,7 +211,7 @@
     expect(sizeOf() - before - accepted).to.be.lessThan(200);
     const { disk, clock, random, log } = one.machine.ports();
     const again = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
-    expect(again.agreed()).to.deep.equal(one.acceptor.agreed());
-    expect(again.agreed()?.routing?.configVersion).to.equal(1);
+    expect(again.committedState()).to.deep.equal(one.acceptor.committedState());
+    expect(again.committedState()?.routing?.configVersion).to.equal(1);
   });
 });
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -52,7 +52,7 @@
     await fleet.startControlNode(0);
     await fleet.startControlNode(1);
     await fleet.world.run(20_000);
-    expect(fleet.controlNodes.map((one) => one?.acceptor.agreed() ?? null)).to.deep.equal([null, null, null]);
+    expect(fleet.controlNodes.map((one) => one?.acceptor.committedState() ?? null)).to.deep.equal([null, null, null]);
     const told = await fleet.finish(
       fleet.onControlNode(0, 'PUT', '/operator/layout', sampleWorkload.config('weights-1'), { 'if-match': '"0"' }),
     );
@@ -77,7 +77,7 @@
         () => fleet.controlNodes.every((one) => one?.acceptor.isVoter() === true),
         40_000,
       );
-      const lists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.agreed()?.members)));
+      const lists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.committedState()?.members)));
       expect(lists.size, `seed ${seed}`).to.equal(1);
     }
   });
@@ -127,7 +127,9 @@
     fleet.controlNodeNames[2] = 'postmaster-9';
     await fleet.startControlNode(2);
     await fleet.world.until('the swap', () => fleet.controlNodes[2]?.acceptor.isVoter() === true, 30_000);
-    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds.kept?.logIndex).to.equal(Number(kept.body.generation));
+    expect(fleet.controlNodes[2]?.acceptor.committedState()?.changeIds.kept?.logIndex).to.equal(
+      Number(kept.body.generation),
+    );
     fleet.killControlNode(0);
     const more = await fleet.finish(patch(fleet, 2, tier(16_000), await baseOf(fleet, 2), 'by-the-new'));
     expect(more.status).to.equal(200);
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -67,11 +67,12 @@
       accept: (member, slot, ballot, change) =>
         call(host, member.address, 'accept', () => at(member).accept(slot, ballot, change)),
       position: (member) => call(host, member.address, 'position', () => positions.of(at(member))),
-      commit: (committed) => {
+      broadcastCommit: (committed) => {
         for (const to of hosts) if (to !== host) void call(host, to, 'settle', () => held.get(to)?.commit(committed));
       },
-      since: (member, logIndex) => call(host, member.address, 'since', () => at(member).since(logIndex)),
-      supply: async (member, since) =>
+      logSuffixAfter: (member, logIndex) =>
+        call(host, member.address, 'since', () => at(member).logSuffixAfter(logIndex)),
+      bringUpToDate: async (member, since) =>
         void (await call(host, member.address, 'supply', () => proposers.get(member.address)?.learn(since))),
     };
     proposers.set(host, new Proposer(held.get(host) as Acceptor, voters, clock, random, log));
@@ -108,7 +109,7 @@
     timeoutMs,
   );
 
-const stateOf = (node: Node | undefined): CommittedState => (node as Node).acceptor.agreed() as CommittedState;
+const stateOf = (node: Node | undefined): CommittedState => (node as Node).acceptor.committedState() as CommittedState;
 
 describe('the proposer', () => {
   it('given one change id used for two changes at once, when one is decided, then only that one is confirmed', async () => {
@@ -132,7 +133,7 @@
     await world.run(50);
     const before = nodes.map(({ host }) => world.machine(host).disk.syncs);
     const ballotsBefore = counts.prepare;
-    const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
+    const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))));
     expect(states.map((state) => state?.logIndex)).to.deep.equal([1, 1, 1, 1, 1]);
     const outcome = await done(world, refuse(nodes[3], 'b'));
     expect(outcome._unsafeUnwrapErr().code).to.equal('conflict');
@@ -148,7 +149,7 @@
       expect((await done(world, propose(nodes[0], revoked('a', 'a')))).isOk()).to.equal(true);
       expect(stateOf(nodes[4]).logIndex).to.equal(0);
       built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
-      if (asks === 'read') await done(world, nodes[4]?.proposer.confirm(timeoutMs) as Promise<unknown>);
+      if (asks === 'read') await done(world, nodes[4]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>);
       else await done(world, refuse(nodes[4], 'b'));
       expect(stateOf(nodes[4]).changeIds.a?.digest).to.equal('a');
     }
@@ -157,11 +158,11 @@
   it('given replies of a majority that were sent before the call, when a node reads, then they count for nothing', async () => {
     const built = await cluster(4, 3);
     const { world, nodes } = built;
-    const early = nodes[0]?.proposer.confirm(timeoutMs) as Promise<CommittedState | null>;
+    const early = nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<CommittedState | null>;
     await done(world, early);
     built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
     expect((await done(world, propose(nodes[1], revoked('a', 'a')))).isOk()).to.equal(true);
-    expect(await done(world, nodes[0]?.proposer.confirm(timeoutMs) as Promise<unknown>)).to.equal(null);
+    expect(await done(world, nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>)).to.equal(null);
   });
 
   it('given a cut at any message of an order, when its caller is answered, then "unavailable" is told only if no acceptor holds the value, then or later', async () => {
@@ -177,7 +178,7 @@
       expect(outcome.error.code).to.be.oneOf(['unavailable', 'unknown']);
       built.passes = () => true;
       await world.run(5_000);
-      await done(world, Promise.all(nodes.map(({ proposer }) => proposer.confirm(timeoutMs))));
+      await done(world, Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))));
       const wasTaken = nodes.some((node) => stateOf(node).changeIds.a !== undefined);
       if (wasTaken) expect(outcome.error.code, `seed ${seed}`).to.equal('unknown');
     }
--- a/packages/control-plane/test/seats.test.ts
+++ b/packages/control-plane/test/seats.test.ts
@@ -55,12 +55,12 @@
       accept: async (to, slot, ballot, change) =>
         to.incarnation === own.incarnation ? acceptor.accept(slot, ballot, change) : null,
       position: async () => null,
-      commit: () => {},
-      since: async () => null,
-      supply: async () => {},
+      broadcastCommit: () => {},
+      logSuffixAfter: async () => null,
+      bringUpToDate: async () => {},
     };
     const proposer = new Proposer(acceptor, voters, clock, random, log);
-    expect(await finish(world, proposer.confirm(500))).to.equal(null);
+    expect(await finish(world, proposer.linearizableRead(500))).to.equal(null);
   });
 
   it('given a swap that another member settled first, when it is tried again, then its check refuses it on the state in force', async () => {
@@ -96,7 +96,7 @@
       () => peerPool as unknown as PeerPool,
       () => true,
       log,
-      { strangerWaitMs: 100, needsCopies: true },
+      { replacementDelayMs: 100, requiresSync: true },
       async () => {},
     );
     await finish(world, membership.step());
--- a/packages/control-plane/test/since.test.ts
+++ b/packages/control-plane/test/since.test.ts
@@ -36,12 +36,12 @@
       await done(world, behind.adopt(founded));
       for (let version = 1; version <= missed; version += 1)
         await done(world, ahead.commit({ logIndex: version, change: named(version) }));
-      const since = ahead.since(behind.agreed()?.logIndex ?? -1);
+      const since = ahead.logSuffixAfter(behind.committedState()?.logIndex ?? -1);
       expect(since.kind).to.equal(missed > 16 ? 'checkpoint' : 'changes');
       if (since.kind === 'checkpoint') await done(world, behind.adopt(since.agreed));
       if (since.kind === 'changes')
         for (const committed of since.committed) await done(world, behind.commit(committed));
-      expect(behind.agreed()).to.deep.equal(ahead.agreed());
+      expect(behind.committedState()).to.deep.equal(ahead.committedState());
     }
   });
 });
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -57,11 +57,11 @@
     it(`given the folder of ${node}, when a node starts on a copy, then it holds the identity, state and fences it held`, () =>
       withCopy(node, async (copy) => {
         const started = await upgradedNodes.coreAlone(node, copy);
-        const state = started.acceptor.agreed();
-        const { incarnation, isFresh } = started.acceptor;
+        const state = started.acceptor.committedState();
+        const { incarnation, isNewNode } = started.acceptor;
         const hasSeat = started.acceptor.isVoter();
         await started.stop();
-        expect([incarnation, isFresh, hasSeat]).to.deep.equal([held.incarnation, held.isFresh, held.hasSeat]);
+        expect([incarnation, isNewNode, hasSeat]).to.deep.equal([held.incarnation, held.isFresh, held.hasSeat]);
         expect([state?.logIndex, state?.routing?.configVersion]).to.deep.equal([held.generation, held.version]);
         expect(state?.members).to.deep.equal(core.seats);
         expect(state?.targetWeights).to.deep.equal(core.namedVersions);
@@ -85,10 +85,10 @@
     const next = await finish(world, first?.request('/config', orderOf(core.version + 1)));
     expect(next?.status, 'an order on the newest version').to.equal(200);
     await world.until('the same on all', () =>
-      nodes.every((node) => node.acceptor.agreed()?.routing?.configVersion === core.version + 1),
+      nodes.every((node) => node.acceptor.committedState()?.routing?.configVersion === core.version + 1),
     );
     for (const node of nodes) {
-      expect(node.acceptor.agreed()?.members).to.deep.equal(core.seats);
+      expect(node.acceptor.committedState()?.members).to.deep.equal(core.seats);
       expect(node.acceptor.isVoter()).to.equal(true);
     }
   });
@@ -108,12 +108,12 @@
     it(`given the folder of ${node}, when a postmaster starts on a copy, then it holds what it held`, () =>
       withCopy(node, async (copy) => {
         const started = await upgradedNodes.postmasterAlone(node, copy);
-        const state = started.acceptor.agreed();
-        const { incarnation, isFresh } = started.acceptor;
+        const state = started.acceptor.committedState();
+        const { incarnation, isNewNode } = started.acceptor;
         const replicas = started.table.records();
         const claims = started.claims.size();
         await started.stop();
-        expect([incarnation, isFresh]).to.deep.equal([held.incarnation, held.isFresh]);
+        expect([incarnation, isNewNode]).to.deep.equal([held.incarnation, held.isFresh]);
         expect(state?.logIndex).to.equal(held.generation);
         expect(state?.members).to.deep.equal(postmaster.seats);
         expect(state?.config).to.deep.equal(upgradeData.layoutPage.layout);
@@ -138,7 +138,7 @@
       expect([page.status, await page.json()]).to.deep.equal([200, upgradeData.layoutPage]);
       const change = await finish(world, wire.request('/operator/changes/add-lane'));
       expect(await change.json()).to.include({ outcome: 'accepted', generation: upgradeData.layoutPage.generation });
-      expect(node.acceptor.agreed()?.members).to.deep.equal(postmaster.seats);
+      expect(node.acceptor.committedState()?.members).to.deep.equal(postmaster.seats);
     }
     const leases = () => nodes.flatMap((node) => node.leaseManager.status());
     const dutyCount = Object.keys(postmaster.fences).length;
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -133,8 +133,10 @@
     expect(largest).to.be.lessThan(12 * 1024 * 1024);
     fleet.killControlNode(1);
     await fleet.bootControlNode(1);
-    expect(fleet.controlNodes[1]?.acceptor.agreed()?.configLogIndex).to.equal(base);
-    expect(Object.keys(fleet.controlNodes[1]?.acceptor.agreed()?.changeIds ?? {}).length).to.be.greaterThan(300);
+    expect(fleet.controlNodes[1]?.acceptor.committedState()?.configLogIndex).to.equal(base);
+    expect(Object.keys(fleet.controlNodes[1]?.acceptor.committedState()?.changeIds ?? {}).length).to.be.greaterThan(
+      300,
+    );
   });
 
   it('given an empty machine, when it joins in place of a lost one, then it is rebuilt from the others and votes within six seconds', async () => {
@@ -145,7 +147,7 @@
     const waited = await fleet.world.until('it votes', () => fleet.controlNodes[2]?.acceptor.isVoter() === true);
     expect(waited).to.be.lessThan(6_000);
     expect(fleet.controlNodes[2]?.table.records().length).to.equal(5);
-    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds['first-layout']).to.not.equal(undefined);
+    expect(fleet.controlNodes[2]?.acceptor.committedState()?.changeIds['first-layout']).to.not.equal(undefined);
   });
 
   it('given a log damaged before its tail, when its control node starts, then the file and the place are named, it counts as empty under a new incarnation, and it is swapped in again with all that was agreed', async () => {
@@ -155,7 +157,7 @@
       checker.keyedTraffic(10, 1_000);
       await fleet.world.run(3_000);
       const before = fleet.controlNodes[0]?.acceptor.incarnation;
-      const state = fleet.controlNodes[1]?.acceptor.agreed();
+      const state = fleet.controlNodes[1]?.acceptor.committedState();
       fleet.killControlNode(0);
       const machine = fleet.machineOf('control', 0);
       const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith(`${prefix}-segment`)) ?? [];
@@ -169,8 +171,8 @@
       expect(told?.context).to.include({ file: name, offset: 0 });
       const waited = await fleet.world.until('it votes', () => again?.isVoter() === true);
       expect(waited).to.be.lessThan(6_000);
-      expect(again?.agreed()?.configLogIndex).to.equal(state?.configLogIndex);
-      expect(fleet.controlNodes[1]?.acceptor.agreed()?.members.length).to.equal(3);
+      expect(again?.committedState()?.configLogIndex).to.equal(state?.configLogIndex);
+      expect(fleet.controlNodes[1]?.acceptor.committedState()?.members.length).to.equal(3);
     }
   });
 
@@ -199,7 +201,7 @@
       );
       const acceptor = opened._unsafeUnwrap();
       expect(acceptor.incarnation).to.not.equal(before);
-      expect(acceptor.agreed()).to.equal(null);
+      expect(acceptor.committedState()).to.equal(null);
     }
   });
 
--- a/packages/model-check/src/breaks.ts
+++ b/packages/model-check/src/breaks.ts
@@ -103,7 +103,7 @@
   name: 'seat-without-state',
   what: 'a newcomer is seated before it is known to hold the state, and holds it in memory alone',
   memberStatus: (told, asker) => {
-    const state = asker.agreed();
+    const state = asker.committedState();
     if (state === null) return told;
     return { ...told, logIndex: state.logIndex, syncedFrom: state.members.map((member) => member.incarnation) };
   },
@@ -111,7 +111,7 @@
     const adopt = acceptor.adopt;
     overridable(acceptor).adopt = async (agreed) => {
       if (agreed.logIndex === 0) return adopt(agreed);
-      if ((acceptor.agreed()?.logIndex ?? -1) >= agreed.logIndex) return false;
+      if ((acceptor.committedState()?.logIndex ?? -1) >= agreed.logIndex) return false;
       (acceptor as unknown as EventApplier).applyEvent({ t: 'adopted', agreed });
       return true;
     };
@@ -156,7 +156,7 @@
     ...voters,
     accept: async (member, slot, ballot, change) => {
       const vote = await voters.accept(member, slot, ballot, change);
-      if (vote?.kind === 'accepted') voters.commit({ logIndex: slot, change } satisfies CommittedChange);
+      if (vote?.kind === 'accepted') voters.broadcastCommit({ logIndex: slot, change } satisfies CommittedChange);
       return vote;
     },
   }),
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -6,7 +6,7 @@
 import type {
   Acceptor,
   Ballot,
-  ConsensusRole,
+  ConsensusHooks,
   PersistedLeases,
   Proposer,
   MemberStatus,
@@ -56,13 +56,13 @@
 /** Steps of the consensus member that its own timers would take, and parts of it that breaks replace. */
 interface MemberInside {
   peerPool: PeerPool;
-  readonly upkeep: () => void;
+  readonly checkMembership: () => void;
   readonly commitPending: () => void;
   readonly leases: { readonly start: () => void; mayGrant: () => boolean };
   readonly catchUp: {
-    step: () => Promise<unknown>;
-    ask: () => Promise<unknown>;
-    supply: () => Promise<unknown>;
+    fromNewestPeer: () => Promise<unknown>;
+    syncWith: () => Promise<unknown>;
+    bringUpToDate: () => Promise<unknown>;
   };
   readonly proposer: { voters: Voters; readonly read: { newest: () => Promise<CommittedState | null> } };
   readonly membership: { proposer: Proposer };
@@ -149,7 +149,7 @@
     inside.peerPool = this.peerPool(process);
     inside.leases.start();
     this.lastIncarnation = acceptor.incarnation;
-    this.lastState = acceptor.agreed();
+    this.lastState = acceptor.committedState();
     this.disk.isGated = true;
     for (const node of this.connected(process)) this.meet(node);
   };
@@ -158,9 +158,13 @@
     const { broken } = this.world;
     if (broken?.voters !== undefined)
       inside.proposer.voters = broken.voters(inside.proposer.voters, () => acceptor.incarnation);
-    if (broken?.readsAlone === true) inside.proposer.read.newest = async () => acceptor.agreed();
+    if (broken?.readsAlone === true) inside.proposer.read.newest = async () => acceptor.committedState();
     if (broken?.neverCatchesUp === true)
-      Object.assign(inside.catchUp, { step: async () => {}, ask: async () => false, supply: async () => false });
+      Object.assign(inside.catchUp, {
+        fromNewestPeer: async () => {},
+        syncWith: async () => false,
+        bringUpToDate: async () => false,
+      });
     if (broken?.grantsAcrossSwaps === true) inside.leases.mayGrant = acceptor.isVoter;
     if (broken?.swapProposer !== undefined)
       inside.membership.proposer = broken.swapProposer(inside.membership.proposer);
@@ -173,16 +177,16 @@
     node.parts.handlers.joined(node.connectionTo(node.parts.process, this.parts) as PeerConnection);
   };
 
-  private readonly role = (acceptor: Acceptor): ConsensusRole => {
+  private readonly role = (acceptor: Acceptor): ConsensusHooks => {
     const role = {
       extraAddresses: () => [],
       isDown: () => true,
       wantedLeases: () => (acceptor.isVoter() ? [weightsLease] : []),
       leasesChanged: () => {},
-      needsCopies: false,
-      syncedFrom: () => (acceptor.agreed()?.members ?? []).map((member) => member.incarnation),
-      prepareUpkeep: async () => {
-        await this.parts?.member.catchUp.step();
+      requiresSync: false,
+      syncedFrom: () => (acceptor.committedState()?.members ?? []).map((member) => member.incarnation),
+      beforeMembershipCheck: async () => {
+        await this.parts?.member.catchUp.fromNewestPeer();
       },
       sharedMembers: () => [],
       joined: () => {},
@@ -220,7 +224,7 @@
     this.disk.isGated = false;
     await this.parts?.acceptor.adopt(state);
     this.world.broken?.disk?.(this.disk);
-    this.lastState = this.parts?.acceptor.agreed() ?? null;
+    this.lastState = this.parts?.acceptor.committedState() ?? null;
     this.disk.isGated = true;
   };
 
@@ -243,7 +247,7 @@
     );
     if (opened.isErr()) throw new Error(`${this.name} cannot be read back: ${JSON.stringify(opened.error)}`);
     const kept = opened.value;
-    this.lastState = kept.agreed();
+    this.lastState = kept.committedState();
     this.vote = null;
     const slot = kept.acceptedSlot();
     if (slot === null) return;
@@ -335,7 +339,7 @@
   };
 
   /** What the control node does each 300 ms: fetch what it lacks, then look after the seats. */
-  readonly upkeep = (): void => this.parts?.inside.upkeep();
+  readonly upkeep = (): void => this.parts?.inside.checkMembership();
 
   /** What the control node does where an accepted change stays unsettled. */
   readonly commitPending = (): void => this.parts?.inside.commitPending();
@@ -346,7 +350,7 @@
   /** The state of a confirmed read; null where no majority answered. */
   readonly read = async (): Promise<CommittedState | null> => {
     if (this.parts === null) return null;
-    return this.parts.member.proposer.confirm(confirmTimeoutMs);
+    return this.parts.member.proposer.linearizableRead(confirmTimeoutMs);
   };
 
   /** Proposes as the product's proposer does; throws where no process runs. */
@@ -358,7 +362,7 @@
   /** What the checker may see of the node now. */
   readonly observed = (): Observed => {
     const acceptor = this.acceptor();
-    if (acceptor !== null) this.lastState = acceptor.agreed();
+    if (acceptor !== null) this.lastState = acceptor.committedState();
     const slot = (this.lastState?.logIndex ?? -1) + 1;
     return {
       node: this.name,
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -60,7 +60,7 @@
     ballot,
     change,
   ) => {
-    const state = acceptor.agreed();
+    const state = acceptor.committedState();
     if (state !== null) this.checker().learn(state, acceptor.incarnation);
     this.checker().accepted(acceptor.incarnation, slot, ballot.join('/'), change);
   };
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -43,7 +43,7 @@
   left: push.drop,
   told: (connection, topic, body) => {
     if (topic === 'subscribe')
-      push.subscribe(connection, body === null ? (acceptor.agreed()?.logIndex ?? -1) : (body as number));
+      push.subscribe(connection, body === null ? (acceptor.committedState()?.logIndex ?? -1) : (body as number));
     else if (topic === 'ack') push.acked(connection, body as number);
     else if (topic === 'longPrompts')
       push.longPrompts(connection, body as Parameters<GatewayPublisher['longPrompts']>[1]);
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -2,7 +2,7 @@
 import { ok } from 'neverthrow';
 import type { Change, Member, Ports } from '@martenworks/core-types';
 import { Proposer, acceptors } from '@martenworks/control-plane';
-import type { Acceptor, Ballot, Position, CommittedChange, Since, Vote } from '@martenworks/control-plane';
+import type { Acceptor, Ballot, Position, CommittedChange, LogSuffix, Vote } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, tenantCounts } from '../fleetSize.js';
@@ -34,7 +34,7 @@
   const { slot, ballot, change } = (body ?? {}) as { slot: number; ballot: Ballot; change: Change };
   if (topic === 'prepare') return acceptor.prepare(slot, ballot);
   if (topic === 'accept') return acceptor.accept(slot, ballot, change);
-  return acceptor.since(body as number);
+  return acceptor.logSuffixAfter(body as number);
 };
 
 const openMember = async (meter: Meter, at: number): Promise<MemberNode> => {
@@ -88,12 +88,12 @@
       accept: (member, slot, ballot, change) =>
         isOwn(member) ? own.accept(slot, ballot, change) : ask<Vote>(member, 'accept', { slot, ballot, change }),
       position: (member) => ask<Position>(member, 'position', null),
-      commit: (committed) => {
+      broadcastCommit: (committed) => {
         for (const connection of connections.values()) connection.tell('committed', committed);
       },
-      since: (member, logIndex) =>
-        isOwn(member) ? Promise.resolve(own.since(logIndex)) : ask<Since>(member, 'since', logIndex),
-      supply: async () => {},
+      logSuffixAfter: (member, logIndex) =>
+        isOwn(member) ? Promise.resolve(own.logSuffixAfter(logIndex)) : ask<LogSuffix>(member, 'since', logIndex),
+      bringUpToDate: async () => {},
     },
     ports.clock,
     ports.random,
@@ -122,7 +122,7 @@
   const connections = await connect(ports, own, others);
   const proposer = proposerOf(ports, own.acceptor, connections);
   const isSettled = (): boolean =>
-    nodes.every(({ acceptor }) => acceptor.agreed()?.logIndex === own.acceptor.agreed()?.logIndex);
+    nodes.every(({ acceptor }) => acceptor.committedState()?.logIndex === own.acceptor.committedState()?.logIndex);
   await repeated(timers, 1, async (isKept, repeat) => {
     const spent = startWatch(meter);
     for (const at of upTo(changesARepeat)) await propose(proposer, tenants, repeat * changesARepeat + at + 1);
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -52,7 +52,7 @@
   change: CommittedChange['change'],
   edges: number,
 ): Promise<PushCost> => {
-  const logIndex = (node.acceptor.agreed()?.logIndex ?? 0) + 1;
+  const logIndex = (node.acceptor.committedState()?.logIndex ?? 0) + 1;
   const spent = startWatch(node.meter);
   await node.acceptor.commit({ logIndex, change });
   const isAcked = (): boolean => node.push.acks().every((ack) => ack.logIndex === logIndex);
@@ -70,7 +70,7 @@
       await until(() => node.push.acks().length === edges, subscribeTimeoutMs);
       await repeated(timers, 1, async (isKept) => {
         configVersion += 1;
-        const base = node.acceptor.agreed()?.configLogIndex ?? 0;
+        const base = node.acceptor.committedState()?.configLogIndex ?? 0;
         const cost = await pushOne(node, sampleData.configChange(tenants, configVersion, base), edges);
         if (isKept) note(cost);
       });
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -94,7 +94,7 @@
 };
 
 const heldBy = ({ acceptor }: MeasuredControlNode): { logIndex: number; configVersion: number } => ({
-  logIndex: acceptor.agreed()?.logIndex ?? 0,
+  logIndex: acceptor.committedState()?.logIndex ?? 0,
   configVersion: 0,
 });
 
--- a/packages/test-fleet/src/invariants/stateInvariants.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -7,7 +7,7 @@
 export const stateViolations = (fleet: SimFleet, checker: InvariantChecker): Violation[] => {
   const violations: Violation[] = [];
   fleet.controlNodes.forEach((controlNode, at) => {
-    const state = controlNode?.acceptor.agreed();
+    const state = controlNode?.acceptor.committedState();
     if (controlNode === null || state === null || state === undefined) return;
     for (const [id, logIndex] of checker.acceptedIds) {
       const known = state.changeIds[id];
