--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -31,12 +31,12 @@
  * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
  */
 export interface ControlListeners {
-  readonly state: (update: EdgeState) => void;
-  readonly endpoints: (update: EndpointListUpdate) => void;
-  readonly weights: (update: WeightsUpdate) => void;
-  readonly prefixCaches: (update: readonly PrefixCacheUpdate[]) => void;
-  readonly reading: (update: readonly PrefillNotice[]) => void;
-  readonly missed: (update: CacheMissReport) => void;
+  readonly onState: (update: EdgeState) => void;
+  readonly onEndpoints: (update: EndpointListUpdate) => void;
+  readonly onWeights: (update: WeightsUpdate) => void;
+  readonly onPrefixCaches: (update: readonly PrefixCacheUpdate[]) => void;
+  readonly onPrefillNotices: (update: readonly PrefillNotice[]) => void;
+  readonly onCacheMiss: (update: CacheMissReport) => void;
   readonly isReady: () => boolean;
 }
 
@@ -126,24 +126,24 @@
 
   private readonly receive = (connection: PeerConnection, topic: string, body: unknown): void => {
     if (topic === 'state') {
-      if (edgeMessages.isState(body)) this.receiver.take(connection, body);
+      if (edgeMessages.isState(body)) this.receiver.handleState(connection, body);
     } else if (topic === 'stateAnnounced') {
-      if (edgeMessages.isLogIndex(body)) this.receiver.takeAnnouncement(connection, body);
+      if (edgeMessages.isLogIndex(body)) this.receiver.handleAnnouncement(connection, body);
     } else if (topic === 'weights') {
-      if (edgeMessages.isWeights(body)) this.listeners.weights(body);
+      if (edgeMessages.isWeights(body)) this.listeners.onWeights(body);
     } else if (connection === this.source) this.receiveFromSource(topic, body);
   };
 
   private readonly receiveFromSource = (topic: string, body: unknown): void => {
-    const { reading, missed, endpoints, prefixCaches } = this.listeners;
-    if (topic === 'prefill' && edgeMessages.isPrefillNotices(body)) reading(body);
-    else if (topic === 'cacheMiss' && edgeMessages.isCacheMiss(body)) missed(body);
-    else if (topic === 'endpoints' && edgeMessages.isEndpointList(body)) endpoints(body);
-    else if (topic === 'prefixCaches' && edgeMessages.isPrefixCacheUpdates(body)) prefixCaches(body);
+    const { onPrefillNotices, onCacheMiss, onEndpoints, onPrefixCaches } = this.listeners;
+    if (topic === 'prefill' && edgeMessages.isPrefillNotices(body)) onPrefillNotices(body);
+    else if (topic === 'cacheMiss' && edgeMessages.isCacheMiss(body)) onCacheMiss(body);
+    else if (topic === 'endpoints' && edgeMessages.isEndpointList(body)) onEndpoints(body);
+    else if (topic === 'prefixCaches' && edgeMessages.isPrefixCacheUpdates(body)) onPrefixCaches(body);
   };
 
   private readonly applyState = (state: EdgeState): void => {
-    this.listeners.state(state);
+    this.listeners.onState(state);
     this.peerPool.align();
   };
 
@@ -193,9 +193,9 @@
 
   private readonly takePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
     if (pong.majorityHeardMs !== null) this.lastHeardAt = Math.max(this.lastHeardAt, askedAt - pong.majorityHeardMs);
-    this.scorer.take(connection, pong);
+    this.scorer.recordPong(connection, pong);
     this.noteEdgeCount(pong.edgeCount);
-    this.receiver.takeAnnouncement(connection, pong.logIndex);
+    this.receiver.handleAnnouncement(connection, pong.logIndex);
   };
 
   /**
@@ -229,7 +229,7 @@
    * Milliseconds since a majority of the members was alive for sure: by the latest pong, less the age of the majority's
    * messages that it states.
    */
-  readonly unheardMs = (): number => this.ports.clock.now() - this.lastHeardAt;
+  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastHeardAt;
 
   /** The control connections for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -21,7 +21,7 @@
   ) {}
 
   /** Takes the latest pong of a control node in place of the one before. */
-  readonly take = (connection: PeerConnection, pong: EdgePong): void => void this.pongs.set(connection, pong);
+  readonly recordPong = (connection: PeerConnection, pong: EdgePong): void => void this.pongs.set(connection, pong);
 
   /** Drops what is known of a connection that closed; it scores 0 from then on. */
   readonly forget = (connection: PeerConnection): void => void this.pongs.delete(connection);
@@ -30,7 +30,7 @@
   readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
 
   /** Whether the connection has brought nothing for so long that the node may be gone. */
-  readonly isSilent = (connection: PeerConnection): boolean => connection.silentMs() > silenceLimitMs;
+  readonly isUnresponsive = (connection: PeerConnection): boolean => connection.silentMs() > silenceLimitMs;
 
   /** The connection with the highest score, the first among equals; null where there is none. */
   readonly best = (connections: readonly PeerConnection[]): PeerConnection | null =>
@@ -45,12 +45,12 @@
   readonly isBetter = (candidate: PeerConnection, source: PeerConnection): boolean => {
     if (this.score(candidate) <= this.score(source)) return false;
     const hearsMajority = this.pongs.get(source)?.hasMajority === true;
-    return !(hearsMajority && source.isReceiving('state') && !this.isSilent(source));
+    return !(hearsMajority && source.isReceiving('state') && !this.isUnresponsive(source));
   };
 
   private readonly score = (connection: PeerConnection): number => {
     const pong = this.pongs.get(connection);
-    if (pong === undefined || this.isSilent(connection)) return 0;
+    if (pong === undefined || this.isUnresponsive(connection)) return 0;
     const isCurrent = pong.listAgeMs !== null && pong.listAgeMs <= this.listAgeLimitMs;
     return (
       scores.answering +
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -47,13 +47,13 @@
   readonly forget = (connection: PeerConnection): void => void this.announced.delete(connection);
 
   /** Takes a state where it is newer, and acknowledges what the edge has afterwards. */
-  readonly take = (connection: PeerConnection, message: EdgeStateMessage): void => {
+  readonly handleState = (connection: PeerConnection, message: EdgeStateMessage): void => {
     if (this.latest === null || message.logIndex > this.latest.logIndex) this.takeNewer(connection, message);
     connection.tell('ack', this.position());
   };
 
   /** Takes the log index that a control node has; a newer state is fetched unless the source sends it soon. */
-  readonly takeAnnouncement = (connection: PeerConnection, logIndex: number): void => {
+  readonly handleAnnouncement = (connection: PeerConnection, logIndex: number): void => {
     const previous = this.announced.get(connection);
     if (logIndex <= (previous?.logIndex ?? -1)) return;
     const { clock, source } = this.options;
@@ -70,7 +70,7 @@
   readonly fetchNewer = (): void => {
     if (this.pendingFetch !== null || this.isStateArriving() || this.isSourceTrusted()) return;
     const { scorer, source, controlNodes } = this.options;
-    const ahead = controlNodes().filter((connection) => this.isAhead(connection) && !scorer.isSilent(connection));
+    const ahead = controlNodes().filter((connection) => this.isAhead(connection) && !scorer.isUnresponsive(connection));
     const best = ahead.find((connection) => connection === source()) ?? scorer.best(ahead);
     if (best !== null) this.fetch(best, this.position().configVersion);
   };
@@ -101,12 +101,12 @@
   private readonly isStateArriving = (): boolean =>
     this.options
       .controlNodes()
-      .some((connection) => connection.isReceiving('state') && !this.options.scorer.isSilent(connection));
+      .some((connection) => connection.isReceiving('state') && !this.options.scorer.isUnresponsive(connection));
 
   /** Whether the source has a newer state and may still be left to push it. */
   private readonly isSourceTrusted = (): boolean => {
     const source = this.options.source();
-    if (source === null || !this.isAhead(source) || this.options.scorer.isSilent(source)) return false;
+    if (source === null || !this.isAhead(source) || this.options.scorer.isUnresponsive(source)) return false;
     const sinceMs = Math.max(this.announced.get(source)?.at ?? 0, this.receivedAt);
     return this.options.clock.now() - sinceMs < sourceTimeoutMs;
   };
@@ -120,7 +120,7 @@
       'fetch the configuration',
       connection.ask('state', request, fetchTimeoutMs).then((reply) => {
         this.pendingFetch = null;
-        if (reply.isOk() && edgeMessages.isState(reply.value)) this.take(connection, reply.value);
+        if (reply.isOk() && edgeMessages.isState(reply.value)) this.handleState(connection, reply.value);
       }),
     );
   };
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -8,7 +8,7 @@
 import type { ReplicaTracker } from './routing/replicaTracker.js';
 import type { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
 import type { WeightsTargets } from './routing/weightsTargets.js';
-import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
+import type { ResponseTiming } from './prefixcache/staleEntryDetector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
 /**
@@ -17,7 +17,7 @@
  */
 export interface Admission {
   readonly call: Call;
-  readonly order: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly keyHash: string | null;
   readonly view: RouteView;
   readonly customer: Customer | null;
@@ -28,10 +28,10 @@
 /** What the forwarding of a request needs of its edge. Times are in milliseconds. */
 export interface EdgeContext {
   readonly ports: Ports;
-  readonly wire: HeaderCodec;
+  readonly headerCodec: HeaderCodec;
   readonly replicaTracker: ReplicaTracker;
   readonly prefixCaches: PrefixCacheIndex;
-  readonly budget: RetryBudget;
+  readonly retryBudget: RetryBudget;
   readonly control: ControlConnection;
   readonly metrics: MetricCounters;
   readonly isClosing: boolean;
@@ -39,10 +39,10 @@
   readonly settings: Pick<NodeSettings, 'versionMs'>;
   /** The weights that models are being moved to, and how long requests may begin on older ones. */
   readonly weightsTargets: WeightsTargets;
-  readonly isStanding: (admission: Admission) => boolean;
+  readonly isStillAdmitted: (admission: Admission) => boolean;
   readonly place: (question: PlacementQuery) => Placement | null;
-  readonly isAnyOpen: (pool: string, avoided: ReadonlySet<string>) => boolean;
-  readonly readingId: () => string;
-  readonly compare: (timing: AnswerTiming, spentMs: number) => boolean;
+  readonly hasUntriedReplica: (pool: string, avoided: ReadonlySet<string>) => boolean;
+  readonly nextPrefillId: () => string;
+  readonly checkExpectedHit: (timing: ResponseTiming, spentMs: number) => boolean;
   readonly reject: (call: Call, status: number, message: string, comeBackMs: number | null) => void;
 }
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -15,7 +15,7 @@
 import { RoutingTableIndexer } from '@martenworks/route-table';
 import type { RoutingTableView } from '@martenworks/route-table';
 import type { Call } from './ingress/call.js';
-import { ingressDrain } from './ingress/drain.js';
+import { ingressDrain } from './ingress/ingressDrain.js';
 import { rejectionWriter } from './ingress/rejectionWriter.js';
 import { RequestAdmission } from './ingress/requestAdmission.js';
 import { StaleEntryEviction } from './prefixcache/staleEntryEviction.js';
@@ -28,7 +28,7 @@
 import { ReplicaTracker } from './routing/replicaTracker.js';
 import { PrefixCacheIndex } from './prefixcache/prefixCacheIndex.js';
 import { StaleEntryDetector } from './prefixcache/staleEntryDetector.js';
-import type { AnswerTiming } from './prefixcache/staleEntryDetector.js';
+import type { ResponseTiming } from './prefixcache/staleEntryDetector.js';
 import { ReplicaSelector } from './routing/replicaSelector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
@@ -42,13 +42,13 @@
   readonly prefixCaches: PrefixCacheIndex;
   /** Decides when answers have spoken often enough against an entry of the prefix index. */
   readonly staleEntryDetector: StaleEntryDetector;
-  readonly budget: RetryBudget;
+  readonly retryBudget: RetryBudget;
   readonly control: ControlConnection;
   /** The server that callers connect to; unused where an HTTP server port hands requests to `receive`. */
   readonly ingress: IngressServer;
   readonly metrics = new MetricCounters();
   /** Requests that are admitted and not yet answered. */
-  readonly live = new Set<ForwardedRequest>();
+  readonly inFlightRequests = new Set<ForwardedRequest>();
   private readonly replicaSelector: ReplicaSelector;
   private readonly prefillIdPrefix: string;
   private readonly metricsTimer: RepeatingTimer;
@@ -64,7 +64,7 @@
     /** Settings of this node as checked at its start; they don't change while it runs. */
     readonly settings: NodeSettings,
     readonly ports: Ports,
-    readonly wire: HeaderCodec,
+    readonly headerCodec: HeaderCodec,
     seeds: readonly string[],
   ) {
     const { clock, random } = ports;
@@ -73,15 +73,15 @@
     this.prefixCaches = new PrefixCacheIndex(clock);
     this.staleEntryDetector = new StaleEntryDetector(clock);
     this.control = new ControlConnection(settings, ports, random.token(8), seeds, {
-      state: this.takeState,
-      endpoints: this.takeEndpoints,
-      weights: this.replicaTracker.takeWeights,
-      prefixCaches: this.prefixCaches.take,
-      reading: (bundle) => bundle.forEach(this.takeReading),
-      missed: (report) => this.eviction.takeReport(report),
+      onState: this.applyState,
+      onEndpoints: this.applyEndpoints,
+      onWeights: this.replicaTracker.applyWeights,
+      onPrefixCaches: this.prefixCaches.apply,
+      onPrefillNotices: (bundle) => bundle.forEach(this.takeReading),
+      onCacheMiss: (report) => this.eviction.applyReport(report),
       isReady: () => this.isReady(),
     });
-    this.budget = new RetryBudget(
+    this.retryBudget = new RetryBudget(
       clock,
       { ratio: settings.retryBudgetRatio, windowMs: settings.retryBudgetWindowMs, slack: settings.retryBudgetSlack },
       this.control.edgeCount,
@@ -95,7 +95,7 @@
       log: ports.log,
       report: this.control.reportCacheMiss,
     });
-    this.admission = new RequestAdmission(wire, random, this.admittingView, () => this.view);
+    this.admission = new RequestAdmission(headerCodec, random, this.admittingView, () => this.view);
     this.replicaSelector = new ReplicaSelector(this.replicaTracker, this.prefixCaches, clock, this.weightsTargets);
     this.metricsTimer = new RepeatingTimer(
       clock,
@@ -103,15 +103,15 @@
       () => ports.log.info('metrics', this.metrics.all()),
     );
     this.ingress = new IngressServer({
-      onCall: (call) => background.run('serve a request', this.receive(call)),
+      onCall: (call) => background.run('serve a request', this.serve(call)),
       isClosing: () => this.isClosing,
     });
   }
 
   /** Takes what changed in the list of replicas, or the whole list. */
-  readonly takeEndpoints = (update: EndpointListUpdate): void => {
+  readonly applyEndpoints = (update: EndpointListUpdate): void => {
     this.hasEndpoints = true;
-    const { changedAddresses, vacatedAddresses } = this.replicaTracker.take(update);
+    const { changedAddresses, vacatedAddresses } = this.replicaTracker.applyEndpoints(update);
     if (!this.settings.detectsStaleEntries) return;
     for (const address of changedAddresses) {
       this.prefixCaches.onIncarnationChange(address);
@@ -125,25 +125,25 @@
 
   private readonly takeReading = (update: PrefillNotice): void => {
     if (update.id.startsWith(this.prefillIdPrefix)) return;
-    this.replicaTracker.takeReading(update);
+    this.replicaTracker.applyPrefillNotice(update);
     const address = this.replicaTracker.addressOf(update.replica);
     if (update.tokens > 0 && address !== null && update.salt !== null && update.part !== null)
-      this.prefixCaches.reads(address, update.salt, update.part);
+      this.prefixCaches.recordPrefill(address, update.salt, update.part);
   };
 
   private readings = 0;
 
-  readonly readingId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
+  readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
 
   /**
    * Takes the state in force as a control node tells it; a configuration version that it has already changes nothing.
    */
-  readonly takeState = (update: EdgeState): void => {
-    for (const target of this.weightsTargets.take(update.weightsAges))
+  readonly applyState = (update: EdgeState): void => {
+    for (const target of this.weightsTargets.apply(update.weightsAges))
       this.ports.log.info('weights target announced', { ...target, logIndex: update.logIndex });
     if (update.table === null || this.view?.configVersion === update.configVersion) return;
     this.view = this.tableIndexer.view(update.configVersion, update.table);
-    this.ingress.limit(update.table.limits);
+    this.ingress.applyLimits(update.table.limits);
     this.ports.log.info('configuration version applied', {
       configVersion: update.configVersion,
       logIndex: update.logIndex,
@@ -160,7 +160,8 @@
     this.hasEndpoints && !this.isUnheard() ? this.view : null;
 
   private readonly isUnheard = (): boolean =>
-    this.settings.controlLossTimeoutMs !== null && this.control.unheardMs() > this.settings.controlLossTimeoutMs;
+    this.settings.controlLossTimeoutMs !== null &&
+    this.control.sinceMajorityContactMs() > this.settings.controlLossTimeoutMs;
 
   private readonly connections = (pool: string): number => {
     const limit = this.view?.pool(pool)?.connectionLimit ?? null;
@@ -172,36 +173,37 @@
   readonly place = (question: PlacementQuery): Placement | null =>
     this.view === null ? null : this.replicaSelector.place(question, this.view, this.connections(question.pool));
 
-  readonly isAnyOpen = (pool: string, avoided: ReadonlySet<string>): boolean =>
+  readonly hasUntriedReplica = (pool: string, avoided: ReadonlySet<string>): boolean =>
     this.replicaTracker
       .inPool(pool)
       .some((tracked) => !tracked.endpoint.isLeaving && !avoided.has(tracked.endpoint.id));
 
   /** Whether what a request was admitted by still holds. */
-  readonly isStanding = (admission: Admission): boolean => this.admission.isStanding(admission);
+  readonly isStillAdmitted = (admission: Admission): boolean => this.admission.isStillAdmitted(admission);
 
   readonly reject = (call: Call, status: number, message: string, retryAfterMs: number | null): void =>
-    rejectionWriter.write(this.wire, call, { status, message, retryAfterMs, closesConnection: false });
+    rejectionWriter.write(this.headerCodec, call, { status, message, retryAfterMs, closesConnection: false });
 
   /** Answers one call; the ingress server hands it over, or whoever stands in for it. */
-  readonly receive = async (call: Call): Promise<void> => {
+  readonly serve = async (call: Call): Promise<void> => {
     const admitted = await this.admission.admit(call);
     if (admitted.isOk()) await this.forward(admitted.value);
-    else if (admitted.error.code !== 'CALLER_GONE') rejectionWriter.write(this.wire, call, admitted.error);
+    else if (admitted.error.code !== 'CALLER_GONE') rejectionWriter.write(this.headerCodec, call, admitted.error);
   };
 
   private readonly forward = async (admission: Admission): Promise<void> => {
     const request = new ForwardedRequest(this, admission);
-    this.live.add(request);
+    this.inFlightRequests.add(request);
     try {
       await request.run();
     } finally {
-      this.live.delete(request);
+      this.inFlightRequests.delete(request);
     }
   };
 
   /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
-  readonly compare = (timing: AnswerTiming, spentMs: number): boolean => this.eviction.compare(timing, spentMs);
+  readonly checkExpectedHit = (timing: ResponseTiming, spentMs: number): boolean =>
+    this.eviction.checkExpectedHit(timing, spentMs);
 
   /** Listens on the address of the settings; fails with the network error of the system, for instance `EADDRINUSE`. */
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
@@ -209,7 +211,12 @@
   /** Takes no new connections after a while, finishes what runs, within `drainMs`. */
   readonly drain = (): Promise<void> => {
     this.isClosing = true;
-    return ingressDrain.run(this.ports.clock, this.ingress, this.settings.drainMs, () => this.live.size === 0);
+    return ingressDrain.run(
+      this.ports.clock,
+      this.ingress,
+      this.settings.drainMs,
+      () => this.inFlightRequests.size === 0,
+    );
   };
 
   /** The state of this edge for the operators' pages, as JSON. */
@@ -218,7 +225,7 @@
     zone: this.settings.zone,
     isReady: this.isReady(),
     configVersion: this.view?.configVersion ?? null,
-    live: this.live.size,
+    live: this.inFlightRequests.size,
     metrics: this.metrics.all(),
     control: this.control.status(),
     replicas: this.replicaTracker.all().map(({ endpoint, running, pendingTokens }) => ({
--- a/packages/edge-proxy/src/errors.ts
+++ b/packages/edge-proxy/src/errors.ts
@@ -25,7 +25,7 @@
 }
 
 /** Nobody is left who waits for an answer. */
-export interface CallerGone {
+export interface CallerDisconnected {
   readonly code: 'CALLER_GONE';
 }
 
@@ -39,9 +39,9 @@
 ): AdmissionError => ({ code, status, message, retryAfterMs: null, closesConnection: false, ...more });
 
 /** The two body errors, as values to compare and return. */
-export const bodyErrors: { readonly tooLarge: BodyError; readonly callerGone: BodyError } = {
+export const bodyErrors: { readonly tooLarge: BodyError; readonly callerDisconnected: BodyError } = {
   tooLarge: { code: 'BODY_TOO_LARGE' },
-  callerGone: { code: 'CALLER_GONE' },
+  callerDisconnected: { code: 'CALLER_GONE' },
 };
 
 /** The rejections with the statuses and messages that callers get. */
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,10 +1,10 @@
 /** One attempt of a request at one replica: timeouts, outcome and what it teaches of the replica. */
 import { background } from '@martenworks/core-types';
 import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
-import type { AnswerRelay } from './answerRelay.js';
-import { headerLists } from '../ingress/headers.js';
+import type { ResponseRelay } from './responseRelay.js';
+import { headerLists } from '../ingress/headerLists.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
-import { PromptTiming, placementNames } from '../prefixcache/promptTiming.js';
+import { PromptTiming, placementMetrics } from '../prefixcache/promptTiming.js';
 import { OldWeightsReport } from './oldWeightsReport.js';
 import { retryPolicy } from './retryPolicy.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
@@ -13,13 +13,13 @@
 const fullRestMs = 150;
 const largestDrainedBytes = 65_536;
 const silenceRecheckMs = 100;
-const notSent: AttemptOutcome = { kind: 'not run', isArrival: false, retryAfterMs: null };
+const notSent: AttemptOutcome = { kind: 'not run', wasDelivered: false, retryAfterMs: null };
 
 /** What a request has gone through so far; its attempts, which follow one another, keep it. */
 export interface RequestProgress {
   /** Attempts made, and those of them that may have reached a replica. */
   attempts: number;
-  arrivals: number;
+  deliveredAttempts: number;
   /** True from the first byte that is written on; an attempt that did not run sets it back to what it was before. */
   mayHaveRun: boolean;
 }
@@ -28,10 +28,10 @@
 export interface AttemptRequest {
   readonly admission: Admission;
   readonly progress: RequestProgress;
-  readonly relay: AnswerRelay;
-  readonly quit: AbortSignal;
-  readonly quitCause: () => StopCause;
-  readonly leftMs: () => number;
+  readonly relay: ResponseRelay;
+  readonly cancelSignal: AbortSignal;
+  readonly cancelCause: () => StopCause;
+  readonly remainingMs: () => number;
   /** Whether another replica could take the request now, so that a silent one may be left for it. */
   readonly hasAnotherReplica: (placed: Placement) => boolean;
 }
@@ -72,9 +72,13 @@
     this.mayLeave = mayRepeat && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
-    const typicalFirstMs = replicaTracker.readRates.typicalFirstMs(admission.pool);
-    this.firstTimeoutMs = retryPolicy.firstTimeoutMs({ targetMs: route.latencyTargetMs, costMs, typicalFirstMs });
-    this.gapTimeoutMs = retryPolicy.gapTimeoutMs(route, request.leftMs());
+    const typicalFirstChunkMs = replicaTracker.prefillRates.typicalFirstChunkMs(admission.pool);
+    this.firstTimeoutMs = retryPolicy.firstChunkTimeoutMs({
+      targetMs: route.latencyTargetMs,
+      costMs,
+      typicalFirstChunkMs,
+    });
+    this.gapTimeoutMs = retryPolicy.streamIdleTimeoutMs(route, request.remainingMs());
     const timeoutMs = this.mayLeave ? this.firstTimeoutMs : this.firstTimeoutMs * 2;
     this.silence = ports.clock.after(timeoutMs, this.firstIsLate);
   }
@@ -82,14 +86,14 @@
   /** Sends the request, passes its answer on, and tells how that ended. Runs once. */
   readonly run = async (): Promise<AttemptOutcome> => {
     const { tracked } = this.placed;
-    const { quit } = this.request;
-    quit.addEventListener('abort', this.quitted, { once: true });
-    tracked.whenGone.add(this.replicaGone);
+    const { cancelSignal } = this.request;
+    cancelSignal.addEventListener('abort', this.quitted, { once: true });
+    tracked.removalListeners.add(this.replicaGone);
     this.begin();
     try {
       const carried = this.carry();
       const response = await Promise.race([carried, this.stopped]);
-      if (this.isWritten) this.request.progress.arrivals += 1;
+      if (this.isWritten) this.request.progress.deliveredAttempts += 1;
       if (typeof response === 'string') {
         background.run(
           'discard a late response',
@@ -101,25 +105,25 @@
     } finally {
       this.silence.cancel();
       this.startTimer?.cancel();
-      this.timing.promptRead();
-      this.context.replicaTracker.ended(tracked);
-      tracked.whenGone.delete(this.replicaGone);
-      quit.removeEventListener('abort', this.quitted);
+      this.timing.endPrefill();
+      this.context.replicaTracker.recordEnd(tracked);
+      tracked.removalListeners.delete(this.replicaGone);
+      cancelSignal.removeEventListener('abort', this.quitted);
     }
   };
 
   private readonly begin = (): void => {
-    const { replicaTracker, metrics, budget } = this.context;
+    const { replicaTracker, metrics, retryBudget } = this.context;
     const { progress, admission } = this.request;
-    this.timing.promptSent();
+    this.timing.announcePrefill();
     progress.attempts += 1;
-    metrics.add(placementNames.of(this.placed));
-    if (progress.attempts === 1) budget.first(admission.pool);
-    replicaTracker.began(this.placed.tracked, this.placed.readTokens);
+    metrics.add(placementMetrics.of(this.placed));
+    if (progress.attempts === 1) retryBudget.recordFirstAttempt(admission.pool);
+    replicaTracker.recordStart(this.placed.tracked, this.placed.prefillTokens);
   };
 
   private readonly carry = () => {
-    const { ports, wire } = this.context;
+    const { ports, headerCodec } = this.context;
     const { call, customer, view, body } = this.request.admission;
     const { tracked, salt, version, holder, store } = this.placed;
     const { endpoint } = tracked;
@@ -127,7 +131,7 @@
     return ports.httpClient.send({
       method: call.method,
       url: `http://${endpoint.address}${call.target}`,
-      headers: wire.attemptHeaders(headerLists.endToEnd(call.headers), {
+      headers: headerCodec.attemptHeaders(headerLists.endToEnd(call.headers), {
         replica: endpoint.id,
         leftMs,
         tenant: customer?.name ?? null,
@@ -151,7 +155,7 @@
    * A request that may run for longer than that is told all it has; the edge itself leaves it if it has not begun.
    */
   private readonly boundStart = (): number => {
-    const leftMs = Math.max(1, Math.floor(this.request.leftMs()));
+    const leftMs = Math.max(1, Math.floor(this.request.remainingMs()));
     this.startWithinMs = Math.min(leftMs, this.startWindowMs());
     if (leftMs <= this.context.settings.versionMs) return Math.max(1, Math.floor(this.startWithinMs));
     if (this.startWithinMs < leftMs)
@@ -160,16 +164,16 @@
   };
 
   private readonly startWindowMs = (): number => {
-    const { model } = this.request.admission.order;
+    const { model } = this.request.admission.metadata;
     const { version } = this.placed;
     return model === null || version === null ? Infinity : this.context.weightsTargets.startWindowMs(model, version);
   };
 
   private readonly mayStillBegin = (): boolean => {
-    const { model } = this.request.admission.order;
+    const { model } = this.request.admission.metadata;
     const { version } = this.placed;
     if (model === null || version === null) return true;
-    return this.context.weightsTargets.mayBeginWithin(model, version, this.startWithinMs);
+    return this.context.weightsTargets.mayStartWithin(model, version, this.startWithinMs);
   };
 
   /**
@@ -178,17 +182,17 @@
   private readonly gate = (): boolean => {
     const { tracked } = this.placed;
     const isReplicaOpen =
-      !tracked.endpoint.isLeaving && !tracked.isGone && !this.context.replicaTracker.health.isResting(tracked);
+      !tracked.endpoint.isLeaving && !tracked.isRemoved && !this.context.replicaTracker.health.isUnavailable(tracked);
     if (this.stopCause !== null || !isReplicaOpen || !this.mayStillBegin()) return false;
-    if (!this.context.isStanding(this.request.admission)) return false;
+    if (!this.context.isStillAdmitted(this.request.admission)) return false;
     this.isWritten = true;
     this.request.progress.mayHaveRun = true;
     return true;
   };
 
   private readonly headOf = (status: number, headers: readonly string[]): ResponseHead => {
-    const { order } = this.request.admission;
-    return this.context.wire.responseHead(status, headers, order.id, order.model);
+    const { metadata } = this.request.admission;
+    return this.context.headerCodec.responseHead(status, headers, metadata.id, metadata.model);
   };
 
   /** Whether a head belongs to this request, and its answer's end can be told from a broken connection. */
@@ -204,14 +208,14 @@
     this.tellStopped(cause);
   };
 
-  private readonly quitted = (): void => this.stop(this.request.quitCause());
+  private readonly quitted = (): void => this.stop(this.request.cancelCause());
 
   private readonly replicaGone = (): void => this.stop('gone');
 
   private readonly mayStillLeave = (): boolean =>
     this.mayLeave &&
     !this.context.isClosing &&
-    this.context.budget.left(this.request.admission.pool) > 0 &&
+    this.context.retryBudget.remaining(this.request.admission.pool) > 0 &&
     this.request.hasAnotherReplica(this.placed);
 
   /** Leaves a silent replica once another one can take over; until then it is waited for: it may yet go on. */
@@ -222,13 +226,13 @@
 
   private readonly firstIsLate = (): void => {
     const { replicaTracker } = this.context;
-    replicaTracker.health.slow(this.placed.tracked);
-    replicaTracker.readRates.firstSeen(this.request.admission.pool, this.firstTimeoutMs);
+    replicaTracker.health.recordSlow(this.placed.tracked);
+    replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, this.firstTimeoutMs);
     this.leaveSilent();
   };
 
   private readonly pieceIsLate = (): void => {
-    this.context.replicaTracker.health.slow(this.placed.tracked);
+    this.context.replicaTracker.health.recordSlow(this.placed.tracked);
     if (this.request.admission.view.route.isResumable) this.leaveSilent();
   };
 
@@ -244,18 +248,18 @@
   private readonly failed = ({ code, isUnsent }: NetworkError): AttemptOutcome => {
     const { replicaTracker, metrics } = this.context;
     if (code === 'GATED') return notSent;
-    replicaTracker.health.failed(this.placed.tracked);
+    replicaTracker.health.recordFailure(this.placed.tracked);
     metrics.add('shots_failed');
     if (this.isWritten && !isUnsent) return { kind: 'may have run', cause: `the replica broke off: ${code}` };
     this.takeBack();
-    if (this.isWritten) this.request.progress.arrivals -= 1;
+    if (this.isWritten) this.request.progress.deliveredAttempts -= 1;
     return notSent;
   };
 
   private readonly mayTryAnother = (): boolean => {
     const { view, pool } = this.request.admission;
-    const { arrivals } = this.request.progress;
-    return view.mayRepeat && arrivals < view.route.maxAttempts && this.context.budget.left(pool) > 0;
+    const { deliveredAttempts } = this.request.progress;
+    return view.mayRepeat && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0;
   };
 
   private readonly answered = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
@@ -264,24 +268,24 @@
     const { status } = response;
     const headers = response.headers();
     const head = this.headOf(status, headers);
-    const hasReply = this.request.relay.hasReply();
-    const verdict = retryPolicy.headVerdict(status, head, { hasReply, mayTryAnother: this.mayTryAnother() });
+    const hasResponseStarted = this.request.relay.hasStarted();
+    const verdict = retryPolicy.headVerdict(status, head, { hasResponseStarted, mayTryAnother: this.mayTryAnother() });
     if (verdict.kind === 'connection rejected') return this.turnedAway(response, head);
     if (verdict.kind === 'drop') {
       this.abort.abort();
       this.discard(response);
-      if (verdict.holdsAgainst) replicaTracker.health.failed(tracked);
+      if (verdict.isReplicaFailure) replicaTracker.health.recordFailure(tracked);
       return { kind: 'may have run', cause: verdict.cause };
     }
-    for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
+    for (const [model, version] of Object.entries(head.versions)) replicaTracker.recordWeights(tracked, model, version);
     const { route } = this.request.admission.view;
     const { isSuccess, isFailure } = verdict;
-    const outcome = await this.request.relay.pass(
+    const outcome = await this.request.relay.forward(
       { status, headers, body: response.body, isResumable: isSuccess && route.kind === 'stream' && route.isResumable },
-      { onFirst: () => this.firstPiece(isSuccess, isFailure), onPiece: this.heardPiece, stopped: this.stopped },
+      { onFirstChunk: () => this.firstPiece(isSuccess, isFailure), onChunk: this.heardPiece, stopped: this.stopped },
     );
     if (outcome.kind !== 'whole') this.abort.abort();
-    if (outcome.kind === 'may have run') replicaTracker.health.failed(tracked);
+    if (outcome.kind === 'may have run') replicaTracker.health.recordFailure(tracked);
     return outcome;
   };
 
@@ -294,26 +298,26 @@
       replica: tracked.endpoint.id,
       running: tracked.running,
       head,
-      resting: tracked.restUntil - ports.clock.now(),
+      resting: tracked.loadingUntil - ports.clock.now(),
     });
-    for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
-    if (head.isElsewhere) replicaTracker.health.failed(tracked);
-    else replicaTracker.health.full(tracked, head.retryAfterMs ?? fullRestMs);
+    for (const [model, version] of Object.entries(head.versions)) replicaTracker.recordWeights(tracked, model, version);
+    if (head.isElsewhere) replicaTracker.health.recordFailure(tracked);
+    else replicaTracker.health.recordFull(tracked, head.retryAfterMs ?? fullRestMs);
     background.run('drain a rejected response', this.drain(response));
-    return { kind: 'not run', isArrival: true, retryAfterMs: head.retryAfterMs };
+    return { kind: 'not run', wasDelivered: true, retryAfterMs: head.retryAfterMs };
   };
 
   private readonly firstPiece = (isSuccess: boolean, isFailure: boolean): void => {
     const { replicaTracker } = this.context;
     const { tracked } = this.placed;
     this.startTimer?.cancel();
-    this.timing.promptRead();
-    if (isSuccess) this.oldWeights.began();
-    const spentMs = this.timing.spentMs();
-    if (isSuccess) replicaTracker.readRates.firstSeen(this.request.admission.pool, spentMs);
-    if (isFailure) replicaTracker.health.failed(tracked);
-    else replicaTracker.health.answered(tracked);
-    if (isSuccess) this.timing.learn(spentMs);
+    this.timing.endPrefill();
+    if (isSuccess) this.oldWeights.recordStart();
+    const spentMs = this.timing.elapsedMs();
+    if (isSuccess) replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, spentMs);
+    if (isFailure) replicaTracker.health.recordFailure(tracked);
+    else replicaTracker.health.recordSuccess(tracked);
+    if (isSuccess) this.timing.recordFirstChunk(spentMs);
   };
 
   private readonly discard = (response: HttpClientResponse): void => {
--- a/packages/edge-proxy/src/forwarding/events.ts
+++ b/packages/edge-proxy/src/forwarding/eventSplitter.ts
@@ -8,7 +8,7 @@
 const carriageReturn = 13;
 
 /** One event with its terminating empty line; `id` is its last `id` field's value, null where it has none. */
-export interface WholeEvent {
+export interface ServerSentEvent {
   readonly bytes: Uint8Array;
   readonly id: string | null;
 }
@@ -20,7 +20,7 @@
 };
 
 /** Cuts a stream of server-sent events into whole ones, byte for byte (an event ends with an empty line). */
-export class EventCutter {
+export class EventSplitter {
   private pending: Uint8Array = new Uint8Array();
 
   private readonly endOf = (bytes: Uint8Array): number => {
@@ -34,9 +34,9 @@
   };
 
   /** The events that are whole with these bytes; the rest is kept for the next call. */
-  readonly take = (bytes: Uint8Array): WholeEvent[] => {
+  readonly push = (bytes: Uint8Array): ServerSentEvent[] => {
     let rest = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
-    const events: WholeEvent[] = [];
+    const events: ServerSentEvent[] = [];
     for (let end = this.endOf(rest); end > 0; end = this.endOf(rest)) {
       const event = rest.subarray(0, end);
       events.push({ bytes: event, id: idIn(event) });
@@ -47,5 +47,5 @@
   };
 
   /** Bytes after the last whole event; of a stream that ended in order they are passed on too. */
-  readonly left = (): Uint8Array => this.pending;
+  readonly remainder = (): Uint8Array => this.pending;
 }
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -1,5 +1,5 @@
 /** The life of an admitted request: placement, attempts one after another, and one response or rejection. */
-import { AnswerRelay } from './answerRelay.js';
+import { ResponseRelay } from './responseRelay.js';
 import { Attempt } from './attempt.js';
 import type { RequestProgress } from './attempt.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
@@ -22,8 +22,8 @@
 export class ForwardedRequest {
   private readonly arrivedAt: number;
   private readonly deadlineAt: number;
-  private readonly relay: AnswerRelay;
-  private readonly progress: RequestProgress = { attempts: 0, arrivals: 0, mayHaveRun: false };
+  private readonly relay: ResponseRelay;
+  private readonly progress: RequestProgress = { attempts: 0, deliveredAttempts: 0, mayHaveRun: false };
   private readonly avoided = new Set<string>();
   private readonly quit = new AbortController();
   private quitCause: StopCause = 'caller left';
@@ -34,11 +34,11 @@
     private readonly context: EdgeContext,
     private readonly admission: Admission,
   ) {
-    const { call, order, view } = admission;
-    this.relay = new AnswerRelay(call);
+    const { call, metadata, view } = admission;
+    this.relay = new ResponseRelay(call);
     this.arrivedAt = context.ports.clock.now();
-    this.deadlineAt = this.arrivedAt + Math.min(order.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
-    call.whenGone(() => this.stop('caller left'));
+    this.deadlineAt = this.arrivedAt + Math.min(metadata.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
+    call.onDisconnect(() => this.stop('caller left'));
   }
 
   /** Resolves once the request is answered or nobody waits for an answer. */
@@ -59,7 +59,7 @@
       if (this.hasCallerLeft()) return this.leave();
       const placed = await this.place();
       if (placed === null) return this.giveUp('no replica takes it now');
-      if (this.progress.arrivals > 0 && !this.context.budget.take(this.admission.pool))
+      if (this.progress.deliveredAttempts > 0 && !this.context.retryBudget.trySpend(this.admission.pool))
         return this.giveUp('no further shot is left');
       if (await this.attempt(placed)) return;
     }
@@ -67,23 +67,24 @@
 
   private readonly refusal = (): string | null => {
     if (this.quit.signal.aborted) return this.hasCallerLeft() ? null : 'the time is over';
-    if (this.progress.arrivals >= this.admission.view.route.maxAttempts) return 'no further replica may be asked';
-    return this.context.isStanding(this.admission) ? null : 'the way or the key was taken back';
+    if (this.progress.deliveredAttempts >= this.admission.view.route.maxAttempts)
+      return 'no further replica may be asked';
+    return this.context.isStillAdmitted(this.admission) ? null : 'the way or the key was taken back';
   };
 
   /** One attempt; true if the request is over with it. */
   private readonly attempt = async (placed: Placement): Promise<boolean> => {
-    const { admission, progress, relay, leftMs, hasAnotherReplica } = this;
+    const { admission, progress, relay, leftMs: remainingMs, hasAnotherReplica } = this;
     const attempt = new Attempt(
       this.context,
       {
         admission,
         progress,
         relay,
-        leftMs,
+        remainingMs,
         hasAnotherReplica,
-        quit: this.quit.signal,
-        quitCause: () => this.quitCause,
+        cancelSignal: this.quit.signal,
+        cancelCause: () => this.quitCause,
       },
       placed,
     );
@@ -97,7 +98,7 @@
         this.leave();
         return true;
       case 'not run':
-        if (outcome.isArrival) this.comeBackMs = outcome.retryAfterMs;
+        if (outcome.wasDelivered) this.comeBackMs = outcome.retryAfterMs;
         return false;
       case 'may have run':
         return !this.mayGoOn(outcome.cause);
@@ -105,7 +106,7 @@
   };
 
   private readonly mayGoOn = (cause: string): boolean => {
-    if (retryPolicy.mayGoOn(this.admission.view, this.relay.hasReply(), this.relay.isResumable())) return true;
+    if (retryPolicy.mayRetry(this.admission.view, this.relay.hasStarted(), this.relay.isResumable())) return true;
     if (this.hasCallerLeft()) this.leave();
     else this.giveUp(cause);
     return false;
@@ -136,17 +137,17 @@
     if (this.isEnded) return;
     this.isEnded = true;
     const { metrics, ports } = this.context;
-    const { call, order, view } = this.admission;
+    const { call, metadata, view } = this.admission;
     metrics.add(`denied_${status}`);
     ports.log.info('denied', {
-      order: order.id,
+      order: metadata.id,
       route: view.route.name,
       status,
       message,
       attempts: this.progress.attempts,
       ms: Math.round(ports.clock.now() - this.arrivedAt),
     });
-    if (this.relay.hasReply()) this.relay.cut();
+    if (this.relay.hasStarted()) this.relay.abort();
     else this.context.reject(call, status, message, comesBack ? this.comeBackAfterMs() : null);
   };
 
@@ -154,8 +155,8 @@
     this.comeBackMs ?? shortestComeBackMs + comeBackSpreadMs * this.context.ports.random.fraction();
 
   private readonly placeAvoiding = (avoided: ReadonlySet<string>): Placement | null => {
-    const { pool, order, customer } = this.admission;
-    return this.context.place({ pool, order, customer, avoided, neededMs: this.neededMs() });
+    const { pool, metadata, customer } = this.admission;
+    return this.context.place({ pool, metadata, customer, avoided, neededMs: this.neededMs() });
   };
 
   private readonly hasAnotherReplica = ({ tracked }: Placement): boolean =>
@@ -168,7 +169,7 @@
     for (;;) {
       const placed = this.placeAvoiding(this.avoided);
       if (placed !== null || this.quit.signal.aborted || clock.now() + waitStepMs > untilAt) return placed;
-      if (!this.context.isAnyOpen(pool, this.avoided)) return null;
+      if (!this.context.hasUntriedReplica(pool, this.avoided)) return null;
       await new Promise<void>((wake) => void clock.after(waitStepMs, wake));
     }
   };
@@ -182,7 +183,7 @@
 
   private readonly waitUntilAt = (): number => {
     const waitMs = this.admission.view.route.latencyTargetMs * waitShare;
-    const resumesUntilAt = this.relay.hasReply() ? this.context.ports.clock.now() + waitMs : 0;
+    const resumesUntilAt = this.relay.hasStarted() ? this.context.ports.clock.now() + waitMs : 0;
     return Math.min(this.deadlineAt, Math.max(this.arrivedAt + waitMs, resumesUntilAt));
   };
 }
--- a/packages/edge-proxy/src/forwarding/oldWeightsReport.ts
+++ b/packages/edge-proxy/src/forwarding/oldWeightsReport.ts
@@ -16,19 +16,19 @@
   }
 
   private readonly supersededForMs = (): number | null => {
-    const { model } = this.admission.order;
+    const { model } = this.admission.metadata;
     const { version } = this.placed;
     return model === null || version === null ? null : this.context.weightsTargets.supersededForMs(model, version);
   };
 
   /** The first piece has come: the request began shortly before, on the version it was sent for. */
-  readonly began = (): void => {
+  readonly recordStart = (): void => {
     const beganAfterMs = this.supersededForMs();
     if (beganAfterMs === null || beganAfterMs <= this.context.settings.versionMs) return;
     this.context.metrics.add('began_late_on_old_weights');
     this.context.ports.log.warn('request began late on old weights', {
-      order: this.admission.order.id,
-      model: this.admission.order.model,
+      order: this.admission.metadata.id,
+      model: this.admission.metadata.model,
       version: this.placed.version,
       replica: this.placed.tracked.endpoint.id,
       sentAfterMs: this.sentAfterMs,
--- a/packages/edge-proxy/src/forwarding/answerRelay.ts
+++ b/packages/edge-proxy/src/forwarding/responseRelay.ts
@@ -1,13 +1,13 @@
 /** Relays the responses of one request's attempts to its caller as one response. */
-import { headerLists } from '../ingress/headers.js';
-import type { Call, Reply } from '../ingress/call.js';
-import { EventCutter } from './events.js';
+import { headerLists } from '../ingress/headerLists.js';
+import type { Call, ResponseWriter } from '../ingress/call.js';
+import { EventSplitter } from './eventSplitter.js';
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
 
 const contentLength: ReadonlySet<string> = new Set(['content-length']);
 
 /** One replica's answer as it is passed on. */
-export interface RelayedAnswer {
+export interface RelayedResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: AsyncIterable<Uint8Array>;
@@ -17,23 +17,23 @@
 
 /** What the relay tells the attempt whose answer it passes on. */
 export interface RelayEvents {
-  readonly onFirst: () => void;
-  readonly onPiece: () => void;
+  readonly onFirstChunk: () => void;
+  readonly onChunk: () => void;
   readonly stopped: Promise<StopCause>;
 }
 
 /**
  * The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut.
  */
-export class AnswerRelay {
-  private reply: Reply | null = null;
+export class ResponseRelay {
+  private reply: ResponseWriter | null = null;
   private lastId: string | null = null;
   private hasEvents = false;
 
   constructor(private readonly call: Call) {}
 
   /** Whether the response to the caller has begun: from then on no status can be sent any more. */
-  readonly hasReply = (): boolean => this.reply !== null;
+  readonly hasStarted = (): boolean => this.reply !== null;
 
   /** The id of the last event that was passed on whole, after which a resumption goes on. */
   readonly resumeAfter = (): string | null => this.lastId;
@@ -42,13 +42,13 @@
   readonly isResumable = (): boolean => this.lastId !== null || !this.hasEvents;
 
   /** Ends a begun answer so that it can't look whole; does nothing where none was begun. */
-  readonly cut = (): void => this.reply?.cut();
+  readonly abort = (): void => this.reply?.abort();
 
   /** Passes on one answer until it ends, breaks or is stopped. */
-  readonly pass = async (answer: RelayedAnswer, events: RelayEvents): Promise<AttemptOutcome> => {
-    const cutter = answer.isResumable ? new EventCutter() : null;
+  readonly forward = async (answer: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
+    const cutter = answer.isResumable ? new EventSplitter() : null;
     const steps = answer.body[Symbol.asyncIterator]();
-    const begin = this.beginner(answer, events.onFirst);
+    const begin = this.beginner(answer, events.onFirstChunk);
     for (;;) {
       let step: IteratorResult<Uint8Array> | StopCause;
       try {
@@ -59,18 +59,21 @@
       if (step === 'caller left') return { kind: 'over' };
       if (typeof step === 'string') return { kind: 'may have run', cause: `the stream was left: ${step}` };
       if (step.done === true) return this.finish(begin(), cutter);
-      events.onPiece();
+      events.onChunk();
       if (cutter === null) await begin().write(step.value);
       else await this.passEvents(cutter, step.value, begin);
     }
   };
 
-  private readonly beginner = ({ status, headers, isResumable }: RelayedAnswer, onFirst: () => void): (() => Reply) => {
+  private readonly beginner = (
+    { status, headers, isResumable }: RelayedResponse,
+    onFirst: () => void,
+  ): (() => ResponseWriter) => {
     let isFirst = true;
     return () => {
       if (isFirst) onFirst();
       isFirst = false;
-      this.reply ??= this.call.answer(status, this.headersOf(headers, isResumable), false);
+      this.reply ??= this.call.respond(status, this.headersOf(headers, isResumable), false);
       return this.reply;
     };
   };
@@ -80,15 +83,19 @@
     return isResumable ? headerLists.without(kept, contentLength) : kept;
   };
 
-  private readonly finish = async (reply: Reply, cutter: EventCutter | null): Promise<AttemptOutcome> => {
-    const rest = cutter?.left();
+  private readonly finish = async (reply: ResponseWriter, cutter: EventSplitter | null): Promise<AttemptOutcome> => {
+    const rest = cutter?.remainder();
     if (rest !== undefined && rest.length > 0) await reply.write(rest);
     reply.end();
     return { kind: 'whole' };
   };
 
-  private readonly passEvents = async (cutter: EventCutter, bytes: Uint8Array, begin: () => Reply): Promise<void> => {
-    for (const event of cutter.take(bytes)) {
+  private readonly passEvents = async (
+    cutter: EventSplitter,
+    bytes: Uint8Array,
+    begin: () => ResponseWriter,
+  ): Promise<void> => {
+    for (const event of cutter.push(bytes)) {
       if (this.isRepeat(event.id)) continue;
       await begin().write(event.bytes);
       this.hasEvents = true;
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -5,7 +5,7 @@
  * The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over
  * all edges together.
  */
-export interface ExtraTerms {
+export interface RetryBudgetLimits {
   readonly ratio: number;
   readonly windowMs: number;
   readonly slack: number;
@@ -30,7 +30,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly terms: ExtraTerms,
+    private readonly terms: RetryBudgetLimits,
     private readonly edges: () => number,
   ) {
     this.startedAt = clock.now();
@@ -49,12 +49,12 @@
   };
 
   /** Counts a first attempt at the pool; it earns a part of a retry. */
-  readonly first = (pool: string): void => {
+  readonly recordFirstAttempt = (pool: string): void => {
     this.bucket(pool).first += 1;
   };
 
   /** Retries that this edge may still make at the pool in the current window. */
-  readonly left = (pool: string): number => {
+  readonly remaining = (pool: string): number => {
     this.bucket(pool);
     const buckets = this.pools.get(pool) ?? [];
     const sum = (of: 'first' | 'extra'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
@@ -64,8 +64,8 @@
   };
 
   /** Spends one retry at the pool; false where none is left, and then nothing is spent. */
-  readonly take = (pool: string): boolean => {
-    if (this.left(pool) < 1) return false;
+  readonly trySpend = (pool: string): boolean => {
+    if (this.remaining(pool) < 1) return false;
     this.bucket(pool).extra += 1;
     return true;
   };
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -26,32 +26,32 @@
 export type AttemptOutcome =
   | { readonly kind: 'whole' }
   | { readonly kind: 'over' }
-  | { readonly kind: 'not run'; readonly isArrival: boolean; readonly retryAfterMs: number | null }
+  | { readonly kind: 'not run'; readonly wasDelivered: boolean; readonly retryAfterMs: number | null }
   | { readonly kind: 'may have run'; readonly cause: string };
 
 /** What an answer's head leads to; with `holdsAgainst` it counts as a failure of the replica. */
 type HeadVerdict =
   | { readonly kind: 'connection rejected' }
   | { readonly kind: 'pass on'; readonly isSuccess: boolean; readonly isFailure: boolean }
-  | { readonly kind: 'drop'; readonly cause: string; readonly holdsAgainst: boolean };
+  | { readonly kind: 'drop'; readonly cause: string; readonly isReplicaFailure: boolean };
 
 interface HeadCircumstances {
-  readonly hasReply: boolean;
+  readonly hasResponseStarted: boolean;
   readonly mayTryAnother: boolean;
 }
 
 const headVerdict = (
   status: number,
   head: ResponseHead,
-  { hasReply, mayTryAnother }: HeadCircumstances,
+  { hasResponseStarted, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
   if (head.isOwn && head.isNotRun) return { kind: 'connection rejected' };
   const isSuccess = status >= 200 && status < 300;
   const isFailure = status >= 500;
-  const drop = (cause: string, holdsAgainst = true): HeadVerdict => ({ kind: 'drop', cause, holdsAgainst });
+  const drop = (cause: string, isReplicaFailure = true): HeadVerdict => ({ kind: 'drop', cause, isReplicaFailure });
   if (!head.isOwn || (isSuccess && !head.isSealed)) return drop("the answer is not this request's");
-  if (isFailure && (hasReply || mayTryAnother)) return drop(`the replica answered ${status}`);
-  if (!isSuccess && hasReply) return drop(`the replica answered ${status} to a resumption`, false);
+  if (isFailure && (hasResponseStarted || mayTryAnother)) return drop(`the replica answered ${status}`);
+  if (!isSuccess && hasResponseStarted) return drop(`the replica answered ${status} to a resumption`, false);
   if (promises.has(status)) return drop(`the replica answered ${status} and did not say that it had not run it`);
   return { kind: 'pass on', isSuccess, isFailure };
 };
@@ -60,10 +60,10 @@
  * What the time allowed for a first piece depends on, all in milliseconds: the route's latency target, the placement's
  * estimated cost, and the pool's typical time to a first piece.
  */
-export interface FirstPatience {
+export interface FirstChunkEstimates {
   readonly targetMs: number;
   readonly costMs: number;
-  readonly typicalFirstMs: number;
+  readonly typicalFirstChunkMs: number;
 }
 
 /**
@@ -74,14 +74,14 @@
   headVerdict,
 
   /** How long a first piece may take, in milliseconds, before its replica counts as silent. */
-  firstTimeoutMs: ({ targetMs, costMs, typicalFirstMs }: FirstPatience): number =>
-    Math.max(targetMs * patienceShare, costMs * patienceFactor + patienceSlackMs, typicalFirstMs * typicalFactor),
+  firstChunkTimeoutMs: ({ targetMs, costMs, typicalFirstChunkMs }: FirstChunkEstimates): number =>
+    Math.max(targetMs * patienceShare, costMs * patienceFactor + patienceSlackMs, typicalFirstChunkMs * typicalFactor),
 
   /** How long a pause within a stream may be, in milliseconds, before its replica counts as silent. */
-  gapTimeoutMs: ({ maxEventGapMs: gapMs }: Route, leftMs: number): number =>
+  streamIdleTimeoutMs: ({ maxEventGapMs: gapMs }: Route, leftMs: number): number =>
     Math.min((gapMs ?? usualGapMs) * silenceGaps, Math.max(leftMs * silenceShare, gapMs ?? usualGapMs)),
 
   /** Whether a request whose last attempt may have run may be sent again: a call that runs at most once never is. */
-  mayGoOn: (view: RouteView, hasReply: boolean, isResumable: boolean): boolean =>
+  mayRetry: (view: RouteView, hasReply: boolean, isResumable: boolean): boolean =>
     hasReply ? view.route.isResumable && isResumable : view.mayRepeat,
 };
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -1,6 +1,6 @@
 /** The edge proxy: it takes callers' requests, selects a replica for each and relays the response. */
 export * from './ingress/call.js';
-export * from './ingress/headers.js';
+export * from './ingress/headerLists.js';
 export * from './ingress/ingressServer.js';
 export * from './ingress/webCall.js';
 export * from './edgeProxy.js';
@@ -12,7 +12,7 @@
 export * from './routing/placement.js';
 export * from './routing/weightsTargets.js';
 export * from './forwarding/retryBudget.js';
-export * from './forwarding/events.js';
+export * from './forwarding/eventSplitter.js';
 export * from './forwarding/oldWeightsReport.js';
 export * from './edgeContext.js';
 export * from './prefixcache/staleEntryDetector.js';
--- a/packages/edge-proxy/src/ingress/call.ts
+++ b/packages/edge-proxy/src/ingress/call.ts
@@ -10,13 +10,13 @@
   readonly headers: readonly string[];
   readonly headerBytes: number;
   readonly body: (limitBytes: number) => Promise<Result<Uint8Array, BodyError>>;
-  readonly whenGone: (listener: () => void) => void;
-  readonly answer: (status: number, headers: readonly string[], isLast: boolean) => Reply;
+  readonly onDisconnect: (listener: () => void) => void;
+  readonly respond: (status: number, headers: readonly string[], isLast: boolean) => ResponseWriter;
 }
 
 /** `cut` ends the answer so that it can't look whole. */
-export interface Reply {
+export interface ResponseWriter {
   readonly write: (bytes: Uint8Array) => Promise<void>;
   readonly end: () => void;
-  readonly cut: () => void;
+  readonly abort: () => void;
 }
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -23,7 +23,7 @@
    * Keeps one request until its answer is whole; the function that it returns registers whom to tell that the caller
    * left.
    */
-  readonly begin = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
+  readonly track = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
     const exchange: Exchange = { incoming, response, onGone: [] };
     this.open.add(exchange);
     response.once('close', () => this.ended(exchange));
@@ -37,7 +37,7 @@
    * Ends the connection because its bytes form no request, or come too slowly. `answer` is written only if the caller
    * waits for nothing else: a request that was read whole may run, and any status in its place would speak of it.
    */
-  readonly endWith = (answer: string): void => {
+  readonly closeWith = (answer: string): void => {
     if (!this.socket.writable) this.socket.destroy();
     else if (this.isOwed()) this.socket.resetAndDestroy();
     else this.socket.end(answer);
--- a/packages/edge-proxy/src/ingress/drain.ts
+++ b/packages/edge-proxy/src/ingress/ingressDrain.ts
@@ -16,10 +16,10 @@
     const startedAt = clock.now();
     const step = (): Promise<void> => new Promise((wake) => void clock.after(drainStepMs, wake));
     while (clock.now() - startedAt < Math.min(openDrainMs, drainMs / 2)) await step();
-    ingress.shut();
+    ingress.stopAccepting();
     while (clock.now() - startedAt < drainMs - lastDrainMs) {
       ingress.closeIdle();
-      if (isIdle() && (await ingress.isEmpty())) return;
+      if (isIdle() && (await ingress.hasNoConnections())) return;
       await step();
     }
   },
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -6,10 +6,10 @@
 import type { Result } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
 import type { CallerLimits, NetworkError } from '@martenworks/core-types';
-import { headerLists } from './headers.js';
+import { headerLists } from './headerLists.js';
 import { bodyErrors } from '../errors.js';
 import type { BodyError } from '../errors.js';
-import type { Call, Reply } from './call.js';
+import type { Call, ResponseWriter } from './call.js';
 import { CallerConnection } from './callerConnection.js';
 
 const largestHeaderBytes = 128 * 1024;
@@ -31,8 +31,8 @@
       parts.push(part);
     });
     incoming.on('end', () => resolve(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
-    incoming.on('error', () => resolve(err(bodyErrors.callerGone)));
-    incoming.on('close', () => resolve(err(bodyErrors.callerGone)));
+    incoming.on('error', () => resolve(err(bodyErrors.callerDisconnected)));
+    incoming.on('close', () => resolve(err(bodyErrors.callerDisconnected)));
   });
 
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
@@ -41,7 +41,7 @@
  * `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset
  * cuts it.
  */
-const replyOver = (response: ServerResponse, isDelimited: boolean): Reply => ({
+const replyOver = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
   write: (bytes) =>
     new Promise((resolve) => {
       if (response.destroyed || response.write(bytes)) return resolve();
@@ -54,7 +54,7 @@
       response.on('close', done);
     }),
   end: () => void response.end(),
-  cut: () => {
+  abort: () => {
     const { socket } = response;
     if (socket === null || response.writableFinished) response.destroy();
     else if (isDelimited) socket.destroy();
@@ -82,7 +82,7 @@
   private readonly server: Server;
   private readonly connections = new WeakMap<object, CallerConnection>();
 
-  constructor(private readonly terms: IngressServerOptions) {
+  constructor(private readonly options: IngressServerOptions) {
     this.server = createServer(
       {
         maxHeaderSize: largestHeaderBytes,
@@ -90,12 +90,12 @@
         requestTimeout: slowBodyMs,
         noDelay: true,
       },
-      this.take,
+      this.handleRequest,
     );
     this.server.on('connection', (socket) => this.connections.set(socket, new CallerConnection(socket)));
     this.server.on('clientError', (cause: Error & { code?: string }, socket) => {
       const answer = `HTTP/1.1 ${statusLines.of(cause.code)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
-      this.connections.get(socket)?.endWith(answer);
+      this.connections.get(socket)?.closeWith(answer);
     });
   }
 
@@ -105,20 +105,20 @@
     return connection;
   };
 
-  private readonly take = (incoming: IncomingMessage, response: ServerResponse): void => {
+  private readonly handleRequest = (incoming: IncomingMessage, response: ServerResponse): void => {
     incoming.on('error', () => {});
     response.on('error', () => {});
-    const whenGone = this.connectionOf(incoming.socket).begin(incoming, response);
-    this.terms.onCall({
+    const onDisconnect = this.connectionOf(incoming.socket).track(incoming, response);
+    this.options.onCall({
       method: incoming.method ?? 'GET',
       target: incoming.url ?? '/',
       host: incoming.headers.host ?? '',
       headers: incoming.rawHeaders,
       headerBytes: sizeOf(incoming.rawHeaders) + (incoming.url ?? '').length,
       body: (limitBytes) => bodyOf(incoming, limitBytes),
-      whenGone,
-      answer: (status, headers, isLast) => {
-        if (isLast || this.terms.isClosing()) response.shouldKeepAlive = false;
+      onDisconnect,
+      respond: (status, headers, isLast) => {
+        if (isLast || this.options.isClosing()) response.shouldKeepAlive = false;
         response.writeHead(status, [...headers]);
         const isChunked = incoming.httpVersion !== '1.0';
         return replyOver(response, isChunked || headerLists.find(headers, 'content-length') !== null);
@@ -129,7 +129,7 @@
   /**
    * Takes the idle and header timeouts, in milliseconds, of the routing table in force.
    */
-  readonly limit = (limits: CallerLimits): void => {
+  readonly applyLimits = (limits: CallerLimits): void => {
     this.server.keepAliveTimeout = limits.idleMs;
     this.server.headersTimeout = limits.headerMs;
   };
@@ -145,13 +145,13 @@
     });
 
   /** Stops accepting connections and closes the idle ones; running requests go on. */
-  readonly shut = (): void => {
+  readonly stopAccepting = (): void => {
     this.server.close();
     this.server.closeIdleConnections();
   };
 
   /** Whether no connection is open; true also where the system can't tell. */
-  readonly isEmpty = (): Promise<boolean> =>
+  readonly hasNoConnections = (): Promise<boolean> =>
     new Promise((resolve) => this.server.getConnections((cause, count) => resolve(cause !== null || count === 0)));
 
   /** Closes the connections on which no request is running. */
--- a/packages/edge-proxy/src/ingress/rejectionWriter.ts
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -20,7 +20,7 @@
     const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
     const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
     if (retryAfterMs !== null) headers.push('Retry-After', (retryAfterMs / msPerSecond).toFixed(retryAfterDigits));
-    const reply = call.answer(status, headers, closesConnection);
+    const reply = call.respond(status, headers, closesConnection);
     if (call.method !== 'HEAD') background.run('write a response body', reply.write(bytes));
     reply.end();
   },
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -7,7 +7,7 @@
 import type { RoutingTableView, RouteView } from '@martenworks/route-table';
 import type { Admission } from '../edgeContext.js';
 import { admissionErrors } from '../errors.js';
-import type { AdmissionError, CallerGone } from '../errors.js';
+import type { AdmissionError, CallerDisconnected } from '../errors.js';
 import type { Call } from './call.js';
 
 /** What a request is admitted by: its route, and the customer whom its key belongs to (null for a public route). */
@@ -24,20 +24,20 @@
 /** Admits requests, and tells later whether an admission still holds. */
 export class RequestAdmission {
   constructor(
-    private readonly wire: HeaderCodec,
+    private readonly headerCodec: HeaderCodec,
     private readonly random: Random,
     /** The routing table in force; null as long as the edge doesn't know it for sure. */
-    private readonly admittingView: () => RoutingTableView | null,
+    private readonly confirmedView: () => RoutingTableView | null,
     private readonly view: () => RoutingTableView | null,
   ) {}
 
   /** Reads one request and admits it, or tells why not. */
-  readonly admit = async (call: Call): Promise<Result<Admission, AdmissionError | CallerGone>> => {
-    const view = this.admittingView();
+  readonly admit = async (call: Call): Promise<Result<Admission, AdmissionError | CallerDisconnected>> => {
+    const view = this.confirmedView();
     if (view === null) return err(admissionErrors.notReady);
     const { limits } = view.routingTable;
     if (call.headerBytes > limits.headerBytes) return err(admissionErrors.headersTooLarge);
-    const order = this.wire.order(call.headers);
+    const order = this.headerCodec.order(call.headers);
     if (order.isErr()) return err(admissionErrors.malformedHeaders(order.error));
     const keyHash = order.value.key === null ? null : keys.hash(order.value.key);
     const early = this.grant(call, keyHash);
@@ -47,7 +47,7 @@
     return this.grant(call, keyHash).map(
       (grant): Admission => ({
         call,
-        order: order.value,
+        metadata: order.value,
         keyHash,
         ...grant,
         pool: shares.draw(grant.view.route, this.random.fraction()),
@@ -59,7 +59,7 @@
   /**
    * Whether what a request was admitted by still holds: its route, its key, the key's customer and what that may share.
    */
-  readonly isStanding = ({ call, view, customer, keyHash }: Admission): boolean => {
+  readonly isStillAdmitted = ({ call, view, customer, keyHash }: Admission): boolean => {
     const current = this.grant(call, keyHash);
     if (current.isErr()) return false;
     const { view: currentView, customer: currentCustomer } = current.value;
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -5,7 +5,7 @@
 import type { WebHandler } from '@martenworks/core-types';
 import { bodyErrors } from '../errors.js';
 import type { BodyError } from '../errors.js';
-import type { Call, Reply } from './call.js';
+import type { Call, ResponseWriter } from './call.js';
 
 const bodiless = new Set([101, 103, 204, 205, 304]);
 
@@ -20,7 +20,7 @@
     const bytes = new Uint8Array(await request.arrayBuffer());
     return bytes.length > limitBytes ? err(bodyErrors.tooLarge) : ok(bytes);
   } catch {
-    return err(bodyErrors.callerGone);
+    return err(bodyErrors.callerDisconnected);
   }
 };
 
@@ -64,7 +64,7 @@
 
   readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyError>> => bodyOf(this.request, limitBytes);
 
-  readonly whenGone = (listener: () => void): void => {
+  readonly onDisconnect = (listener: () => void): void => {
     if (this.request.signal.aborted) {
       listener();
       return;
@@ -72,7 +72,7 @@
     this.goneListeners.push(listener);
   };
 
-  readonly answer = (status: number, headers: readonly string[], isLast: boolean): Reply => {
+  readonly respond = (status: number, headers: readonly string[], isLast: boolean): ResponseWriter => {
     const list = pairsOf(isLast ? [...headers, 'Connection', 'close'] : headers);
     let pipe: ReadableStreamDefaultController<Uint8Array> | null = null;
     const stream = new ReadableStream<Uint8Array>({
@@ -96,7 +96,7 @@
           this.over();
           open.close();
         }),
-      cut: () =>
+      abort: () =>
         act((open) => {
           this.over();
           open.error(Object.assign(new Error('the answer was cut'), { code: 'ECONNRESET' }));
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -49,7 +49,7 @@
   };
 
   /** Takes updates from the control plane: whole lists or changes of one address's entries. */
-  readonly take = (bundle: readonly PrefixCacheUpdate[]): void => {
+  readonly apply = (bundle: readonly PrefixCacheUpdate[]): void => {
     for (const { address, isWhole, isHeard, epoch, events: update } of bundle) {
       const stored = this.stored(address);
       stored.unheardAt = isHeard ? null : (stored.unheardAt ?? this.clock.now());
@@ -100,15 +100,15 @@
   };
 
   /** What this edge saw itself: `address` was given the part just now. */
-  readonly saw = (address: string, salt: string, part: string): void =>
+  readonly recordObserved = (address: string, salt: string, part: string): void =>
     void this.stored(address).own.set(labelOf(salt, part), this.clock.now());
 
   /** `address` is reading the part now: whoever comes there next finds it. */
-  readonly reads = (address: string, salt: string, part: string): void =>
+  readonly recordPrefill = (address: string, salt: string, part: string): void =>
     void this.stored(address).reading.set(labelOf(salt, part), this.clock.now());
 
   /** Whether a prefill of the part is running at the address, by a notice of the last 2.5 s. */
-  readonly isReading = (address: string, salt: string, part: string): boolean => {
+  readonly isPrefilling = (address: string, salt: string, part: string): boolean => {
     const stored = this.prefixCaches.get(address);
     const label = labelOf(salt, part);
     const at = stored?.reading.get(label);
@@ -119,14 +119,14 @@
   };
 
   /** The address was found without the part: its entry is wrong until another event brings it. */
-  readonly missed = (address: string, salt: string, part: string): void => {
+  readonly remove = (address: string, salt: string, part: string): void => {
     const stored = this.stored(address);
     stored.own.delete(labelOf(salt, part));
     stored.kept.delete(labelOf(salt, part));
   };
 
   /** Memory goes by blocks, so a part is rarely kept to its last token: most of it counts as all. */
-  readonly keeps = (address: string, salt: string, part: string, tokens: number): boolean => {
+  readonly isCached = (address: string, salt: string, part: string, tokens: number): boolean => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return false;
     const label = labelOf(salt, part);
@@ -141,7 +141,7 @@
   };
 
   /** Whether a control node follows the address's cache events at present. */
-  readonly isHeard = (address: string): boolean => this.prefixCaches.get(address)?.isHeard === true;
+  readonly isFollowed = (address: string): boolean => this.prefixCaches.get(address)?.isHeard === true;
 
   /** Entries per address, for the operators' pages. */
   readonly sizes = (): { address: string; parts: number; isHeard: boolean; quarantined: number }[] =>
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -4,18 +4,18 @@
  */
 import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from '../edgeContext.js';
-import { heavyTokens } from '../routing/readRates.js';
+import { longPrefillTokens } from '../routing/prefillRates.js';
 import type { ExpectedHit } from './staleEntryDetector.js';
 import type { Placement } from '../routing/placement.js';
 
 /** Names of the metrics that count placements by prompt length and source of the prefix. */
-export const placementNames = {
+export const placementMetrics = {
   /**
    * The counter that a placement adds to: how long its prompt is, where the replica gets its prefix from, and whether
    * rendezvous hashing ranks the replica first.
    */
   of: ({ affinityPart, isCached, isBeingPrefilled, isPreferred, holder }: Placement): string => {
-    if (affinityPart === null || affinityPart.tokens < heavyTokens)
+    if (affinityPart === null || affinityPart.tokens < longPrefillTokens)
       return isPreferred ? 'placed_short_home' : 'placed_short_elsewhere';
     const source = isCached ? 'kept' : isBeingPrefilled ? 'soon' : holder !== null ? 'pull' : 'read';
     return `placed_long_${source}${isPreferred ? '_home' : ''}`;
@@ -42,53 +42,60 @@
   ) {
     const { tracked, isBeingPrefilled } = placed;
     this.sentAt = context.ports.clock.now();
-    this.pendingBefore = tracked.pendingTokens + tracked.othersTokens;
+    this.pendingBefore = tracked.pendingTokens + tracked.otherEdgesTokens;
     this.isIdle =
       tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.health.isSuspect(tracked);
     this.isAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
   /** Milliseconds since the attempt began. */
-  readonly spentMs = (): number => this.context.ports.clock.now() - this.sentAt;
+  readonly elapsedMs = (): number => this.context.ports.clock.now() - this.sentAt;
 
   /** Announces a long prompt that is about to be prefilled to the other edges. */
-  readonly promptSent = (): void => {
-    const { tracked, readTokens, salt, affinityPart } = this.placed;
-    if (readTokens < heavyTokens) return;
+  readonly announcePrefill = (): void => {
+    const { tracked, prefillTokens, salt, affinityPart } = this.placed;
+    if (prefillTokens < longPrefillTokens) return;
     const { endpoint } = tracked;
-    const id = this.context.readingId();
-    this.reading = { id, replica: endpoint.id, tokens: readTokens, salt, part: affinityPart?.id ?? null };
+    const id = this.context.nextPrefillId();
+    this.reading = { id, replica: endpoint.id, tokens: prefillTokens, salt, part: affinityPart?.id ?? null };
     this.context.control.reportPrefill(this.reading);
     if (salt !== null && affinityPart !== null)
-      this.context.prefixCaches.reads(endpoint.address, salt, affinityPart.id);
+      this.context.prefixCaches.recordPrefill(endpoint.address, salt, affinityPart.id);
   };
 
   /** Records, once, that the prompt is prefilled or the attempt over. */
-  readonly promptRead = (): void => {
+  readonly endPrefill = (): void => {
     if (!this.isReading) return;
     this.isReading = false;
-    this.context.replicaTracker.given(this.placed.tracked, this.placed.readTokens);
+    this.context.replicaTracker.recordPrefilled(this.placed.tracked, this.placed.prefillTokens);
     if (this.reading !== null) this.context.control.reportPrefill({ ...this.reading, tokens: 0 });
   };
 
   /**
    * Learns from the time to a first piece how fast the replica prefills, and whether it had cached what the index says.
    */
-  readonly learn = (spentMs: number): void => {
+  readonly recordFirstChunk = (spentMs: number): void => {
     const { replicaTracker, prefixCaches } = this.context;
-    const { tracked, affinityPart, salt, readTokens, pullMs, readsAll, expectedHit } = this.placed;
+    const { tracked, affinityPart, salt, prefillTokens, pullMs, isFullPrefill, expectedHit } = this.placed;
     if (affinityPart === null || salt === null) return;
-    prefixCaches.saw(tracked.endpoint.address, salt, affinityPart.id);
+    prefixCaches.recordObserved(tracked.endpoint.address, salt, affinityPart.id);
     const isLate = this.isIdle && this.speaksAgainstIndex(spentMs);
-    if (this.isAlone && !isLate) replicaTracker.readRates.measured(readTokens, spentMs - pullMs);
-    const hasReadAlone = this.aheadTokens() === 0 && (readsAll || expectedHit?.pullMs === null);
+    if (this.isAlone && !isLate) replicaTracker.prefillRates.updateAverage(prefillTokens, spentMs - pullMs);
+    const hasReadAlone = this.aheadTokens() === 0 && (isFullPrefill || expectedHit?.pullMs === null);
     if (!this.isIdle || isLate || !hasReadAlone) return;
-    replicaTracker.readRates.sampled(tracked, this.admission.order.tokensIn - (expectedHit?.tokens ?? 0), spentMs);
+    replicaTracker.prefillRates.addSample(
+      tracked,
+      this.admission.metadata.tokensIn - (expectedHit?.tokens ?? 0),
+      spentMs,
+    );
   };
 
   private readonly aheadTokens = (): number => {
-    const { tracked, readTokens } = this.placed;
-    return Math.max(0, this.pendingBefore + this.context.replicaTracker.cameWith(tracked, this.sentAt) - readTokens);
+    const { tracked, prefillTokens } = this.placed;
+    return Math.max(
+      0,
+      this.pendingBefore + this.context.replicaTracker.tokensArrivedAfter(tracked, this.sentAt) - prefillTokens,
+    );
   };
 
   private readonly speaksAgainstIndex = (spentMs: number): boolean => {
@@ -102,15 +109,15 @@
 
   private readonly isHitLate = (expectedHit: ExpectedHit | null, spentMs: number): boolean => {
     if (expectedHit === null) return false;
-    const { replicaTracker, prefixCaches, compare } = this.context;
+    const { replicaTracker, prefixCaches, checkExpectedHit } = this.context;
     const timing = {
       expectedHit,
-      restTokens: Math.max(0, this.admission.order.tokensIn - expectedHit.tokens),
+      uncachedTokens: Math.max(0, this.admission.metadata.tokensIn - expectedHit.tokens),
       aheadTokens: this.aheadTokens(),
-      tokensPerMs: replicaTracker.readRates.readingRate(this.placed.tracked),
-      isHeard: prefixCaches.isHeard(expectedHit.address),
+      tokensPerMs: replicaTracker.prefillRates.replicaRate(this.placed.tracked),
+      isFollowed: prefixCaches.isFollowed(expectedHit.address),
       sentAt: this.sentAt,
     };
-    return compare(timing, spentMs);
+    return checkExpectedHit(timing, spentMs);
   };
 }
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -36,12 +36,12 @@
  * What an answer's first piece is measured against; `aheadTokens` were pending at the replica as the prompt was sent or
  * came there with it.
  */
-export interface AnswerTiming {
+export interface ResponseTiming {
   readonly expectedHit: ExpectedHit;
-  readonly restTokens: number;
+  readonly uncachedTokens: number;
   readonly aheadTokens: number;
   readonly tokensPerMs: number | null;
-  readonly isHeard: boolean;
+  readonly isFollowed: boolean;
   readonly sentAt: number;
 }
 
@@ -67,11 +67,11 @@
   `${address}\n${salt}\n${parts.at(-1) ?? ''}`;
 
 /** Tells from the time to the first piece whether the parts that the index promised had to be read after all. */
-export const answerTimings = {
-  judge: ({ expectedHit, restTokens, aheadTokens, tokensPerMs }: AnswerTiming, spentMs: number): Verdict => {
+export const responseTimings = {
+  classify: ({ expectedHit, uncachedTokens, aheadTokens, tokensPerMs }: ResponseTiming, spentMs: number): Verdict => {
     if (tokensPerMs === null) return 'unclear';
     const partsMs = expectedHit.tokens / tokensPerMs;
-    const restMs = restTokens / tokensPerMs;
+    const restMs = uncachedTokens / tokensPerMs;
     const aheadMs = aheadTokens / tokensPerMs;
     const pullMs = expectedHit.pullMs ?? 0;
     if (partsMs < leastReadMs || pullMs * 2 > partsMs * foundShare) return 'unclear';
@@ -96,8 +96,8 @@
   constructor(private readonly clock: Clock) {}
 
   /** Takes one answer's time to its first piece, in milliseconds, and decides about the entry that it relied on. */
-  readonly take = (timing: AnswerTiming, spentMs: number): Decision => {
-    const verdict = answerTimings.judge(timing, spentMs);
+  readonly recordTiming = (timing: ResponseTiming, spentMs: number): Decision => {
+    const verdict = responseTimings.classify(timing, spentMs);
     if (verdict === 'unclear') return { kind: 'none' };
     const now = this.clock.now();
     const label = labelOf(timing.expectedHit);
@@ -113,7 +113,8 @@
     suspicion.notedAt = now;
     this.counts.strikes += 1;
     const isDoubted = this.isDoubted(timing.expectedHit.address, label);
-    if (suspicion.strikes < (timing.isHeard && !isDoubted ? strikesHeard : strikesUnheard)) return { kind: 'strike' };
+    if (suspicion.strikes < (timing.isFollowed && !isDoubted ? strikesHeard : strikesUnheard))
+      return { kind: 'strike' };
     this.fell(timing.expectedHit.address, label);
     suspicion.drops += isDoubted && suspicion.drops === 0 ? 2 : 1;
     suspicion.strikes = strikesHeard - 1;
@@ -129,7 +130,7 @@
   /**
    * What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already.
    */
-  readonly takeReport = (update: CacheMissReport): void => {
+  readonly recordReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
     const suspicion = this.suspicion(labelOf(update), now);
     suspicion.strikes = strikesHeard - 1;
--- a/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
@@ -1,7 +1,7 @@
 /** Evicts entries of the prefix index that answers speak against, here and at the other edges. */
 import type { CacheMissReport, Log, MetricCounters } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from './prefixCacheIndex.js';
-import type { AnswerTiming, Decision, StaleEntryDetector } from './staleEntryDetector.js';
+import type { ResponseTiming, Decision, StaleEntryDetector } from './staleEntryDetector.js';
 
 /** What eviction works on; `report` sends a report to the control plane, which passes it on to the other edges. */
 export interface StaleEntryEvictionOptions {
@@ -13,7 +13,7 @@
   readonly report: (report: CacheMissReport) => void;
 }
 
-const reportOf = ({ expectedHit: { address, salt, parts } }: AnswerTiming, decision: Decision): CacheMissReport => ({
+const reportOf = ({ expectedHit: { address, salt, parts } }: ResponseTiming, decision: Decision): CacheMissReport => ({
   address,
   salt,
   parts,
@@ -26,10 +26,10 @@
   constructor(private readonly options: StaleEntryEvictionOptions) {}
 
   /** Takes the time to an answer's first piece, in milliseconds; true where it speaks against the index. */
-  readonly compare = (timing: AnswerTiming, spentMs: number): boolean => {
+  readonly checkExpectedHit = (timing: ResponseTiming, spentMs: number): boolean => {
     const { isEnabled, detector, metrics, report } = this.options;
     if (!isEnabled) return false;
-    const decision = detector.take(timing, spentMs);
+    const decision = detector.recordTiming(timing, spentMs);
     if (decision.kind === 'none') return false;
     metrics.add(timing.expectedHit.pullMs === null ? 'stale_strikes' : 'stale_pull_strikes');
     const update = reportOf(timing, decision);
@@ -42,17 +42,17 @@
   };
 
   /** Takes what another edge reports. */
-  readonly takeReport = (report: CacheMissReport): void => {
+  readonly applyReport = (report: CacheMissReport): void => {
     const { isEnabled, detector, metrics } = this.options;
     if (!isEnabled) return;
-    detector.takeReport(report);
+    detector.recordReport(report);
     if (!report.isDecided) return;
     metrics.add('stale_told');
     this.evict(report);
   };
 
   private readonly logEviction = (
-    { expectedHit: { address, salt, parts, tokens, pullMs } }: AnswerTiming,
+    { expectedHit: { address, salt, parts, tokens, pullMs } }: ResponseTiming,
     { quarantineMs }: CacheMissReport,
     spentMs: number,
   ): void =>
@@ -69,7 +69,7 @@
   private readonly evict = ({ address, salt, parts, quarantineMs }: CacheMissReport): void => {
     const { prefixCaches } = this.options;
     for (const part of parts) {
-      prefixCaches.missed(address, salt, part);
+      prefixCaches.remove(address, salt, part);
       if (quarantineMs !== null) prefixCaches.quarantine(address, salt, part, quarantineMs);
     }
   };
--- a/packages/edge-proxy/src/routing/candidateScorer.ts
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -1,7 +1,7 @@
 /** Estimates what a request costs on each replica that may run it. */
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ScoredCandidate } from './placement.js';
-import type { PlacementRound } from './placementRound.js';
+import type { PlacementContext } from './placementContext.js';
 import type { ReplicaTracker } from './replicaTracker.js';
 import type { TrackedReplica } from './trackedReplica.js';
 import type { WeightsEligibility } from './weightsEligibility.js';
@@ -32,7 +32,7 @@
 
   /** The cheapest candidate; among equals the first from `offset` on. Null where there is none. */
   readonly cheapest = (
-    round: PlacementRound,
+    round: PlacementContext,
     candidates: readonly TrackedReplica[],
     offset: number,
   ): ScoredCandidate | null => {
@@ -44,20 +44,20 @@
     return cheapest;
   };
 
-  private readonly score = (round: PlacementRound, tracked: TrackedReplica): ScoredCandidate => {
+  private readonly score = (round: PlacementContext, tracked: TrackedReplica): ScoredCandidate => {
     const { query, affinity, preferred } = round;
     const { version, salt } = this.weights.servedBy(tracked, query);
     const rank = preferred.indexOf(tracked);
     const availability = this.availability(round, tracked, salt);
     const isMissing = availability === 'missing';
-    const readTokens = Math.max(0, query.order.tokensIn - (isMissing ? 0 : affinity.prefixTokens));
+    const prefillTokens = Math.max(0, query.metadata.tokensIn - (isMissing ? 0 : affinity.prefixTokens));
     const pullMs = availability === 'transferable' ? round.pullMs(affinity.prefixTokens) : 0;
     const transferMs =
       availability === 'transferable'
-        ? this.replicaTracker.readRates.readMs(affinity.prefixTokens) * crowdingShare + pullMs
+        ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * crowdingShare + pullMs
         : 0;
     const costMs =
-      this.replicaTracker.readRates.readMs(tracked.pendingTokens + tracked.othersTokens + readTokens) +
+      this.replicaTracker.prefillRates.prefillMs(tracked.pendingTokens + tracked.otherEdgesTokens + prefillTokens) +
       tracked.running * runCostMs +
       transferMs +
       (round.isPrefillRunning && isMissing ? readTwiceMs : 0) -
@@ -66,19 +66,29 @@
       this.errorPenaltyMs(tracked) +
       this.oldWeightsPenaltyMs(round, version);
     const [isCached, isBeingPrefilled] = [availability === 'cached', availability === 'being prefilled'];
-    return { tracked, costMs, readTokens, version, salt, isCached, isBeingPrefilled, isPreferred: rank === 0, pullMs };
+    return {
+      tracked,
+      costMs,
+      prefillTokens,
+      version,
+      salt,
+      isCached,
+      isBeingPrefilled,
+      isPreferred: rank === 0,
+      pullMs,
+    };
   };
 
   private readonly availability = (
-    { affinity: { trackedPart }, lookup, replicas }: PlacementRound,
+    { affinity: { trackedPart }, lookup, replicas }: PlacementContext,
     tracked: TrackedReplica,
     salt: string | null,
   ): PrefixAvailability => {
     if (trackedPart === null || salt === null) return 'missing';
-    if (lookup.isCachedBy(tracked, salt)) return 'cached';
-    if (this.prefixCaches.isReading(tracked.endpoint.address, salt, trackedPart.id)) return 'being prefilled';
+    if (lookup.isCachedOn(tracked, salt)) return 'cached';
+    if (this.prefixCaches.isPrefilling(tracked.endpoint.address, salt, trackedPart.id)) return 'being prefilled';
     const isHolder = (other: TrackedReplica): boolean =>
-      other !== tracked && this.replicaTracker.health.mayHandOver(other) && lookup.isCachedBy(other, salt);
+      other !== tracked && this.replicaTracker.health.mayPullFrom(other) && lookup.isCachedOn(other, salt);
     return replicas.some(isHolder) ? 'transferable' : 'missing';
   };
 
@@ -86,11 +96,12 @@
    * What a preferred replica may cost more before another one is taken; more where the prefix has to be prefilled
    * anyway, so that it is cached at its preferred replica.
    */
-  private readonly bonusMs = ({ affinity }: PlacementRound, rank: number, isMissing: boolean): number => {
+  private readonly bonusMs = ({ affinity }: PlacementContext, rank: number, isMissing: boolean): number => {
     if (rank === 1) return secondChoiceBonusMs;
     if (rank !== 0) return 0;
     return (
-      affinityBonusMs + (isMissing ? this.replicaTracker.readRates.readMs(affinity.prefixTokens) * crowdingShare : 0)
+      affinityBonusMs +
+      (isMissing ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * crowdingShare : 0)
     );
   };
 
@@ -99,6 +110,6 @@
     return errorRate < negligibleErrorRate ? 0 : errorRate * errorPenaltyMs;
   };
 
-  private readonly oldWeightsPenaltyMs = ({ target }: PlacementRound, version: number | null): number =>
+  private readonly oldWeightsPenaltyMs = ({ target }: PlacementContext, version: number | null): number =>
     target !== null && version !== null && version < target.version ? oldWeightsMs : 0;
 }
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -3,7 +3,7 @@
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
 import type { Placement, ScoredCandidate } from './placement.js';
-import type { PlacementRound } from './placementRound.js';
+import type { PlacementContext } from './placementContext.js';
 import { promptAffinity } from './promptAffinity.js';
 import type { ReplicaTracker } from './replicaTracker.js';
 import type { TrackedReplica } from './trackedReplica.js';
@@ -29,7 +29,7 @@
   ) {}
 
   /** The placement of a request on the chosen candidate. */
-  readonly complete = (round: PlacementRound, chosen: ScoredCandidate): Placement => {
+  readonly complete = (round: PlacementContext, chosen: ScoredCandidate): Placement => {
     const { affinity, query } = round;
     const { salt } = chosen;
     if (affinity.trackedPart === null || salt === null) return this.withoutPrefix(round, chosen);
@@ -38,7 +38,7 @@
     const { caching, preferredStore } = stores;
     const expectedHit = this.expectedHit(round, chosen, salt, known);
     const isStored = chosen.isCached && caching !== null && holder === caching.address;
-    const isStorable = caching === null && promptAffinity.isWorthStoring(query.order.parts, affinity);
+    const isStorable = caching === null && promptAffinity.isWorthStoring(query.metadata.parts, affinity);
     const mayFindNothing = holder === null || holder === preferredStore?.address;
     return {
       ...chosen,
@@ -47,30 +47,30 @@
       affinityPart: affinity.part,
       expectedHit,
       secondExpectedHit: isStored ? round.lookup.expectedHit(caching.address, salt, round.pullMs) : null,
-      readsAll: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
+      isFullPrefill: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
     };
   };
 
-  private readonly withoutPrefix = ({ affinity }: PlacementRound, chosen: ScoredCandidate): Placement => ({
+  private readonly withoutPrefix = ({ affinity }: PlacementContext, chosen: ScoredCandidate): Placement => ({
     ...chosen,
     holder: null,
     store: null,
     affinityPart: affinity.part,
     expectedHit: null,
     secondExpectedHit: null,
-    readsAll: true,
+    isFullPrefill: true,
   });
 
   private readonly storesFor = (part: PromptPart, salt: string, stores: readonly CacheStore[]): StoreChoice => {
-    const heard = stores.filter((store) => this.prefixCaches.isHeard(store.address));
+    const heard = stores.filter((store) => this.prefixCaches.isFollowed(store.address));
     const ranked = this.affinityHash.ranked(part.id, heard, (store) => store.name);
     const isCaching = (store: CacheStore): boolean =>
-      this.prefixCaches.keeps(store.address, salt, part.id, part.tokens);
+      this.prefixCaches.isCached(store.address, salt, part.id, part.tokens);
     return { caching: ranked.find(isCaching) ?? null, preferredStore: ranked[0] ?? null };
   };
 
   private readonly holderFor = (
-    round: PlacementRound,
+    round: PlacementContext,
     chosen: ScoredCandidate,
     salt: string,
     { caching, preferredStore }: StoreChoice,
@@ -84,14 +84,14 @@
    * A replica that has the prefix by the index: a healthy one in the candidate's zone, else a healthy one, else any.
    */
   private readonly nearestHolder = (
-    { replicas, lookup }: PlacementRound,
+    { replicas, lookup }: PlacementContext,
     { tracked, isCached }: ScoredCandidate,
     salt: string,
   ): TrackedReplica | undefined => {
     if (isCached) return undefined;
-    const { isSuspect, mayHandOver } = this.replicaTracker.health;
+    const { isSuspect, mayPullFrom } = this.replicaTracker.health;
     const holders = replicas
-      .filter((other) => other !== tracked && mayHandOver(other) && lookup.isCachedBy(other, salt))
+      .filter((other) => other !== tracked && mayPullFrom(other) && lookup.isCachedOn(other, salt))
       .sort((a, b) => Number(isSuspect(a)) - Number(isSuspect(b)));
     const isNear = (other: TrackedReplica): boolean =>
       other.endpoint.zone === tracked.endpoint.zone && !isSuspect(other);
@@ -99,14 +99,14 @@
   };
 
   /** Another edge may have placed the prefix already where rendezvous hashing ranks it first. */
-  private readonly likelyHolder = ({ preferred }: PlacementRound, tracked: TrackedReplica): string | null => {
+  private readonly likelyHolder = ({ preferred }: PlacementContext, tracked: TrackedReplica): string | null => {
     if (preferred[0] === tracked) return null;
     const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.health.isSuspect(other));
     return likely?.endpoint.address ?? null;
   };
 
   private readonly expectedHit = (
-    { lookup, pullMs }: PlacementRound,
+    { lookup, pullMs }: PlacementContext,
     { tracked, isCached, isBeingPrefilled }: ScoredCandidate,
     salt: string,
     known: string | null,
--- a/packages/edge-proxy/src/routing/placement.ts
+++ b/packages/edge-proxy/src/routing/placement.ts
@@ -19,7 +19,7 @@
   /** True if rendezvous hashing ranks the replica first for the prompt. */
   readonly isPreferred: boolean;
   /** Tokens that the replica is expected to prefill. */
-  readonly readTokens: number;
+  readonly prefillTokens: number;
   /** Estimated milliseconds to pull the cached prefix from another address; 0 where nothing is pulled. */
   readonly pullMs: number;
   /** Estimated milliseconds to the first token, plus penalties and less bonuses. */
@@ -38,13 +38,13 @@
   /** The entry of the cache store that is named besides the replica's own. */
   readonly secondExpectedHit: ExpectedHit | null;
   /** True if the replica is expected to prefill the whole prompt. */
-  readonly readsAll: boolean;
+  readonly isFullPrefill: boolean;
 }
 
 /** A request that has to be placed within a replica pool. */
 export interface PlacementQuery {
   readonly pool: string;
-  readonly order: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly customer: Customer | null;
   /** Ids of replicas that earlier attempts went to. */
   readonly avoided: ReadonlySet<string>;
--- a/packages/edge-proxy/src/routing/placementRound.ts
+++ b/packages/edge-proxy/src/routing/placementContext.ts
@@ -6,7 +6,7 @@
 import type { TrackedReplica } from './trackedReplica.js';
 
 /** One request's placement: the question, the replicas of its pool, and what is known of its prompt. */
-export interface PlacementRound {
+export interface PlacementContext {
   readonly query: PlacementQuery;
   readonly stores: RoutingTable['stores'];
   readonly replicas: readonly TrackedReplica[];
--- a/packages/edge-proxy/src/routing/readRates.ts
+++ b/packages/edge-proxy/src/routing/prefillRates.ts
@@ -11,7 +11,7 @@
  * Tokens from which on a prefill is long: it is announced to the other edges, and its time is a sample of the prefill
  * rate.
  */
-export const heavyTokens = 1_000;
+export const longPrefillTokens = 1_000;
 const mostSamples = 9;
 const mostPoolSamples = 31;
 const leastSamples = 3;
@@ -21,7 +21,7 @@
  * Prefill rates in tokens per millisecond: one over all replicas for placement, and one of each replica for its late
  * answers.
  */
-export class ReadRates {
+export class PrefillRates {
   private readonly poolSamples = new Map<string, number[]>();
   private tokensPerMs = startTokensPerMs;
 
@@ -29,8 +29,8 @@
    * The reading rate follows quick answers at once and slow ones hardly: what an edge does not see can only make an
    * answer slower, and in a crowded pool every answer is slow.
    */
-  readonly measured = (tokens: number, spentMs: number): void => {
-    if (tokens < heavyTokens || spentMs <= 0) return;
+  readonly updateAverage = (tokens: number, spentMs: number): void => {
+    if (tokens < longPrefillTokens || spentMs <= 0) return;
     const seen = Math.min(fastestTokensPerMs, Math.max(slowestTokensPerMs, tokens / spentMs));
     this.tokensPerMs += (seen - this.tokensPerMs) * (seen > this.tokensPerMs ? quickerBlend : slowerBlend);
   };
@@ -41,24 +41,24 @@
    * Milliseconds until first events in this pool lately, long prompts and waits included: where all are slow, none is
    * to be left for its slowness.
    */
-  readonly firstSeen = (pool: string, spentMs: number): void => {
+  readonly recordFirstChunk = (pool: string, spentMs: number): void => {
     const known = this.firsts.get(pool) ?? 0;
     this.firsts.set(pool, known + (spentMs - known) * typicalBlend);
   };
 
   /** The moving average of `firstSeen`, in milliseconds; 0 before the first sample. */
-  readonly typicalFirstMs = (pool: string): number => this.firsts.get(pool) ?? 0;
+  readonly typicalFirstChunkMs = (pool: string): number => this.firsts.get(pool) ?? 0;
 
   /**
    * Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against.
    */
-  readonly sampled = (tracked: TrackedReplica, tokens: number, spentMs: number): void => {
-    if (tokens < heavyTokens || spentMs <= 0) return;
+  readonly addSample = (tracked: TrackedReplica, tokens: number, spentMs: number): void => {
+    if (tokens < longPrefillTokens || spentMs <= 0) return;
     const { pool } = tracked.endpoint;
     const known = this.poolSamples.get(pool) ?? [];
     this.poolSamples.set(pool, known);
     for (const [samples, most] of [
-      [tracked.samples, mostSamples],
+      [tracked.prefillRates, mostSamples],
       [known, mostPoolSamples],
     ] as const) {
       samples.push(tokens / spentMs);
@@ -71,14 +71,16 @@
    * this edge doesn't see (a wait, a part that was not kept) only slows them, and too slow a rate speaks against
    * nobody; null while too few are there.
    */
-  readonly readingRate = (tracked: TrackedReplica): number | null => {
+  readonly replicaRate = (tracked: TrackedReplica): number | null => {
     const samples =
-      tracked.samples.length >= leastSamples ? tracked.samples : (this.poolSamples.get(tracked.endpoint.pool) ?? []);
+      tracked.prefillRates.length >= leastSamples
+        ? tracked.prefillRates
+        : (this.poolSamples.get(tracked.endpoint.pool) ?? []);
     return samples.length < leastSamples
       ? null
       : ([...samples].sort((a, b) => a - b)[Math.floor(samples.length * quickShare)] as number);
   };
 
   /** Estimated milliseconds for a replica to prefill so many tokens. */
-  readonly readMs = (tokens: number): number => tokens / this.tokensPerMs;
+  readonly prefillMs = (tokens: number): number => tokens / this.tokensPerMs;
 }
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -2,10 +2,10 @@
 import type { PromptPart } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
-import { promptAffinity, trackedTokens } from './promptAffinity.js';
+import { promptAffinity, minTrackedTokens } from './promptAffinity.js';
 import type { TrackedReplica } from './trackedReplica.js';
 
-const isTracked = (part: PromptPart): boolean => part.tokens >= trackedTokens;
+const isTracked = (part: PromptPart): boolean => part.tokens >= minTrackedTokens;
 
 /** The prefix index as seen by one prompt, up to its affinity part. Lives as long as one placement. */
 export class PrefixLookup {
@@ -21,11 +21,11 @@
   }
 
   /** Whether the replica has any tracked part of the prefix cached. */
-  readonly isCachedBy = (tracked: TrackedReplica, salt: string): boolean => {
+  readonly isCachedOn = (tracked: TrackedReplica, salt: string): boolean => {
     const label = `${tracked.endpoint.id} ${salt}`;
     const known = this.cachedByReplica.get(label);
     if (known !== undefined) return known;
-    const isCached = promptAffinity.tokens(this.cachedParts(tracked.endpoint.address, salt)) > 0;
+    const isCached = promptAffinity.totalTokens(this.cachedParts(tracked.endpoint.address, salt)) > 0;
     this.cachedByReplica.set(label, isCached);
     return isCached;
   };
@@ -40,7 +40,7 @@
     pullMs: ((tokens: number) => number) | null,
   ): ExpectedHit | null => {
     const cached = this.cachedParts(address, salt);
-    const tokens = promptAffinity.tokens(cached);
+    const tokens = promptAffinity.totalTokens(cached);
     if (tokens === 0) return null;
     const parts = cached.filter(isTracked).map((part) => part.id);
     return { address, salt, parts, tokens, pullMs: pullMs === null ? null : pullMs(tokens) };
@@ -48,7 +48,7 @@
 
   private readonly cachedParts = (address: string, salt: string): readonly PromptPart[] => {
     const firstMissing = this.prefix.findIndex(
-      (part) => isTracked(part) && !this.prefixCaches.keeps(address, salt, part.id, part.tokens),
+      (part) => isTracked(part) && !this.prefixCaches.isCached(address, salt, part.id, part.tokens),
     );
     const cached = firstMissing < 0 ? this.prefix : this.prefix.slice(0, firstMissing);
     return cached.some(isTracked) ? cached : [];
--- a/packages/edge-proxy/src/routing/promptAffinity.ts
+++ b/packages/edge-proxy/src/routing/promptAffinity.ts
@@ -2,7 +2,7 @@
 import type { PromptPart } from '@martenworks/core-types';
 
 /** Tokens from which on the prefix index follows a part. */
-export const trackedTokens = 256;
+export const minTrackedTokens = 256;
 const uploadShare = 0.35;
 
 /** The affinity part of a prompt and the prefix that ends with it. */
@@ -19,7 +19,7 @@
 
 /** Finds the affinity part of a prompt and judges whether its prefix should be stored. */
 export const promptAffinity = {
-  tokens: sum,
+  totalTokens: sum,
 
   /**
    * The last shareable part that is long enough to be worth caching, else the last shareable one: a prompt's last part
@@ -27,10 +27,10 @@
    */
   of: (parts: readonly PromptPart[]): PromptAffinity => {
     const shareable = parts.length > 1 ? parts.slice(0, -1) : parts;
-    const lastLong = shareable.findLastIndex((part) => part.tokens >= trackedTokens);
+    const lastLong = shareable.findLastIndex((part) => part.tokens >= minTrackedTokens);
     const index = lastLong >= 0 ? lastLong : shareable.length - 1;
     const part = shareable[index] ?? null;
-    const trackedPart = part !== null && part.tokens >= trackedTokens ? part : null;
+    const trackedPart = part !== null && part.tokens >= minTrackedTokens ? part : null;
     return { part, index, trackedPart, prefixTokens: trackedPart === null ? 0 : sum(parts.slice(0, index + 1)) };
   },
 
--- a/packages/edge-proxy/src/routing/replicaHealth.ts
+++ b/packages/edge-proxy/src/routing/replicaHealth.ts
@@ -1,6 +1,6 @@
 /** How far a replica is trusted, by the outcomes of the attempts that went there. */
 import type { Clock } from '@martenworks/core-types';
-import { firstSuspicionMs } from './trackedReplica.js';
+import { initialSuspicionMs } from './trackedReplica.js';
 import type { TrackedReplica } from './trackedReplica.js';
 
 const longestSuspicionMs = 4_000;
@@ -16,8 +16,8 @@
   readonly isSuspect = (tracked: TrackedReplica): boolean => tracked.suspectUntil > this.clock.now();
 
   /** Whether the replica takes no requests now: it changes weights, or rejected one because it is full. */
-  readonly isResting = (tracked: TrackedReplica): boolean =>
-    Math.max(tracked.restUntil, tracked.fullUntil) > this.clock.now();
+  readonly isUnavailable = (tracked: TrackedReplica): boolean =>
+    Math.max(tracked.loadingUntil, tracked.fullUntil) > this.clock.now();
 
   /**
    * How much of what was sent there lately failed, 0 to 1, forgotten by half every four seconds: a replica may look
@@ -33,20 +33,20 @@
   };
 
   /** An attempt got its answer: the suspicion ends, and its duration starts from the shortest again. */
-  readonly answered = (tracked: TrackedReplica): void => {
+  readonly recordSuccess = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, successWeight, false);
-    tracked.isBroken = false;
+    tracked.lastAttemptFailed = false;
     tracked.suspectUntil = 0;
-    tracked.suspicionMs = firstSuspicionMs;
+    tracked.suspicionMs = initialSuspicionMs;
   };
 
   /** It was silent for longer than it should be: suspect for a while, but not counted as broken. */
-  readonly slow = (tracked: TrackedReplica): void => this.suspect(tracked);
+  readonly recordSlow = (tracked: TrackedReplica): void => this.suspect(tracked);
 
   /** An attempt failed by the replica's fault: it counts as broken and becomes suspect, longer each time in a row. */
-  readonly failed = (tracked: TrackedReplica): void => {
+  readonly recordFailure = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, failureWeight, true);
-    tracked.isBroken = true;
+    tracked.lastAttemptFailed = true;
     this.suspect(tracked);
   };
 
@@ -54,8 +54,8 @@
    * Whether it may hand over what it keeps: one that is only slow may, one whose last word was a failure costs its
    * receiver some hundred milliseconds if it is dead.
    */
-  readonly mayHandOver = (tracked: TrackedReplica): boolean =>
-    !tracked.isGone && !(tracked.isBroken && this.isSuspect(tracked));
+  readonly mayPullFrom = (tracked: TrackedReplica): boolean =>
+    !tracked.isRemoved && !(tracked.lastAttemptFailed && this.isSuspect(tracked));
 
   private readonly suspect = (tracked: TrackedReplica): void => {
     const now = this.clock.now();
@@ -65,7 +65,7 @@
   };
 
   /** The replica rejected an attempt because it is full: it rests for so many milliseconds. */
-  readonly full = (tracked: TrackedReplica, forMs: number): void => {
+  readonly recordFull = (tracked: TrackedReplica, forMs: number): void => {
     tracked.fullUntil = Math.max(tracked.fullUntil, this.clock.now() + forMs);
   };
 }
--- a/packages/edge-proxy/src/routing/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -6,7 +6,7 @@
 import { CandidateScorer } from './candidateScorer.js';
 import { HolderSelector } from './holderSelector.js';
 import type { Placement, PlacementQuery, WeightsTargetSource } from './placement.js';
-import type { PlacementRound } from './placementRound.js';
+import type { PlacementContext } from './placementContext.js';
 import { PrefixLookup } from './prefixLookup.js';
 import { promptAffinity } from './promptAffinity.js';
 import type { PromptAffinity } from './promptAffinity.js';
@@ -67,7 +67,7 @@
     connections: number,
   ): boolean =>
     !tracked.endpoint.isLeaving &&
-    !this.replicaTracker.health.isResting(tracked) &&
+    !this.replicaTracker.health.isUnavailable(tracked) &&
     this.weights.mayRun(tracked, query, view) &&
     !query.avoided.has(tracked.endpoint.id) &&
     tracked.running < connections;
@@ -76,18 +76,18 @@
     query: PlacementQuery,
     view: RoutingTableView,
     replicas: readonly TrackedReplica[],
-  ): PlacementRound => {
-    const { order, pool } = query;
-    const affinity = promptAffinity.of(order.parts);
+  ): PlacementContext => {
+    const { metadata, pool } = query;
+    const affinity = promptAffinity.of(metadata.parts);
     const engine = view.pool(pool)?.engine ?? null;
     return {
       query,
       stores: view.routingTable.stores,
       replicas,
       affinity,
-      lookup: new PrefixLookup(this.prefixCaches, order.parts, affinity.index),
+      lookup: new PrefixLookup(this.prefixCaches, metadata.parts, affinity.index),
       preferred: this.preferred(query, affinity, replicas),
-      target: order.model === null ? null : this.weights.targetOf(order.model),
+      target: metadata.model === null ? null : this.weights.targetOf(metadata.model),
       isPrefillRunning: replicas.some((tracked) => this.isPrefilling(tracked, query, affinity)),
       pullMs: (tokens) => pullMs(engine, tokens),
     };
@@ -122,7 +122,7 @@
       salt !== null &&
       !tracked.endpoint.isLeaving &&
       !this.replicaTracker.health.isSuspect(tracked) &&
-      this.prefixCaches.isReading(tracked.endpoint.address, salt, trackedPart.id)
+      this.prefixCaches.isPrefilling(tracked.endpoint.address, salt, trackedPart.id)
     );
   };
 }
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -2,7 +2,7 @@
  * The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own
  * attempts.
  */
-import { ReadRates } from './readRates.js';
+import { PrefillRates } from './prefillRates.js';
 import { ReplicaHealth } from './replicaHealth.js';
 import { trackedReplicas } from './trackedReplica.js';
 import type { TrackedReplica } from './trackedReplica.js';
@@ -31,14 +31,14 @@
   /** Health of the tracked replicas, by the outcomes of this edge's attempts. */
   readonly health: ReplicaHealth;
   /** Prefill rates, by the times to first pieces that this edge saw. */
-  readonly readRates = new ReadRates();
+  readonly prefillRates = new PrefillRates();
 
   constructor(private readonly clock: Clock) {
     this.health = new ReplicaHealth(clock);
   }
 
   /** Takes changes of the endpoint list, or the whole list; tells what they change at addresses known before. */
-  readonly take = ({ isWhole, put, gone }: EndpointListUpdate): EndpointChanges => {
+  readonly applyEndpoints = ({ isWhole, put, gone }: EndpointListUpdate): EndpointChanges => {
     const before = this.incarnationsByAddress();
     const received = new Set(put.map((endpoint) => endpoint.id));
     for (const endpoint of put) {
@@ -78,11 +78,11 @@
    * removed only if no update names it for four seconds.
    */
   private readonly doubt = (tracked: TrackedReplica): void => {
-    if (tracked.doubtedAt !== null) return;
+    if (tracked.missingSince !== null) return;
     const at = this.clock.now();
-    tracked.doubtedAt = at;
+    tracked.missingSince = at;
     this.clock.after(doubtMs, () => {
-      if (tracked.doubtedAt !== at || tracked.isGone) return;
+      if (tracked.missingSince !== at || tracked.isRemoved) return;
       this.remove(tracked.endpoint.id);
       this.group();
     });
@@ -92,48 +92,51 @@
     const tracked = this.replicas.get(id);
     if (tracked === undefined) return;
     this.replicas.delete(id);
-    tracked.isGone = true;
-    for (const listener of [...tracked.whenGone]) listener();
+    tracked.isRemoved = true;
+    for (const listener of [...tracked.removalListeners]) listener();
   };
 
   /** A replica begins to change its weights and rests for `forMs` milliseconds, or has its new version. */
-  readonly takeWeights = ({ id, model, version, forMs }: WeightsUpdate): void => {
+  readonly applyWeights = ({ id, model, version, forMs }: WeightsUpdate): void => {
     const tracked = this.replicas.get(id);
     if (tracked === undefined) return;
-    tracked.restUntil = version === null ? this.clock.now() + forMs : 0;
-    if (version !== null) this.holds(tracked, model, version);
+    tracked.loadingUntil = version === null ? this.clock.now() + forMs : 0;
+    if (version !== null) this.recordWeights(tracked, model, version);
   };
 
   /** What other edges have replicas read; a note whose end never comes is forgotten. */
-  readonly takeReading = ({ id, replica, tokens }: PrefillNotice): void => {
+  readonly applyPrefillNotice = ({ id, replica, tokens }: PrefillNotice): void => {
     const known = this.readings.get(id);
     if (known !== undefined) {
       this.readings.delete(id);
       const tracked = this.replicas.get(known.replica);
-      if (tracked !== undefined) tracked.othersTokens = Math.max(0, tracked.othersTokens - known.tokens);
+      if (tracked !== undefined) tracked.otherEdgesTokens = Math.max(0, tracked.otherEdgesTokens - known.tokens);
     }
     const tracked = this.replicas.get(replica);
     if (tokens <= 0 || tracked === undefined) return;
     this.readings.set(id, { replica, tokens });
-    tracked.othersTokens += tokens;
+    tracked.otherEdgesTokens += tokens;
     this.note(tracked, tokens);
     this.clock.after(readingForgetMs, () => {
-      if (this.readings.has(id)) this.takeReading({ id, replica, tokens: 0, salt: null, part: null });
+      if (this.readings.has(id)) this.applyPrefillNotice({ id, replica, tokens: 0, salt: null, part: null });
     });
   };
 
-  private readonly note = ({ notes }: TrackedReplica, tokens: number): void => {
+  private readonly note = ({ tokenArrivals }: TrackedReplica, tokens: number): void => {
     const at = this.clock.now();
-    notes.push({ at, tokens });
-    while (notes.length > mostNotes || at - (notes[0]?.at ?? at) > notesMs) notes.shift();
+    tokenArrivals.push({ at, tokens });
+    while (tokenArrivals.length > mostNotes || at - (tokenArrivals[0]?.at ?? at) > notesMs) tokenArrivals.shift();
   };
 
   /**
    * Tokens that came to the replica just after `sentAt`; other fronts' notes travel for a while, so some of them were
    * there before.
    */
-  readonly cameWith = ({ notes }: TrackedReplica, sentAt: number): number =>
-    notes.reduce((sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum), 0);
+  readonly tokensArrivedAfter = ({ tokenArrivals }: TrackedReplica, sentAt: number): number =>
+    tokenArrivals.reduce(
+      (sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum),
+      0,
+    );
 
   /** The address of the replica with the id; null where it isn't tracked. */
   readonly addressOf = (id: string): string | null => this.replicas.get(id)?.endpoint.address ?? null;
@@ -142,7 +145,7 @@
    * An answer or update shows that the replica runs at least this version of the model's weights; a lower one changes
    * nothing.
    */
-  readonly holds = (tracked: TrackedReplica, model: string, version: number): void => {
+  readonly recordWeights = (tracked: TrackedReplica, model: string, version: number): void => {
     if ((tracked.endpoint.weights[model] ?? 0) < version)
       tracked.endpoint = { ...tracked.endpoint, weights: { ...tracked.endpoint.weights, [model]: version } };
   };
@@ -154,19 +157,19 @@
   readonly all = (): TrackedReplica[] => [...this.replicas.values()];
 
   /** An attempt began at the replica, with so many tokens to prefill. */
-  readonly began = (tracked: TrackedReplica, tokens: number): void => {
+  readonly recordStart = (tracked: TrackedReplica, tokens: number): void => {
     tracked.running += 1;
     tracked.pendingTokens += tokens;
     this.note(tracked, tokens);
   };
 
   /** The replica has prefilled the prompt, or won't: the tokens aren't pending any more. */
-  readonly given = (tracked: TrackedReplica, tokens: number): void => {
+  readonly recordPrefilled = (tracked: TrackedReplica, tokens: number): void => {
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
   };
 
   /** An attempt at the replica is over, however it ended. */
-  readonly ended = (tracked: TrackedReplica): void => {
+  readonly recordEnd = (tracked: TrackedReplica): void => {
     tracked.running = Math.max(0, tracked.running - 1);
   };
 }
--- a/packages/edge-proxy/src/routing/trackedReplica.ts
+++ b/packages/edge-proxy/src/routing/trackedReplica.ts
@@ -2,7 +2,7 @@
 import type { ReplicaEndpoint } from '@martenworks/core-types';
 
 /** Milliseconds for which a replica is suspect after its first failure; doubled with each further one. */
-export const firstSuspicionMs = 400;
+export const initialSuspicionMs = 400;
 
 /**
  * A replica's mutable record. `running` and `pendingTokens` count this edge's attempts, `othersTokens` what other edges
@@ -12,19 +12,19 @@
   endpoint: ReplicaEndpoint;
   running: number;
   pendingTokens: number;
-  othersTokens: number;
+  otherEdgesTokens: number;
   suspectUntil: number;
   suspicionMs: number;
   fullUntil: number;
-  restUntil: number;
+  loadingUntil: number;
   errorRate: number;
   errorRateAt: number;
-  isBroken: boolean;
-  isGone: boolean;
-  doubtedAt: number | null;
-  readonly whenGone: Set<() => void>;
-  readonly samples: number[];
-  readonly notes: { readonly at: number; readonly tokens: number }[];
+  lastAttemptFailed: boolean;
+  isRemoved: boolean;
+  missingSince: number | null;
+  readonly removalListeners: Set<() => void>;
+  readonly prefillRates: number[];
+  readonly tokenArrivals: { readonly at: number; readonly tokens: number }[];
 }
 
 /** Creates the record of a replica that appears in the endpoint list. */
@@ -34,18 +34,18 @@
     endpoint,
     running: 0,
     pendingTokens: 0,
-    othersTokens: 0,
+    otherEdgesTokens: 0,
     suspectUntil: 0,
-    suspicionMs: firstSuspicionMs,
+    suspicionMs: initialSuspicionMs,
     fullUntil: 0,
-    restUntil: 0,
+    loadingUntil: 0,
     errorRate: 0,
     errorRateAt: 0,
-    isBroken: false,
-    isGone: false,
-    doubtedAt: null,
-    whenGone: new Set(),
-    samples: [],
-    notes: [],
+    lastAttemptFailed: false,
+    isRemoved: false,
+    missingSince: null,
+    removalListeners: new Set(),
+    prefillRates: [],
+    tokenArrivals: [],
   }),
 };
--- a/packages/edge-proxy/src/routing/weightsEligibility.ts
+++ b/packages/edge-proxy/src/routing/weightsEligibility.ts
@@ -23,7 +23,7 @@
   /** Whether the replica's weights allow it to run a request for the model. */
   readonly mayRun = (
     { endpoint }: TrackedReplica,
-    { order: { model }, neededMs }: PlacementQuery,
+    { metadata: { model }, neededMs }: PlacementQuery,
     view: RoutingTableView,
   ): boolean => {
     if (model === null) return true;
@@ -34,9 +34,9 @@
   };
 
   /** The version of the request's model that the replica runs, and the salt that its cache entries have. */
-  readonly servedBy = ({ endpoint }: TrackedReplica, { order, customer }: PlacementQuery): ServedWeights => {
-    const version = order.model === null ? undefined : endpoint.weights[order.model];
-    if (order.model === null || version === undefined) return { version: null, salt: null };
-    return { version, salt: salts.of(order.model, version, customer) };
+  readonly servedBy = ({ endpoint }: TrackedReplica, { metadata, customer }: PlacementQuery): ServedWeights => {
+    const version = metadata.model === null ? undefined : endpoint.weights[metadata.model];
+    if (metadata.model === null || version === undefined) return { version: null, salt: null };
+    return { version, salt: salts.of(metadata.model, version, customer) };
   };
 }
--- a/packages/edge-proxy/src/routing/weightsTargets.ts
+++ b/packages/edge-proxy/src/routing/weightsTargets.ts
@@ -34,7 +34,7 @@
    * Takes the ages of targets from a state; of a version that is known already the longer age counts.
    * @returns the targets that were not known before
    */
-  readonly take = (weightsAges: EdgeState['weightsAges']): NewTarget[] => {
+  readonly apply = (weightsAges: EdgeState['weightsAges']): NewTarget[] => {
     const added: NewTarget[] = [];
     const now = this.clock.now();
     for (const [model, ages] of Object.entries(weightsAges)) {
@@ -67,7 +67,7 @@
   };
 
   /** Whether a request that is written now and begins within `startMs` still begins in time on this version. */
-  readonly mayBeginWithin = (model: string, version: number, startMs: number): boolean => {
+  readonly mayStartWithin = (model: string, version: number, startMs: number): boolean => {
     const supersededForMs = this.supersededForMs(model, version);
     return supersededForMs === null || supersededForMs + startMs <= this.versionMs * latestStartShare;
   };
--- a/packages/edge-proxy/test/callerConnections.test.ts
+++ b/packages/edge-proxy/test/callerConnections.test.ts
@@ -219,7 +219,7 @@
     await staged(
       () => {},
       async (stage, replica) => {
-        stage.edge.ingress.limit({ headerBytes: 16_384, bodyBytes: 65_536, headerMs: 200, idleMs: 15_000 });
+        stage.edge.ingress.applyLimits({ headerBytes: 16_384, bodyBytes: 65_536, headerMs: 200, idleMs: 15_000 });
         const caller = stage.caller();
         caller.socket.write(`${requestText('once', 'POST', 'one', 'with length')}GET /half`);
         await replica.untilBegun();
--- a/packages/edge-proxy/test/edgeHarness.ts
+++ b/packages/edge-proxy/test/edgeHarness.ts
@@ -335,7 +335,7 @@
       log: logs.silent(),
     };
     const edge = new EdgeProxy(settings, ports, headerCodec, []);
-    edge.takeState({
+    edge.applyState({
       logIndex: 1,
       configVersion: 1,
       table: routingTableOf(times),
@@ -361,7 +361,7 @@
 
   /** Puts just these replicas on the list. */
   readonly list = (replicas: readonly RawReplica[]): void =>
-    this.edge.takeEndpoints({
+    this.edge.applyEndpoints({
       isWhole: false,
       put: replicas.map(this.endpointOf),
       gone: this.replicas.filter((replica) => !replicas.includes(replica)).map(({ id }) => id),
@@ -397,7 +397,7 @@
 
   readonly close = async (): Promise<void> => {
     this.edge.stop();
-    this.edge.ingress.shut();
+    this.edge.ingress.stopAccepting();
     for (const replica of this.replicas) replica.close();
     await this.httpClient.close();
   };
--- a/packages/edge-proxy/test/oldWeightsReport.test.ts
+++ b/packages/edge-proxy/test/oldWeightsReport.test.ts
@@ -15,9 +15,9 @@
     metrics: { add: (name: string) => counted.push(name) },
     ports: { log: { warn: (_: string, fields: Record<string, unknown>) => lines.push(fields) } },
   } as unknown as EdgeContext;
-  const admission = { order: { id: 'o-1', model: 'm' } } as unknown as Admission;
+  const admission = { metadata: { id: 'o-1', model: 'm' } } as unknown as Admission;
   const placed = { version, tracked: { endpoint: { id: 'r-1' } } } as unknown as Placement;
-  new OldWeightsReport(context, admission, placed).began();
+  new OldWeightsReport(context, admission, placed).recordStart();
   return { counted, lines };
 };
 
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -3,7 +3,7 @@
 import type { RequestMetadata, Customer, ReplicaEndpoint, RoutingTable } from '@martenworks/core-types';
 import { RoutingTableIndexer } from '@martenworks/route-table';
 import {
-  EventCutter,
+  EventSplitter,
   RetryBudget,
   ReplicaTracker,
   PrefixCacheIndex,
@@ -18,17 +18,17 @@
 describe('events of a stream', () => {
   it('given a stream cut anywhere, when it is fed byte by byte, then whole events come out byte for byte, with their ids', () => {
     const stream = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\nid:3\ndata: c\n\n';
-    const cutter = new EventCutter();
-    const events = [...stream].flatMap((letter) => cutter.take(bytes(letter)));
+    const cutter = new EventSplitter();
+    const events = [...stream].flatMap((letter) => cutter.push(bytes(letter)));
     expect(events.map((event) => event.id)).to.deep.equal(['1', '2', '3']);
     expect(events.map((event) => text(event.bytes)).join('')).to.equal(stream);
-    expect(cutter.left().length).to.equal(0);
+    expect(cutter.remainder().length).to.equal(0);
   });
 
   it('given an event that broke off, when the stream ends, then it was not given out', () => {
-    const cutter = new EventCutter();
-    expect(cutter.take(bytes('id: 1\ndata: a\n\nid: 2\ndata: b')).map((event) => event.id)).to.deep.equal(['1']);
-    expect(text(cutter.left())).to.equal('id: 2\ndata: b');
+    const cutter = new EventSplitter();
+    expect(cutter.push(bytes('id: 1\ndata: a\n\nid: 2\ndata: b')).map((event) => event.id)).to.deep.equal(['1']);
+    expect(text(cutter.remainder())).to.equal('id: 2\ndata: b');
   });
 });
 
@@ -67,10 +67,10 @@
       await world.run(100);
       budgets.forEach((budget, at) => {
         for (let one = 0; one < at; one += 1) {
-          budget.first('p');
+          budget.recordFirstAttempt('p');
           firsts.push(world.time);
         }
-        while (budget.take('p')) extras.push(world.time);
+        while (budget.trySpend('p')) extras.push(world.time);
       });
     }
     const within = (times: readonly number[], end: number): number =>
@@ -86,7 +86,7 @@
     const clock = new SimWorld(1).machine('10.0.0.1').ports().clock;
     const budget = new RetryBudget(clock, { ratio: 0.2, windowMs: 10_000, slack: 80 }, () => 10);
     let spent = 0;
-    while (budget.take('p')) spent += 1;
+    while (budget.trySpend('p')) spent += 1;
     expect(spent).to.equal(3);
   });
 });
@@ -149,14 +149,14 @@
   const prefixCaches = new PrefixCacheIndex(clock);
   const weightsTargets = new WeightsTargets(clock, versionMs);
   const placing = new ReplicaSelector(replicaTracker, prefixCaches, clock, weightsTargets);
-  replicaTracker.take({
+  replicaTracker.applyEndpoints({
     isWhole: true,
     put: Array.from({ length: count }, (_, at) => endpoint(`r${at + 1}`)),
     gone: [],
   });
   const view = new RoutingTableIndexer().view(1, routingTable);
-  const place = (order: RequestMetadata, customer: Customer | null = null, avoided = nobody) =>
-    placing.place({ pool: 'p', order, customer, avoided, neededMs }, view, 64);
+  const place = (metadata: RequestMetadata, customer: Customer | null = null, avoided = nobody) =>
+    placing.place({ pool: 'p', metadata, customer, avoided, neededMs }, view, 64);
   return { world, replicaTracker, prefixCaches, weightsTargets, place, clock };
 };
 
@@ -177,7 +177,7 @@
     const { replicaTracker, prefixCaches, place } = office();
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
-    prefixCaches.take([
+    prefixCaches.apply([
       {
         address: home.tracked.endpoint.address,
         isWhole: false,
@@ -187,7 +187,7 @@
     ]);
     expect(place(long('manual'))?.tracked).to.equal(home.tracked);
     expect(place(long('manual'))?.isCached).to.equal(true);
-    replicaTracker.began(home.tracked, 60_000);
+    replicaTracker.recordStart(home.tracked, 60_000);
     const left = place(long('manual'));
     expect(left?.tracked).to.not.equal(home.tracked);
     expect(left?.holder).to.equal(home.tracked.endpoint.address);
@@ -198,7 +198,7 @@
     const holder = replicaTracker.all()[4];
     if (holder === undefined) throw new Error('no replica');
     const kept = (salt: string) =>
-      prefixCaches.take([
+      prefixCaches.apply([
         {
           address: holder.endpoint.address,
           isWhole: false,
@@ -217,11 +217,11 @@
 
   it('given replicas that leave, rest or hold old weights for too long, when prompts are placed, then none of them is chosen', async () => {
     const { replicaTracker, weightsTargets, place, world } = office(3);
-    replicaTracker.take({ isWhole: false, put: [endpoint('r1', { isLeaving: true })], gone: [] });
-    replicaTracker.takeWeights({ id: 'r2', model, version: null, forMs: 500 });
+    replicaTracker.applyEndpoints({ isWhole: false, put: [endpoint('r1', { isLeaving: true })], gone: [] });
+    replicaTracker.applyWeights({ id: 'r2', model, version: null, forMs: 500 });
     for (let at = 0; at < 50; at += 1) expect(place(long(`a${at}`))?.tracked.endpoint.id).to.equal('r3');
-    replicaTracker.takeWeights({ id: 'r2', model, version: 2, forMs: 0 });
-    weightsTargets.take({ [model]: [{ version: 2, msAgo: 0 }] });
+    replicaTracker.applyWeights({ id: 'r2', model, version: 2, forMs: 0 });
+    weightsTargets.apply({ [model]: [{ version: 2, msAgo: 0 }] });
     await world.run(6_500);
     for (let at = 0; at < 50; at += 1) {
       const placed = place(long(`a${at}`));
@@ -232,8 +232,12 @@
 
   it('given a leaving replica, when an older list says that it is ready, then it stays leaving, and weights never go back', () => {
     const { replicaTracker } = office(2);
-    replicaTracker.take({ isWhole: false, put: [endpoint('r1', { isLeaving: true, weights: { m: 3 } })], gone: [] });
-    replicaTracker.take({ isWhole: true, put: [endpoint('r1'), endpoint('r2')], gone: [] });
+    replicaTracker.applyEndpoints({
+      isWhole: false,
+      put: [endpoint('r1', { isLeaving: true, weights: { m: 3 } })],
+      gone: [],
+    });
+    replicaTracker.applyEndpoints({ isWhole: true, put: [endpoint('r1'), endpoint('r2')], gone: [] });
     const tracked = replicaTracker.all().find((one) => one.endpoint.id === 'r1');
     expect(tracked?.endpoint.isLeaving).to.equal(true);
     expect(tracked?.endpoint.weights).to.deep.equal({ m: 3 });
@@ -256,14 +260,14 @@
     const { replicaTracker, prefixCaches, place } = office();
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
-    replicaTracker.takeReading({
+    replicaTracker.applyPrefillNotice({
       id: 'x',
       replica: home.tracked.endpoint.id,
       tokens: 17_000,
       salt: 'm@1',
       part: 'manual',
     });
-    prefixCaches.reads(home.tracked.endpoint.address, 'm@1', 'manual');
+    prefixCaches.recordPrefill(home.tracked.endpoint.address, 'm@1', 'manual');
     expect(place(long('manual'))?.tracked).to.equal(home.tracked);
     const short: RequestMetadata = {
       ...long('s'),
@@ -285,8 +289,14 @@
           ],
         })?.tracked,
       ).to.not.equal(home.tracked);
-    replicaTracker.takeReading({ id: 'x', replica: home.tracked.endpoint.id, tokens: 0, salt: null, part: null });
-    expect(home.tracked.othersTokens).to.equal(0);
+    replicaTracker.applyPrefillNotice({
+      id: 'x',
+      replica: home.tracked.endpoint.id,
+      tokens: 0,
+      salt: null,
+      part: null,
+    });
+    expect(home.tracked.otherEdgesTokens).to.equal(0);
   });
 });
 
@@ -296,8 +306,8 @@
     const home = place(long('manual'));
     if (home === null) throw new Error('no home');
     for (let at = 0; at < 12; at += 1) {
-      if (at % 3 === 0) replicaTracker.health.failed(home.tracked);
-      else replicaTracker.health.answered(home.tracked);
+      if (at % 3 === 0) replicaTracker.health.recordFailure(home.tracked);
+      else replicaTracker.health.recordSuccess(home.tracked);
     }
     expect(place(long('manual'))?.tracked).to.not.equal(home.tracked);
     await world.run(25_000);
@@ -306,7 +316,8 @@
 
   it('given a pool in which every replica fails, when a prompt is placed, then the pool is not emptied by suspicion', () => {
     const { replicaTracker, place } = office();
-    for (const tracked of replicaTracker.all()) for (let at = 0; at < 6; at += 1) replicaTracker.health.failed(tracked);
+    for (const tracked of replicaTracker.all())
+      for (let at = 0; at < 6; at += 1) replicaTracker.health.recordFailure(tracked);
     expect(place(long('manual'))).to.not.equal(null);
   });
 });
@@ -314,7 +325,7 @@
 describe('what a store is sent', () => {
   it('given prompts of one manual with ends short and long, when they are placed, then only those whose end is short are sent on to the store', () => {
     const { prefixCaches, place } = office();
-    prefixCaches.take([{ address: '10.9.0.1:9000', isWhole: false, isHeard: true, events: [] }]);
+    prefixCaches.apply([{ address: '10.9.0.1:9000', isWhole: false, isHeard: true, events: [] }]);
     const withEnd = (tokens: number): RequestMetadata => ({
       ...long('manual'),
       tokensIn: 13_300 + tokens,
@@ -325,7 +336,7 @@
     });
     expect(place(withEnd(1_000))?.store).to.equal('10.9.0.1:9000');
     expect(place(withEnd(9_000))?.store).to.equal(null);
-    prefixCaches.take([
+    prefixCaches.apply([
       {
         address: '10.9.0.1:9000',
         isWhole: false,
@@ -348,34 +359,34 @@
   it('given a part that is dropped, when the news comes, then it counts no more, also where this edge saw it itself', () => {
     const { prefixCaches } = office();
     const news = (isKept: boolean, tokens: number) =>
-      prefixCaches.take([
+      prefixCaches.apply([
         { address: 'x', isWhole: false, isHeard: true, events: [{ isKept, salt: 's', part: 'p', tokens }] },
       ]);
-    prefixCaches.saw('x', 's', 'p');
-    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(true);
+    prefixCaches.recordObserved('x', 's', 'p');
+    expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(true);
     news(false, 0);
-    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(false);
+    expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(false);
     news(true, 500);
-    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(true);
+    expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(true);
     news(false, 128);
-    expect(prefixCaches.keeps('x', 's', 'p', 500)).to.equal(false);
+    expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(false);
   });
 
   it('given memory that goes by blocks of sixteen, when a part of 13,300 tokens is told as 13,296, then it counts as kept', () => {
     const { prefixCaches } = office();
-    prefixCaches.take([
+    prefixCaches.apply([
       { address: 'x', isWhole: false, isHeard: true, events: [{ isKept: true, salt: 's', part: 'p', tokens: 13_296 }] },
     ]);
-    expect(prefixCaches.keeps('x', 's', 'p', 13_300)).to.equal(true);
-    expect(prefixCaches.keeps('x', 's', 'p', 20_000)).to.equal(false);
+    expect(prefixCaches.isCached('x', 's', 'p', 13_300)).to.equal(true);
+    expect(prefixCaches.isCached('x', 's', 'p', 20_000)).to.equal(false);
   });
 
   it('given what this edge saw itself, when no news ever tells of it, then it is trusted for a while only', async () => {
     const { prefixCaches, world } = office();
-    prefixCaches.saw('x', 's', 'p');
+    prefixCaches.recordObserved('x', 's', 'p');
     await world.run(2_900);
-    expect(prefixCaches.keeps('x', 's', 'p', 1)).to.equal(true);
+    expect(prefixCaches.isCached('x', 's', 'p', 1)).to.equal(true);
     await world.run(200);
-    expect(prefixCaches.keeps('x', 's', 'p', 1)).to.equal(false);
+    expect(prefixCaches.isCached('x', 's', 'p', 1)).to.equal(false);
   });
 });
--- a/packages/edge-proxy/test/stateOrder.test.ts
+++ b/packages/edge-proxy/test/stateOrder.test.ts
@@ -58,12 +58,12 @@
       'incarnation of the edge',
       members.map(({ address }) => address),
       {
-        state: (news) => void this.states.push(news),
-        endpoints: ignore,
-        weights: ignore,
-        prefixCaches: ignore,
-        reading: ignore,
-        missed: ignore,
+        onState: (news) => void this.states.push(news),
+        onEndpoints: ignore,
+        onWeights: ignore,
+        onPrefixCaches: ignore,
+        onPrefillNotices: ignore,
+        onCacheMiss: ignore,
         isReady: () => true,
       },
     );
--- a/packages/edge-proxy/test/weightsTargets.test.ts
+++ b/packages/edge-proxy/test/weightsTargets.test.ts
@@ -9,7 +9,7 @@
   const world = new SimWorld(9);
   const { clock } = world.machine('10.0.0.1').ports();
   const targets = new WeightsTargets(clock, versionMs);
-  const added = targets.take({ [model]: versions });
+  const added = targets.apply({ [model]: versions });
   return { world, targets, added };
 };
 
@@ -19,7 +19,7 @@
     expect(targets.startWindowMs(model, 2)).to.equal(Infinity);
     expect(targets.startWindowMs(model, 3)).to.equal(Infinity);
     expect(targets.startWindowMs('another', 1)).to.equal(Infinity);
-    expect(targets.mayBeginWithin(model, 2, versionMs)).to.equal(true);
+    expect(targets.mayStartWithin(model, 2, versionMs)).to.equal(true);
   });
 
   it('given an older version, when time goes by, then the window shrinks to nothing before the bound is reached', async () => {
@@ -40,11 +40,11 @@
     const { world, targets } = named({ version: 2, msAgo: 0 });
     await world.run(5_000);
     const givenMs = targets.startWindowMs(model, 1);
-    expect(targets.mayBeginWithin(model, 1, givenMs)).to.equal(true);
+    expect(targets.mayStartWithin(model, 1, givenMs)).to.equal(true);
     await world.run(300);
-    expect(targets.mayBeginWithin(model, 1, givenMs)).to.equal(true);
+    expect(targets.mayStartWithin(model, 1, givenMs)).to.equal(true);
     await world.run(200);
-    expect(targets.mayBeginWithin(model, 1, givenMs)).to.equal(false);
+    expect(targets.mayStartWithin(model, 1, givenMs)).to.equal(false);
   });
 
   it('given several newer targets, when the window of a version is asked for, then the first that superseded it counts', () => {
@@ -59,7 +59,7 @@
   it('given a target that is known, when a control node that heard of it later announces it, then its time stays and it is not new', async () => {
     const { world, targets } = named({ version: 2, msAgo: 0 });
     await world.run(3_000);
-    expect(targets.take({ [model]: [{ version: 2, msAgo: 10 }] })).to.deep.equal([]);
+    expect(targets.apply({ [model]: [{ version: 2, msAgo: 10 }] })).to.deep.equal([]);
     expect(targets.supersededForMs(model, 1)).to.equal(3_000);
   });
 });
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -85,7 +85,7 @@
   const before = heapBytes();
   const index = new PrefixCacheIndex(machine.clock);
   const unpacker = new Unpacker(
-    (message) => index.take((message as { body: PrefixCacheUpdate[] }).body),
+    (message) => index.apply((message as { body: PrefixCacheUpdate[] }).body),
     () => {},
   );
   for (const { frame, events } of sent) {
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -97,9 +97,13 @@
     const stepMs = meanCpuMs(stepsBehind, () => behind.step());
     const idleMs = meanCpuMs(stepsIdle, () => done.step());
     const replicaTracker = new ReplicaTracker(machine.clock);
-    replicaTracker.take({ isWhole: true, put: list, gone: [] });
+    replicaTracker.applyEndpoints({ isWhole: true, put: list, gone: [] });
     const edgeMs = meanCpuMs(changesARepeat, (at) =>
-      replicaTracker.take({ isWhole: false, put: [{ ...(list[at] as ReplicaEndpoint), isLeaving: true }], gone: [] }),
+      replicaTracker.applyEndpoints({
+        isWhole: false,
+        put: [{ ...(list[at] as ReplicaEndpoint), isLeaving: true }],
+        gone: [],
+      }),
     );
     if (!isKept) return;
     series.step.add(list.length, stepMs);
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -32,11 +32,11 @@
 const selectorFor = (replicas: number): ReplicaSelector => {
   const list = routeSamples.endpoints(replicas * poolCount);
   const replicaTracker = new ReplicaTracker(machine.clock);
-  replicaTracker.take({ isWhole: true, put: list, gone: [] });
+  replicaTracker.applyEndpoints({ isWhole: true, put: list, gone: [] });
   const prefixCaches = new PrefixCacheIndex(machine.clock);
   const event = { isKept: true, salt: salts.of(model, 1, null), part: largePart.id, tokens: largePart.tokens };
   for (const [at, { address }] of list.filter(({ pool }) => pool === model).entries())
-    if (at % 3 === 0) prefixCaches.take([{ address, isWhole: false, isHeard: true, events: [event] }]);
+    if (at % 3 === 0) prefixCaches.apply([{ address, isWhole: false, isHeard: true, events: [event] }]);
   return new ReplicaSelector(replicaTracker, prefixCaches, machine.clock, {
     of: () => ({ version: 1, sinceMs: 10_000 }),
     startWindowMs: () => Infinity,
@@ -45,7 +45,7 @@
 
 const question = (): PlacementQuery => ({
   pool: model,
-  order: {
+  metadata: {
     id: 'order',
     key: null,
     leftMs: 6_000,
