--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -1,6 +1,6 @@
 /**
- * The acceptor of one control node: its promises, votes and committed state, each on disk before anyone is told. Paxos
- * runs once per log index; only the slot after the committed state is open for votes.
+ * The Paxos acceptor of one control node. Promises, accepted changes and the committed state are written to disk before
+ * they are reported. Paxos runs once per log index; only the slot after the committed state is open for votes.
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -16,31 +16,31 @@
 import { logPrefixes, removeDamagedLogs } from './memberLogs.js';
 import { RecentChanges } from './recentChanges.js';
 
-/** Told of a committed change, or of null where a whole state was adopted. */
+/** Receives each committed change, or null when a complete state was adopted. */
 type CommitListener = (committed: CommittedChange | null) => void;
 
-/** A reply to a request for a founding vote: `members` are those voted for, null where no vote was cast. */
+/** The reply to a request to vote for the initial members; `members` are those voted for, null if no vote was cast. */
 interface BootstrapVote {
   readonly isGranted: boolean;
   readonly members: readonly Member[] | null;
 }
 
-const sinceLimit = 16;
+const maxSuffixChanges = 16;
 const segmentsBeforeSnapshot = 4;
 const noBallot: BallotState = { promised: null, accepted: null };
 
-/** One voter's part of the agreement: what it promised, accepted and knows to be committed, on disk before it is reported. */
+/** Stores what this node has promised, accepted and committed; each of them is on disk before it is reported. */
 export class Acceptor {
   private readonly commands = new CommandQueue();
-  private readonly recent = new RecentChanges();
+  private readonly recentChanges = new RecentChanges();
   private readonly listeners: CommitListener[] = [];
   private state: CommittedState | null = null;
   private ballotState: BallotState = noBallot;
   private bootstrapVote: readonly Member[] | null = null;
   private acceptedAt = 0;
-  /** Identity of this log; a node that loses its disk comes back under another one. Empty until `identify`. */
+  /** Identity of this log; a node that loses its disk gets a new one. Empty until `identify`. */
   incarnation = '';
-  /** Whether this log began with a new node, not after a loss; only such a node asks others for founding votes. */
+  /** Whether this log belongs to a new node, not to one that lost its disk; only a new node may bootstrap a cluster. */
   isNewNode = true;
 
   constructor(
@@ -80,7 +80,7 @@
       case 'adopted':
         this.state = stateMachine.filled(event.agreed);
         this.ballotState = noBallot;
-        this.recent.clear();
+        this.recentChanges.clear();
         return;
       case 'promised':
         if (event.slot === this.nextLogIndex()) this.ballotState = { ...this.ballotState, promised: event.ballot };
@@ -99,7 +99,7 @@
     if (this.state === null || committed.logIndex !== this.nextLogIndex()) return;
     this.state = stateMachine.apply(this.state, committed.change);
     this.ballotState = noBallot;
-    this.recent.add(committed);
+    this.recentChanges.add(committed);
   };
 
   private readonly persist = async (event: AcceptorEvent): Promise<Result<void, WriteAheadLogError>> => {
@@ -114,11 +114,11 @@
   };
 
   private readonly writeSnapshot = async (): Promise<void> => {
-    const written = await this.wal.snapshot(this.capture);
+    const written = await this.wal.snapshot(this.encodeCurrentState);
     if (written.isErr()) this.log.warn('snapshot write failed', { fault: written.error });
   };
 
-  private readonly capture = (): CompressedSnapshot =>
+  private readonly encodeCurrentState = (): CompressedSnapshot =>
     acceptorLog.encodeSnapshot({
       incarnation: this.incarnation,
       isFresh: this.isNewNode,
@@ -127,43 +127,45 @@
       live: this.ballotState,
     });
 
-  /** Draws an incarnation for a log that has none; the error is that of the disk. */
-  readonly identify = (random: Random, isFresh: boolean): Promise<Result<void, WriteAheadLogError>> =>
+  /** Generates an incarnation for a log that has none. Fails if the log cannot be written. */
+  readonly identify = (random: Random, isNewNode: boolean): Promise<Result<void, WriteAheadLogError>> =>
     this.commands.run(async () =>
-      this.incarnation === '' ? this.persist({ t: 'identity', incarnation: random.token(8), isFresh }) : ok(undefined),
+      this.incarnation === ''
+        ? this.persist({ t: 'identity', incarnation: random.token(8), isFresh: isNewNode })
+        : ok(undefined),
     );
 
-  /** The committed state; null while the node belongs to no founded cluster. */
+  /** The committed state; null until the node belongs to a cluster. */
   readonly committedState = (): CommittedState | null => this.state;
 
-  /** The slot that is open for votes; -1 without a committed state. */
+  /** The slot that is open for votes; -1 if there is no committed state. */
   readonly nextLogIndex = (): number => (this.state === null ? -1 : this.state.logIndex + 1);
 
-  /** Whether the committed state names this incarnation as a member. */
+  /** Whether this incarnation is a member in the committed state. */
   readonly isVoter = (): boolean =>
     this.state?.members.some((member) => member.incarnation === this.incarnation) === true;
 
-  /** Milliseconds since a change was accepted that is not known to be committed; null where there is none. */
+  /** Milliseconds since a change was accepted that is not known to be committed; null if there is none. */
   readonly pendingForMs = (): number | null =>
     this.ballotState.accepted === null ? null : this.clock.now() - this.acceptedAt;
 
   /** The round of the highest ballot promised in the open slot, 0 for none. */
   readonly highestRound = (): number => this.ballotState.promised?.[0] ?? 0;
 
-  /** The slot of a change that is accepted and not known to be committed; null where there is none. */
+  /** The slot of a change that is accepted and not known to be committed; null if there is none. */
   readonly acceptedSlot = (): number | null => (this.ballotState.accepted === null ? null : this.nextLogIndex());
 
-  /** Whether a swap of members was accepted here that is not known to be committed. */
+  /** Whether a membership change is accepted and not known to be committed. */
   readonly hasPendingSwap = (): boolean => this.ballotState.accepted?.change.body.kind === 'swap';
 
-  /** Calls the listener after each committed change or adopted state that is on disk. */
+  /** Calls the listener after each committed change or adopted state is on disk. */
   readonly watch = (listener: CommitListener): void => void this.listeners.push(listener);
 
   private readonly notifyListeners = (committed: CommittedChange | null): void => {
     for (const listener of this.listeners) listener(committed);
   };
 
-  /** Votes for a set of founding members, once: later requests are granted for the same set only. */
+  /** Votes for the initial members of a cluster, once: later requests are granted only for the same members. */
   readonly voteForInitialMembers = (members: readonly Member[]): Promise<BootstrapVote> =>
     this.commands.run(async () => {
       if (this.state !== null) return { isGranted: false, members: null };
@@ -174,19 +176,19 @@
       return { isGranted: JSON.stringify(this.bootstrapVote) === JSON.stringify(members), members: this.bootstrapVote };
     });
 
-  /** The founding members this node voted for; null where it cast no vote. */
+  /** The initial members this node voted for; null if it cast no vote. */
   readonly initialMembersVotedFor = (): readonly Member[] | null => this.bootstrapVote;
 
-  /** Takes a whole state that is newer than the own one; false where it is not, or the disk failed. */
-  readonly adopt = (agreed: CommittedState): Promise<boolean> =>
+  /** Replaces the state by a newer one. False if it is not newer, or the disk failed. */
+  readonly adopt = (newState: CommittedState): Promise<boolean> =>
     this.commands.run(async () => {
-      if (this.state !== null && this.state.logIndex >= agreed.logIndex) return false;
-      const persisted = await this.persist({ t: 'adopted', agreed });
+      if (this.state !== null && this.state.logIndex >= newState.logIndex) return false;
+      const persisted = await this.persist({ t: 'adopted', agreed: newState });
       if (persisted.isOk()) this.notifyListeners(null);
       return persisted.isOk();
     });
 
-  /** Why this node cannot vote on the slot; null where it can. */
+  /** The vote that says why this node cannot vote on the slot; null if it can. */
   private readonly refusal = (slot: number): Vote | null => {
     if (this.state === null) return { kind: 'unavailable', cause: 'unfounded' };
     if (slot < this.nextLogIndex()) return { kind: 'ahead', logIndex: this.state.logIndex };
@@ -194,7 +196,7 @@
     return this.isVoter() ? null : { kind: 'unavailable', cause: 'no voter' };
   };
 
-  /** Phase 1 of Paxos: promises to accept no lower ballot, and reports the change accepted so far. */
+  /** Phase 1 of Paxos: promises to accept no lower ballot, and returns the change accepted so far. */
   readonly prepare = (slot: number, ballot: Ballot): Promise<Vote> =>
     this.commands.run(async (): Promise<Vote> => {
       const refusal = this.refusal(slot);
@@ -217,7 +219,7 @@
       return persisted.isErr() ? { kind: 'unavailable', cause: 'disk' } : { kind: 'accepted' };
     });
 
-  /** Applies a chosen change. True where it is on disk, now or from before; false for a gap or a failed disk. */
+  /** Applies a chosen change. True if it is on disk, also from an earlier call; false after a gap or a disk failure. */
   readonly commit = (committed: CommittedChange): Promise<boolean> =>
     this.commands.run(async () => {
       if (committed.logIndex !== this.nextLogIndex())
@@ -227,20 +229,23 @@
       return persisted.isOk();
     });
 
-  /** What this node holds beyond a log index: a few changes one by one, a larger gap as a whole state. */
+  /** What was committed after a log index: up to 16 changes one by one, a larger gap as a snapshot. */
   readonly logSuffixAfter = (logIndex: number): LogSuffix => {
     if (this.state === null) return { kind: 'nothing' };
     if (logIndex >= this.state.logIndex) return { kind: 'changes', committed: [] };
-    const isNear = this.state.logIndex - logIndex <= sinceLimit;
-    const missed = isNear ? this.recent.after(logIndex) : null;
+    const isWithinLimit = this.state.logIndex - logIndex <= maxSuffixChanges;
+    const missed = isWithinLimit ? this.recentChanges.after(logIndex) : null;
     if (missed === null) return { kind: 'checkpoint', agreed: this.state };
     return {
       kind: 'changes',
-      committed: missed.map((one) => ({ logIndex: one.logIndex, change: compressedChanges.decode(one.change) })),
+      committed: missed.map((entry) => ({ logIndex: entry.logIndex, change: compressedChanges.decode(entry.change) })),
     };
   };
 
-  /** The change in these bytes, which is mostly the one accepted already; throws on damaged bytes. */
+  /**
+   * Decodes a compressed change; throws on damaged bytes. Returns the accepted change itself if the bytes are the same,
+   * which is the usual case and saves the decompression.
+   */
   readonly decodeChange = (bytes: Uint8Array): Change => {
     const accepted = this.ballotState.accepted?.change;
     return accepted !== undefined && acceptorLog.isSameBytes(compressedChanges.encode(accepted), bytes)
@@ -248,10 +253,10 @@
       : compressedChanges.decode(bytes);
   };
 
-  /** All changes after a log index in compressed bytes, the oldest first; null where some are no longer kept. */
-  readonly changesAfter = (logIndex: number): readonly CompressedCommit[] | null => this.recent.after(logIndex);
+  /** All changes after a log index, compressed, oldest first; null if some of them are no longer in memory. */
+  readonly changesAfter = (logIndex: number): readonly CompressedCommit[] | null => this.recentChanges.after(logIndex);
 
-  /** Segments of the log on disk. */
+  /** Number of log segments on disk. */
   readonly segmentCount = (): number => this.wal.segmentCount();
 
   /** Closes the log. */
@@ -261,15 +266,15 @@
 /** Opens acceptors. */
 export const acceptors = {
   /**
-   * Opens this node's part of the agreement, first of all its logs: if any of them is damaged, all are removed and the
-   * node begins anew under another incarnation. The error is that of the disk.
+   * Opens a node's acceptor and restores it from disk. If any log of the node is damaged, all of them are removed and
+   * the node starts empty under a new incarnation. Fails if the disk fails.
    */
   open: async (
     disk: Disk,
     clock: Clock,
     random: Random,
     log: Log,
-    isFresh = true,
+    isNewNode = true,
   ): Promise<Result<Acceptor, WriteAheadLogError>> => {
     const removed = await removeDamagedLogs(disk, log);
     if (removed.isErr()) return err(removed.error);
@@ -285,7 +290,7 @@
       records: records.length,
       logIndex: acceptor.committedState()?.logIndex ?? null,
     });
-    const identified = await acceptor.identify(random, isFresh && !removed.value);
+    const identified = await acceptor.identify(random, isNewNode && !removed.value);
     return identified.isErr() ? err(identified.error) : ok(acceptor);
   },
 };
--- a/packages/control-plane/src/consensus/acceptorLog.ts
+++ b/packages/control-plane/src/consensus/acceptorLog.ts
@@ -1,19 +1,22 @@
 /**
- * The acceptor's write-ahead log: the events an acceptor persists, and their encoding on disk. Changes and states are
- * compressed; records and snapshots that earlier releases wrote uncompressed are still read.
+ * The acceptor's write-ahead log: the events it persists and their encoding on disk. Changes and states are compressed;
+ * the uncompressed records and snapshots of earlier releases can still be read.
  */
 import type { CommittedState, Member } from '@martenworks/core-types';
 import type { Accepted, Ballot, CommittedChange } from './ballots.js';
 import { compressedChanges, compressedStates } from './compression.js';
 import { legacyRecords } from './legacyRecords.js';
 
-/** What an acceptor has promised and accepted in the slot after its committed state. */
+/** What an acceptor has promised and accepted in the open slot, the one after its committed state. */
 export interface BallotState {
   readonly promised: Ballot | null;
   readonly accepted: Accepted | null;
 }
 
-/** A step of the acceptor, applied to memory once it is on disk. */
+/**
+ * A state transition of the acceptor, applied in memory once it is on disk. `vow` is a vote for the initial members,
+ * `settled` a commit; the names are those of the records on disk.
+ */
 export type AcceptorEvent =
   | { readonly t: 'identity'; readonly incarnation: string; readonly isFresh?: boolean }
   | { readonly t: 'vow'; readonly members: readonly Member[] }
@@ -23,8 +26,8 @@
   | { readonly t: 'settled'; readonly committed: CommittedChange };
 
 /**
- * An event as it is written: changes and states compressed, and a committed change that is the accepted one not written
- * again. Earlier releases wrote the events as they stand.
+ * An event as it is written: changes and states are compressed, and a committed change that equals the accepted one is
+ * not written a second time. Earlier releases wrote `AcceptorEvent` uncompressed.
  */
 export type AcceptorRecord =
   | AcceptorEvent
@@ -33,7 +36,11 @@
   | { readonly t: 'settledCompressed'; readonly logIndex: number; readonly change: Uint8Array }
   | { readonly t: 'settledAsAccepted'; readonly logIndex: number };
 
-/** The acceptor's whole state. The field names are those that earlier releases wrote to disk. */
+/**
+ * The acceptor's complete state, with the field names on disk: `agreed` is the committed state, `live` the ballot state
+ * of the open slot, `foundingVote` the vote for the initial members, and `isFresh` tells whether the log began on a new
+ * node.
+ */
 export interface AcceptorSnapshot {
   readonly incarnation: string;
   readonly isFresh?: boolean;
@@ -42,14 +49,14 @@
   readonly live: BallotState;
 }
 
-/** A snapshot as it is written, with its state and its accepted change compressed. */
+/** A snapshot as it is written: the state and the accepted change are compressed. */
 export interface CompressedSnapshot extends Omit<AcceptorSnapshot, 'agreed' | 'live'> {
   readonly compressedAgreed: Uint8Array | null;
   readonly promised: Ballot | null;
   readonly accepted: { readonly ballot: Ballot; readonly change: Uint8Array } | null;
 }
 
-/** A snapshot as any release wrote it. */
+/** A snapshot as this or an earlier release wrote it. */
 export type StoredSnapshot = AcceptorSnapshot | CompressedSnapshot;
 
 const isSameBytes = (a: Uint8Array, b: Uint8Array): boolean => Buffer.compare(a, b) === 0;
@@ -83,15 +90,15 @@
   }
 };
 
-const settledRecord = ({ logIndex, change }: CommittedChange, accepted: Accepted | null): AcceptorRecord => {
+const commitRecord = ({ logIndex, change }: CommittedChange, accepted: Accepted | null): AcceptorRecord => {
   const bytes = compressedChanges.encode(change);
   const isAccepted = accepted !== null && isSameBytes(compressedChanges.encode(accepted.change), bytes);
   return isAccepted ? { t: 'settledAsAccepted', logIndex } : { t: 'settledCompressed', logIndex, change: bytes };
 };
 
-/** Encoding of the acceptor's records and snapshots. Decoding throws on compressed bytes that are damaged. */
+/** Encodes and decodes the acceptor's records and snapshots. Decoding throws on damaged compressed bytes. */
 export const acceptorLog = {
-  /** The record for an event; `accepted` is the change that the acceptor holds as accepted before the event. */
+  /** Encodes an event; `accepted` is the change that was accepted in the open slot before the event, if any. */
   encodeRecord: (event: AcceptorEvent, accepted: Accepted | null): AcceptorRecord => {
     switch (event.t) {
       case 'adopted':
@@ -101,15 +108,15 @@
         return { t: 'acceptedCompressed', slot: event.slot, ballot, change: compressedChanges.encode(change) };
       }
       case 'settled':
-        return settledRecord(event.committed, accepted);
+        return commitRecord(event.committed, accepted);
       default:
         return event;
     }
   },
 
   /**
-   * The event of a record of any release, given the slot and the accepted change that the records before it lead to;
-   * null for a committed change that refers to an acceptance of another slot.
+   * Decodes a record of any release. `nextLogIndex` and `accepted` are the open slot and its accepted change after the
+   * earlier records. Null for a commit record that refers to the accepted change of another slot.
    */
   decodeRecord: (stored: AcceptorRecord, nextLogIndex: number, accepted: Accepted | null): AcceptorEvent | null => {
     const record = legacyRecords.upgradeFields(stored);
@@ -126,15 +133,15 @@
       }
       case 'settledAsAccepted': {
         const { logIndex } = record;
-        const isOfSlot = logIndex === nextLogIndex && accepted !== null;
-        return isOfSlot ? { t: 'settled', committed: { logIndex, change: accepted.change } } : null;
+        const isAcceptedChange = logIndex === nextLogIndex && accepted !== null;
+        return isAcceptedChange ? { t: 'settled', committed: { logIndex, change: accepted.change } } : null;
       }
       default:
         return upgradeEvent(record);
     }
   },
 
-  /** The snapshot as it is written. */
+  /** Encodes a snapshot for the disk. */
   encodeSnapshot: ({ agreed, live, ...rest }: AcceptorSnapshot): CompressedSnapshot => {
     const { promised, accepted } = live;
     return {
@@ -146,7 +153,7 @@
     };
   },
 
-  /** The snapshot that any release wrote. */
+  /** Decodes a snapshot of any release. */
   decodeSnapshot: (stored: StoredSnapshot): AcceptorSnapshot => {
     const snapshot = legacyRecords.upgradeFields(stored);
     if (!('compressedAgreed' in snapshot)) return upgradeSnapshot(snapshot);
--- a/packages/control-plane/src/consensus/ballots.ts
+++ b/packages/control-plane/src/consensus/ballots.ts
@@ -1,6 +1,6 @@
 /**
  * Values that proposers and acceptors exchange about one slot of the log: single-decree Paxos (Lamport, "Paxos Made
- * Simple", 2001), run once per log index. Field names are those of the messages between nodes and of the log on disk.
+ * Simple", 2001), run once per log index. Field names are used in messages between nodes and in the log on disk.
  */
 import type { Change, CommittedState } from '@martenworks/core-types';
 
@@ -13,13 +13,13 @@
   readonly change: Change;
 }
 
-/** A change that was chosen for a log index. */
+/** The change that was chosen for a log index. */
 export interface CommittedChange {
   readonly logIndex: number;
   readonly change: Change;
 }
 
-/** A committed change with its body in compressed bytes (see `compressedChanges`). */
+/** A committed change in compressed form (see `compressedChanges`). */
 export interface CompressedCommit {
   readonly logIndex: number;
   readonly change: Uint8Array;
@@ -27,7 +27,8 @@
 
 /**
  * An acceptor's reply to `prepare` or `accept`. `rejected`: a higher ballot was promised. `ahead`, `behind`: the
- * acceptor is at another slot than the proposer. `unavailable`: it cannot vote, for the given cause.
+ * acceptor's committed log index is higher or lower than the proposer's. `unavailable`: it cannot vote, because it has
+ * no committed state (`unfounded`), is not a member (`no voter`), or its disk failed.
  */
 export type Vote =
   | { readonly kind: 'promised'; readonly accepted: Accepted | null }
@@ -37,14 +38,19 @@
   | { readonly kind: 'behind'; readonly logIndex: number }
   | { readonly kind: 'unavailable'; readonly cause: 'unfounded' | 'no voter' | 'disk' };
 
-/** What a node holds beyond a given log index: the missing changes, or a whole state where they are no longer kept. */
+/**
+ * What a node has committed after a given log index: the changes, a snapshot (`checkpoint`) if they are too many or no
+ * longer in memory, or `nothing` if the node has no committed state.
+ */
 export type LogSuffix =
   | { readonly kind: 'changes'; readonly committed: readonly CommittedChange[] }
   | { readonly kind: 'checkpoint'; readonly agreed: CommittedState }
   | { readonly kind: 'nothing' };
 
-/** Order of ballots. */
+/** Compares ballots. */
 export const ballots = {
-  /** Negative, zero or positive, as `a` is lower than, equal to or higher than `b`. */
+  /**
+   * Orders by round, then by proposer: negative, zero or positive if `a` is lower than, equal to or higher than `b`.
+   */
   compare: (a: Ballot, b: Ballot): number => a[0] - b[0] || (a[1] < b[1] ? -1 : a[1] > b[1] ? 1 : 0),
 };
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -1,9 +1,9 @@
 /**
- * Bringing a member that is behind up to the newest committed state.
+ * Catch-up of a member that is behind the newest committed state.
  *
- * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state where
- * that is smaller, so that the cost is bounded by the newest state. The member pulls it page by page, one page and one
- * transfer at a time, and goes on where it stopped after a fault, at any source that encodes the same bytes.
+ * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state if that
+ * is smaller, so the size of a snapshot bounds the cost. The member pulls the transfer page by page, one page and one
+ * transfer at a time. After a fault it resumes where it stopped, at any source that encodes the same bytes.
  */
 import { createHash } from 'node:crypto';
 import { background, cbor } from '@martenworks/core-types';
@@ -18,22 +18,22 @@
 
 const pageTimeoutMs = 1_500;
 const logIndexTimeoutMs = 800;
-const transferLimitBytes = 128 * 1024 * 1024;
-const mostTransfersInRun = 8;
+const maxTransferBytes = 128 * 1024 * 1024;
+const maxTransfersPerRun = 8;
 
-interface Progress {
+interface TransferProgress {
   readonly kind: Page['kind'];
   readonly digest: string;
   readonly size: number;
-  readonly parts: Uint8Array[];
-  received: number;
+  readonly pages: Uint8Array[];
+  receivedBytes: number;
 }
 
-/** One member's catching up, and its answers to members that catch up from it. */
+/** Brings this node up to date from its peers, and answers peers that catch up from this node. */
 export class CatchUp {
   private readonly source: TransferSource;
   private running: Promise<void> | null = null;
-  private progress: Progress | null = null;
+  private progress: TransferProgress | null = null;
   private failedSource: string | null = null;
 
   constructor(
@@ -47,7 +47,9 @@
 
   private readonly logIndex = (): number => this.acceptor.committedState()?.logIndex ?? -1;
 
-  /** Asks all others how far they are and catches up from one that is ahead. */
+  /**
+   * Asks all peers for their log index and catches up from the one furthest ahead; avoids the source that failed last.
+   */
   readonly fromNewestPeer = async (): Promise<void> => {
     if (this.running !== null) return this.running;
     const positions = await Promise.all(
@@ -60,19 +62,22 @@
     if (chosen !== undefined) await this.fromPeer(chosen.peer);
   };
 
-  /** Catches up from one peer, or waits for the transfer that is on the way from any. */
+  /** Catches up from one peer, or waits for the catch-up in progress, whichever peer it runs with. */
   readonly fromPeer = (peer: PeerConnection): Promise<void> => {
-    this.running ??= this.run(peer).finally(() => {
+    this.running ??= this.pullTransfers(peer).finally(() => {
       this.running = null;
     });
     return this.running;
   };
 
-  /** Whether the peer answered and this node then has all that the peer had. False also where a transfer took longer than `timeoutMs`, or this node's disk failed. */
+  /**
+   * Catches up to the log index that the peer reports. False if the peer does not answer, the transfer takes longer
+   * than `timeoutMs`, or this node's disk fails.
+   */
   readonly syncWith = async (peer: PeerConnection, timeoutMs: number): Promise<boolean> => {
     const peerLogIndex = await this.logIndexOf(peer, timeoutMs);
     if (peerLogIndex === null) return false;
-    if (peerLogIndex > this.logIndex()) await this.within(this.fromPeer(peer), timeoutMs);
+    if (peerLogIndex > this.logIndex()) await this.waitAtMost(this.fromPeer(peer), timeoutMs);
     return peerLogIndex <= this.logIndex();
   };
 
@@ -80,14 +85,14 @@
   readonly bringUpToDate = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
     void (await peer.ask(catchUpTopics.behind, null, timeoutMs));
 
-  /** Commits a change that a peer sent, or catches up where earlier ones are missing. */
+  /** Commits a change that a peer sent, or catches up if earlier ones are missing. */
   readonly commit = async (peer: PeerConnection, { logIndex, change }: CompressedCommit): Promise<void> => {
     if (logIndex <= this.logIndex()) return;
     if (logIndex > this.logIndex() + 1) return this.fromPeer(peer);
     await this.acceptor.commit({ logIndex, change: this.acceptor.decodeChange(change) });
   };
 
-  /** The reply to a peer that catches up; undefined for topics of others. */
+  /** The reply to a peer that catches up; undefined for any other topic. */
   readonly handleRequest = async (peer: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case catchUpTopics.logIndex:
@@ -107,85 +112,85 @@
     return reply.isOk() && typeof reply.value === 'number' ? reply.value : null;
   };
 
-  private readonly within = (work: Promise<void>, timeoutMs: number): Promise<void> =>
+  private readonly waitAtMost = (work: Promise<void>, timeoutMs: number): Promise<void> =>
     new Promise((resolve) => {
-      const late = this.clock.after(timeoutMs, resolve);
+      const timer = this.clock.after(timeoutMs, resolve);
       background.run(
-        'wait for a catch-up',
+        'wait for catch-up',
         work.then(() => {
-          late.cancel();
+          timer.cancel();
           resolve();
         }),
       );
     });
 
-  private readonly run = async (peer: PeerConnection): Promise<void> => {
-    for (let done = 0; done < mostTransfersInRun; done += 1) {
+  private readonly pullTransfers = async (peer: PeerConnection): Promise<void> => {
+    for (let transfers = 0; transfers < maxTransfersPerRun; transfers += 1) {
       const before = this.logIndex();
-      const isWhole = await this.pull(peer);
-      this.failedSource = isWhole ? null : (peer.peer?.incarnation ?? null);
-      if (!isWhole || this.logIndex() === before) return;
+      const isComplete = await this.pullTransfer(peer);
+      this.failedSource = isComplete ? null : (peer.peer?.incarnation ?? null);
+      if (!isComplete || this.logIndex() === before) return;
     }
   };
 
-  /** Pulls one transfer to its end and applies it; false where the peer failed or had nothing. */
-  private readonly pull = async (peer: PeerConnection): Promise<boolean> => {
+  /** Pulls one transfer to its end and applies it. True also if the peer has nothing newer; false on any failure. */
+  private readonly pullTransfer = async (peer: PeerConnection): Promise<boolean> => {
     for (;;) {
       const { progress } = this;
-      const ask: PageRequest = {
+      const request: PageRequest = {
         logIndex: this.logIndex(),
         digest: progress?.digest ?? null,
-        offset: progress?.received ?? 0,
+        offset: progress?.receivedBytes ?? 0,
       };
-      const reply = await peer.ask(catchUpTopics.page, ask, pageTimeoutMs);
+      const reply = await peer.ask(catchUpTopics.page, request, pageTimeoutMs);
       if (reply.isErr()) return false;
       if (reply.value === null) {
         this.progress = null;
         return true;
       }
-      if (!catchUpMessages.isPage(reply.value) || !this.take(reply.value)) return false;
-      const taken = this.progress;
-      if (taken !== null && taken.received === taken.size) return this.apply(taken);
+      if (!catchUpMessages.isPage(reply.value) || !this.addPage(reply.value)) return false;
+      const current = this.progress;
+      if (current !== null && current.receivedBytes === current.size) return this.applyTransfer(current);
     }
   };
 
-  /** Adds a page to the transfer it belongs to, or begins anew with it; false for a page that fits nowhere. */
-  private readonly take = (page: Page): boolean => {
-    if (page.size > transferLimitBytes || (page.bytes.length === 0 && page.size > page.offset)) return false;
+  /** Adds a page to the current transfer, or starts another transfer with it; false if the page does not fit. */
+  private readonly addPage = (page: Page): boolean => {
+    if (page.size > maxTransferBytes || (page.bytes.length === 0 && page.size > page.offset)) return false;
     if (this.progress?.digest !== page.digest || page.offset === 0)
-      this.progress = { kind: page.kind, digest: page.digest, size: page.size, parts: [], received: 0 };
-    if (page.offset !== this.progress.received || page.offset + page.bytes.length > page.size) {
+      this.progress = { kind: page.kind, digest: page.digest, size: page.size, pages: [], receivedBytes: 0 };
+    if (page.offset !== this.progress.receivedBytes || page.offset + page.bytes.length > page.size) {
       this.progress = null;
       return false;
     }
-    this.progress.parts.push(page.bytes.slice());
-    this.progress.received += page.bytes.length;
+    this.progress.pages.push(page.bytes.slice());
+    this.progress.receivedBytes += page.bytes.length;
     return true;
   };
 
-  /** Applies a whole transfer. It is kept where a write failed, and tried again without being sent again. */
-  private readonly apply = async (whole: Progress): Promise<boolean> => {
-    const { kind, digest, parts } = whole;
-    const bytes = new Uint8Array(Buffer.concat(parts));
+  /** Applies a complete transfer. After a failed write it is retained, and the next try needs no further page. */
+  private readonly applyTransfer = async (transfer: TransferProgress): Promise<boolean> => {
+    const { kind, digest, pages } = transfer;
+    const bytes = new Uint8Array(Buffer.concat(pages));
     this.progress = null;
     if (createHash('sha256').update(bytes).digest('hex') !== digest) {
       this.log.warn('state transfer failed its checksum', { kind, bytes: bytes.length });
       return false;
     }
-    const isKept = kind === 'snapshot' ? await this.adopt(bytes) : await this.settleAll(bytes);
-    if (!isKept) this.progress = whole;
-    return isKept;
+    const isApplied = kind === 'snapshot' ? await this.adoptSnapshot(bytes) : await this.commitAll(bytes);
+    if (!isApplied) this.progress = transfer;
+    return isApplied;
   };
 
-  private readonly adopt = async (bytes: Uint8Array): Promise<boolean> => {
+  private readonly adoptSnapshot = async (bytes: Uint8Array): Promise<boolean> => {
     const state = compressedStates.decode(bytes);
     return (await this.acceptor.adopt(state)) || this.logIndex() >= state.logIndex;
   };
 
-  private readonly settleAll = async (bytes: Uint8Array): Promise<boolean> => {
+  private readonly commitAll = async (bytes: Uint8Array): Promise<boolean> => {
     for (const { logIndex, change } of cbor.decode(bytes) as CompressedCommit[]) {
-      const isKept = await this.acceptor.commit({ logIndex, change: compressedChanges.decode(change) });
-      if (!isKept && logIndex > this.logIndex()) return false;
+      const isCommitted = await this.acceptor.commit({ logIndex, change: compressedChanges.decode(change) });
+      if (!isCommitted && logIndex > this.logIndex()) return false;
     }
     return true;
   };
--- a/packages/control-plane/src/consensus/catchUpMessages.ts
+++ b/packages/control-plane/src/consensus/catchUpMessages.ts
@@ -1,30 +1,35 @@
-/** The messages by which a member catches up: topics, bodies and their checks. */
+/** Messages of the catch-up protocol: topics, bodies and their validation. */
 import { messageChecks } from '../messages/messageChecks.js';
 
-/** Bytes of a transfer in one reply. */
+/** Maximum bytes of a transfer in one reply. */
 export const pageBytes = 64 * 1024;
 
-/** What a node asks of another to catch up. */
+/** Topics of the catch-up requests. */
 export const catchUpTopics = {
-  /** Body null; the reply is the log index committed, or null where nothing is. */
+  /** Body null; the reply is the committed log index, -1 for none. */
   logIndex: 'stateHeld',
-  /** Body `PageAsk`; the reply is `Page`, or null where the asker lacks nothing. */
+  /** Body `PageRequest`; the reply is `Page`, or null if the requester lacks nothing. */
   page: 'statePage',
-  /** Body null: the asker holds more than the one that is asked, which catches up from it and replies the log index it then has. */
+  /**
+   * Body null: tells the receiver that it is behind. It catches up from the sender, then replies with its log index.
+   */
   behind: 'stateBehind',
 } as const;
 
 /** A request for one page of a transfer. */
 export interface PageRequest {
-  /** The log index that the asker has committed, -1 for none. */
+  /** The log index that the requester has committed, -1 for none. */
   readonly logIndex: number;
-  /** The transfer that was begun, by the SHA-256 of its bytes in hex; null to begin one. */
+  /** The transfer to continue, identified by the SHA-256 of its bytes in hex; null to start one. */
   readonly digest: string | null;
-  /** Bytes of it that the asker has. */
+  /** Bytes of that transfer received so far. */
   readonly offset: number;
 }
 
-/** One page of a transfer: `bytes` from `offset` on, of `size` bytes in all. */
+/**
+ * One page of a transfer: `bytes` at `offset`, of `size` bytes in total; `digest` is the SHA-256 of the transfer in
+ * hex.
+ */
 export interface Page {
   readonly kind: 'changes' | 'snapshot';
   readonly digest: string;
@@ -50,5 +55,5 @@
   isInteger(value.offset) &&
   isBytes(value.bytes);
 
-/** True where a body has the shape of the message. */
+/** Type guards for the message bodies. */
 export const catchUpMessages = { isPageRequest, isPage };
--- a/packages/control-plane/src/consensus/compression.ts
+++ b/packages/control-plane/src/consensus/compression.ts
@@ -1,6 +1,6 @@
 /**
- * Changes and committed states as CBOR under raw deflate (RFC 1951): the form in which they are logged and sent. A change
- * is compressed once in a process, and its bytes go with it from the proposal to the log.
+ * Encodes changes and committed states as CBOR (RFC 8949) compressed with raw deflate (RFC 1951), for the log and for
+ * messages. A change is compressed once per process; its bytes are cached from the proposal to the log.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { cbor, stateMachine } from '@martenworks/core-types';
@@ -8,41 +8,41 @@
 import { legacyRecords } from './legacyRecords.js';
 
 const compressionLevel = 1;
-const inflatedLimitBytes = 256 * 1024 * 1024;
+const maxInflatedBytes = 256 * 1024 * 1024;
 
-const deflated = (value: unknown): Uint8Array => deflateRawSync(cbor.encode(value), { level: compressionLevel });
+const compress = (value: unknown): Uint8Array => deflateRawSync(cbor.encode(value), { level: compressionLevel });
 
-const inflated = (bytes: Uint8Array): unknown =>
-  cbor.decode(inflateRawSync(bytes, { maxOutputLength: inflatedLimitBytes }));
+const decompress = (bytes: Uint8Array): unknown =>
+  cbor.decode(inflateRawSync(bytes, { maxOutputLength: maxInflatedBytes }));
 
-const changeBytes = new WeakMap<Change, Uint8Array>();
+const encodedChanges = new WeakMap<Change, Uint8Array>();
 
-/** Compression of single changes. */
+/** Encodes single changes. */
 export const compressedChanges = {
-  /** The bytes of a change, the same ones each time it is asked for. */
+  /** The bytes of a change; the same array on every call. */
   encode: (change: Change): Uint8Array => {
-    const known = changeBytes.get(change);
-    if (known !== undefined) return known;
-    const bytes = deflated(change);
-    changeBytes.set(change, bytes);
+    const cached = encodedChanges.get(change);
+    if (cached !== undefined) return cached;
+    const bytes = compress(change);
+    encodedChanges.set(change, bytes);
     return bytes;
   },
 
-  /** The change in these bytes; throws on bytes that `encode` did not make. */
+  /** Decodes a change; throws on bytes that `encode` did not produce. */
   decode: (bytes: Uint8Array): Change => {
-    const stored = inflated(bytes) as Change;
+    const stored = decompress(bytes) as Change;
     const change = legacyRecords.upgradeChange(stored);
-    if (change === stored) changeBytes.set(change, bytes.slice());
+    if (change === stored) encodedChanges.set(change, bytes.slice());
     return change;
   },
 };
 
-/** Compression of whole committed states. */
+/** Encodes complete committed states. */
 export const compressedStates = {
-  /** The bytes of a state; encoded anew on each call. */
-  encode: (state: CommittedState): Uint8Array => deflated(state),
+  /** The bytes of a state; encoded on each call. */
+  encode: (state: CommittedState): Uint8Array => compress(state),
 
-  /** The state in these bytes; throws on bytes that `encode` did not make. */
+  /** Decodes a state; throws on bytes that `encode` did not produce. */
   decode: (bytes: Uint8Array): CommittedState =>
-    stateMachine.filled(legacyRecords.upgradeState(inflated(bytes) as CommittedState)),
+    stateMachine.filled(legacyRecords.upgradeState(decompress(bytes) as CommittedState)),
 };
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -1,4 +1,4 @@
-/** One member of the consensus group: agreement, membership, leases and keepalives, for every kind of control node. */
+/** One member of the consensus group: the log, membership, leases and keepalives, for both kinds of control node. */
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import { PeerPool } from '@martenworks/cluster-membership';
 import type { LeaseManager } from '@martenworks/cluster-membership';
@@ -17,17 +17,17 @@
 import { remoteVoters } from './remoteVoters.js';
 
 const commitPendingAfterMs = 150;
-const commitPendingCheckMs = 100;
+const commitPendingIntervalMs = 100;
 
-/** Wires the parts of one member together and takes its repeated steps. */
+/** Wires the components of one member together and runs its periodic tasks. */
 export class ConsensusMember {
-  /** The held connections to other nodes. */
+  /** The open connections to other nodes. */
   readonly peerPool: PeerPool;
   /** Fetches committed changes that this node missed. */
   readonly catchUp: CatchUp;
-  /** Gets changes committed. */
+  /** Commits changes to the log. */
   readonly proposer: Proposer;
-  /** Keeps the leases that this node holds. */
+  /** Acquires and renews the leases of this node. */
   readonly leaseManager: LeaseManager;
   private readonly acceptor: Acceptor;
   private readonly memberPeers: MemberPeers;
@@ -99,17 +99,17 @@
     );
   };
 
-  /** Begins the repeated steps. To be called once, when the node is able to answer its neighbours. */
+  /** Starts the periodic tasks. Call once, when the node can answer its peers. */
   readonly start = (): void => {
     const { clock, random } = this.dependencies.ports;
     const { timing } = this;
-    const varied = (everyMs: number) => (): number => everyMs * (0.5 + random.fraction());
+    const jittered = (meanMs: number) => (): number => meanMs * (0.5 + random.fraction());
     this.leases.start();
     this.acceptor.watch(() => this.peerPool.align());
     this.timers.push(
-      new RepeatingTimer(clock, varied(timing.bootstrapIntervalMs), this.stepBootstrap),
-      new RepeatingTimer(clock, varied(timing.membershipIntervalMs), this.checkMembership),
-      new RepeatingTimer(clock, varied(commitPendingCheckMs), this.commitPending),
+      new RepeatingTimer(clock, jittered(timing.bootstrapIntervalMs), this.stepBootstrap),
+      new RepeatingTimer(clock, jittered(timing.membershipIntervalMs), this.checkMembership),
+      new RepeatingTimer(clock, jittered(commitPendingIntervalMs), this.commitPending),
       new RepeatingTimer(
         clock,
         () => timing.keepaliveIntervalMs,
@@ -123,15 +123,18 @@
     );
   };
 
-  /** Ends the repeated steps. */
+  /** Stops the periodic tasks. */
   readonly pause = (): void => {
     for (const timer of this.timers) timer.stop();
   };
 
-  /** Whether this node has begun to hand over its seat. */
+  /** Whether this node is leaving the cluster. */
   readonly isLeaving = (): boolean => this.membership.isLeaving();
 
-  /** Tells all peers that this node leaves, gives up its leases, and hands its seat over where somebody can have it: for `budgetMs` at most. */
+  /**
+   * Releases the leases, announces that this node is leaving, and lets a joining node replace it, for at most
+   * `budgetMs`.
+   */
   readonly leave = async (budgetMs: number): Promise<void> => {
     this.membership.markLeaving(this.acceptor.incarnation);
     this.resign();
@@ -139,30 +142,33 @@
     await this.membership.leave(budgetMs);
   };
 
-  /** Gives up the leases. */
+  /** Releases the leases of this node. */
   readonly resign = (): void => this.leaseManager.resign();
 
-  /** Closes the held connections. */
+  /** Closes the connections to other nodes. */
   readonly close = (): void => this.peerPool.stop();
 
   /** Sends a message to all other control nodes, without a reply. */
   readonly broadcast = (topic: string, body: unknown): void => this.memberPeers.broadcast(topic, body);
 
-  /** Incarnations of the voters with an open connection, this node's own among them if it is one. */
+  /** Incarnations of the voters with an open connection, including this node if it is a voter. */
   readonly reachableVoters = (): string[] => this.memberPeers.reachableVoters();
 
-  /** Whether this node is connected to a majority of the members, itself counted. False before the founding. */
+  /** Whether this node is connected to a majority of the members, including itself. False before the cluster exists. */
   readonly reachesMajority = (): boolean =>
     this.acceptor.committedState() !== null && this.reachableVoters().length >= majorityOf(this.memberPeers.members());
 
-  /** Milliseconds since this node last had bytes of each of a majority of the voters, itself counted; null where it has no connection to one. */
+  /**
+   * Age in milliseconds of this node's last contact with a majority of the voters, itself included; null if it is not
+   * connected to a majority.
+   */
   readonly majorityContactAgeMs = (): number | null => this.memberPeers.majorityContactAgeMs();
 
   private readonly stepBootstrap = (): void => {
     if (this.isBootstrapping || this.acceptor.committedState() !== null) return;
     this.isBootstrapping = true;
     background.run(
-      'found the cluster',
+      'bootstrap the cluster',
       this.bootstrap.step().finally(() => (this.isBootstrapping = false)),
     );
   };
@@ -171,7 +177,7 @@
     if (this.isCheckingMembership) return;
     this.isCheckingMembership = true;
     background.run(
-      'membership upkeep',
+      'check the membership',
       this.hooks
         .beforeMembershipCheck()
         .then(() => (this.isLeaving() ? undefined : this.membership.step()))
@@ -180,12 +186,12 @@
   };
 
   private readonly commitPending = (): void => {
-    const age = this.acceptor.pendingForMs();
-    if (age !== null && age > commitPendingAfterMs && this.proposer.queueDepth() === 0)
-      background.run('finish an unsettled proposal', this.proposer.finishPending());
+    const pendingMs = this.acceptor.pendingForMs();
+    if (pendingMs !== null && pendingMs > commitPendingAfterMs && this.proposer.queueDepth() === 0)
+      background.run('commit a pending change', this.proposer.finishPending());
   };
 
-  /** Handlers for every connection of the node: the group's own topics here, all others by the role. */
+  /** Handlers for every connection of the node; topics that are not those of the consensus group go to the hooks. */
   readonly handlers = (): Handlers => ({
     joined: (connection) => {
       this.handleJoined(connection);
@@ -204,7 +210,7 @@
     },
   });
 
-  private readonly isNewcomer = ({ incarnation }: Hello): boolean =>
+  private readonly isNonMember = ({ incarnation }: Hello): boolean =>
     !this.memberPeers.members().some((member) => member.incarnation === incarnation);
 
   private readonly handleJoined = (connection: PeerConnection): void => {
@@ -213,7 +219,7 @@
     if (connection.peer.role !== 'control') return;
     this.membership.markReturned(connection.peer.incarnation);
     if (this.isLeaving()) connection.tell('leaving', null);
-    if (this.acceptor.committedState() !== null && this.isNewcomer(connection.peer)) this.peerPool.align();
+    if (this.acceptor.committedState() !== null && this.isNonMember(connection.peer)) this.peerPool.align();
   };
 
   private readonly handleLeaving = (connection: PeerConnection): void => {
@@ -222,6 +228,6 @@
 
   private readonly handleCommitted = (connection: PeerConnection, body: unknown): void => {
     if (consensusMessages.isCommitted(body))
-      background.run('apply a settled change', this.catchUp.commit(connection, body));
+      background.run('apply a committed change', this.catchUp.commit(connection, body));
   };
 }
--- a/packages/control-plane/src/consensus/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -1,4 +1,4 @@
-/** Shapes of the messages that members of the consensus group send each other, checked as they arrive. */
+/** Types of the messages between members of the consensus group, and the type guards for received ones. */
 import type { Change, ChangeBody, Member } from '@martenworks/core-types';
 import type { LeaseRequest, LeaseReply, MemberEntry } from '@martenworks/cluster-membership';
 import type { Accepted, Ballot, CompressedCommit, Vote } from './ballots.js';
@@ -12,11 +12,11 @@
 }
 
 interface AcceptMessage extends PrepareMessage {
-  /** In its compressed bytes. */
+  /** Compressed (see `compressedChanges`). */
   readonly change: Uint8Array;
 }
 
-/** An ask for leases with the incarnations that the asker takes for the voters; releases before had it not. */
+/** A lease request with the incarnations of the voters as the requester knows them; earlier releases omit these. */
 export interface ElectorateLeaseRequest extends LeaseRequest {
   readonly electorate?: readonly string[];
 }
@@ -94,13 +94,13 @@
 const isBootstrapVoteReply = (value: unknown): value is BootstrapVoteReply =>
   isObject(value) && typeof value.isGranted === 'boolean' && isNullOr(isMembers)(value.members);
 
-const isDutyAsk = (value: unknown): value is LeaseRequest['duties'][number] =>
+const isDutyRequest = (value: unknown): value is LeaseRequest['duties'][number] =>
   isObject(value) && isText(value.duty) && isNumber(value.fence);
 
 const isLeaseRequest = (value: unknown): value is ElectorateLeaseRequest =>
   isObject(value) &&
   isText(value.holder) &&
-  isListOf(isDutyAsk)(value.duties) &&
+  isListOf(isDutyRequest)(value.duties) &&
   (value.electorate === undefined || isTexts(value.electorate));
 
 const isLeaseReply = (value: unknown): value is LeaseReply =>
@@ -115,7 +115,7 @@
   isText(value.hello.address) &&
   isText(value.hello.incarnation);
 
-/** True where a body has the shape of the message; others are ignored or answered with null. */
+/** Type guards for message bodies. Malformed messages are ignored, malformed requests answered with null. */
 export const consensusMessages = {
   isAccept,
   isChange,
--- a/packages/control-plane/src/consensus/consensusOptions.ts
+++ b/packages/control-plane/src/consensus/consensusOptions.ts
@@ -1,17 +1,17 @@
-/** What a consensus member is made with: its collaborators, its timing, and what the kind of node adds. */
+/** The constructor arguments of a consensus member: dependencies, timing, and the hooks of the kind of node. */
 import type { DialPace, LeaseTerms, MemberEntry, MemberList } from '@martenworks/cluster-membership';
 import type { Ports } from '@martenworks/core-types';
 import type { Handlers, Hello } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
 import type { PersistedLeases } from './leaseLog.js';
 
-/** Timing in milliseconds: how often each step is taken, and how long a reply is waited for. */
+/** Intervals of the periodic tasks and timeouts of requests, in milliseconds. */
 export interface ConsensusTiming {
-  /** How long a vote, a position or a page of state is waited for. */
+  /** Timeout for a vote, a position or a catch-up request to another voter. */
   readonly voteTimeoutMs: number;
-  /** Mean time between two tries at founding the cluster. */
+  /** Mean interval between attempts to bootstrap the cluster. */
   readonly bootstrapIntervalMs: number;
-  /** Mean time between two rounds of catching up and looking after the seats. */
+  /** Mean interval between membership checks, each of which also catches up. */
   readonly membershipIntervalMs: number;
   readonly keepaliveIntervalMs: number;
   /** A peer that does not answer a keepalive for this long is disconnected. */
@@ -19,41 +19,43 @@
   readonly leaseIntervalMs: number;
   readonly leaseTimeoutMs: number;
   readonly dialPace?: DialPace;
-  /** How long a member must be lost before a node of another name may take its seat. */
+  /** How long a member must be unreachable before a node of another name may replace it. */
   readonly replacementDelayMs?: number;
 }
 
-/** What the kind of node adds to the group's own work; its handlers get the topics that are not the group's. */
+/**
+ * What each kind of control node adds. The inherited handlers receive all topics that are not the consensus group's.
+ */
 export interface ConsensusHooks extends Handlers {
-  /** Addresses to hold connections to, besides those of the members. */
+  /** Addresses to stay connected to, in addition to those of the members. */
   readonly extraAddresses: () => readonly string[];
-  /** Whether a lost member of this name is known to be down. */
+  /** Whether an unreachable member of this name is known to be down. */
   readonly isDown: (name: string) => boolean;
-  /** Names of the leases this node tries to get and keep. */
+  /** Names of the leases that this node tries to acquire and renew. */
   readonly wantedLeases: () => readonly string[];
-  /** Called after a lease was won or lost. */
+  /** Called after a lease was acquired or lost. */
   readonly leasesChanged: () => void;
-  /** Whether a newcomer must have copied data beside the committed state from every member before it may vote. */
+  /** Whether a joining node must copy data outside the committed state from every member before it may vote. */
   readonly requiresSync: boolean;
-  /** The members, by incarnation, whose data beside the committed state is held here. */
+  /** Incarnations of the members whose data outside the committed state was copied to this node. */
   readonly syncedFrom: () => readonly string[];
-  /** Work to be done before each step of membership; catching up is part of it. */
+  /** Called before each membership check; must also catch up. */
   readonly beforeMembershipCheck: () => Promise<void>;
-  /** Entries of the member list that a peer is told of. */
+  /** Selects the entries of the member list that are sent to peers. */
   readonly sharedMembers: (entries: MemberEntry[]) => MemberEntry[];
 }
 
-/** The collaborators of a consensus member. */
+/** The dependencies of a consensus member. */
 export interface ConsensusDependencies {
   readonly ports: Ports;
-  /** What this node says of itself when a connection opens. */
+  /** How this node introduces itself when a connection opens. */
   readonly hello: () => Hello;
   readonly memberList: MemberList;
-  /** Addresses to dial before any member is known. */
+  /** Addresses to dial while no member is known. */
   readonly seeds: readonly string[];
   readonly acceptor: Acceptor;
   readonly leases: PersistedLeases;
   readonly terms?: LeaseTerms;
-  /** Number of founding members. */
+  /** Number of members that a new cluster starts with; 3 by default. */
   readonly initialMemberCount?: number;
 }
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -1,4 +1,4 @@
-/** Replies to the requests that members of the consensus group send each other. */
+/** Answers the requests that members of the consensus group send each other. */
 import type { MemberEntry, MemberList } from '@martenworks/cluster-membership';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { MemberStatus } from '../membership/bootstrapMessages.js';
@@ -10,17 +10,17 @@
 import type { MemberLeases } from './memberLeases.js';
 import { positions } from './quorumCall.js';
 
-/** Answers by topic. A malformed body gets null; topics that are not the group's go to the role. */
+/** Answers requests by topic; topics that are not those of the consensus group go to the hooks. */
 export class ConsensusRequests {
   constructor(
     private readonly acceptor: Acceptor,
     private readonly catchUp: CatchUp,
     private readonly leases: MemberLeases,
     private readonly memberList: MemberList,
-    private readonly role: ConsensusHooks,
+    private readonly hooks: ConsensusHooks,
   ) {}
 
-  /** The reply to a request; null for a malformed one. */
+  /** The reply to a request; null if the body is malformed. */
   readonly handleRequest = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     const { acceptor } = this;
     const { isAccept, isLeaseRequest, isMembers, isPrepare } = consensusMessages;
@@ -46,7 +46,7 @@
       case catchUpTopics.behind:
         return this.catchUp.handleRequest(connection, topic, body);
       default:
-        return this.role.asked(connection, topic, body);
+        return this.hooks.asked(connection, topic, body);
     }
   };
 
@@ -55,11 +55,11 @@
     logIndex: this.acceptor.committedState()?.logIndex ?? -1,
     isVoter: this.acceptor.isVoter(),
     foundingVote: this.acceptor.initialMembersVotedFor(),
-    syncedFrom: this.role.syncedFrom(),
+    syncedFrom: this.hooks.syncedFrom(),
   });
 
   private readonly exchangeMemberList = (body: unknown): MemberEntry[] => {
     if (consensusMessages.isMemberEntries(body)) this.memberList.merge(body);
-    return this.role.sharedMembers(this.memberList.entries());
+    return this.hooks.sharedMembers(this.memberList.entries());
   };
 }
--- a/packages/control-plane/src/consensus/leaseLog.ts
+++ b/packages/control-plane/src/consensus/leaseLog.ts
@@ -1,4 +1,4 @@
-/** The log of granted fencing tokens: a voter that restarts never grants a token that it granted before. */
+/** The log of granted fencing tokens: a voter that restarts never grants the same token again. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Clock, Disk, Log } from '@martenworks/core-types';
@@ -12,13 +12,13 @@
 
 type FenceRecord = readonly [duty: string, fence: number];
 
-/** A lease table whose grants are on disk before they are sent, and the log to close with it. */
+/** A lease table whose grants are on disk before they are sent; `close` closes its log. */
 export interface PersistedLeases {
   readonly table: LeaseTable;
   readonly close: () => Promise<void>;
 }
 
-/** Opens the lease table of a node. The error is that of the disk, or a damaged log. */
+/** Opens the lease table of a node. Fails if the disk fails or the log is corrupt. */
 export const leaseTables = {
   open: async (
     disk: Disk,
@@ -30,8 +30,8 @@
     if (opened.isErr()) return err(opened.error);
     const { snapshot, records } = opened.value;
     const wal: WriteAheadLog = opened.value.wal;
-    const kept = [...((snapshot as FenceRecord[] | null) ?? []), ...(records as FenceRecord[])];
-    const keep = async (duty: string, fence: number): Promise<boolean> => {
+    const storedFences = [...((snapshot as FenceRecord[] | null) ?? []), ...(records as FenceRecord[])];
+    const persist = async (duty: string, fence: number): Promise<boolean> => {
       const written = await wal.append([duty, fence] satisfies FenceRecord);
       if (written.isErr()) log.error('log append failed for a lease', { fault: written.error });
       if (wal.segmentCount() > segmentsBeforeSnapshot) await wal.snapshot(leaseTable.fences);
@@ -39,8 +39,8 @@
     };
     const leaseTable = new LeaseTable(
       clock,
-      keep,
-      kept,
+      persist,
+      storedFences,
       terms === undefined && snapshot === null && records.length === 0,
       terms,
     );
--- a/packages/control-plane/src/consensus/legacyRecords.ts
+++ b/packages/control-plane/src/consensus/legacyRecords.ts
@@ -1,10 +1,10 @@
 /**
- * Reads what releases up to peer protocol 3 wrote to disk under other field names. Every function returns a value that is
- * in today's form already as it is; nothing is written in the former form any more.
+ * Converts records that releases up to peer protocol 3 wrote to disk under other field names. Each function returns a
+ * value that already has the current form unchanged. Nothing is written in the legacy form.
  */
 import type { Change, ChangeBody, ClaimState, CommittedState } from '@martenworks/core-types';
 
-type Table = Readonly<Record<string, unknown>>;
+type StoredObject = Readonly<Record<string, unknown>>;
 type FieldNames = Readonly<Record<string, string>>;
 
 const routeFields: FieldNames = {
@@ -26,75 +26,77 @@
   named: 'targetWeights',
 };
 
-const isTable = (value: unknown): value is Table =>
+const isStoredObject = (value: unknown): value is StoredObject =>
   typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Uint8Array);
 
-const tableOr = (value: unknown): Table => (isTable(value) ? value : {});
+const objectOrEmpty = (value: unknown): StoredObject => (isStoredObject(value) ? value : {});
 
-const withFields = (value: unknown, names: FieldNames): Table =>
+const renameFields = (value: unknown, names: FieldNames): StoredObject =>
   Object.fromEntries(
-    Object.entries(tableOr(value)).map(([key, held]) => [
+    Object.entries(objectOrEmpty(value)).map(([key, item]) => [
       Object.hasOwn(names, key) ? (names[key] as string) : key,
-      held,
+      item,
     ]),
   );
 
-const mapValues = (value: unknown, convert: (held: unknown) => unknown): Table =>
-  Object.fromEntries(Object.entries(tableOr(value)).map(([key, held]) => [key, convert(held)]));
+const mapValues = (value: unknown, convert: (item: unknown) => unknown): StoredObject =>
+  Object.fromEntries(Object.entries(objectOrEmpty(value)).map(([key, item]) => [key, convert(item)]));
 
-const routingTableFrom = (book: unknown): unknown => {
-  if (!isTable(book) || !Array.isArray(book.ways)) return book;
-  const { ways, ...rest } = book;
-  return { routes: ways.map((way) => withFields(way, routeFields)), ...rest };
+const upgradeRoutingTable = (table: unknown): unknown => {
+  if (!isStoredObject(table) || !Array.isArray(table.ways)) return table;
+  const { ways, ...rest } = table;
+  return { routes: ways.map((way) => renameFields(way, routeFields)), ...rest };
 };
 
-const routingFrom = (ways: unknown): unknown => {
-  if (!isTable(ways) || !('edition' in ways)) return ways;
-  const { edition, book, ...rest } = ways;
-  return { configVersion: edition, table: routingTableFrom(book), ...rest };
+const upgradeRouting = (routing: unknown): unknown => {
+  if (!isStoredObject(routing) || !('edition' in routing)) return routing;
+  const { edition, book, ...rest } = routing;
+  return { configVersion: edition, table: upgradeRoutingTable(book), ...rest };
 };
 
-const bodyFrom = (body: Table): unknown => {
+const upgradeBody = (body: StoredObject): unknown => {
   if (body.kind === 'layout') return { kind: 'config', config: body.layout, base: body.base };
-  if (body.kind === 'ways') return { kind: 'routing', base: body.base, routing: routingFrom(body.ways) };
+  if (body.kind === 'ways') return { kind: 'routing', base: body.base, routing: upgradeRouting(body.ways) };
   return body;
 };
 
-/** A change of any release. */
-const upgradeChange = (held: Change): Change => {
-  const kind: string = held.body.kind;
-  const isFormer = kind === 'layout' || kind === 'ways';
-  return isFormer ? { ...held, body: bodyFrom(held.body as unknown as Table) as ChangeBody } : held;
+/** Converts a change of any release to the current form. */
+const upgradeChange = (stored: Change): Change => {
+  const kind: string = stored.body.kind;
+  const isLegacy = kind === 'layout' || kind === 'ways';
+  return isLegacy ? { ...stored, body: upgradeBody(stored.body as unknown as StoredObject) as ChangeBody } : stored;
 };
 
-/** An agreed state of any release; fields that its release did not know stay absent. */
-const upgradeState = (held: CommittedState): CommittedState => {
-  if (!('generation' in held)) return held;
-  const { changeIds, forgotten, ...rest } = withFields(held, stateFields);
+/** Converts a committed state of any release; fields that its release did not have stay absent. */
+const upgradeState = (stored: CommittedState): CommittedState => {
+  if (!('generation' in stored)) return stored;
+  const { changeIds, forgotten, ...rest } = renameFields(stored, stateFields);
   return {
     ...rest,
-    ...('routing' in rest ? { routing: routingFrom(rest.routing) } : {}),
-    changeIds: mapValues(changeIds, (record) => withFields(record, changeRecordFields)),
-    ...(forgotten === undefined ? {} : { forgotten: withFields(forgotten, forgottenFields) }),
+    ...('routing' in rest ? { routing: upgradeRouting(rest.routing) } : {}),
+    changeIds: mapValues(changeIds, (record) => renameFields(record, changeRecordFields)),
+    ...(forgotten === undefined ? {} : { forgotten: renameFields(forgotten, forgottenFields) }),
   } as unknown as CommittedState;
 };
 
-/** A claim's state of any release. */
-const upgradeClaim = (held: ClaimState): ClaimState => {
-  const { accepted } = held;
-  if (accepted === null || !('counter' in accepted.claimant)) return held;
-  const { counter, ...claimant } = accepted.claimant as unknown as Table;
-  return { ...held, accepted: { ...accepted, claimant: { ...claimant, gateway: counter } } } as unknown as ClaimState;
+/** Converts the state of a claim of any release. */
+const upgradeClaim = (stored: ClaimState): ClaimState => {
+  const { accepted } = stored;
+  if (accepted === null || !('counter' in accepted.claimant)) return stored;
+  const { counter, ...claimant } = accepted.claimant as unknown as StoredObject;
+  return { ...stored, accepted: { ...accepted, claimant: { ...claimant, gateway: counter } } } as unknown as ClaimState;
 };
 
-/** A log record with its fields as they are called today; changes and states inside it are not converted. */
+/** Renames the fields of a log record to the current names; the changes and states inside it are not converted. */
 const upgradeFields = <T>(record: T): T => {
-  if (!isTable(record)) return record;
-  const isFormer = 'generation' in record || 'settled' in record || 'vow' in record;
-  if (!isFormer) return record;
-  const named = withFields(record, { generation: 'logIndex', settled: 'committed', vow: 'foundingVote' });
-  return (isTable(named.committed) ? { ...named, committed: upgradeFields(named.committed) } : named) as T;
+  if (!isStoredObject(record)) return record;
+  const isLegacy = 'generation' in record || 'settled' in record || 'vow' in record;
+  if (!isLegacy) return record;
+  const renamed = renameFields(record, { generation: 'logIndex', settled: 'committed', vow: 'foundingVote' });
+  return (
+    isStoredObject(renamed.committed) ? { ...renamed, committed: upgradeFields(renamed.committed) } : renamed
+  ) as T;
 };
 
-/** Records of earlier releases, in today's form. */
+/** Converts records of earlier releases to the current form. */
 export const legacyRecords = { upgradeChange, upgradeState, upgradeClaim, upgradeFields };
--- a/packages/control-plane/src/consensus/linearizableRead.ts
+++ b/packages/control-plane/src/consensus/linearizableRead.ts
@@ -9,68 +9,80 @@
 import { askMembers, majorityOf, positions } from './quorumCall.js';
 import type { Position, Voters } from './quorumCall.js';
 
-const pendingPauseMs = 20;
-const looksBeforeBallot = 2;
+const pendingRetryMs = 20;
+const checksBeforeBallot = 2;
 
-type Look =
+type PositionCheck =
   | { readonly kind: 'newest' }
   | { readonly kind: 'ahead'; readonly member: Member }
   | { readonly kind: 'pending' }
   | { readonly kind: 'no majority' };
 
-interface Placed {
+interface MemberPosition {
   readonly member: Member;
   readonly position: Position;
 }
 
-/** Finds a state at least as new as any change that was acknowledged before the read began.
+/**
+ * Finds a state at least as new as any change that was acknowledged before the read began.
  *
- * A change counts once a majority has accepted it. So a majority that was asked after the read began, none of which knows a newer generation or holds an accepted value for the next slot, shows that the state held here is the newest. Such a look writes nothing and disturbs no proposal. Only where a value stays accepted and undecided over two looks is it settled, by a ballot. */
+ * A change is chosen once a majority has accepted it. The local state is therefore the newest if, in a majority asked
+ * after the read began, no member has a higher log index or an accepted change in the next slot. This check writes
+ * nothing and does not disturb proposals. A ballot runs only if an accepted change is still pending at the second
+ * check.
+ */
 export class LinearizableRead {
   constructor(
     private readonly acceptor: Acceptor,
     private readonly voters: Voters,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly learn: (since: LogSuffix) => Promise<void>,
+    private readonly applySuffix: (suffix: LogSuffix) => Promise<void>,
   ) {}
 
-  /** The newest state, or null where no majority replied, or none agreed before `until` (on this node's clock, ms). `settlePending` runs one ballot that finishes what was accepted. */
+  /**
+   * The newest state; null if no majority replied, or none confirmed it before `deadline` (this node's clock, ms).
+   * `commitPending` runs one ballot that commits the accepted change.
+   */
   readonly newest = async (
-    until: number,
-    settlePending: (state: CommittedState) => Promise<unknown>,
+    deadline: number,
+    commitPending: (state: CommittedState) => Promise<unknown>,
   ): Promise<CommittedState | null> => {
-    let pendingLooks = 0;
+    let pendingChecks = 0;
     do {
       const state = this.acceptor.committedState();
       if (state === null) return null;
-      const look = await this.look(state);
-      if (look.kind === 'newest') return this.acceptor.committedState();
-      if (look.kind === 'no majority') return null;
-      if (look.kind === 'ahead') await this.catchUpFrom(look.member, state.logIndex);
-      else if (++pendingLooks < looksBeforeBallot)
-        await pause.for(this.clock, pendingPauseMs * (0.5 + this.random.fraction()));
-      else if (this.acceptor.committedState()?.logIndex === state.logIndex) await settlePending(state);
-    } while (this.clock.now() < until);
+      const check = await this.checkPositions(state);
+      if (check.kind === 'newest') return this.acceptor.committedState();
+      if (check.kind === 'no majority') return null;
+      if (check.kind === 'ahead') await this.catchUpFrom(check.member, state.logIndex);
+      else if (++pendingChecks < checksBeforeBallot)
+        await pause.for(this.clock, pendingRetryMs * (0.5 + this.random.fraction()));
+      else if (this.acceptor.committedState()?.logIndex === state.logIndex) await commitPending(state);
+    } while (this.clock.now() < deadline);
     return null;
   };
 
-  private readonly look = (state: CommittedState): Promise<Look> => {
+  private readonly checkPositions = (state: CommittedState): Promise<PositionCheck> => {
     const majority = majorityOf(state.members);
-    const ask = async (member: Member): Promise<Placed | null> => {
+    const ask = async (member: Member): Promise<MemberPosition | null> => {
       const position = await this.positionOf(member);
       return position === null ? null : { member, position };
     };
-    return askMembers<Placed, Look>(stateMachine.distinctVoters(state), ask, (replies, open) => {
-      const placed = replies.filter((reply) => reply !== null);
-      const ahead = placed.find(({ position }) => position.logIndex > state.logIndex);
-      const pending = placed.filter(({ position }) => position.acceptedSlot === state.logIndex + 1);
-      const clear = placed.length - pending.length;
-      if (ahead !== undefined) return { kind: 'ahead', member: ahead.member };
-      if (clear >= majority) return { kind: 'newest' };
-      if (placed.length >= majority) return { kind: 'pending' };
-      return placed.length + open < majority ? { kind: 'no majority' } : null;
-    });
+    return askMembers<MemberPosition, PositionCheck>(
+      stateMachine.distinctVoters(state),
+      ask,
+      (replies, outstanding) => {
+        const memberPositions = replies.filter((reply) => reply !== null);
+        const ahead = memberPositions.find(({ position }) => position.logIndex > state.logIndex);
+        const pending = memberPositions.filter(({ position }) => position.acceptedSlot === state.logIndex + 1);
+        const withoutPending = memberPositions.length - pending.length;
+        if (ahead !== undefined) return { kind: 'ahead', member: ahead.member };
+        if (withoutPending >= majority) return { kind: 'newest' };
+        if (memberPositions.length >= majority) return { kind: 'pending' };
+        return memberPositions.length + outstanding < majority ? { kind: 'no majority' } : null;
+      },
+    );
   };
 
   private readonly positionOf = (member: Member): Promise<Position | null> =>
@@ -79,7 +91,7 @@
       : this.voters.position(member);
 
   private readonly catchUpFrom = async (member: Member, logIndex: number): Promise<void> => {
-    const since = await this.voters.logSuffixAfter(member, logIndex);
-    if (since !== null) await this.learn(since);
+    const suffix = await this.voters.logSuffixAfter(member, logIndex);
+    if (suffix !== null) await this.applySuffix(suffix);
   };
 }
--- a/packages/control-plane/src/consensus/memberLeases.ts
+++ b/packages/control-plane/src/consensus/memberLeases.ts
@@ -1,4 +1,4 @@
-/** Leases among the voters: this node's requests for its own, and its grants to others. */
+/** Leases of the consensus group: this node's requests for its own leases, and its grants to others. */
 import type { LeaseReply, LeaseRequest } from '@martenworks/cluster-membership';
 import { LeaseManager, leaseMs } from '@martenworks/cluster-membership';
 import type { Member } from '@martenworks/core-types';
@@ -9,29 +9,31 @@
 import type { MemberPeers } from './memberPeers.js';
 import { majorityOf } from './quorumCall.js';
 
-/** Which leases are wanted, and whom a change of them concerns. */
+/** Which leases this node wants, and the callback for a change of those it holds. */
 interface LeaseInterest {
   readonly wanted: () => readonly string[];
   readonly changed: () => void;
 }
 
-/** Grants leases as a voter, under rules that keep two majorities from granting the same one across a swap of members. */
+/**
+ * Grants leases as a voter. Its rules prevent two majorities from granting the same lease across a membership change.
+ */
 export class MemberLeases {
-  /** Keeps this node's own leases. */
+  /** Acquires and renews this node's own leases. */
   readonly manager: LeaseManager;
   private readonly acceptor: Acceptor;
   private wasVoter = false;
   private noGrantsUntil = 0;
 
   constructor(
-    private readonly parts: ConsensusDependencies,
+    private readonly dependencies: ConsensusDependencies,
     private readonly peers: MemberPeers,
     private readonly timeoutMs: number,
     interest: LeaseInterest,
   ) {
-    this.acceptor = parts.acceptor;
+    this.acceptor = dependencies.acceptor;
     this.manager = new LeaseManager(
-      parts.ports.clock,
+      dependencies.ports.clock,
       () => this.acceptor.incarnation,
       peers.reachableVoters,
       interest.wanted,
@@ -39,47 +41,49 @@
       this.release,
       () => majorityOf(peers.members()),
       interest.changed,
-      parts.terms,
+      dependencies.terms,
     );
   }
 
-  /** Begins to follow whether this node has a seat. To be called once. */
+  /** Starts to track whether this node is a voter. Call once. */
   readonly start = (): void => {
     this.wasVoter = this.acceptor.isVoter();
-    this.acceptor.watch(this.noteSeat);
+    this.acceptor.watch(this.handleMembershipChange);
   };
 
-  /** The reply to a request for leases; null where this node may not grant any now. */
+  /** The reply to a lease request; null if this node may not grant any lease now. */
   readonly grant = async (request: ElectorateLeaseRequest): Promise<LeaseReply | null> =>
-    this.mayGrant(request.electorate ?? this.electorate()) ? this.parts.leases.table.grant(request) : null;
+    this.mayGrant(request.electorate ?? this.electorate()) ? this.dependencies.leases.table.grant(request) : null;
 
-  /** A peer has given up leases. Malformed messages are ignored. */
+  /** Handles a message that a peer releases leases. Malformed messages are ignored. */
   readonly handleRelease = (body: unknown): void => {
-    if (consensusMessages.isLeaseRequest(body)) this.parts.leases.table.release(body);
+    if (consensusMessages.isLeaseRequest(body)) this.dependencies.leases.table.release(body);
   };
 
   /**
-   * A member that was newly seated grants nothing until every lease has ended which the members before it may have
-   * granted: they may have formed a majority without it.
+   * A new voter grants nothing until every lease has expired that the previous members may have granted, since they may
+   * have formed a majority without it.
    */
-  private readonly noteSeat = (): void => {
+  private readonly handleMembershipChange = (): void => {
     const isVoter = this.acceptor.isVoter();
-    const isNewlySeated = isVoter && !this.wasVoter && (this.acceptor.committedState()?.logIndex ?? 0) > 0;
+    const isNewVoter = isVoter && !this.wasVoter && (this.acceptor.committedState()?.logIndex ?? 0) > 0;
     this.wasVoter = isVoter;
-    if (!isNewlySeated) return;
-    const { terms, ports } = this.parts;
+    if (!isNewVoter) return;
+    const { terms, ports } = this.dependencies;
     this.noGrantsUntil = ports.clock.now() + (terms?.leaseMs ?? leaseMs) + (terms?.gapMs ?? 0);
   };
 
   private readonly electorate = (): string[] => this.peers.members().map((member) => member.incarnation);
 
-  /** Leases count only among voters that agree on who votes, and not while a change of that may have been chosen. */
+  /**
+   * Leases are granted only among voters that know the same members, and not while a membership change may be chosen.
+   */
   private readonly mayGrant = (electorate: readonly string[]): boolean => {
     const own = this.electorate();
     return (
       this.acceptor.isVoter() &&
       !this.acceptor.hasPendingSwap() &&
-      this.parts.ports.clock.now() >= this.noGrantsUntil &&
+      this.dependencies.ports.clock.now() >= this.noGrantsUntil &&
       electorate.length === own.length &&
       electorate.every((incarnation) => own.includes(incarnation))
     );
@@ -96,7 +100,7 @@
   };
 
   private readonly release = (request: LeaseRequest): void => {
-    this.parts.leases.table.release(request);
+    this.dependencies.leases.table.release(request);
     this.peers.broadcast('leaseRelease', request);
   };
 }
--- a/packages/control-plane/src/consensus/memberLogs.ts
+++ b/packages/control-plane/src/consensus/memberLogs.ts
@@ -1,19 +1,19 @@
-/** The logs of a control node as a set: they are checked together, and removed together where one is damaged. */
+/** The logs of a control node as a set: they are checked together, and all removed if one is damaged. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, Log } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { LogOptions, WriteAheadLogError } from '@martenworks/write-ahead-log';
 
-/** The logs of a control node by their file prefixes. */
+/** File name prefixes of the logs of a control node. */
 export const logPrefixes = { acceptor: 'decrees', leases: 'leases', replicas: 'replicas', claims: 'claims' } as const;
 
-/** Claims are dropped by age, segment by segment, without a snapshot. */
+/** Claims are dropped by age, one segment at a time, without a snapshot. */
 export const claimLogOptions: LogOptions = { isTrimmed: true };
 
 /**
- * The acceptor's log stands first and is removed first: once any of it is gone, the old identity never comes back, so
- * that a loss of power in between leaves no voter that has forgotten a lease or a claim.
+ * The acceptor's log must be first, since logs are removed in this order: once a part of it is removed, the node cannot
+ * return under its old identity. A power failure in between then leaves no voter that has forgotten a lease or a claim.
  */
 const memberLogs: readonly (readonly [prefix: string, options: LogOptions])[] = [
   [logPrefixes.acceptor, {}],
@@ -31,7 +31,7 @@
   return ok(undefined);
 };
 
-/** Reads every log of this control node and changes nothing; the first fault, if any. */
+/** Checks every log of a control node without changing any, and returns the first fault. */
 export const checkMemberLogs = async (disk: Disk): Promise<Result<void, WriteAheadLogError>> => {
   for (const [prefix, options] of memberLogs) {
     const checked = await writeAheadLogs.check(disk, prefix, options);
@@ -41,9 +41,9 @@
 };
 
 /**
- * Where a log of this control node is damaged, or lacks a file, all are removed and the node counts as empty: it must
- * not vote under an identity whose promises, leases or claims it may have forgotten. True where that was so; an error
- * where the disk itself failed.
+ * Removes all logs of a control node if one of them is damaged or lacks a file, so that the node starts empty: it must
+ * not vote under an identity whose promises, leases or claims it may have forgotten. Returns whether the logs were
+ * removed; fails if the disk fails.
  */
 export const removeDamagedLogs = async (disk: Disk, log: Log): Promise<Result<boolean, WriteAheadLogError>> => {
   const checked = await checkMemberLogs(disk);
--- a/packages/control-plane/src/consensus/memberPeers.ts
+++ b/packages/control-plane/src/consensus/memberPeers.ts
@@ -1,4 +1,4 @@
-/** The other members of the consensus group as seen from this node: who they are, and the connections to them. */
+/** The members of the consensus group as seen from this node, and the connections to them. */
 import { background, stateMachine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
 import type { PeerPool } from '@martenworks/cluster-membership';
@@ -7,23 +7,23 @@
 import type { MessageCheck } from '../messages/messageChecks.js';
 import { majorityOf } from './quorumCall.js';
 
-/** Looks up members and their connections anew on each call, as both change. */
+/** Looks up members and their connections on each call, since both change. */
 export class MemberPeers {
   constructor(
     private readonly acceptor: Acceptor,
     private readonly peerPool: () => PeerPool,
   ) {}
 
-  /** The members of the committed state; none before the cluster is founded. */
+  /** The members in the committed state; none before the cluster exists. */
   readonly members = (): readonly Member[] => this.acceptor.committedState()?.members ?? [];
 
-  /** The members with each incarnation once. */
+  /** The members, each incarnation once. */
   readonly distinctVoters = (): Member[] => stateMachine.distinctVoters(this.acceptor.committedState());
 
   /** Whether the member is this node. */
   readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
 
-  /** The open connection to a member, if there is one. */
+  /** The open connection to a member, if any. */
   readonly connectionTo = (member: Member): PeerConnection | undefined => this.peerPool().to(member.incarnation);
 
   /** Open connections to the other control nodes, voters or not. */
@@ -37,27 +37,27 @@
     for (const connection of this.controlNodes()) connection.tell(topic, body);
   };
 
-  /** Incarnations of the voters with an open connection, this node's own among them if it is one. */
+  /** Incarnations of the voters with an open connection, including this node if it is a voter. */
   readonly reachableVoters = (): string[] =>
     this.distinctVoters()
       .filter((member) => this.isSelf(member) || this.connectionTo(member) !== undefined)
       .map((member) => member.incarnation);
 
   /**
-   * Milliseconds since this node last had bytes of each of a majority of the voters, itself counted; null where it has
-   * no connection to one.
+   * Age in milliseconds of this node's last contact with a majority of the voters, itself included; null if it is not
+   * connected to a majority.
    */
   readonly majorityContactAgeMs = (): number | null => {
-    const silences = this.distinctVoters().flatMap((member) => {
+    const contactAgesMs = this.distinctVoters().flatMap((member) => {
       if (this.isSelf(member)) return [0];
       const connection = this.connectionTo(member);
       return connection === undefined ? [] : [connection.silentMs()];
     });
     const majority = majorityOf(this.members());
-    return silences.sort((a, b) => a - b)[majority - 1] ?? null;
+    return contactAgesMs.sort((a, b) => a - b)[majority - 1] ?? null;
   };
 
-  /** A member's reply that passes the check; null where none came in time or it is malformed. */
+  /** Asks a member. Null if there is no connection, no reply within `timeoutMs`, or the reply fails the check. */
   readonly ask = async <T>(
     member: Member,
     topic: string,
@@ -69,13 +69,13 @@
     return reply?.isOk() === true && check(reply.value) ? reply.value : null;
   };
 
-  /** Probes every open connection and closes those whose peer does not answer in time. */
+  /** Sends a keepalive on every open connection and closes those whose peer does not answer within `timeoutMs`. */
   readonly sendKeepalives = (timeoutMs: number): void => {
     for (const connection of this.peerPool().open()) {
       const probe = connection.ask('keepalive', null, timeoutMs).then((reply) => {
         if (reply.isErr() && reply.error.code === 'late') connection.close();
       });
-      background.run('heartbeat a peer', probe);
+      background.run('send a keepalive', probe);
     }
   };
 }
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -1,6 +1,5 @@
 /**
- * The proposer: runs Paxos ballots (Lamport, "Paxos Made Simple", 2001) to get changes committed, one log index after
- * another.
+ * The Paxos proposer (Lamport, "Paxos Made Simple", 2001): runs ballots to commit changes, one log index after another.
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -15,7 +14,7 @@
 import { askMembers, majorityOf } from './quorumCall.js';
 import type { Voters } from './quorumCall.js';
 
-/** A change that is committed at `logIndex`; `isRepeat` where it was committed before the call. */
+/** A change that is committed at `logIndex`; `isRepeat` if it was committed before the call. */
 export interface AppliedChange {
   readonly logIndex: number;
   readonly isRepeat: boolean;
@@ -23,64 +22,64 @@
 
 export type { Voters } from './quorumCall.js';
 
-type Check = (state: CommittedState) => Result<Change, ProposalError>;
+type BuildChange = (state: CommittedState) => Result<Change, ProposalError>;
 
-type Round =
+type BallotOutcome =
   | { readonly kind: 'committed'; readonly committed: CommittedChange }
-  | { readonly kind: 'nothing to settle' }
-  | { readonly kind: 'given up' }
-  | { readonly kind: 'again' }
+  | { readonly kind: 'nothing pending' }
+  | { readonly kind: 'abandoned' }
+  | { readonly kind: 'retry' }
   | { readonly kind: 'no majority' };
 
-const queueLimit = 64;
-const backoffMs = 40;
-const longestBackoffMs = 400;
-const mostBackoffs = 3;
-const ballotsBeforeRescue = 2;
-const lateDetail = 'no majority of voters agreed in time';
+const maxQueuedChanges = 64;
+const minBackoffMs = 40;
+const maxBackoffMs = 400;
+const maxBackoffFactor = 3;
+const ballotsBeforeTakeover = 2;
+const timeoutDetail = 'no majority of voters agreed in time';
 const unreachableDetail = 'no majority of voters can be reached';
 
-/** One caller's order on its way through the queue and the ballots. */
+/** One call of `propose`, from the queue through its ballots. */
 class Attempt {
-  private isOver = false;
-  private wasOffered = false;
+  private isFailed = false;
+  private wasProposed = false;
 
   constructor(
     readonly changeId: string,
     readonly digest: string,
-    readonly until: number,
+    readonly deadline: number,
   ) {}
 
-  readonly isOf = (change: Change): boolean => change.id === this.changeId && change.digest === this.digest;
+  readonly proposes = (change: Change): boolean => change.id === this.changeId && change.digest === this.digest;
 
-  /** True where the value may go to acceptors now; from then on it counts as offered. */
-  readonly offer = (): boolean => {
-    if (!this.isOver) this.wasOffered = true;
-    return !this.isOver;
+  /** Whether the change may be sent to acceptors now; if so, it counts as proposed from then on. */
+  readonly tryPropose = (): boolean => {
+    if (!this.isFailed) this.wasProposed = true;
+    return !this.isFailed;
   };
 
-  /** Another change was committed in the slot for which this one had been offered. */
-  readonly lostSlot = (): void => {
-    this.wasOffered = false;
+  /** Called when another change was committed in the slot for which this one was proposed. */
+  readonly markNotProposed = (): void => {
+    this.wasProposed = false;
   };
 
-  readonly mayHaveBeenTaken = (): boolean => this.wasOffered;
+  readonly mayBeAccepted = (): boolean => this.wasProposed;
 
-  readonly isEnded = (): boolean => this.isOver;
+  readonly hasFailed = (): boolean => this.isFailed;
 
-  /** Ends it: nothing is offered any more. `unavailable` is returned only where no acceptor can hold the value. */
-  readonly giveUp = (detail: string): Result<AppliedChange, ProposalError> => {
-    this.isOver = true;
-    return err(this.wasOffered ? proposalErrors.unknown(this.changeId) : proposalErrors.unavailable(detail));
+  /** Ends the attempt: nothing is proposed any more. Returns `unavailable` only if no acceptor can have the change. */
+  readonly fail = (detail: string): Result<AppliedChange, ProposalError> => {
+    this.isFailed = true;
+    return err(this.wasProposed ? proposalErrors.unknown(this.changeId) : proposalErrors.unavailable(detail));
   };
 }
 
-/** Gets changes committed, one log index after another, by ballots among the voters; one change at a time, others wait in a queue. */
+/** Commits changes by ballots among the voters, one change at a time; others wait in a queue of limited length. */
 export class Proposer {
   private readonly queue = new CommandQueue();
   private readonly read: LinearizableRead;
-  private seenRound = 0;
-  private lastRoundMs = 0;
+  private highestSeenRound = 0;
+  private lastBallotMs = 0;
 
   constructor(
     private readonly acceptor: Acceptor,
@@ -89,129 +88,140 @@
     private readonly random: Random,
     private readonly log: Log,
   ) {
-    this.read = new LinearizableRead(acceptor, voters, clock, random, this.learn);
+    this.read = new LinearizableRead(acceptor, voters, clock, random, this.applySuffix);
   }
 
-  /** Answers within `patienceMs`, waiting in the queue included. A refusal (`conflict`, `rejected`) and a repeat rest on a majority's replies to messages sent after the call came; `unavailable` says that this call's value was offered to no acceptor; `unknown` that it may yet be taken. */
+  /**
+   * Proposes the change that `check` returns for the newest state. Resolves within `timeoutMs`, time in the queue
+   * included. A `conflict`, `rejected` or repeated change is reported only after a majority has answered messages sent
+   * after the call. `unavailable`: the change was proposed to no acceptor; `unknown`: it may still be committed.
+   */
   readonly propose = (
-    check: Check,
+    buildChange: BuildChange,
     changeId: string,
     digest: string,
     timeoutMs: number,
   ): Promise<Result<AppliedChange, ProposalError>> => {
     const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
-    if (this.queue.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
-    const work = this.queue.run(() => this.push(check, attempt));
-    return pause.within(this.clock, timeoutMs, work, () => attempt.giveUp(lateDetail));
+    if (this.queue.depth() >= maxQueuedChanges) return Promise.resolve(attempt.fail('too many changes are waiting'));
+    const work = this.queue.run(() => this.runAttempt(buildChange, attempt));
+    return pause.within(this.clock, timeoutMs, work, () => attempt.fail(timeoutDetail));
   };
 
-  /** Settles a value that was accepted here and whose proposer may be gone. */
+  /** Commits a change that was accepted here and whose proposer may have failed. */
   readonly finishPending = (): Promise<void> =>
     this.queue.run(async () => {
       const state = this.acceptor.committedState();
       const pendingMs = this.acceptor.pendingForMs();
-      if (state === null || pendingMs === null || pendingMs < this.rescueAfterMs()) return;
-      await this.round(state, null, null);
+      if (state === null || pendingMs === null || pendingMs < this.takeoverDelayMs()) return;
+      await this.timedBallot(state, null, null);
     });
 
-  /** A state as new as any that was acknowledged before the call, or null where no majority confirmed one within `patienceMs`. */
+  /** A state with every change acknowledged before the call; null if no majority confirmed one within `timeoutMs`. */
   readonly linearizableRead = (timeoutMs: number): Promise<CommittedState | null> => {
-    const settlePending = (state: CommittedState): Promise<unknown> =>
-      this.queue.run(() => this.round(state, null, null));
-    const work = this.read.newest(this.clock.now() + timeoutMs, settlePending);
+    const commitPending = (state: CommittedState): Promise<unknown> =>
+      this.queue.run(() => this.timedBallot(state, null, null));
+    const work = this.read.newest(this.clock.now() + timeoutMs, commitPending);
     return pause.within(this.clock, timeoutMs, work, () => null);
   };
 
-  /** Proposals that run or wait in the queue. */
+  /** Number of proposals running or waiting. */
   readonly queueDepth = (): number => this.queue.depth();
 
-  private readonly push = async (check: Check, attempt: Attempt): Promise<Result<AppliedChange, ProposalError>> => {
+  private readonly runAttempt = async (
+    check: BuildChange,
+    attempt: Attempt,
+  ): Promise<Result<AppliedChange, ProposalError>> => {
     for (let attemptNumber = 0; ; attemptNumber += 1) {
-      if (attempt.isEnded() || this.clock.now() >= attempt.until) return attempt.giveUp(lateDetail);
+      if (attempt.hasFailed() || this.clock.now() >= attempt.deadline) return attempt.fail(timeoutDetail);
       const state = this.acceptor.committedState();
-      if (state === null) return attempt.giveUp('no fleet is founded yet');
-      const answered = this.answeredBy(state, attempt, attemptNumber === 0);
-      const checked = check(state);
-      if (answered !== null || checked.isErr()) {
-        const newest = await this.confirmWithin(attempt);
-        if (newest === null) return attempt.giveUp(unreachableDetail);
+      if (state === null) return attempt.fail('no cluster exists yet');
+      const earlierResult = this.earlierOutcome(state, attempt, attemptNumber === 0);
+      const built = check(state);
+      if (earlierResult !== null || built.isErr()) {
+        const newest = await this.readUntilDeadline(attempt);
+        if (newest === null) return attempt.fail(unreachableDetail);
         if (newest.logIndex !== state.logIndex) continue;
-        return answered ?? (checked as Result<never, ProposalError>);
+        return earlierResult ?? (built as Result<never, ProposalError>);
       }
-      const outcome = await this.round(state, checked.value, attempt);
+      const outcome = await this.timedBallot(state, built.value, attempt);
       if (outcome.kind === 'committed') {
-        if (attempt.isOf(outcome.committed.change))
+        if (attempt.proposes(outcome.committed.change))
           return ok({ logIndex: outcome.committed.logIndex, isRepeat: false });
-        attempt.lostSlot();
-      } else if (outcome.kind === 'no majority' && !attempt.mayHaveBeenTaken())
-        return attempt.giveUp(unreachableDetail);
+        attempt.markNotProposed();
+      } else if (outcome.kind === 'no majority' && !attempt.mayBeAccepted()) return attempt.fail(unreachableDetail);
       else await this.backOff(attemptNumber);
     }
   };
 
-  /** What the record of the change says, if there is one. */
-  private readonly answeredBy = (
+  /** The outcome for a change id that was committed before; null if there is no record of it. */
+  private readonly earlierOutcome = (
     { changeIds, configLogIndex }: CommittedState,
     { changeId, digest }: Attempt,
     isRepeat: boolean,
   ): Result<AppliedChange, ProposalError> | null => {
-    const known = Object.hasOwn(changeIds, changeId) ? changeIds[changeId] : undefined;
-    if (known === undefined) return null;
-    if (known.digest === digest) return ok({ logIndex: known.logIndex, isRepeat });
+    const record = Object.hasOwn(changeIds, changeId) ? changeIds[changeId] : undefined;
+    if (record === undefined) return null;
+    if (record.digest === digest) return ok({ logIndex: record.logIndex, isRepeat });
     return err(proposalErrors.conflict(configLogIndex, 'this change id was used for another change'));
   };
 
-  private readonly confirmWithin = (attempt: Attempt): Promise<CommittedState | null> =>
-    this.read.newest(attempt.until, (state) => this.round(state, null, null));
+  private readonly readUntilDeadline = (attempt: Attempt): Promise<CommittedState | null> =>
+    this.read.newest(attempt.deadline, (state) => this.timedBallot(state, null, null));
 
-  /** How long a value may stay undecided before it is taken for abandoned; bounded, since edges wait for it. */
-  private readonly rescueAfterMs = (): number => Math.min(ballotsBeforeRescue * this.lastRoundMs, longestBackoffMs);
+  /**
+   * How long a change may be pending before its proposer is assumed to have failed; bounded, since edges wait for it.
+   */
+  private readonly takeoverDelayMs = (): number => Math.min(ballotsBeforeTakeover * this.lastBallotMs, maxBackoffMs);
 
-  /** Waits about as long as a ballot takes here, longer after each try, so that proposers on slow disks let each other finish. */
+  /**
+   * Waits about as long as a ballot takes, longer after each attempt, so that proposers on slow disks do not collide.
+   */
   private readonly backOff = (attemptNumber: number): Promise<void> => {
-    const base = Math.min(Math.max(backoffMs, this.lastRoundMs), longestBackoffMs);
-    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, mostBackoffs));
+    const base = Math.min(Math.max(minBackoffMs, this.lastBallotMs), maxBackoffMs);
+    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor));
   };
 
-  /** Applies what another member has committed beyond this node's log index. */
-  readonly learn = async (since: LogSuffix): Promise<void> => {
-    if (since.kind === 'checkpoint') await this.acceptor.adopt(since.agreed);
-    if (since.kind === 'changes') for (const committed of since.committed) await this.acceptor.commit(committed);
+  /** Applies what another member has committed after this node's log index. */
+  readonly applySuffix = async (suffix: LogSuffix): Promise<void> => {
+    if (suffix.kind === 'checkpoint') await this.acceptor.adopt(suffix.agreed);
+    if (suffix.kind === 'changes') for (const committed of suffix.committed) await this.acceptor.commit(committed);
   };
 
   private readonly vote = (
     state: CommittedState,
     call: (member: Member) => Promise<Vote | null>,
-    wanted: Vote['kind'],
-  ): Promise<Vote[] | 'again' | 'no majority'> => {
+    wantedKind: Vote['kind'],
+  ): Promise<Vote[] | 'retry' | 'no majority'> => {
     const majority = majorityOf(state.members);
     const ask = async (member: Member): Promise<Vote | null> => {
-      const vote = await this.helpful(member, call);
-      if (vote !== null) await this.heed(member, vote, state);
+      const vote = await this.callWithCatchUp(member, call);
+      if (vote !== null) await this.learnFromVote(member, vote, state);
       return vote;
     };
-    return askMembers<Vote, Vote[] | 'again' | 'no majority'>(
+    return askMembers<Vote, Vote[] | 'retry' | 'no majority'>(
       stateMachine.distinctVoters(state),
       ask,
-      (replies, open) => {
+      (replies, outstanding) => {
         const votes = replies.filter((vote) => vote !== null);
-        const wantedVotes = votes.filter(({ kind: k }) => k === wanted);
-        if (wantedVotes.length >= majority) return wantedVotes;
-        if (wantedVotes.length + open >= majority) return null;
-        return votes.some(({ kind: k }) => k === 'rejected' || k === 'ahead') ? 'again' : 'no majority';
+        const matchingVotes = votes.filter(({ kind: k }) => k === wantedKind);
+        if (matchingVotes.length >= majority) return matchingVotes;
+        if (matchingVotes.length + outstanding >= majority) return null;
+        return votes.some(({ kind: k }) => k === 'rejected' || k === 'ahead') ? 'retry' : 'no majority';
       },
     );
   };
 
-  /** Takes from a vote what the next ballot must know. */
-  private readonly heed = async (member: Member, vote: Vote, state: CommittedState): Promise<void> => {
-    if (vote.kind === 'rejected') this.seenRound = Math.max(this.seenRound, vote.promised[0]);
+  /** Records what the next ballot needs: a higher round that was promised, and changes committed elsewhere. */
+  private readonly learnFromVote = async (member: Member, vote: Vote, state: CommittedState): Promise<void> => {
+    if (vote.kind === 'rejected') this.highestSeenRound = Math.max(this.highestSeenRound, vote.promised[0]);
     if (vote.kind !== 'ahead') return;
-    const since = await this.voters.logSuffixAfter(member, state.logIndex);
-    if (since !== null) await this.learn(since);
+    const suffix = await this.voters.logSuffixAfter(member, state.logIndex);
+    if (suffix !== null) await this.applySuffix(suffix);
   };
 
-  private readonly helpful = async (
+  /** Calls a member; if it is behind, brings it up to date and calls it a second time. */
+  private readonly callWithCatchUp = async (
     member: Member,
     call: (member: Member) => Promise<Vote | null>,
   ): Promise<Vote | null> => {
@@ -221,14 +231,14 @@
     return call(member);
   };
 
-  private readonly round = async (
+  private readonly timedBallot = async (
     state: CommittedState,
     own: Change | null,
     attempt: Attempt | null,
-  ): Promise<Round> => {
-    const begunAt = this.clock.now();
+  ): Promise<BallotOutcome> => {
+    const startedAt = this.clock.now();
     const outcome = await this.ballot(state, own, attempt);
-    if (outcome.kind !== 'no majority') this.lastRoundMs = this.clock.now() - begunAt;
+    if (outcome.kind !== 'no majority') this.lastBallotMs = this.clock.now() - startedAt;
     return outcome;
   };
 
@@ -236,31 +246,31 @@
     state: CommittedState,
     own: Change | null,
     attempt: Attempt | null,
-  ): Promise<Round> => {
+  ): Promise<BallotOutcome> => {
     const slot = state.logIndex + 1;
-    this.seenRound = Math.max(this.seenRound, this.acceptor.highestRound()) + 1;
-    const ballot: Ballot = [this.seenRound, this.acceptor.incarnation];
+    this.highestSeenRound = Math.max(this.highestSeenRound, this.acceptor.highestRound()) + 1;
+    const ballot: Ballot = [this.highestSeenRound, this.acceptor.incarnation];
     const promises = await this.vote(state, (member) => this.voters.prepare(member, slot, ballot), 'promised');
-    if (promises === 'again' || promises === 'no majority') return { kind: promises };
+    if (promises === 'retry' || promises === 'no majority') return { kind: promises };
     const change = this.newestAccepted(promises)?.change ?? own;
-    if (change === null) return { kind: 'nothing to settle' };
-    if (attempt?.isOf(change) === true && !attempt.offer()) return { kind: 'given up' };
+    if (change === null) return { kind: 'nothing pending' };
+    if (attempt?.proposes(change) === true && !attempt.tryPropose()) return { kind: 'abandoned' };
     const accepts = await this.vote(state, (member) => this.voters.accept(member, slot, ballot, change), 'accepted');
-    if (accepts === 'again' || accepts === 'no majority') return { kind: accepts };
+    if (accepts === 'retry' || accepts === 'no majority') return { kind: accepts };
     const committed: CommittedChange = { logIndex: slot, change };
     this.voters.broadcastCommit(committed);
-    const isKept = await this.acceptor.commit(committed);
+    const isStored = await this.acceptor.commit(committed);
     this.log.info('log entry committed', {
       logIndex: slot,
       changeId: change.id,
       kind: change.body.kind,
       isVoid: stateMachine.isVoid(state, change),
-      isKept,
+      isKept: isStored,
     });
     return { kind: 'committed', committed };
   };
 
-  /** The value that may already be chosen: the one accepted under the highest ballot. */
+  /** The change that may already be chosen: the one accepted under the highest ballot. */
   private readonly newestAccepted = (promises: readonly Vote[]): Accepted | null => {
     let newest: Accepted | null = null;
     for (const vote of promises) {
--- a/packages/control-plane/src/consensus/recovery.ts
+++ b/packages/control-plane/src/consensus/recovery.ts
@@ -1,4 +1,4 @@
-/** Recovery by hand after a majority of the members has lost its disks (docs/control/membership.md). */
+/** Manual recovery after a majority of the members has lost its disks (docs/control/membership.md). */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Clock, Disk, Log, Member, Random } from '@martenworks/core-types';
@@ -6,7 +6,7 @@
 import { acceptors } from './acceptor.js';
 import { checkMemberLogs } from './memberLogs.js';
 
-const logIndexLeap = 1_000;
+const logIndexGap = 1_000;
 
 const failure = (code: MemberRecoveryError['code'], detail: string): MemberRecoveryError => ({
   kind: 'recovery',
@@ -15,8 +15,8 @@
 });
 
 /**
- * Gives the state of a stopped node new members, at a log index far above any that the lost members may have committed.
- * Changes that only they knew are lost.
+ * Replaces the members in the state of a stopped node, at a log index far above any that the lost members may have
+ * committed. Changes that only the lost members had are lost.
  */
 export const recovery = {
   recover: async (
@@ -32,14 +32,16 @@
     if (opened.isErr()) return err(opened.error);
     const acceptor = opened.value;
     const state = acceptor.committedState();
-    if (state === null) return err(failure('no_state', 'this data folder holds no agreed state'));
+    if (state === null) return err(failure('no_state', 'this data folder has no committed state'));
     if (!members.some((member) => member.incarnation === acceptor.incarnation))
-      return err(failure('not_a_member', `the new members must include this one, incarnation ${acceptor.incarnation}`));
+      return err(
+        failure('not_a_member', `the new members must include this node, incarnation ${acceptor.incarnation}`),
+      );
     if (new Set(members.map((member) => member.incarnation)).size !== members.length)
-      return err(failure('duplicate_members', 'the new members must differ'));
-    const recovered: CommittedState = { ...state, logIndex: state.logIndex + logIndexLeap, members };
-    const isKept = await acceptor.adopt(recovered);
+      return err(failure('duplicate_members', 'the new members must have distinct incarnations'));
+    const recovered: CommittedState = { ...state, logIndex: state.logIndex + logIndexGap, members };
+    const isStored = await acceptor.adopt(recovered);
     await acceptor.close();
-    return isKept ? ok(recovered) : err(failure('disk', 'the disk did not take the recovered state'));
+    return isStored ? ok(recovered) : err(failure('disk', 'the recovered state could not be written to disk'));
   },
 };
--- a/packages/control-plane/src/consensus/remoteVoters.ts
+++ b/packages/control-plane/src/consensus/remoteVoters.ts
@@ -1,4 +1,4 @@
-/** Calls of a proposer on the voters: directly on this node's own acceptor, by messages on those of the others. */
+/** A proposer's calls to the voters: direct calls to this node's acceptor, messages to the others. */
 import type { Member } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
 import type { CompressedCommit, LogSuffix } from './ballots.js';
@@ -8,15 +8,15 @@
 import type { MemberPeers } from './memberPeers.js';
 import type { Voters } from './quorumCall.js';
 
-/** The voters as a proposer calls them; each reply is waited for `timeoutMs` milliseconds. */
+/** Creates the voters that a proposer calls; each request times out after `timeoutMs` milliseconds. */
 export const remoteVoters = (acceptor: Acceptor, peers: MemberPeers, catchUp: CatchUp, timeoutMs: number): Voters => {
   const { isPosition, isVote } = consensusMessages;
 
-  /** Brings this node up to what the member holds; null where that was not done in time. */
+  /** Brings this node up to date with the member; null if that did not succeed in time. */
   const catchUpFrom = async (member: Member): Promise<LogSuffix | null> => {
     const connection = peers.connectionTo(member);
-    const isDone = connection !== undefined && (await catchUp.syncWith(connection, timeoutMs));
-    return isDone ? { kind: 'nothing' } : null;
+    const isSynced = connection !== undefined && (await catchUp.syncWith(connection, timeoutMs));
+    return isSynced ? { kind: 'nothing' } : null;
   };
 
   return {
--- a/packages/control-plane/src/consensus/transferSource.ts
+++ b/packages/control-plane/src/consensus/transferSource.ts
@@ -1,4 +1,4 @@
-/** The source's side of catching up: encodes what a member lacks and serves it page by page. */
+/** The source side of catch-up: encodes what a member lacks and serves it page by page. */
 import { createHash } from 'node:crypto';
 import { cbor } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
@@ -7,8 +7,8 @@
 import type { Page, PageRequest } from './catchUpMessages.js';
 import { compressedStates } from './compression.js';
 
-const transfersKept = 8;
-const transferBytesKept = 16 * 1024 * 1024;
+const maxCachedTransfers = 8;
+const maxCachedBytes = 16 * 1024 * 1024;
 
 interface Transfer {
   readonly kind: Page['kind'];
@@ -17,65 +17,69 @@
   readonly bytes: Uint8Array;
 }
 
-/** Makes the transfers of one node and keeps the few that are being read; the snapshot of a log index is encoded once. */
+/** Creates the transfers of one node and caches those in use, so that the snapshot of a log index is encoded once. */
 export class TransferSource {
-  private readonly kept = new Map<string, Transfer>();
+  private readonly cache = new Map<string, Transfer>();
 
   constructor(private readonly acceptor: Acceptor) {}
 
-  /** One page for the asker: of the transfer it has begun if that is still kept or comes out the same, else of a new one from its start. */
+  /**
+   * The requested page of the transfer that the requester has started, if it is still cached or can be encoded again
+   * with the same digest; otherwise the first page of a new transfer. Null if the requester lacks nothing.
+   */
   readonly page = ({ logIndex, digest, offset }: PageRequest): Page | null => {
-    const begun = digest === null ? undefined : this.kept.get(digest);
-    const transfer = begun ?? this.make(logIndex);
+    const started = digest === null ? undefined : this.cache.get(digest);
+    const transfer = started ?? this.createTransfer(logIndex);
     if (transfer === null) return null;
-    this.keep(transfer);
-    const from = transfer.digest === digest && offset <= transfer.bytes.length ? offset : 0;
+    this.retain(transfer);
+    const start = transfer.digest === digest && offset <= transfer.bytes.length ? offset : 0;
     return {
       kind: transfer.kind,
       digest: transfer.digest,
       size: transfer.bytes.length,
-      offset: from,
-      bytes: transfer.bytes.slice(from, from + pageBytes),
+      offset: start,
+      bytes: transfer.bytes.slice(start, start + pageBytes),
     };
   };
 
-  private readonly make = (after: number): Transfer | null => {
+  private readonly createTransfer = (after: number): Transfer | null => {
     const state = this.acceptor.committedState();
     if (state === null || state.logIndex <= after) return null;
     const missed = this.acceptor.changesAfter(after);
     const missedBytes = (missed ?? []).reduce((sum, { change }) => sum + change.length, 0);
-    if (missed !== null && missedBytes <= pageBytes) return this.changes(missed);
-    const snapshot = this.snapshot();
-    return missed !== null && missedBytes < snapshot.bytes.length ? this.changes(missed) : snapshot;
+    if (missed !== null && missedBytes <= pageBytes) return this.changesTransfer(missed);
+    const snapshot = this.snapshotTransfer();
+    return missed !== null && missedBytes < snapshot.bytes.length ? this.changesTransfer(missed) : snapshot;
   };
 
-  private readonly changes = (missed: readonly CompressedCommit[]): Transfer =>
-    this.transfer('changes', missed.at(-1)?.logIndex ?? -1, cbor.encode(missed));
+  private readonly changesTransfer = (missed: readonly CompressedCommit[]): Transfer =>
+    this.encodedTransfer('changes', missed.at(-1)?.logIndex ?? -1, cbor.encode(missed));
 
-  private readonly snapshot = (): Transfer => {
+  private readonly snapshotTransfer = (): Transfer => {
     const state = this.acceptor.committedState();
     const logIndex = state?.logIndex ?? -1;
-    const held = [...this.kept.values()].find((one) => one.kind === 'snapshot' && one.logIndex === logIndex);
+    const cached = [...this.cache.values()].find((one) => one.kind === 'snapshot' && one.logIndex === logIndex);
     return (
-      held ?? this.transfer('snapshot', logIndex, state === null ? new Uint8Array() : compressedStates.encode(state))
+      cached ??
+      this.encodedTransfer('snapshot', logIndex, state === null ? new Uint8Array() : compressedStates.encode(state))
     );
   };
 
-  private readonly transfer = (kind: Page['kind'], logIndex: number, bytes: Uint8Array): Transfer => ({
+  private readonly encodedTransfer = (kind: Page['kind'], logIndex: number, bytes: Uint8Array): Transfer => ({
     kind,
     logIndex,
     digest: createHash('sha256').update(bytes).digest('hex'),
     bytes: bytes.slice(),
   });
 
-  /** Keeps the transfers used last, bounded in number and bytes; the newest one always. */
-  private readonly keep = (transfer: Transfer): void => {
-    this.kept.delete(transfer.digest);
-    this.kept.set(transfer.digest, transfer);
-    let bytes = [...this.kept.values()].reduce((sum, one) => sum + one.bytes.length, 0);
-    for (const [digest, one] of this.kept) {
-      if (this.kept.size === 1 || (this.kept.size <= transfersKept && bytes <= transferBytesKept)) return;
-      this.kept.delete(digest);
+  /** Caches the transfers used most recently, bounded in number and bytes; the newest one is always retained. */
+  private readonly retain = (transfer: Transfer): void => {
+    this.cache.delete(transfer.digest);
+    this.cache.set(transfer.digest, transfer);
+    let bytes = [...this.cache.values()].reduce((sum, one) => sum + one.bytes.length, 0);
+    for (const [digest, one] of this.cache) {
+      if (this.cache.size === 1 || (this.cache.size <= maxCachedTransfers && bytes <= maxCachedBytes)) return;
+      this.cache.delete(digest);
       bytes -= one.bytes.length;
     }
   };
--- a/packages/control-plane/src/errors.ts
+++ b/packages/control-plane/src/errors.ts
@@ -1,12 +1,14 @@
 /**
- * The errors of this package. Each has a `kind` that tells its type, and a `code` that stays the same between releases.
- * Errors of the disk and the network pass through as core-types and the write-ahead log define them.
+ * The errors of this package. Each has a `kind` that identifies its type, and a `code` that is stable between releases.
+ * Disk and network errors are passed on as the write-ahead log and core-types define them.
  */
 import type { NetworkError } from '@martenworks/core-types';
 import type { ValidationIssue } from '@martenworks/settings';
 import type { WriteAheadLogError } from '@martenworks/write-ahead-log';
 
-/** The change does not fit the committed state: it builds on another version than `configLogIndex`, or reuses an id. */
+/**
+ * The change conflicts with the committed state: it is based on another version than `configLogIndex`, or reuses an id.
+ */
 export interface ConflictError {
   readonly kind: 'proposal';
   readonly code: 'conflict';
@@ -14,21 +16,21 @@
   readonly detail: string;
 }
 
-/** The change is invalid on the committed state; `complaints` name the places. */
+/** The change is invalid for the committed state; `complaints` lists the validation issues. */
 export interface RejectedError {
   readonly kind: 'proposal';
   readonly code: 'rejected';
   readonly complaints: readonly ValidationIssue[];
 }
 
-/** The change may or may not be committed; sending it again under the same id is safe. */
+/** The change may or may not be committed; it is safe to send it again with the same id. */
 export interface UnknownOutcomeError {
   readonly kind: 'proposal';
   readonly code: 'unknown';
   readonly changeId: string;
 }
 
-/** The change was offered to no acceptor and will not be committed. */
+/** The change was proposed to no acceptor and will not be committed. */
 export interface UnavailableError {
   readonly kind: 'proposal';
   readonly code: 'unavailable';
@@ -38,26 +40,28 @@
 /** Why a proposed change was not confirmed as committed. */
 export type ProposalError = ConflictError | RejectedError | UnknownOutcomeError | UnavailableError;
 
-/** Replica records were not announced. `disk`: this node's disk failed; `unknown`: no majority has confirmed them yet. */
+/**
+ * Replica records were not announced. `disk`: this node's disk failed; `unknown`: no majority has confirmed them yet.
+ */
 export interface AnnouncementError {
   readonly kind: 'announcement';
   readonly code: 'disk' | 'unknown';
 }
 
-/** A state was not recovered onto new members. */
+/** The manual recovery of a state with new members failed. */
 export interface MemberRecoveryError {
   readonly kind: 'recovery';
   readonly code: 'no_state' | 'not_a_member' | 'duplicate_members' | 'disk';
   readonly detail: string;
 }
 
-/** Why a recovery failed; a damaged log is refused as it stands. */
+/** Why a recovery failed; a damaged log is reported and left unchanged. */
 export type RecoveryError = WriteAheadLogError | MemberRecoveryError;
 
-/** Why a control node did not start: its logs, or the address it listens on. */
+/** Why a control node did not start: a fault in its logs, or in the address to listen on. */
 export type StartError = NetworkError | WriteAheadLogError;
 
-/** Makes the errors of a proposal. */
+/** Creates the errors of a proposal. */
 export const proposalErrors = {
   conflict: (configLogIndex: number, detail: string): ConflictError => ({
     kind: 'proposal',
--- a/packages/control-plane/src/membership/bootstrapMessages.ts
+++ b/packages/control-plane/src/membership/bootstrapMessages.ts
@@ -1,7 +1,7 @@
-/** Shapes of the messages by which control nodes found a consensus group that does not exist yet. */
+/** Messages with which control nodes bootstrap a consensus group. */
 import type { Member } from '@martenworks/core-types';
 
-/** What a control node says of itself before it knows whether a group exists. */
+/** The status of a control node; `logIndex` is -1 while it belongs to no cluster. */
 export interface MemberStatus {
   readonly incarnation: string;
   readonly logIndex: number;
@@ -10,7 +10,7 @@
   readonly syncedFrom: readonly string[];
 }
 
-/** The answer to a request to vow for a set of founding members; `members` are those vowed for, null where none. */
+/** The reply to a request to vote for the initial members; `members` are those voted for, null if no vote was cast. */
 export interface BootstrapVoteReply {
   readonly isGranted: boolean;
   readonly members: readonly Member[] | null;
--- a/packages/control-plane/src/membership/clusterBootstrap.ts
+++ b/packages/control-plane/src/membership/clusterBootstrap.ts
@@ -1,5 +1,6 @@
 /**
- * Founding of a cluster by nodes that know of none: all must vote for the same members (docs/control/membership.md).
+ * Bootstrap of a cluster by nodes that know of none: all must vote for the same initial members
+ * (docs/control/membership.md).
  */
 import { stateMachine } from '@martenworks/core-types';
 import type { Log, Member } from '@martenworks/core-types';
@@ -9,7 +10,7 @@
 import { consensusMessages } from '../consensus/consensusMessages.js';
 import type { MemberStatus } from './bootstrapMessages.js';
 
-const usualCoreSize = 3;
+const defaultMemberCount = 3;
 const timeoutMs = 1_000;
 
 const memberOf = (hello: Hello): Member => ({
@@ -18,16 +19,16 @@
   incarnation: hello.incarnation,
 });
 
-/** Steps of one node towards a founded cluster. A node votes for one set of founding members only, on disk. */
+/** One node's part in the bootstrap. A node votes for one set of initial members only, and stores its vote on disk. */
 export class ClusterBootstrap {
   constructor(
     private readonly acceptor: Acceptor,
-    private readonly own: () => Hello,
+    private readonly ownHello: () => Hello,
     private readonly peerPool: () => PeerPool,
-    private readonly known: () => readonly Hello[],
+    private readonly knownControlNodes: () => readonly Hello[],
     private readonly catchUpFrom: (connection: PeerConnection) => Promise<void>,
     private readonly log: Log,
-    private readonly coreSize = usualCoreSize,
+    private readonly memberCount = defaultMemberCount,
   ) {}
 
   private readonly controlNodes = (): Map<string, PeerConnection> =>
@@ -39,64 +40,68 @@
         ),
     );
 
-  /** Founds the cluster where all reached nodes agree on its members; joins one that exists already. */
+  /** Bootstraps the cluster if all reachable nodes agree on its members, or catches up with an existing cluster. */
   readonly step = async (): Promise<void> => {
     if (this.acceptor.committedState() !== null) return;
-    const reached = this.controlNodes();
+    const connections = this.controlNodes();
     const statuses: MemberStatus[] = [];
-    for (const connection of reached.values()) {
+    for (const connection of connections.values()) {
       const reply = await connection.ask('memberStatus', null, timeoutMs);
       if (reply.isErr() || !consensusMessages.isMemberStatus(reply.value)) return;
       if (reply.value.logIndex >= 0) return this.catchUpFrom(connection);
       statuses.push(reply.value);
     }
-    if (reached.size < this.coreSize - 1 || this.known().length !== reached.size) return;
-    const members = this.candidates(reached);
-    if (!members.some((member) => member.incarnation === this.own().incarnation)) return;
-    if (new Set(members.map((member) => member.name)).size !== this.coreSize) return;
-    await this.proposeMembers(members, statuses, reached);
+    if (connections.size < this.memberCount - 1 || this.knownControlNodes().length !== connections.size) return;
+    const members = this.candidates(connections);
+    if (!members.some((member) => member.incarnation === this.ownHello().incarnation)) return;
+    if (new Set(members.map((member) => member.name)).size !== this.memberCount) return;
+    await this.proposeMembers(members, statuses, connections);
   };
 
-  /** The members that every node would choose which reaches the same nodes: the first of them by name. */
-  private readonly candidates = (reached: Map<string, PeerConnection>): Member[] =>
-    [this.own(), ...[...reached.values()].flatMap((connection) => connection.peer ?? [])]
+  /** The first nodes by name: every node that reaches the same nodes chooses the same members. */
+  private readonly candidates = (connections: Map<string, PeerConnection>): Member[] =>
+    [this.ownHello(), ...[...connections.values()].flatMap((connection) => connection.peer ?? [])]
       .map(memberOf)
       .sort((a, b) => (a.name < b.name ? -1 : 1))
-      .slice(0, this.coreSize);
+      .slice(0, this.memberCount);
 
-  /** Founds the cluster with the members that a majority voted for before, or else asks for votes for `members`. */
+  /**
+   * Bootstraps the cluster with the members that a majority has already voted for, else collects votes for `members`.
+   */
   private readonly proposeMembers = async (
     members: readonly Member[],
     statuses: readonly MemberStatus[],
-    reached: Map<string, PeerConnection>,
+    connections: Map<string, PeerConnection>,
   ): Promise<void> => {
     const votes = [this.acceptor.initialMembersVotedFor(), ...statuses.map((status) => status.foundingVote)].filter(
       (vote) => vote !== null,
     );
-    const texts = votes.map((vote) => JSON.stringify(vote));
-    const wanted = JSON.stringify(members);
-    const chosen = votes.find((_, at) => texts.filter((text) => text === texts[at]).length > this.coreSize / 2);
-    if (chosen !== undefined && JSON.stringify(chosen) !== wanted) return this.found(chosen);
-    if (texts.some((text) => text !== wanted) || !this.acceptor.isNewNode) return;
-    await this.collect(members, reached);
+    const encodedVotes = votes.map((vote) => JSON.stringify(vote));
+    const encodedMembers = JSON.stringify(members);
+    const chosen = votes.find(
+      (_, at) => encodedVotes.filter((text) => text === encodedVotes[at]).length > this.memberCount / 2,
+    );
+    if (chosen !== undefined && JSON.stringify(chosen) !== encodedMembers) return this.adoptInitialState(chosen);
+    if (encodedVotes.some((text) => text !== encodedMembers) || !this.acceptor.isNewNode) return;
+    await this.collectVotes(members, connections);
   };
 
-  private readonly collect = async (
+  private readonly collectVotes = async (
     members: readonly Member[],
-    reached: Map<string, PeerConnection>,
+    connections: Map<string, PeerConnection>,
   ): Promise<void> => {
-    const own = await this.acceptor.voteForInitialMembers(members);
-    if (!own.isGranted) return;
-    for (const [incarnation, connection] of reached) {
+    const ownVote = await this.acceptor.voteForInitialMembers(members);
+    if (!ownVote.isGranted) return;
+    for (const [incarnation, connection] of connections) {
       if (!members.some((member) => member.incarnation === incarnation)) continue;
       const reply = await connection.ask('foundingVote', members, timeoutMs);
       if (reply.isErr() || !consensusMessages.isBootstrapVoteReply(reply.value) || !reply.value.isGranted) return;
     }
-    await this.found(members);
+    await this.adoptInitialState(members);
   };
 
-  private readonly found = async (members: readonly Member[]): Promise<void> => {
-    const isFounded = await this.acceptor.adopt(stateMachine.founded(members));
-    if (isFounded) this.log.info('cluster founded', { members: members.map((member) => member.name) });
+  private readonly adoptInitialState = async (members: readonly Member[]): Promise<void> => {
+    const isAdopted = await this.acceptor.adopt(stateMachine.founded(members));
+    if (isAdopted) this.log.info('cluster founded', { members: members.map((member) => member.name) });
   };
 }
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -1,4 +1,6 @@
-/** Who has a seat among the voters: swaps of lost and leaving members for newcomers, one at a time and by agreement. */
+/**
+ * Membership of the consensus group: replaces lost and leaving members by joining nodes, one committed swap at a time.
+ */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Change, Clock, Log, Member } from '@martenworks/core-types';
@@ -13,17 +15,17 @@
 import type { Proposer } from '../consensus/proposer.js';
 import { majorityOf } from '../consensus/quorumCall.js';
 
-const usualStrangerWaitMs = 12_000;
+const defaultReplacementDelayMs = 12_000;
 const timeoutMs = 1_000;
 const swapTimeoutMs = 2_000;
 const confirmTimeoutMs = 1_000;
 const retryMs = 50;
 
-/** Conditions on giving a seat away. */
+/** When a joining node may replace a member. */
 export interface MembershipOptions {
-  /** Milliseconds that a member must be lost before a node of another name may have its seat. */
+  /** Milliseconds that a member must be unreachable before a node of another name may replace it. */
   readonly replacementDelayMs?: number;
-  /** Whether a newcomer must have copied data from every member, beside the agreed state, before it may vote. */
+  /** Whether a joining node must copy data outside the committed state from every member before it may vote. */
   readonly requiresSync: boolean;
 }
 
@@ -35,7 +37,7 @@
   return true;
 };
 
-/** Proposes swaps of members: one seat at a time, so that old and new majorities always have a member in common. */
+/** Proposes swaps of members, one at a time, so that old and new majorities always have a member in common. */
 export class Membership {
   private readonly lostAt = new Map<string, number>();
   private readonly leaving = new Set<string>();
@@ -47,23 +49,23 @@
     private readonly peerPool: () => PeerPool,
     private readonly isDown: (name: string) => boolean,
     private readonly log: Log,
-    private readonly terms: MembershipOptions,
-    /** Has the peer catch up from this node. */
-    private readonly supply: (connection: PeerConnection) => Promise<void>,
+    private readonly options: MembershipOptions,
+    /** Makes the peer catch up from this node. */
+    private readonly bringUpToDate: (connection: PeerConnection) => Promise<void>,
   ) {}
 
-  /** A node has said that it leaves: its seat may be given away without a wait, and it gets no other one. */
+  /** Records that a node is leaving: it may be replaced without delay and does not become a voter again. */
   readonly markLeaving = (incarnation: string): void => void this.leaving.add(incarnation);
 
-  /** A node is there again: what it said of leaving is over. */
+  /** Records that a node has returned and is no longer leaving. */
   readonly markReturned = (incarnation: string): void => {
     if (incarnation !== this.acceptor.incarnation) this.leaving.delete(incarnation);
   };
 
-  /** Whether this node has said that it leaves. */
+  /** Whether this node is leaving the cluster. */
   readonly isLeaving = (): boolean => this.leaving.has(this.acceptor.incarnation);
 
-  private readonly noteLost = (members: readonly Member[]): void => {
+  private readonly trackLostMembers = (members: readonly Member[]): void => {
     const now = this.clock.now();
     for (const member of members) {
       if (member.incarnation === this.acceptor.incarnation || this.peerPool().to(member.incarnation) !== undefined)
@@ -74,32 +76,35 @@
       if (!members.some((member) => member.incarnation === incarnation)) this.lostAt.delete(incarnation);
   };
 
-  /** Forgets of leaving nodes those that are gone and have no seat. */
-  private readonly forgetGone = (state: CommittedState): void => {
+  /** Drops leaving nodes that are disconnected and not members. */
+  private readonly forgetDepartedNodes = (state: CommittedState): void => {
     for (const incarnation of this.leaving) {
       const isKnown = incarnation === this.acceptor.incarnation || stateMachine.holdsSeat(state, incarnation);
       if (!isKnown && this.peerPool().to(incarnation) === undefined) this.leaving.delete(incarnation);
     }
   };
 
-  private readonly isLostForLong = (member: Member): boolean => {
+  private readonly isReplaceable = (member: Member): boolean => {
     const lostAt = this.lostAt.get(member.incarnation);
-    const waitMs = this.terms.replacementDelayMs ?? usualStrangerWaitMs;
-    return lostAt !== undefined && this.isDown(member.name) && this.clock.now() - lostAt > waitMs;
+    const delayMs = this.options.replacementDelayMs ?? defaultReplacementDelayMs;
+    return lostAt !== undefined && this.isDown(member.name) && this.clock.now() - lostAt > delayMs;
   };
 
-  /** The seat that a newcomer may have: that of its own name first, then one that is left, then one lost for long. */
-  private readonly seatFor = (newcomer: Member, members: readonly Member[]): Member | undefined => {
-    const sameName = members.find((member) => member.name === newcomer.name);
+  /**
+   * The member that a joining node may replace: only the member of its own name if there is one, which must be lost or
+   * leaving; otherwise a leaving member, or one that has been lost for long.
+   */
+  private readonly memberToReplace = (joining: Member, members: readonly Member[]): Member | undefined => {
+    const sameName = members.find((member) => member.name === joining.name);
     if (sameName !== undefined) {
       const isFree = this.lostAt.has(sameName.incarnation) || this.leaving.has(sameName.incarnation);
       return isFree ? sameName : undefined;
     }
-    return members.find((member) => this.leaving.has(member.incarnation)) ?? members.find(this.isLostForLong);
+    return members.find((member) => this.leaving.has(member.incarnation)) ?? members.find(this.isReplaceable);
   };
 
-  /** Open connections to control nodes that have no seat and stay. */
-  private readonly newcomers = (state: CommittedState): { connection: PeerConnection; member: Member }[] =>
+  /** Connected control nodes that are not members and are not leaving. */
+  private readonly joiningNodes = (state: CommittedState): { connection: PeerConnection; member: Member }[] =>
     this.peerPool()
       .open()
       .flatMap((connection) => {
@@ -117,20 +122,20 @@
 
   private readonly isCaughtUp = (memberStatus: MemberStatus, state: CommittedState, outgoing: Member): boolean => {
     if (memberStatus.logIndex < state.logIndex) return false;
-    if (!this.terms.requiresSync) return true;
+    if (!this.options.requiresSync) return true;
     return state.members.every(
       (member) => member.incarnation === outgoing.incarnation || memberStatus.syncedFrom.includes(member.incarnation),
     );
   };
 
-  /** Gives one free seat to a newcomer that is caught up, where there are both. */
+  /** Replaces one member by a joining node that has caught up, if there are such. */
   readonly step = async (): Promise<void> => {
     const state = this.acceptor.committedState();
     if (state === null || !this.acceptor.isVoter()) return;
-    this.noteLost(state.members);
-    this.forgetGone(state);
-    for (const { connection, member } of this.newcomers(state)) {
-      const outgoing = this.seatFor(member, state.members);
+    this.trackLostMembers(state.members);
+    this.forgetDepartedNodes(state);
+    for (const { connection, member } of this.joiningNodes(state)) {
+      const outgoing = this.memberToReplace(member, state.members);
       if (outgoing === undefined) continue;
       const memberStatus = await this.memberStatusOf(connection);
       if (memberStatus !== null && this.isCaughtUp(memberStatus, state, outgoing))
@@ -139,31 +144,33 @@
   };
 
   /**
-   * Hands this node's seat to a newcomer, for at most `budgetMs` milliseconds. Ends at once where there is no seat to
-   * hand over or nobody to have it; else when the new member and a majority of the new members hold the swap.
+   * Lets a joining node replace this one, within `budgetMs` milliseconds. Returns at once if this node is not a member
+   * or no joining node is connected, otherwise when the new member and a majority of the new members have stored the
+   * swap.
    */
   readonly leave = async (budgetMs: number): Promise<void> => {
     this.markLeaving(this.acceptor.incarnation);
     const before = this.acceptor.committedState();
     if (before === null || !this.acceptor.isVoter()) return;
     const untilMs = this.clock.now() + budgetMs;
-    const handover = pollUntil(this.clock, untilMs, () => this.handOver(before));
+    const handover = pollUntil(this.clock, untilMs, () => this.tryHandOver(before));
     const isInTime = await Promise.race([handover, pause.for(this.clock, budgetMs).then(() => false)]);
     this.log.info('draining: this node is leaving the cluster', { hasSeat: this.acceptor.isVoter(), isInTime });
   };
 
-  /** One try at handing over this node's seat: true where nothing is left to be done. */
-  private readonly handOver = async (before: CommittedState): Promise<boolean> => {
+  /** One attempt to have this node replaced: true if nothing is left to do. */
+  private readonly tryHandOver = async (before: CommittedState): Promise<boolean> => {
     const state = this.acceptor.committedState() ?? before;
-    if (!this.acceptor.isVoter()) return this.isHeldByNewMajority(before, state);
-    if (this.newcomers(state).length === 0) return true;
+    if (!this.acceptor.isVoter()) return this.isStoredByNewMajority(before, state);
+    if (this.joiningNodes(state).length === 0) return true;
     await this.step();
     return false;
   };
 
   /**
-   * Whether a swap may be proposed on `state`. Asked anew on each try, since `state` may be newer than the one that
-   * `standing` was compared with before: a seat goes only to a newcomer that reported the generation it is proposed on.
+   * Why the swap may not be proposed on `state`; null if it may. Checked on every attempt, since `state` may be newer
+   * than the one that `memberStatus` was compared with: a joining node must have reported the log index of the
+   * proposal's state.
    */
   private readonly swapRefusal = (
     state: CommittedState,
@@ -171,8 +178,8 @@
     incoming: Member,
     memberStatus: MemberStatus,
   ): string | null => {
-    if (!stateMachine.maySwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
-    return this.isCaughtUp(memberStatus, state, outgoing) ? null : 'the newcomer has not reported the newest state';
+    if (!stateMachine.maySwap(state, outgoing.incarnation, incoming)) return 'the members have changed';
+    return this.isCaughtUp(memberStatus, state, outgoing) ? null : 'the joining node has not reported the newest state';
   };
 
   private readonly swap = async (outgoing: Member, incoming: Member, memberStatus: MemberStatus): Promise<void> => {
@@ -193,28 +200,30 @@
     });
     if (outcome.isErr()) return;
     const untilMs = this.clock.now() + confirmTimeoutMs;
-    const isHeld = await pollUntil(this.clock, untilMs, () =>
-      this.isHeldByNewMajority(before, this.acceptor.committedState() ?? before),
+    const isStored = await pollUntil(this.clock, untilMs, () =>
+      this.isStoredByNewMajority(before, this.acceptor.committedState() ?? before),
     );
-    this.log.info('membership change committed', { incoming: incoming.name, isHeldByNewMajority: isHeld });
+    this.log.info('membership change committed', { incoming: incoming.name, isHeldByNewMajority: isStored });
   };
 
-  /** Whether every member that is new since `before`, and a majority of the members of `state`, hold that on disk. */
-  private readonly isHeldByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
-    const isHolder = await Promise.all(state.members.map((member) => this.isHeldBy(member, state)));
-    const holders = state.members.filter((_, at) => isHolder[at]);
+  /**
+   * Whether every member added since `before`, and a majority of the members of `state`, have stored `state` on disk.
+   */
+  private readonly isStoredByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
+    const hasState = await Promise.all(state.members.map((member) => this.hasStored(member, state)));
+    const holders = state.members.filter((_, at) => hasState[at]);
     const newMembers = state.members.filter((member) => !stateMachine.holdsSeat(before, member.incarnation));
     return holders.length >= majorityOf(state.members) && newMembers.every((member) => holders.includes(member));
   };
 
-  private readonly isHeldBy = async (member: Member, state: CommittedState): Promise<boolean> => {
+  private readonly hasStored = async (member: Member, state: CommittedState): Promise<boolean> => {
     if (member.incarnation === this.acceptor.incarnation) return true;
     const connection = this.peerPool().to(member.incarnation);
     if (connection === undefined) return false;
     const memberStatus = await this.memberStatusOf(connection);
     if (memberStatus === null) return false;
     if (memberStatus.logIndex >= state.logIndex) return true;
-    await this.supply(connection);
+    await this.bringUpToDate(connection);
     return false;
   };
 }
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -4,17 +4,17 @@
 import { claimTables, leaseTables, replicaTables } from '@martenworks/control-plane';
 import { SimWorld } from '@martenworks/test-fleet';
 
-const started = () => {
+const createMachine = () => {
   const world = new SimWorld(5);
   const machine = world.machine('10.0.0.1');
-  return { world, machine, ports: machine.ports(), mood: machine.disk.faults };
+  return { world, machine, ports: machine.ports(), diskFaults: machine.disk.faults };
 };
 
 const finish = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
-  const held: { value: T }[] = [];
-  void work.then((value) => held.push({ value }));
-  await world.until('a call', () => held.length > 0);
-  return (held[0] as { value: T }).value;
+  const results: { value: T }[] = [];
+  void work.then((value) => results.push({ value }));
+  await world.until('the call to complete', () => results.length > 0);
+  return (results[0] as { value: T }).value;
 };
 
 const replica = (name: string): ReplicaRecord => ({
@@ -30,26 +30,26 @@
   sides: [],
 });
 
-describe('writes that fail', () => {
-  it('given a lease whose write failed, when the same holder asks again, then it is no renewal: nothing is granted until a write holds', async () => {
-    const { world, ports, mood } = started();
+describe('failed writes', () => {
+  it('given a lease grant whose write failed, when the same holder requests it again, then it is not treated as a renewal and nothing is granted until a write succeeds', async () => {
+    const { world, ports, diskFaults } = createMachine();
     const { table: leaseTable } = (
       await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log))
     )._unsafeUnwrap();
     const ask = { holder: 'a', duties: [{ duty: 'weights', fence: 1 }] };
-    mood.isFull = true;
+    diskFaults.isFull = true;
     expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
     expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
     expect(leaseTable.fences()).to.deep.equal([]);
-    mood.isFull = false;
+    diskFaults.isFull = false;
     expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal(['weights']);
-    const again = (await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
-    expect(again.table.fences()).to.deep.equal([['weights', 1]]);
+    const reopened = (await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
+    expect(reopened.table.fences()).to.deep.equal([['weights', 1]]);
   });
 
-  it('given a lease whose write is under way, when others or its holder ask, then nobody is granted it before the write is done, and a release in between counts', async () => {
-    const { world, ports } = started();
-    const writes: ((isKept: boolean) => void)[] = [];
+  it('given a lease grant whose write is in progress, when its holder or others request the lease, then it is granted to nobody before the write completes, and a release in between takes effect', async () => {
+    const { world, ports } = createMachine();
+    const writes: ((isWritten: boolean) => void)[] = [];
     const leaseTable = new LeaseTable(ports.clock, () => new Promise((resolve) => writes.push(resolve)), [], true);
     const ask = (holder: string, fence: number) => ({ holder, duties: [{ duty: 'weights', fence }] });
     const first = leaseTable.grant(ask('a', 1));
@@ -64,48 +64,48 @@
     expect((await finish(world, second)).granted).to.deep.equal(['weights']);
   });
 
-  it('given a claim whose release was not written, when it is released again on a full disk, then that is refused as well', async () => {
-    const { world, ports, mood } = started();
+  it('given a claim whose release could not be written, when it is released again on a full disk, then that release fails too', async () => {
+    const { world, ports, diskFaults } = createMachine();
     const table = (await finish(world, claimTables.open(ports.disk, ports.clock, ports.log, 60_000)))._unsafeUnwrap();
-    mood.isFull = true;
+    diskFaults.isFull = true;
     expect(await finish(world, table.release('key', 0))).to.equal(false);
     expect(await finish(world, table.release('key', 0))).to.equal(false);
-    mood.isFull = false;
+    diskFaults.isFull = false;
     expect(await finish(world, table.release('key', 0))).to.equal(true);
     const again = (await finish(world, claimTables.open(ports.disk, ports.clock, ports.log, 60_000)))._unsafeUnwrap();
     expect(again.page(0).entries[0]?.[1].turn).to.equal(1);
   });
 
-  it('given a page of claims whose write failed, when it is taken again on a full disk, then it does not count as taken', async () => {
-    const { world, ports, mood } = started();
+  it('given a page of claims whose write failed, when it is sent again on a full disk, then it is not reported as stored', async () => {
+    const { world, ports, diskFaults } = createMachine();
     const table = (await finish(world, claimTables.open(ports.disk, ports.clock, ports.log, 60_000)))._unsafeUnwrap();
     const state: ClaimState = { turn: 3, promised: [1, 'a'], accepted: null };
     const page = { entries: [['key', state] as const], next: null };
-    mood.isFull = true;
+    diskFaults.isFull = true;
     expect(await finish(world, table.takePage(page))).to.equal(false);
     expect(await finish(world, table.takePage(page))).to.equal(false);
-    mood.isFull = false;
+    diskFaults.isFull = false;
     expect(await finish(world, table.takePage(page))).to.equal(true);
   });
 
-  it('given two replica records of which only the first is written, when the write of the second fails, then watchers still learn of the first', async () => {
-    const { world, ports, mood } = started();
+  it('given two replica records, when only the write of the second fails, then watchers are still notified of the first', async () => {
+    const { world, ports, diskFaults } = createMachine();
     const table = (await finish(world, replicaTables.open(ports.disk, ports.log)))._unsafeUnwrap();
-    const seen: string[] = [];
-    table.watch((records) => seen.push(...records.map(({ name }) => name)));
-    mood.isFull = false;
+    const observed: string[] = [];
+    table.watch((records) => observed.push(...records.map(({ name }) => name)));
+    diskFaults.isFull = false;
     let appends = 0;
     const wal = (table as unknown as { wal: { append: (record: unknown) => Promise<unknown> } }).wal;
     const { append } = wal;
     wal.append = (record) => {
       appends += 1;
-      if (appends === 2) mood.isFull = true;
+      if (appends === 2) diskFaults.isFull = true;
       return append(record);
     };
     expect((await finish(world, table.take([replica('one'), replica('two')]))).isErr()).to.equal(true);
-    expect(seen).to.deep.equal(['one']);
-    mood.isFull = false;
+    expect(observed).to.deep.equal(['one']);
+    diskFaults.isFull = false;
     expect((await finish(world, table.take([replica('one'), replica('two')]))).isOk()).to.equal(true);
-    expect(seen).to.deep.equal(['one', 'two']);
+    expect(observed).to.deep.equal(['one', 'two']);
   });
 });
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/maintenance.test.ts
@@ -5,19 +5,19 @@
 import { InvariantChecker, keyOf, sampleWorkload, SimFleet, stateViolations } from '@martenworks/test-fleet';
 import type { SimDisk } from '@martenworks/test-fleet';
 
-const sizeOf = (disk: SimDisk): number => [...disk.files.values()].reduce((sum, held) => sum + held.synced.length, 0);
+const sizeOf = (disk: SimDisk): number => [...disk.files.values()].reduce((sum, file) => sum + file.synced.length, 0);
 
-const raised = async (
+const startFleet = async (
   seed: number,
-  more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
+  settings: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, edges: 3, replicas: 4, ...more });
+  const fleet = new SimFleet({ seed, edges: 3, replicas: 4, ...settings });
   await fleet.up();
   return fleet;
 };
 
-/** The acceptor's records as releases wrote them that neither compressed changes nor referred to an accepted one. */
-const olderRecords = (records: readonly unknown[]): unknown[] => {
+/** Acceptor records as written by earlier releases: uncompressed, and with the change repeated in each commit record. */
+const legacyRecords = (records: readonly unknown[]): unknown[] => {
   let accepted: unknown = null;
   return (records as readonly Record<string, unknown>[]).map((record) => {
     switch (record.t) {
@@ -38,14 +38,14 @@
   });
 };
 
-describe('roll-outs', () => {
-  it('given load, when every control node and gateway is restarted in turn, then no accepted change and no begun answer is lost', async () => {
-    const fleet = await raised(61);
+describe('rolling restarts', () => {
+  it('given load, when every control node and gateway is restarted in turn, then no accepted change and no started response is lost', async () => {
+    const fleet = await startFleet(61);
     const checker = new InvariantChecker(fleet);
     checker.traffic(40, 45_000);
     for (let round = 0; round < 3; round += 1) {
       const base = Number((await fleet.finish(fleet.onControlNode(round, 'GET', '/operator/layout'))).body.generation);
-      const put = await fleet.finish(
+      const response = await fleet.finish(
         fleet.onControlNode(
           round,
           'PATCH',
@@ -54,12 +54,18 @@
           { 'if-match': `"${base}"`, 'change-id': `roll-${round}` },
         ),
       );
-      expect(put.status).to.equal(200);
-      checker.acceptedIds.set(`roll-${round}`, Number(put.body.generation));
+      expect(response.status).to.equal(200);
+      checker.acceptedIds.set(`roll-${round}`, Number(response.body.generation));
       await fleet.finish(fleet.rollControlNode(round));
-      await fleet.world.until('the control node is back', () => fleet.controlNodes[round]?.isReady() === true);
+      await fleet.world.until(
+        'the restarted control node to be ready',
+        () => fleet.controlNodes[round]?.isReady() === true,
+      );
       await fleet.finish(fleet.rollCounter(round), 60_000);
-      await fleet.world.until('the counter is back', () => fleet.gateways[round]?.freshness.isFresh() === true);
+      await fleet.world.until(
+        'the restarted gateway to be up to date',
+        () => fleet.gateways[round]?.freshness.isFresh() === true,
+      );
     }
     await fleet.world.run(60_000);
     const metrics = checker.metrics();
@@ -77,16 +83,16 @@
     expect([...checker.violations(), ...stateViolations(fleet, checker)]).to.deep.equal([]);
   });
 
-  it('given a gateway of another wire release, when it greets the fleet, then it is refused and says so, and the others serve on', async () => {
-    let isStrange = false;
-    const fleet = await raised(62, {
+  it('given a gateway with another protocol version, when it connects to the fleet, then it is rejected and logs this, and the others continue to serve', async () => {
+    let hasOtherVersion = false;
+    const fleet = await startFleet(62, {
       onCounter: (gateway) => {
-        if (!isStrange) return;
+        if (!hasOtherVersion) return;
         const hello = gateway.hello;
         (gateway.peerPool as unknown as { own: () => unknown }).own = () => ({ ...hello(), release: wireRelease + 1 });
       },
     });
-    isStrange = true;
+    hasOtherVersion = true;
     fleet.killCounter(2);
     await fleet.bootCounter(2);
     await fleet.world.run(100);
@@ -108,16 +114,16 @@
   });
 });
 
-describe('log upkeep', () => {
-  it('given hundreds of wide changes and thousands of claims, when they are kept, then disks stay bounded, and a control node comes back with all of it', async () => {
-    const fleet = await raised(63, { edges: 1, replicas: 2 });
+describe('log maintenance', () => {
+  it('given hundreds of large changes, when they are stored, then disk usage stays bounded, and a restarted control node has all of them', async () => {
+    const fleet = await startFleet(63, { edges: 1, replicas: 2 });
     const lanes = Object.fromEntries(
       Array.from({ length: 400 }, (_, at) => [`lane-${at}`, { pool: 'main', repeat: 'freely' }]),
     );
     let base = 1;
-    let largest = 0;
+    let maxDiskBytes = 0;
     for (let round = 0; round < 300; round += 1) {
-      const put = await fleet.finish(
+      const response = await fleet.finish(
         fleet.onControlNode(
           round % 3,
           'PATCH',
@@ -126,11 +132,11 @@
           { 'if-match': `"${base}"`, 'change-id': `wide-${round}` },
         ),
       );
-      expect(put.status, JSON.stringify(put.body)).to.equal(200);
-      base = Number(put.body.generation);
-      largest = Math.max(largest, ...[0, 1, 2].map((at) => sizeOf(fleet.machineOf('control', at).disk)));
+      expect(response.status, JSON.stringify(response.body)).to.equal(200);
+      base = Number(response.body.generation);
+      maxDiskBytes = Math.max(maxDiskBytes, ...[0, 1, 2].map((at) => sizeOf(fleet.machineOf('control', at).disk)));
     }
-    expect(largest).to.be.lessThan(12 * 1024 * 1024);
+    expect(maxDiskBytes).to.be.lessThan(12 * 1024 * 1024);
     fleet.killControlNode(1);
     await fleet.bootControlNode(1);
     expect(fleet.controlNodes[1]?.acceptor.committedState()?.configLogIndex).to.equal(base);
@@ -139,20 +145,23 @@
     );
   });
 
-  it('given an empty machine, when it joins in place of a lost one, then it is rebuilt from the others and votes within six seconds', async () => {
-    const fleet = await raised(64);
+  it('given an empty machine, when it replaces a lost one, then it catches up from the others and votes within six seconds', async () => {
+    const fleet = await startFleet(64);
     fleet.killControlNode(2, true);
     await fleet.world.run(3_000);
     await fleet.bootControlNode(2);
-    const waited = await fleet.world.until('it votes', () => fleet.controlNodes[2]?.acceptor.isVoter() === true);
-    expect(waited).to.be.lessThan(6_000);
+    const waitedMs = await fleet.world.until(
+      'the node to be a voter',
+      () => fleet.controlNodes[2]?.acceptor.isVoter() === true,
+    );
+    expect(waitedMs).to.be.lessThan(6_000);
     expect(fleet.controlNodes[2]?.table.records().length).to.equal(5);
     expect(fleet.controlNodes[2]?.acceptor.committedState()?.changeIds['first-layout']).to.not.equal(undefined);
   });
 
-  it('given a log damaged before its tail, when its control node starts, then the file and the place are named, it counts as empty under a new incarnation, and it is swapped in again with all that was agreed', async () => {
+  it('given a log damaged before its tail, when its control node starts, then the file and offset are logged, the node starts empty under a new incarnation, and it becomes a voter again with the committed state', async () => {
     for (const prefix of ['decrees', 'leases', 'replicas', 'claims']) {
-      const fleet = await raised(65);
+      const fleet = await startFleet(65);
       const checker = new InvariantChecker(fleet);
       checker.keyedTraffic(10, 1_000);
       await fleet.world.run(3_000);
@@ -160,30 +169,30 @@
       const state = fleet.controlNodes[1]?.acceptor.committedState();
       fleet.killControlNode(0);
       const machine = fleet.machineOf('control', 0);
-      const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith(`${prefix}-segment`)) ?? [];
-      if (prefix === 'leases' && held === undefined) throw new Error('no lease was ever kept');
-      if (name === undefined || held === undefined) throw new Error(`no segment of ${prefix}`);
-      held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
+      const [name, segment] = [...machine.disk.files].find(([file]) => file.startsWith(`${prefix}-segment`)) ?? [];
+      if (prefix === 'leases' && segment === undefined) throw new Error('no lease was stored');
+      if (name === undefined || segment === undefined) throw new Error(`no log segment with prefix ${prefix}`);
+      segment.synced[20] = (segment.synced[20] ?? 0) ^ 0x55;
       await fleet.bootControlNode(0);
-      const again = fleet.controlNodes[0]?.acceptor;
-      expect(again?.incarnation).to.not.equal(before);
-      const told = fleet.world.logLines.find((line) => line.context.file === name);
-      expect(told?.context).to.include({ file: name, offset: 0 });
-      const waited = await fleet.world.until('it votes', () => again?.isVoter() === true);
-      expect(waited).to.be.lessThan(6_000);
-      expect(again?.committedState()?.configLogIndex).to.equal(state?.configLogIndex);
+      const restarted = fleet.controlNodes[0]?.acceptor;
+      expect(restarted?.incarnation).to.not.equal(before);
+      const logLine = fleet.world.logLines.find((line) => line.context.file === name);
+      expect(logLine?.context).to.include({ file: name, offset: 0 });
+      const waitedMs = await fleet.world.until('the node to be a voter', () => restarted?.isVoter() === true);
+      expect(waitedMs).to.be.lessThan(6_000);
+      expect(restarted?.committedState()?.configLogIndex).to.equal(state?.configLogIndex);
       expect(fleet.controlNodes[1]?.acceptor.committedState()?.members.length).to.equal(3);
     }
   });
 
-  it('given a control node that sets its damaged logs aside, when power is lost before each step of that, then it never comes back under its old incarnation with a state', async () => {
-    const fleet = await raised(68);
+  it('given a control node that removes its damaged logs, when power fails before any step of the removal, then it never restarts with its old incarnation or a committed state', async () => {
+    const fleet = await startFleet(68);
     const before = fleet.controlNodes[0]?.acceptor.incarnation;
     fleet.killControlNode(0);
     const machine = fleet.machineOf('control', 0);
-    const lease = [...machine.disk.files].find(([file]) => file.startsWith('replicas-segment'));
-    if (lease === undefined) throw new Error('no segment');
-    lease[1].synced[20] = (lease[1].synced[20] ?? 0) ^ 0x55;
+    const segment = [...machine.disk.files].find(([file]) => file.startsWith('replicas-segment'));
+    if (segment === undefined) throw new Error('no log segment');
+    segment[1].synced[20] = (segment[1].synced[20] ?? 0) ^ 0x55;
     const images: SimDisk[] = [];
     machine.disk.beforeStep = () => void images.push(machine.disk.copy());
     machine.boot();
@@ -205,40 +214,42 @@
     }
   });
 
-  it('given a damaged log, when the explicit recovery is asked to start from it, then it refuses by name and removes nothing', async () => {
-    const fleet = await raised(69);
+  it('given a damaged log, when manual recovery is run on it, then it fails with the name of the file and removes nothing', async () => {
+    const fleet = await startFleet(69);
     fleet.killControlNode(0);
     const machine = fleet.machineOf('control', 0);
-    const [name, held] = [...machine.disk.files].find(([file]) => file.startsWith('decrees-segment')) ?? [];
-    if (name === undefined || held === undefined) throw new Error('no segment');
-    held.synced[20] = (held.synced[20] ?? 0) ^ 0x55;
+    const [name, segment] = [...machine.disk.files].find(([file]) => file.startsWith('decrees-segment')) ?? [];
+    if (name === undefined || segment === undefined) throw new Error('no log segment');
+    segment.synced[20] = (segment.synced[20] ?? 0) ^ 0x55;
     const files = [...machine.disk.files.keys()];
     machine.boot();
     const { disk, clock, random, log } = machine.ports();
-    const told = await fleet.finish(recovery.recover(disk, clock, random, log, []));
-    expect(told._unsafeUnwrapErr()).to.include({ kind: 'corrupt', file: name, offset: 0 });
+    const outcome = await fleet.finish(recovery.recover(disk, clock, random, log, []));
+    expect(outcome._unsafeUnwrapErr()).to.include({ kind: 'corrupt', file: name, offset: 0 });
     expect([...machine.disk.files.keys()]).to.deep.equal(files);
   });
 
-  it("given writeAheadLogs of a release that knew no sides and no stores' generations, when all three start with them, then they serve, and name no replica that they know nothing of", async () => {
-    const fleet = await raised(67);
+  it('given logs of a release without `sides` and `storeSince`, when all three control nodes start with them, then requests are served and no cache source of unknown state is used', async () => {
+    const fleet = await startFleet(67);
     for (const at of [0, 1, 2]) fleet.killControlNode(at);
     for (const at of [0, 1, 2]) {
       const machine = fleet.machineOf('control', at);
       machine.boot();
       const { disk } = machine.ports();
       for (const prefix of ['decrees', 'replicas']) {
-        const held = (await fleet.finish(writeAheadLogs.open(disk, prefix)))._unsafeUnwrap();
-        const older = JSON.parse(
-          JSON.stringify(prefix === 'decrees' ? olderRecords(held.records) : held.records, (key, value: unknown) =>
-            key === 'sides' || key === 'storeSince' ? undefined : value,
+        const stored = (await fleet.finish(writeAheadLogs.open(disk, prefix)))._unsafeUnwrap();
+        const legacy = JSON.parse(
+          JSON.stringify(
+            prefix === 'decrees' ? legacyRecords(stored.records) : stored.records,
+            (key, value: unknown) => (key === 'sides' || key === 'storeSince' ? undefined : value),
           ),
         ) as unknown[];
         for (const name of [...machine.disk.files.keys()]) if (name.startsWith(prefix)) machine.disk.files.delete(name);
         const { wal } = (await fleet.finish(writeAheadLogs.open(disk, prefix)))._unsafeUnwrap();
-        const names = older.map((record) => (record as { name?: string }).name);
-        const kept = prefix === 'replicas' ? older.filter((_, index) => names.indexOf(names[index]) === index) : older;
-        for (const record of kept) await fleet.finish(wal.append(record));
+        const names = legacy.map((record) => (record as { name?: string }).name);
+        const records =
+          prefix === 'replicas' ? legacy.filter((_, index) => names.indexOf(names[index]) === index) : legacy;
+        for (const record of records) await fleet.finish(wal.append(record));
       }
       await fleet.startControlNode(at);
     }
@@ -255,15 +266,15 @@
     expect(fleet.controlNodes[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
   });
 
-  it('given claims past their retention, when control nodes tidy, then they are gone from memory and disk', async () => {
-    const fleet = await raised(66, { controlNodeSettings: { claimRetentionMs: 5_000 } });
+  it('given claims past their retention, when control nodes drop them, then none is left in memory', async () => {
+    const fleet = await startFleet(66, { controlNodeSettings: { claimRetentionMs: 5_000 } });
     const checker = new InvariantChecker(fleet);
     checker.keyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
-    const sizes = fleet.controlNodes.map((one) => one?.claims.size() ?? 0);
+    const sizes = fleet.controlNodes.map((node) => node?.claims.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
     await fleet.world.run(15_000);
-    expect(fleet.controlNodes.map((one) => one?.claims.size())).to.deep.equal([0, 0, 0]);
+    expect(fleet.controlNodes.map((node) => node?.claims.size())).to.deep.equal([0, 0, 0]);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/control-plane/test/seats.test.ts
+++ b/packages/control-plane/test/membership.test.ts
@@ -15,41 +15,41 @@
   body: { kind: 'swap', outgoing, incoming: member(incoming) },
 });
 
-const seatsOf = (state: CommittedState): string[] => state.members.map(({ incarnation }) => incarnation);
+const memberIncarnations = (state: CommittedState): string[] => state.members.map(({ incarnation }) => incarnation);
 
 const finish = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
-  const held: { value: T }[] = [];
-  void work.then((value) => held.push({ value }));
-  await world.until('a call', () => held.length > 0);
-  return (held[0] as { value: T }).value;
+  const results: { value: T }[] = [];
+  void work.then((value) => results.push({ value }));
+  await world.until('the call to complete', () => results.length > 0);
+  return (results[0] as { value: T }).value;
 };
 
-describe('the seats of the voters', () => {
-  const founded = stateMachine.founded([member('a'), member('b'), member('x')]);
+describe('membership changes', () => {
+  const initialState = stateMachine.founded([member('a'), member('b'), member('x')]);
 
-  it('given two swaps prepared for one newcomer, when both are settled, then the second is void, uses up its generation and gives no second seat', () => {
-    const first = stateMachine.apply(founded, swap('x', 'n'));
-    expect(seatsOf(first)).to.deep.equal(['a', 'b', 'n']);
+  it('given two swaps prepared for one joining node, when both are committed, then the second has no effect except that it takes a log index, and the node is a member only once', () => {
+    const first = stateMachine.apply(initialState, swap('x', 'n'));
+    expect(memberIncarnations(first)).to.deep.equal(['a', 'b', 'n']);
     expect(stateMachine.isVoid(first, swap('a', 'n'))).to.equal(true);
     const second = stateMachine.apply(first, swap('a', 'n'));
-    expect(seatsOf(second)).to.deep.equal(['a', 'b', 'n']);
+    expect(memberIncarnations(second)).to.deep.equal(['a', 'b', 'n']);
     expect(second.logIndex).to.equal(2);
     expect(second.changeIds['swap-a-n']?.logIndex).to.equal(2);
   });
 
-  it('given a swap whose outgoing member has no seat, when it is settled, then it is void', () => {
-    const first = stateMachine.apply(founded, swap('x', 'n'));
+  it('given a swap whose outgoing node is not a member, when it is committed, then it has no effect', () => {
+    const first = stateMachine.apply(initialState, swap('x', 'n'));
     expect(stateMachine.isVoid(first, swap('x', 'm'))).to.equal(true);
-    expect(seatsOf(stateMachine.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
-    expect(stateMachine.isVoid(founded, swap('x', 'n'))).to.equal(false);
+    expect(memberIncarnations(stateMachine.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
+    expect(stateMachine.isVoid(initialState, swap('x', 'n'))).to.equal(false);
   });
 
-  it('given a state of an older release in which one member holds two of three seats, when that member alone votes, then it is no majority', async () => {
+  it('given a state of an earlier release that lists one member in two of three places, when only that member votes, then it is not a majority', async () => {
     const world = new SimWorld(3);
     const { disk, clock, random, log } = world.machine('10.0.0.1').ports();
     const acceptor: Acceptor = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
     const own = member(acceptor.incarnation);
-    await finish(world, acceptor.adopt({ ...founded, members: [own, member('b'), own] }));
+    await finish(world, acceptor.adopt({ ...initialState, members: [own, member('b'), own] }));
     const voters: Voters = {
       prepare: async (to, slot, ballot) => (to.incarnation === own.incarnation ? acceptor.prepare(slot, ballot) : null),
       accept: async (to, slot, ballot, change) =>
@@ -63,7 +63,7 @@
     expect(await finish(world, proposer.linearizableRead(500))).to.equal(null);
   });
 
-  it('given a swap that another member settled first, when it is tried again, then its check refuses it on the state in force', async () => {
+  it('given a swap that another member committed first, when it is retried, then its check rejects it on the current state', async () => {
     const world = new SimWorld(4);
     const { disk, clock, random, log } = world.machine('10.0.0.1').ports();
     const acceptor: Acceptor = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -7,7 +7,7 @@
 import type { Acceptor, Voters } from '@martenworks/control-plane';
 
 const timeoutMs = 700;
-const hopMs = 1;
+const latencyMs = 1;
 
 interface Node {
   readonly host: string;
@@ -18,81 +18,83 @@
 interface Cluster {
   readonly world: SimWorld;
   readonly nodes: readonly Node[];
-  /** Messages that this lets through are delivered; by default all. */
-  passes: (from: string, to: string, topic: string) => boolean;
+  /** Whether a message is delivered; by default all are. */
+  isDelivered: (from: string, to: string, topic: string) => boolean;
   readonly counts: Record<string, number>;
 }
 
-const done = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
+const complete = async <T>(world: SimWorld, work: Promise<T>): Promise<T> => {
   let outcome: { value: T } | null = null;
   void work.then((value) => (outcome = { value }));
-  await world.until('a call', () => outcome !== null);
+  await world.until('the call to complete', () => outcome !== null);
   return (outcome as unknown as { value: T }).value;
 };
 
 const hostsOf = (count: number): string[] => Array.from({ length: count }, (_, at) => `10.0.0.${at + 1}`);
 
-/** Real proposers and acceptors, with messages that take `hopMs` each way and calls that end after 800 ms. */
-const cluster = async (seed: number, count: number): Promise<Cluster> => {
+/** Proposers and acceptors whose messages take `latencyMs` in each direction; calls time out after 800 ms. */
+const createCluster = async (seed: number, count: number): Promise<Cluster> => {
   const world = new SimWorld(seed);
-  const held = new Map<string, Acceptor>();
+  const acceptorsByHost = new Map<string, Acceptor>();
   const counts: Record<string, number> = {};
-  const built: { value: Cluster | null } = { value: null };
+  const cluster: { value: Cluster | null } = { value: null };
   const call = async <T>(from: string, to: string, topic: string, act: () => T | Promise<T>): Promise<T | null> => {
     counts[topic] = (counts[topic] ?? 0) + 1;
-    const late = new Promise<null>((end) => void world.schedule(null, 800, () => end(null)));
+    const timeout = new Promise<null>((end) => void world.schedule(null, 800, () => end(null)));
     const reply = (async (): Promise<T> => {
-      await new Promise<void>((go) => void world.schedule(null, hopMs, go));
-      if (built.value?.passes(from, to, topic) === false) return new Promise<T>(() => {});
-      const told = await act();
-      await new Promise<void>((go) => void world.schedule(null, hopMs, go));
-      return built.value?.passes(to, from, `${topic} reply`) === false ? new Promise<T>(() => {}) : told;
+      await new Promise<void>((go) => void world.schedule(null, latencyMs, go));
+      if (cluster.value?.isDelivered(from, to, topic) === false) return new Promise<T>(() => {});
+      const result = await act();
+      await new Promise<void>((go) => void world.schedule(null, latencyMs, go));
+      return cluster.value?.isDelivered(to, from, `${topic} reply`) === false ? new Promise<T>(() => {}) : result;
     })();
-    return Promise.race([reply, late]);
+    return Promise.race([reply, timeout]);
   };
   const hosts = hostsOf(count);
   for (const host of hosts) {
     const { disk, clock, random, log } = world.machine(host).ports();
-    held.set(host, (await done(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap());
+    acceptorsByHost.set(host, (await complete(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap());
   }
   const members = hosts.map(
-    (host): Member => ({ name: host, address: host, incarnation: held.get(host)?.incarnation as string }),
+    (host): Member => ({ name: host, address: host, incarnation: acceptorsByHost.get(host)?.incarnation as string }),
   );
   const proposers = new Map<string, Proposer>();
-  const at = (member: Member): Acceptor => held.get(member.address) as Acceptor;
+  const acceptorOf = (member: Member): Acceptor => acceptorsByHost.get(member.address) as Acceptor;
   for (const host of hosts) {
     const { clock, random, log } = world.machine(host).ports();
     const voters: Voters = {
-      prepare: (member, slot, ballot) => call(host, member.address, 'prepare', () => at(member).prepare(slot, ballot)),
+      prepare: (member, slot, ballot) =>
+        call(host, member.address, 'prepare', () => acceptorOf(member).prepare(slot, ballot)),
       accept: (member, slot, ballot, change) =>
-        call(host, member.address, 'accept', () => at(member).accept(slot, ballot, change)),
-      position: (member) => call(host, member.address, 'position', () => positions.of(at(member))),
+        call(host, member.address, 'accept', () => acceptorOf(member).accept(slot, ballot, change)),
+      position: (member) => call(host, member.address, 'position', () => positions.of(acceptorOf(member))),
       broadcastCommit: (committed) => {
-        for (const to of hosts) if (to !== host) void call(host, to, 'settle', () => held.get(to)?.commit(committed));
+        for (const to of hosts)
+          if (to !== host) void call(host, to, 'commit', () => acceptorsByHost.get(to)?.commit(committed));
       },
       logSuffixAfter: (member, logIndex) =>
-        call(host, member.address, 'since', () => at(member).logSuffixAfter(logIndex)),
-      bringUpToDate: async (member, since) =>
-        void (await call(host, member.address, 'supply', () => proposers.get(member.address)?.learn(since))),
+        call(host, member.address, 'log suffix', () => acceptorOf(member).logSuffixAfter(logIndex)),
+      bringUpToDate: async (member, suffix) =>
+        void (await call(host, member.address, 'catch up', () => proposers.get(member.address)?.applySuffix(suffix))),
     };
-    proposers.set(host, new Proposer(held.get(host) as Acceptor, voters, clock, random, log));
+    proposers.set(host, new Proposer(acceptorsByHost.get(host) as Acceptor, voters, clock, random, log));
   }
-  const founded = stateMachine.founded(members);
-  for (const acceptor of held.values()) await done(world, acceptor.adopt(founded));
-  built.value = {
+  const initialState = stateMachine.founded(members);
+  for (const acceptor of acceptorsByHost.values()) await complete(world, acceptor.adopt(initialState));
+  cluster.value = {
     world,
     nodes: hosts.map((host) => ({
       host,
-      acceptor: held.get(host) as Acceptor,
+      acceptor: acceptorsByHost.get(host) as Acceptor,
       proposer: proposers.get(host) as Proposer,
     })),
-    passes: () => true,
+    isDelivered: () => true,
     counts,
   };
-  return built.value;
+  return cluster.value;
 };
 
-const revoked = (id: string, digest: string, keyHash = digest): Change => ({
+const revocation = (id: string, digest: string, keyHash = digest): Change => ({
   id,
   digest,
   body: { kind: 'revoke', keyHash },
@@ -101,9 +103,9 @@
 const propose = (node: Node | undefined, change: Change): ReturnType<Proposer['propose']> =>
   (node as Node).proposer.propose(() => ok(change), change.id, change.digest, timeoutMs);
 
-const refuse = (node: Node | undefined, id: string): ReturnType<Proposer['propose']> =>
+const proposeConflict = (node: Node | undefined, id: string): ReturnType<Proposer['propose']> =>
   (node as Node).proposer.propose(
-    ({ configLogIndex }) => err(proposalErrors.conflict(configLogIndex, 'refused')),
+    ({ configLogIndex }) => err(proposalErrors.conflict(configLogIndex, 'rejected')),
     id,
     id,
     timeoutMs,
@@ -112,14 +114,14 @@
 const stateOf = (node: Node | undefined): CommittedState => (node as Node).acceptor.committedState() as CommittedState;
 
 describe('the proposer', () => {
-  it('given one change id used for two changes at once, when one is decided, then only that one is confirmed', async () => {
+  it('given one change id used for two concurrent changes, when one is chosen, then only that one is confirmed', async () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const built = await cluster(seed, 3);
-      const { world, nodes } = built;
-      if (seed % 2 === 0) built.passes = (from, _, topic) => !(from === '10.0.0.1' && topic === 'settle');
-      const first = propose(nodes[0], revoked('shared', 'one'));
+      const cluster = await createCluster(seed, 3);
+      const { world, nodes } = cluster;
+      if (seed % 2 === 0) cluster.isDelivered = (from, _, topic) => !(from === '10.0.0.1' && topic === 'commit');
+      const first = propose(nodes[0], revocation('shared', 'one'));
       await world.run(seed * 0.4);
-      const outcomes = await done(world, Promise.all([first, propose(nodes[1], revoked('shared', 'two'))]));
+      const outcomes = await complete(world, Promise.all([first, propose(nodes[1], revocation('shared', 'two'))]));
       const confirmed = outcomes.filter((outcome) => outcome.isOk());
       expect(confirmed.length, `seed ${seed}: ${JSON.stringify(outcomes)}`).to.equal(1);
       const digest = outcomes[0]?.isOk() === true ? 'one' : 'two';
@@ -127,77 +129,80 @@
     }
   });
 
-  it('given nothing undecided, when a node confirms its state or refuses an order, then nothing is written and no ballot is held', async () => {
-    const { world, nodes, counts } = await cluster(2, 5);
-    (await done(world, propose(nodes[0], revoked('a', 'a'))))._unsafeUnwrap();
+  it('given no pending change, when a node serves a linearizable read or rejects a change, then nothing is written and no ballot is run', async () => {
+    const { world, nodes, counts } = await createCluster(2, 5);
+    (await complete(world, propose(nodes[0], revocation('a', 'a'))))._unsafeUnwrap();
     await world.run(50);
     const before = nodes.map(({ host }) => world.machine(host).disk.syncs);
     const ballotsBefore = counts.prepare;
-    const states = await done(world, Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))));
+    const states = await complete(
+      world,
+      Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))),
+    );
     expect(states.map((state) => state?.logIndex)).to.deep.equal([1, 1, 1, 1, 1]);
-    const outcome = await done(world, refuse(nodes[3], 'b'));
+    const outcome = await complete(world, proposeConflict(nodes[3], 'b'));
     expect(outcome._unsafeUnwrapErr().code).to.equal('conflict');
     expect(nodes.map(({ host }) => world.machine(host).disk.syncs)).to.deep.equal(before);
     expect(counts.prepare).to.equal(ballotsBefore);
   });
 
-  it('given a value that a majority accepted and nobody settled, when another node is read or refuses, then it settles that value first', async () => {
-    for (const asks of ['read', 'refusal'] as const) {
-      const built = await cluster(3, 5);
-      const { world, nodes } = built;
-      built.passes = (from, _, topic) => !(from === '10.0.0.1' && topic === 'settle');
-      expect((await done(world, propose(nodes[0], revoked('a', 'a')))).isOk()).to.equal(true);
+  it('given a change that a majority accepted but that is not committed, when another node serves a read or rejects a change, then it commits the pending change first', async () => {
+    for (const trigger of ['read', 'refusal'] as const) {
+      const cluster = await createCluster(3, 5);
+      const { world, nodes } = cluster;
+      cluster.isDelivered = (from, _, topic) => !(from === '10.0.0.1' && topic === 'commit');
+      expect((await complete(world, propose(nodes[0], revocation('a', 'a')))).isOk()).to.equal(true);
       expect(stateOf(nodes[4]).logIndex).to.equal(0);
-      built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
-      if (asks === 'read') await done(world, nodes[4]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>);
-      else await done(world, refuse(nodes[4], 'b'));
+      cluster.isDelivered = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
+      if (trigger === 'read') await complete(world, nodes[4]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>);
+      else await complete(world, proposeConflict(nodes[4], 'b'));
       expect(stateOf(nodes[4]).changeIds.a?.digest).to.equal('a');
     }
   });
 
-  it('given replies of a majority that were sent before the call, when a node reads, then they count for nothing', async () => {
-    const built = await cluster(4, 3);
-    const { world, nodes } = built;
-    const early = nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<CommittedState | null>;
-    await done(world, early);
-    built.passes = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
-    expect((await done(world, propose(nodes[1], revoked('a', 'a')))).isOk()).to.equal(true);
-    expect(await done(world, nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>)).to.equal(null);
+  it('given replies that a majority sent before the call, when a node reads, then they are not counted', async () => {
+    const cluster = await createCluster(4, 3);
+    const { world, nodes } = cluster;
+    const firstRead = nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<CommittedState | null>;
+    await complete(world, firstRead);
+    cluster.isDelivered = (from, to) => from !== '10.0.0.1' && to !== '10.0.0.1';
+    expect((await complete(world, propose(nodes[1], revocation('a', 'a')))).isOk()).to.equal(true);
+    expect(await complete(world, nodes[0]?.proposer.linearizableRead(timeoutMs) as Promise<unknown>)).to.equal(null);
   });
 
-  it('given a cut at any message of an order, when its caller is answered, then "unavailable" is told only if no acceptor holds the value, then or later', async () => {
+  it('given a partition that starts at any message of a proposal, when the caller is answered, then "unavailable" is returned only if no acceptor has the change, then or later', async () => {
     for (let seed = 0; seed < 60; seed += 1) {
-      const built = await cluster(100 + seed, seed % 2 === 0 ? 3 : 5);
-      const { world, nodes } = built;
-      let left = seed % 30;
-      built.passes = (from, to) => from === to || left-- > 0;
-      const begin = world.time;
-      const outcome = await done(world, propose(nodes[0], revoked('a', 'a')));
-      expect(world.time - begin).to.be.lessThan(timeoutMs + 30);
+      const cluster = await createCluster(100 + seed, seed % 2 === 0 ? 3 : 5);
+      const { world, nodes } = cluster;
+      let remaining = seed % 30;
+      cluster.isDelivered = (from, to) => from === to || remaining-- > 0;
+      const startedAt = world.time;
+      const outcome = await complete(world, propose(nodes[0], revocation('a', 'a')));
+      expect(world.time - startedAt).to.be.lessThan(timeoutMs + 30);
       if (outcome.isOk()) continue;
       expect(outcome.error.code).to.be.oneOf(['unavailable', 'unknown']);
-      built.passes = () => true;
+      cluster.isDelivered = () => true;
       await world.run(5_000);
-      await done(world, Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))));
-      const wasTaken = nodes.some((node) => stateOf(node).changeIds.a !== undefined);
-      if (wasTaken) expect(outcome.error.code, `seed ${seed}`).to.equal('unknown');
+      await complete(world, Promise.all(nodes.map(({ proposer }) => proposer.linearizableRead(timeoutMs))));
+      const wasCommitted = nodes.some((node) => stateOf(node).changeIds.a !== undefined);
+      if (wasCommitted) expect(outcome.error.code, `seed ${seed}`).to.equal('unknown');
     }
   });
 
-  it('given many orders before one that waits, when the waiting ones are answered "unavailable", then they are never offered afterwards', async () => {
-    const built = await cluster(5, 3);
-    const { world, nodes } = built;
+  it('given a queue of proposals, when waiting ones are answered "unavailable", then they are never proposed afterwards', async () => {
+    const cluster = await createCluster(5, 3);
+    const { world, nodes } = cluster;
     for (const { host } of nodes) world.machine(host).disk.faults.delayMs = 200;
-    const changes = Array.from({ length: 8 }, (_, at) => revoked(`c${at}`, `c${at}`));
-    const outcomes = await done(world, Promise.all(changes.map((change) => propose(nodes[0], change))));
+    const changes = Array.from({ length: 8 }, (_, at) => revocation(`c${at}`, `c${at}`));
+    const outcomes = await complete(world, Promise.all(changes.map((change) => propose(nodes[0], change))));
     for (const { host } of nodes) world.machine(host).disk.faults.delayMs = 0;
     await world.run(10_000);
-    const refused = changes.filter((_, at) => {
+    const unavailable = changes.filter((_, at) => {
       const outcome = outcomes[at];
       return outcome?.isErr() === true && outcome.error.code === 'unavailable';
     });
-    expect(refused.length).to.be.greaterThan(3);
-    for (const { id } of refused)
+    expect(unavailable.length).to.be.greaterThan(3);
+    for (const { id } of unavailable)
       expect(nodes.map((node) => stateOf(node).changeIds[id])).to.deep.equal([undefined, undefined, undefined]);
   });
 });
