--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Proposes the change that `check` returns for the newest state. Resolves within `timeoutMs`, time in the queue
+   * Proposes the change that `buildChange` returns for the newest state. Resolves within `timeoutMs`, time in the queue
    * included. A `conflict`, `rejected` or repeated change is reported only after a majority has answered messages sent
    * after the call. `unavailable`: the change was proposed to no acceptor; `unknown`: it may still be committed.
    */
@@ -129,7 +129,7 @@
   readonly queueDepth = (): number => this.queue.depth();
 
   private readonly runAttempt = async (
-    check: BuildChange,
+    buildChange: BuildChange,
     attempt: Attempt,
   ): Promise<Result<AppliedChange, ProposalError>> => {
     for (let attemptNumber = 0; ; attemptNumber += 1) {
@@ -137,7 +137,7 @@
       const state = this.acceptor.committedState();
       if (state === null) return attempt.fail('no cluster exists yet');
       const earlierResult = this.earlierOutcome(state, attempt, attemptNumber === 0);
-      const built = check(state);
+      const built = buildChange(state);
       if (earlierResult !== null || built.isErr()) {
         const newest = await this.readUntilDeadline(attempt);
         if (newest === null) return attempt.fail(unreachableDetail);
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -36,13 +36,13 @@
     const { table: leaseTable } = (
       await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log))
     )._unsafeUnwrap();
-    const ask = { holder: 'a', duties: [{ duty: 'weights', fence: 1 }] };
+    const request = { holder: 'a', duties: [{ duty: 'weights', fence: 1 }] };
     diskFaults.isFull = true;
-    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
-    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(request))).granted).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(request))).granted).to.deep.equal([]);
     expect(leaseTable.fences()).to.deep.equal([]);
     diskFaults.isFull = false;
-    expect((await finish(world, leaseTable.grant(ask))).granted).to.deep.equal(['weights']);
+    expect((await finish(world, leaseTable.grant(request))).granted).to.deep.equal(['weights']);
     const reopened = (await finish(world, leaseTables.open(ports.disk, ports.clock, ports.log)))._unsafeUnwrap();
     expect(reopened.table.fences()).to.deep.equal([['weights', 1]]);
   });
@@ -51,14 +51,14 @@
     const { world, ports } = createMachine();
     const writes: ((isWritten: boolean) => void)[] = [];
     const leaseTable = new LeaseTable(ports.clock, () => new Promise((resolve) => writes.push(resolve)), [], true);
-    const ask = (holder: string, fence: number) => ({ holder, duties: [{ duty: 'weights', fence }] });
-    const first = leaseTable.grant(ask('a', 1));
-    expect((await finish(world, leaseTable.grant(ask('a', 1)))).granted).to.deep.equal([]);
-    expect((await finish(world, leaseTable.grant(ask('b', 2)))).granted).to.deep.equal([]);
-    leaseTable.release(ask('a', 1));
+    const request = (holder: string, fence: number) => ({ holder, duties: [{ duty: 'weights', fence }] });
+    const first = leaseTable.grant(request('a', 1));
+    expect((await finish(world, leaseTable.grant(request('a', 1)))).granted).to.deep.equal([]);
+    expect((await finish(world, leaseTable.grant(request('b', 2)))).granted).to.deep.equal([]);
+    leaseTable.release(request('a', 1));
     writes[0]?.(true);
     await finish(world, first);
-    const second = leaseTable.grant(ask('b', 2));
+    const second = leaseTable.grant(request('b', 2));
     await world.run(1);
     writes[1]?.(true);
     expect((await finish(world, second)).granted).to.deep.equal(['weights']);
@@ -72,8 +72,10 @@
     expect(await finish(world, table.release('key', 0))).to.equal(false);
     diskFaults.isFull = false;
     expect(await finish(world, table.release('key', 0))).to.equal(true);
-    const again = (await finish(world, claimTables.open(ports.disk, ports.clock, ports.log, 60_000)))._unsafeUnwrap();
-    expect(again.page(0).entries[0]?.[1].turn).to.equal(1);
+    const reopened = (
+      await finish(world, claimTables.open(ports.disk, ports.clock, ports.log, 60_000))
+    )._unsafeUnwrap();
+    expect(reopened.page(0).entries[0]?.[1].turn).to.equal(1);
   });
 
   it('given a page of claims whose write failed, when it is sent again on a full disk, then it is not reported as stored', async () => {
--- a/packages/control-plane/test/membership.test.ts
+++ b/packages/control-plane/test/membership.test.ts
@@ -84,10 +84,10 @@
       foundingVote: null,
       syncedFrom: [own.incarnation, 'b'],
     };
-    const newcomer = { peer: { ...member('n'), role: 'control' }, ask: async () => ok(memberStatus) };
+    const joiningNode = { peer: { ...member('n'), role: 'control' }, ask: async () => ok(memberStatus) };
     const peerPool = {
-      to: (incarnation: string) => (incarnation === 'x' ? undefined : newcomer),
-      open: () => [newcomer],
+      to: (incarnation: string) => (incarnation === 'x' ? undefined : joiningNode),
+      open: () => [joiningNode],
     };
     const membership = new Membership(
       acceptor,
