--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -19,7 +19,7 @@
 };
 
 const verdicts = (fleet: SimFleet, node: string): boolean[] =>
-  fleet.controlNodes.flatMap((controlNode) => (controlNode === null ? [] : [controlNode.verdicts.isDown(node)]));
+  fleet.controlNodes.flatMap((controlNode) => (controlNode === null ? [] : [controlNode.failureVerdicts.isDown(node)]));
 
 describe('the rounds', () => {
   it("given a ring of twelve nodes in three zones, when watchers are named, then each node has three, in other zones, and one node's loss moves few", () => {
--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -4,7 +4,7 @@
  */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
-import { drawPlan, planIds } from '../configuration/plan.js';
+import { createPlan, planIds } from '../configuration/plan.js';
 import type { GatewayConfigEdit } from '../configuration/plan.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 import type { Applied } from '../consensus/proposer.js';
@@ -15,7 +15,7 @@
  * The HTTP response to a proposed change: 200, or 409, 422, 504 and 503 for the codes of `ProposalError` in their
  * order.
  */
-export const replyTo = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
+export const changeResponse = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
   if (outcome.isOk())
     return c.json(
       { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
@@ -43,7 +43,7 @@
 };
 
 /** The request's body parsed as JSON; `isJson` is false, and `value` null, where it is not JSON. */
-export const bodyOf = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
+export const readJsonBody = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
   try {
     return { isJson: true, value: (await c.req.json()) as unknown };
   } catch {
@@ -73,7 +73,7 @@
       { outcome: 'rejected', changeId, detail: 'If-Match must state the generation this change is based on' },
       428,
     );
-  const body = await bodyOf(c);
+  const body = await readJsonBody(c);
   if (!body.isJson) return c.json({ outcome: 'rejected', changeId, detail: 'the body is not JSON' }, 400);
   const edit = editOf(c, kind, body.value);
   const planId = c.req.header('plan-id');
@@ -82,7 +82,7 @@
       { outcome: 'conflict', changeId, detail: 'that plan was made for another base or another change' },
       409,
     );
-  return replyTo(c, changeId, await controlNode.changes.config(changeId, base, edit));
+  return changeResponse(c, changeId, await controlNode.changeService.changeConfig(changeId, base, edit));
 };
 
 const noMajority = 'no majority of voters confirmed the state';
@@ -91,7 +91,7 @@
 
 const addLayoutRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/layout', async (c) => {
-    const state = await controlNode.confirmed();
+    const state = await controlNode.confirmedState();
     if (state === null) return unconfirmed(c);
     return c.json({ generation: state.configLogIndex, confirmed: true, layout: state.config }, 200, {
       etag: `"${state.configLogIndex}"`,
@@ -103,9 +103,9 @@
 
 const addPlanRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/operator/plans', async (c) => {
-    const body = await bodyOf(c);
+    const body = await readJsonBody(c);
     if (!body.isJson) return c.json({ outcome: 'rejected', detail: 'the body is not JSON' }, 400);
-    const state = await controlNode.confirmed();
+    const state = await controlNode.confirmedState();
     if (state === null) return unconfirmed(c);
     const base = baseOf(c) ?? state.configLogIndex;
     if (base !== state.configLogIndex)
@@ -117,7 +117,7 @@
         },
         409,
       );
-    const drawn = drawPlan(state, editOf(c, 'part', body.value));
+    const drawn = createPlan(state, editOf(c, 'part', body.value));
     return drawn.match(
       (plan) => c.json(plan, 200, { etag: `"${base}"` }),
       (complaints) => c.json({ outcome: 'rejected', complaints }, 422),
@@ -128,7 +128,7 @@
 const addChangeRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/changes/:id', async (c) => {
     const id = c.req.param('id');
-    const state = await controlNode.confirmed();
+    const state = await controlNode.confirmedState();
     if (state === null)
       return c.json({ outcome: 'unknown', changeId: id, detail: noMajority }, 504, { 'retry-after': '1' });
     const known = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
@@ -151,7 +151,7 @@
       layoutGeneration: state?.configLogIndex ?? null,
       members: state?.members ?? [],
       voter: controlNode.acceptor.isVoter(),
-      reachable: controlNode.reachable(),
+      reachable: controlNode.reachableVoterCount(),
       controlNodes: controlNode.memberList
         .entries()
         .filter(({ hello }) => hello.role === 'control')
@@ -162,13 +162,13 @@
           zone: hello.zone,
           heardMsAgo: Math.round(ageMs),
         })),
-      counters: controlNode.push.acks(),
-      claims: controlNode.claims.size(),
+      counters: controlNode.gatewayPublisher.status(),
+      claims: controlNode.claimTable.size(),
       leases: controlNode.leaseManager.status(),
-      followed: controlNode.kv.followedCount(),
-      watch: controlNode.verdicts.status(),
-      replicas: controlNode.table.records(),
-      index: controlNode.kv.sizes(),
+      followed: controlNode.kvEventFollower.followedCount(),
+      watch: controlNode.failureVerdicts.status(),
+      replicas: controlNode.replicaTable.records(),
+      index: controlNode.kvEventFollower.sizes(),
       segmentCount: controlNode.acceptor.segmentCount(),
     });
   });
@@ -188,24 +188,26 @@
     const state = controlNode.acceptor.agreed();
     const lines = [
       `martenworks_generation ${state?.logIndex ?? -1}`,
-      `martenworks_members_reachable ${controlNode.reachable()}`,
-      `martenworks_subscribed_counters ${controlNode.push.acks().length}`,
+      `martenworks_members_reachable ${controlNode.reachableVoterCount()}`,
+      `martenworks_subscribed_counters ${controlNode.gatewayPublisher.status().length}`,
       `martenworks_ledger_segments ${controlNode.acceptor.segmentCount()}`,
       ...vitals(),
-      ...controlNode.push.acks().map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
+      ...controlNode.gatewayPublisher
+        .status()
+        .map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
     ];
     return c.text(`${lines.join('\n')}\n`);
   });
 };
 
 /** The routes of one node; `vitals` gives further lines for `/metrics`, in the Prometheus text format. */
-export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
+export const operatorApi = (controlNode: GatewayControlNode, extraMetrics: () => string[] = () => []): Hono => {
   const app = new Hono();
   addLayoutRoutes(app, controlNode);
   addPlanRoutes(app, controlNode);
   addChangeRoutes(app, controlNode);
   addStatusRoutes(app, controlNode);
   addHealthRoutes(app, controlNode);
-  addMetricsRoutes(app, controlNode, vitals);
+  addMetricsRoutes(app, controlNode, extraMetrics);
   return app;
 };
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -10,7 +10,7 @@
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
 import { gatewayConfigs } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
-import { bodyOf, changeIdOf, replyTo } from './operatorApi.js';
+import { readJsonBody, changeIdOf, changeResponse } from './operatorApi.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 
 const label = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
@@ -68,9 +68,12 @@
   controlNode: GatewayControlNode,
   records: readonly ReplicaRecord[],
 ): Promise<Response> => {
-  const outcome = await controlNode.replicas.announce(records);
+  const outcome = await controlNode.replicaRegistry.announce(records);
   if (outcome.isOk())
-    return c.json({ outcome: 'accepted', replicas: records.map((record) => controlNode.table.find(record.name)) });
+    return c.json({
+      outcome: 'accepted',
+      replicas: records.map((record) => controlNode.replicaTable.find(record.name)),
+    });
   return outcome.error.code === 'disk'
     ? c.json({ outcome: 'not accepted', detail: 'the disk did not take it' }, 503, { 'retry-after': '1' })
     : c.json({ outcome: 'unknown', detail: 'no majority of control nodes has confirmed it yet; send it again' }, 504, {
@@ -97,7 +100,7 @@
   announcements: readonly (typeof announcement.infer)[],
 ): ValidationIssue[] =>
   announcements.flatMap(({ name, incarnation, pool }, at) => {
-    const known = controlNode.table.find(name);
+    const known = controlNode.replicaTable.find(name);
     const isMoved =
       known !== undefined && known.incarnation === incarnation && pool !== undefined && pool !== known.pool;
     if (!isMoved) return [];
@@ -106,21 +109,21 @@
   });
 
 const addReplicaRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
-  app.get('/platform/replicas', (c) => c.json({ replicas: controlNode.table.records() }));
+  app.get('/platform/replicas', (c) => c.json({ replicas: controlNode.replicaTable.records() }));
 
   app.post('/platform/replicas', async (c) => {
-    const body = await bodyOf(c);
+    const body = await readJsonBody(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = announcement.array()(Array.isArray(body.value) ? body.value : [body.value]);
     if (checked instanceof type.errors) return invalid(c, checked);
-    if (!(await controlNode.replicas.learn(checked.map((one) => one.name)))) return unheard(c);
+    if (!(await controlNode.replicaRegistry.fetchFromMajority(checked.map((one) => one.name)))) return unheard(c);
     const moved = movedReplicas(controlNode, checked);
     if (moved.length > 0) return c.json({ outcome: 'rejected', complaints: moved }, 422);
     return announced(
       c,
       controlNode,
       checked.map((one) =>
-        recordOf(one, controlNode.table.find(one.name), controlNode.acceptor.agreed()?.logIndex ?? 0),
+        recordOf(one, controlNode.replicaTable.find(one.name), controlNode.acceptor.agreed()?.logIndex ?? 0),
       ),
     );
   });
@@ -129,8 +132,8 @@
 const addDepartureRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   const moved = async (c: Context, state: 'leaving' | 'gone'): Promise<Response> => {
     const name = c.req.param('name') ?? '';
-    if (!(await controlNode.replicas.learn([name]))) return unheard(c);
-    const held = controlNode.table.find(name);
+    if (!(await controlNode.replicaRegistry.fetchFromMajority([name]))) return unheard(c);
+    const held = controlNode.replicaTable.find(name);
     if (held === undefined) return c.json({ outcome: 'rejected', detail: 'no such replica' }, 404);
     return announced(c, controlNode, [{ ...held, state }]);
   };
@@ -140,7 +143,7 @@
 
 const addClientRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/platform/clients', async (c) => {
-    const body = await bodyOf(c);
+    const body = await readJsonBody(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = client(body.value);
     if (checked instanceof type.errors) return invalid(c, checked);
@@ -153,20 +156,24 @@
       tenant = shaped.value;
     }
     const changeId = changeIdOf(c, controlNode);
-    return replyTo(c, changeId, await controlNode.changes.grant(changeId, keyHash, { tenant: checked.tenant }, tenant));
+    return changeResponse(
+      c,
+      changeId,
+      await controlNode.changeService.grant(changeId, keyHash, { tenant: checked.tenant }, tenant),
+    );
   });
 };
 
 const addRevocationRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/platform/keys/revoke', async (c) => {
-    const body = await bodyOf(c);
+    const body = await readJsonBody(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = keyRef(body.value);
     if (checked instanceof type.errors) return c.json({ outcome: 'rejected', detail: checked.summary }, 422);
     const keyHash = keyHashOf(checked);
     if (keyHash === undefined) return missingKey(c);
     const changeId = changeIdOf(c, controlNode);
-    return replyTo(c, changeId, await controlNode.changes.revoke(changeId, keyHash));
+    return changeResponse(c, changeId, await controlNode.changeService.revoke(changeId, keyHash));
   });
 };
 
--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -44,7 +44,11 @@
    * Replaces or edits the configuration that was committed at log index `base`; `conflict` where another one is in
    * force.
    */
-  readonly config = (id: string, base: number, edit: GatewayConfigEdit): Promise<Result<Applied, ProposalError>> =>
+  readonly changeConfig = (
+    id: string,
+    base: number,
+    edit: GatewayConfigEdit,
+  ): Promise<Result<Applied, ProposalError>> =>
     this.put(id, ['layout', base, edit], (state) => {
       if (state.configLogIndex !== base)
         return err(
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -16,14 +16,14 @@
 type EditOf = (held: ActiveRouting | null) => Result<ConfigurationChange, readonly RoutingTableError[]>;
 
 /** One order of the operator to change the configuration. */
-export interface ConfigOrder {
+export interface ConfigChangeRequest {
   readonly kind: 'whole' | 'part';
   /** The configuration version it builds on. */
   readonly base: number;
   /** The configuration version it would bring into force. */
   readonly configVersion: number;
   /** The parsed body: with kind and base, the identity of the order. */
-  readonly asked: unknown;
+  readonly requestBody: unknown;
   readonly byteCount: number;
   readonly editOf: EditOf;
 }
@@ -60,11 +60,11 @@
     kind,
     base,
     configVersion,
-    asked,
+    requestBody,
     byteCount,
     editOf,
-  }: ConfigOrder): Promise<Result<Applied, ProposalError>> => {
-    const digest = digests.ofCanonical([kind, base, asked]);
+  }: ConfigChangeRequest): Promise<Result<Applied, ProposalError>> => {
+    const digest = digests.ofCanonical([kind, base, requestBody]);
     const id = `ways/${digest}`;
     const checked = checkedOnce(editOf);
     return this.put(id, digest, timeoutMs + byteCount / bytesPerExtraMs, (state) => {
@@ -92,7 +92,7 @@
   };
 
   /** Names the version of a model's weights; faults as for `change`, within 700 ms. */
-  readonly name = (model: string, version: number): Promise<Result<Applied, ProposalError>> => {
+  readonly setTargetWeights = (model: string, version: number): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.of(['weights', model, version]);
     const id = `weights/${model}/${version}`;
     return this.put(id, digest, nameTimeoutMs, (state) => {
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -58,7 +58,7 @@
   };
 
   /** Forgets a gateway whose connection has closed. */
-  readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
+  readonly unsubscribe = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (committed: CommittedChange | null): void => {
     if (committed === null)
@@ -83,7 +83,7 @@
   };
 
   /** A gateway has applied the state of `logIndex`. */
-  readonly acked = (connection: PeerConnection, logIndex: number): void => {
+  readonly handleAck = (connection: PeerConnection, logIndex: number): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     subscriber.acked = logIndex;
@@ -131,7 +131,7 @@
   /**
    * A gateway's load has changed by a long prompt: the others are told at once, without waiting for their next ping.
    */
-  readonly longPrompts = (connection: PeerConnection, report: LoadReport): void => {
+  readonly handleLongPrompts = (connection: PeerConnection, report: LoadReport): void => {
     this.report(connection, report);
     for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
   };
@@ -139,7 +139,7 @@
   /**
    * The reply to a gateway's ping: this node's position, and the load of the other gateways reported in the last 2 s.
    */
-  readonly pong = (connection: PeerConnection, report: LoadReport): Pong => {
+  readonly handlePing = (connection: PeerConnection, report: LoadReport): Pong => {
     this.report(connection, report);
     return {
       logIndex: this.acceptor.agreed()?.logIndex ?? -1,
@@ -152,29 +152,29 @@
   };
 
   /** Sends changed replica records to all gateways. */
-  readonly tellReplicas = (records: readonly ReplicaRecord[]): void => {
+  readonly sendReplicas = (records: readonly ReplicaRecord[]): void => {
     for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
   };
 
   /** Sends whole prefix indexes of replicas to all gateways. */
-  readonly tellSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
+  readonly sendSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
     for (const connection of this.subscribers.keys())
       for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
   };
 
   /** Sends cache events to all gateways. */
-  readonly tellKv = (update: readonly KvCacheEvent[]): void => {
+  readonly sendCacheEvents = (update: readonly KvCacheEvent[]): void => {
     for (const connection of this.subscribers.keys()) connection.tell('kv', update);
   };
 
   /** Closes the connections of gateways that have sent no ping for 6 s; they dial again. */
-  readonly dropSilent = (): void => {
+  readonly closeIdleConnections = (): void => {
     const now = this.clock.now();
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
 
   /** The subscribed gateways, for the status page. */
-  readonly acks = (): GatewayStatus[] => {
+  readonly status = (): GatewayStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
       gateway: connection.peer?.name ?? '',
--- a/packages/control-plane/src/configuration/plan.ts
+++ b/packages/control-plane/src/configuration/plan.ts
@@ -107,7 +107,7 @@
 };
 
 /** The plan for an edit of the current configuration; the errors are those of `editConfig`. Nothing is changed. */
-export const drawPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
+export const createPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
   editConfig(state.config, edit).map((next) => {
     const changes = changesBetween(state.config, next);
     return {
--- a/packages/control-plane/src/configuration/routingTableHistory.ts
+++ b/packages/control-plane/src/configuration/routingTableHistory.ts
@@ -17,7 +17,7 @@
   private current: ActiveRouting | null = null;
 
   /** Takes the routing in force now; the same configuration version again changes nothing. */
-  readonly note = (routes: ActiveRouting | null): void => {
+  readonly record = (routes: ActiveRouting | null): void => {
     if (routes === null || routes.configVersion === this.current?.configVersion) return;
     const before = this.current;
     this.current = routes;
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -10,7 +10,7 @@
 } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { Acceptor } from '../consensus/acceptor.js';
-import type { NamedWeights } from './namedWeights.js';
+import type { TargetWeightsAges } from './targetWeightsAges.js';
 import { RoutingTableHistory } from './routingTableHistory.js';
 
 const silentMs = 4_000;
@@ -54,24 +54,25 @@
     private readonly clock: Clock,
     private readonly listAgeMs: () => number | null,
     private readonly greet: (connection: PeerConnection) => void,
-    private readonly namedWeights: NamedWeights,
+    private readonly targetWeightsAges: TargetWeightsAges,
   ) {
-    this.history.note(acceptor.agreed()?.routing ?? null);
+    this.history.record(acceptor.agreed()?.routing ?? null);
     this.noteNamed();
     acceptor.watch(this.updateAll);
   }
 
-  private readonly noteNamed = (): void => this.namedWeights.note(this.acceptor.agreed()?.targetWeights ?? {});
+  private readonly noteNamed = (): void =>
+    this.targetWeightsAges.recordTargets(this.acceptor.agreed()?.targetWeights ?? {});
 
   private readonly message = (state: CommittedState, held: StatePosition): EdgeStateMessage => {
     const configVersion = state.routing?.configVersion ?? 0;
-    this.history.note(state.routing);
+    this.history.record(state.routing);
     return {
       logIndex: state.logIndex,
       configVersion,
       packedTable: this.history.messageFrom(held.configVersion),
       targetWeights: state.targetWeights,
-      weightsAges: this.namedWeights.ages(),
+      weightsAges: this.targetWeightsAges.ages(),
       members: state.members,
     };
   };
@@ -96,10 +97,10 @@
   };
 
   /** Forgets an edge whose connection has closed. */
-  readonly drop = (connection: PeerConnection): void => void this.subscribers.delete(connection);
+  readonly unsubscribe = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (): void => {
-    this.history.note(this.acceptor.agreed()?.routing ?? null);
+    this.history.record(this.acceptor.agreed()?.routing ?? null);
     this.noteNamed();
     for (const connection of this.subscribers.keys()) this.update(connection);
   };
@@ -123,7 +124,7 @@
   };
 
   /** An edge has applied the state of the given position; a newer one is sent if there is one. */
-  readonly acked = (connection: PeerConnection, { logIndex, configVersion }: StatePosition): void => {
+  readonly handleAck = (connection: PeerConnection, { logIndex, configVersion }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     subscriber.heardAt = this.clock.now();
@@ -138,8 +139,8 @@
   };
 
   /** The reply to an edge's ping, which counts as an acknowledgement too. Times in milliseconds. */
-  readonly pong = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
-    this.acked(connection, ping);
+  readonly handlePing = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
+    this.handleAck(connection, ping);
     return {
       logIndex: this.acceptor.agreed()?.logIndex ?? -1,
       edgeCount: this.edgeCount(),
@@ -156,23 +157,23 @@
   };
 
   /** Sends a message to all subscribed edges. */
-  readonly tellAll = (topic: string, body: unknown): void => {
+  readonly sendToAll = (topic: string, body: unknown): void => {
     for (const connection of this.subscribers.keys()) connection.tell(topic, body);
   };
 
   /** Sends a message to the edges that take their content from this node. */
-  readonly tellContent = (topic: string, body: unknown): void => {
+  readonly sendToContentEdges = (topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.tell(topic, body);
   };
 
   /** Sends a message to the edges that take their content from this node, other than its sender. */
-  readonly tellOthers = (sender: PeerConnection, topic: string, body: unknown): void => {
+  readonly sendToOtherContentEdges = (sender: PeerConnection, topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers)
       if (wantsContent && connection !== sender) connection.tell(topic, body);
   };
 
   /** Closes the connections of edges that were not heard for 4 s; they dial again. */
-  readonly dropSilent = (): void => {
+  readonly closeIdleConnections = (): void => {
     const now = this.clock.now();
     for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
   };
--- a/packages/control-plane/src/configuration/namedWeights.ts
+++ b/packages/control-plane/src/configuration/targetWeightsAges.ts
@@ -15,7 +15,7 @@
  * Remembers when this node first heard of each target. A node that restarts, or hears late, would count a target's age
  * from then; it takes the longer age from the others, so that an edge which starts after it counts right.
  */
-export class NamedWeights {
+export class TargetWeightsAges {
   private readonly named = new Map<string, readonly NamedVersion[]>();
 
   constructor(private readonly clock: Clock) {}
@@ -30,13 +30,13 @@
   };
 
   /** Takes the targets of the committed state; those that are not known yet are named now. */
-  readonly note = (targetWeights: Readonly<Record<string, number>>): void => {
+  readonly recordTargets = (targetWeights: Readonly<Record<string, number>>): void => {
     const now = this.clock.now();
     for (const [model, version] of Object.entries(targetWeights)) this.put(model, version, now);
   };
 
   /** Takes what another control node remembers; the longer age of a version counts. */
-  readonly take = (ages: WeightsAges): void => {
+  readonly mergeAges = (ages: WeightsAges): void => {
     const now = this.clock.now();
     for (const [model, list] of Object.entries(ages))
       for (const { version, msAgo } of list) this.put(model, version, now - msAgo);
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claimTable.ts
@@ -142,7 +142,7 @@
   };
 
   /** Merges another voter's claims into the own ones; false where the disk did not take all of them. */
-  readonly takePage = async (page: ClaimPage): Promise<boolean> => {
+  readonly mergePage = async (page: ClaimPage): Promise<boolean> => {
     const kept = await Promise.all(
       page.entries.map(async ([key, received]) => {
         const held = this.stateOf(key);
--- a/packages/control-plane/src/endpoints/endpointListReader.ts
+++ b/packages/control-plane/src/endpoints/endpointListReader.ts
@@ -3,10 +3,10 @@
 import type { BackendClient, EndpointListUpdate, Clock, Log, Random, ReplicaEndpoint } from '@martenworks/core-types';
 
 /** Milliseconds between two readings, and calls a second that all readers may make together. */
-export interface ReadingPace {
-  readonly everyMs: number;
-  readonly perSecond: number;
-  readonly readers: () => number;
+export interface PollingPace {
+  readonly intervalMs: number;
+  readonly maxCallsPerSecond: number;
+  readonly readerCount: () => number;
 }
 
 const entriesPerCall = 50;
@@ -31,15 +31,15 @@
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly log: Log,
-    private readonly pace: ReadingPace,
+    private readonly pace: PollingPace,
     private readonly tell: (update: EndpointListUpdate) => void,
   ) {
     background.run('read the replica list', this.run());
   }
 
   private readonly waitMs = (): number => {
-    const calls = Math.ceil((this.endpoints.size + 1) / entriesPerCall) * Math.max(1, this.pace.readers());
-    return Math.max(this.pace.everyMs, (calls / (this.pace.perSecond * usedShare)) * 1_000);
+    const calls = Math.ceil((this.endpoints.size + 1) / entriesPerCall) * Math.max(1, this.pace.readerCount());
+    return Math.max(this.pace.intervalMs, (calls / (this.pace.maxCallsPerSecond * usedShare)) * 1_000);
   };
 
   private readonly run = async (): Promise<void> => {
@@ -69,7 +69,7 @@
   };
 
   /** A replica has loaded a version of a model's weights, before the list shows it. */
-  readonly holds = (id: string, model: string, version: number): void => {
+  readonly recordLoadedWeights = (id: string, model: string, version: number): void => {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined || (endpoint.weights[model] ?? 0) >= version) return;
     this.endpoints.set(id, { ...endpoint, weights: { ...endpoint.weights, [model]: version } });
--- a/packages/control-plane/src/endpoints/isolationRegistry.ts
+++ b/packages/control-plane/src/endpoints/isolationRegistry.ts
@@ -31,13 +31,13 @@
    * Records that replicas serve a side; replies all sides of each and how long ago this node learnt of the claimed one,
    * in milliseconds. Null where the disk failed; replicas that are unknown under their incarnation are left out.
    */
-  readonly admit = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[] | null> => {
+  readonly recordClaims = async (claims: readonly IsolationClaim[]): Promise<IsolationStatus[] | null> => {
     const known = claims.filter(({ replica, incarnation }) => this.table.find(replica)?.incarnation === incarnation);
     const records = known.map(({ replica, side }) => ({
       ...(this.table.find(replica) as ReplicaRecord),
       sides: [side],
     }));
-    const kept = await this.table.take(records);
+    const kept = await this.table.merge(records);
     if (kept.isErr()) return null;
     return known.flatMap((claim) => {
       const record = this.table.find(claim.replica);
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -4,7 +4,7 @@
 import { background } from '@martenworks/core-types';
 import type { ReplicaRecord } from '@martenworks/core-types';
 import type { PeerPool } from '@martenworks/cluster-membership';
-import type { ClaimTable } from './claims.js';
+import type { ClaimTable } from './claimTable.js';
 import type { Acceptor } from '../consensus/acceptor.js';
 import { majorityOf } from '../consensus/quorumCall.js';
 import type { AnnouncementError } from '../errors.js';
@@ -62,7 +62,7 @@
    * again is safe.
    */
   readonly announce = async (records: readonly ReplicaRecord[]): Promise<Result<void, AnnouncementError>> => {
-    const kept = await this.table.take(records);
+    const kept = await this.table.merge(records);
     if (kept.isErr()) return err({ kind: 'announcement', code: 'disk' });
     const merged = records.flatMap((record) => this.table.find(record.name) ?? []);
     return (await this.byMajority('replicaNews', merged, (reply) => reply === true))
@@ -71,20 +71,20 @@
   };
 
   /** Takes in what a majority knows of these replicas; false where no majority replied in time. */
-  readonly learn = (names: readonly string[]): Promise<boolean> =>
+  readonly fetchFromMajority = (names: readonly string[]): Promise<boolean> =>
     this.byMajority(
       'replicaLook',
       names,
-      async (reply) => gatewayMessages.isReplicaRecords(reply) && (await this.takeRecords(reply)),
+      async (reply) => gatewayMessages.isReplicaRecords(reply) && (await this.mergeRecords(reply)),
     );
 
   /** What this node knows of these replicas; null where it is no voter. */
-  readonly look = (names: readonly string[]): ReplicaRecord[] | null =>
+  readonly lookUp = (names: readonly string[]): ReplicaRecord[] | null =>
     this.acceptor.isVoter() ? names.flatMap((name) => this.table.find(name) ?? []) : null;
 
   /** Merges records of another node; false where the disk failed. */
-  readonly takeRecords = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
-    (await this.table.take(records)).isOk();
+  readonly mergeRecords = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
+    (await this.table.merge(records)).isOk();
 
   /**
    * Copies the records and claims of a member, and sends it the own records; ends quietly where the member does not
@@ -95,12 +95,12 @@
     if (connection === undefined) return;
     const reply = await connection.ask('replicaTable', this.table.records(), timeoutMs);
     if (reply.isErr() || !gatewayMessages.isReplicaRecords(reply.value)) return;
-    const kept = await this.table.take(reply.value);
+    const kept = await this.table.merge(reply.value);
     if (kept.isErr()) return;
     for (let from: number | null = 0; from !== null; ) {
       const page = await connection.ask('claimPage', from, timeoutMs);
       if (page.isErr() || !gatewayMessages.isClaimPage(page.value)) return;
-      if (!(await this.claims.takePage(page.value))) return;
+      if (!(await this.claims.mergePage(page.value))) return;
       from = page.value.next;
     }
     this.syncedFrom.add(incarnation);
--- a/packages/control-plane/src/endpoints/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -30,7 +30,7 @@
   readonly watch = (listener: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(listener);
 
   /** Merges records and gives those that were new. On a failed write the records before it stay merged. */
-  readonly take = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
+  readonly merge = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
     this.queue.run(async () => {
       const update = records
         .filter((record) => replicas.isNews(this.byName.get(record.name), record))
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -27,7 +27,7 @@
 import { PrefillNoticeRelay } from '../prefixcache/prefillNoticeRelay.js';
 import { PrefixCacheFollower } from '../prefixcache/prefixCacheFollower.js';
 import { ConfigService } from '../configuration/configService.js';
-import { NamedWeights } from '../configuration/namedWeights.js';
+import { TargetWeightsAges } from '../configuration/targetWeightsAges.js';
 import { StatePublisher } from '../configuration/statePublisher.js';
 import { rendezvousHashing } from '../prefixcache/rendezvousHashing.js';
 import { controlNodeSettings } from './controlNodeSettings.js';
@@ -67,7 +67,7 @@
   /** Loads new weights onto replicas while this node holds the lease for it. */
   readonly weightsRollout: WeightsRollout;
   private readonly consensus: ConsensusMember;
-  private readonly namedWeights: NamedWeights;
+  private readonly namedWeights: TargetWeightsAges;
   private readonly weightsStep: RepeatingTimer;
   private listener: Listener | null = null;
 
@@ -100,10 +100,10 @@
     this.endpointList = this.createEndpointList();
     this.prefixCaches = this.createPrefixCaches();
     this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
-      this.statePublisher.tellContent('prefill', bundle);
+      this.statePublisher.sendToContentEdges('prefill', bundle);
       this.consensus.tellPeers('prefillRelay', bundle);
     });
-    this.namedWeights = new NamedWeights(clock);
+    this.namedWeights = new TargetWeightsAges(clock);
     this.statePublisher = new StatePublisher(
       acceptor,
       clock,
@@ -122,12 +122,12 @@
     const { settings, acceptor } = this;
     const { clock, random, log } = this.ports;
     const pace = {
-      everyMs: settings.listIntervalMs,
-      perSecond: settings.listPerSecond,
-      readers: () => acceptor.agreed()?.members.length ?? settings.voters,
+      intervalMs: settings.listIntervalMs,
+      maxCallsPerSecond: settings.listPerSecond,
+      readerCount: () => acceptor.agreed()?.members.length ?? settings.voters,
     };
     return new EndpointListReader(this.backendClient, clock, random, log, pace, (update) => {
-      this.statePublisher.tellContent('endpoints', update);
+      this.statePublisher.sendToContentEdges('endpoints', update);
       this.alignPrefixCaches();
     });
   };
@@ -139,7 +139,7 @@
       clock,
       random,
       log,
-      (update) => this.statePublisher.tellContent('prefixCaches', update),
+      (update) => this.statePublisher.sendToContentEdges('prefixCaches', update),
       (update) => this.consensus.tellPeers('prefixCacheRelay', update),
     );
   };
@@ -154,8 +154,8 @@
       this.wantedWeights,
       () => this.leaseManager.fenceOf(weightsLease),
       () => this.settings.name,
-      (update) => this.statePublisher.tellAll('weights', update),
-      this.endpointList.holds,
+      (update) => this.statePublisher.sendToAll('weights', update),
+      this.endpointList.recordLoadedWeights,
     );
   };
 
@@ -163,7 +163,7 @@
   private readonly sendContent = (connection: PeerConnection): void => {
     if (this.endpointList.ageMs() !== null)
       connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
-    connection.tell('prefixCaches', this.prefixCaches.whole());
+    connection.tell('prefixCaches', this.prefixCaches.snapshot());
   };
 
   /** What this node says of itself when a connection opens. */
@@ -227,11 +227,11 @@
     const lives = new Map<string, Set<string>>();
     for (const { address, id } of this.endpointList.all())
       lives.set(address, (lives.get(address) ?? new Set()).add(id));
-    for (const [address, ids] of lives) this.prefixCaches.lives(address, ids);
+    for (const [address, ids] of lives) this.prefixCaches.updateReplicaIds(address, ids);
   };
 
   private readonly prepareUpkeep = async (): Promise<void> => {
-    this.statePublisher.dropSilent();
+    this.statePublisher.closeIdleConnections();
     this.alignPrefixCaches();
     if (this.acceptor.agreed() === null) return;
     await this.consensus.catchUp.step();
@@ -248,10 +248,10 @@
     sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
     joined: (connection) => {
       if (connection.peer?.role !== 'control') return;
-      connection.tell('prefixCacheRelay', this.prefixCaches.followed());
+      connection.tell('prefixCacheRelay', this.prefixCaches.followedSnapshot());
       connection.tell('weightsAges', { weightsAges: this.namedWeights.ages() } satisfies WeightsAgesMessage);
     },
-    left: (connection) => this.statePublisher.drop(connection),
+    left: (connection) => this.statePublisher.unsubscribe(connection),
     told: this.takeMessage,
     asked: this.answer,
   });
@@ -263,19 +263,19 @@
         if (edgeMessages.isSubscription(body)) this.statePublisher.subscribe(connection, body);
         return;
       case 'ack':
-        if (edgeMessages.isStatePosition(body)) this.statePublisher.acked(connection, body);
+        if (edgeMessages.isStatePosition(body)) this.statePublisher.handleAck(connection, body);
         return;
       case 'prefixCacheRelay':
-        if (edgeMessages.isPrefixCacheUpdates(body)) this.prefixCaches.takeRelayed(body);
+        if (edgeMessages.isPrefixCacheUpdates(body)) this.prefixCaches.applyRelayed(body);
         return;
       case 'weightsAges':
-        if (edgeMessages.isWeightsAges(body)) this.namedWeights.take(body.weightsAges);
+        if (edgeMessages.isWeightsAges(body)) this.namedWeights.mergeAges(body.weightsAges);
         return;
       case 'prefill':
-        if (edgeMessages.isPrefillNotice(body)) this.prefillNotices.take(body);
+        if (edgeMessages.isPrefillNotice(body)) this.prefillNotices.add(body);
         return;
       case 'prefillRelay':
-        if (edgeMessages.isPrefillNotices(body)) this.statePublisher.tellContent('prefill', body);
+        if (edgeMessages.isPrefillNotices(body)) this.statePublisher.sendToContentEdges('prefill', body);
         return;
       case 'cacheMiss':
         if (edgeMessages.isCacheMissReport(body)) this.takeCacheMiss(connection, body);
@@ -287,26 +287,26 @@
   };
 
   private readonly takeCacheMiss = (connection: PeerConnection, report: CacheMissReport): void => {
-    this.prefixCaches.missed(report);
-    this.statePublisher.tellOthers(connection, 'cacheMiss', report);
+    this.prefixCaches.handleCacheMiss(report);
+    this.statePublisher.sendToOtherContentEdges(connection, 'cacheMiss', report);
     this.consensus.tellPeers('cacheMissRelay', report);
   };
 
   private readonly takeRelayedCacheMiss = (report: CacheMissReport): void => {
-    this.prefixCaches.missed(report);
-    this.statePublisher.tellContent('cacheMiss', report);
+    this.prefixCaches.handleCacheMiss(report);
+    this.statePublisher.sendToContentEdges('cacheMiss', report);
   };
 
   /** Answers an edge; null for a request that is malformed or of an unknown topic. */
   private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     if (topic === 'ping' && edgeMessages.isEdgePing(body))
-      return this.statePublisher.pong(connection, body, this.consensus.majorityHeardMs());
+      return this.statePublisher.handlePing(connection, body, this.consensus.majorityHeardMs());
     if (topic === 'state' && edgeMessages.isStatePosition(body)) return this.statePublisher.stateFor(body);
     return null;
   };
 
   /** The newest committed state, after finishing what a majority had accepted; null where no majority replied in time. */
-  readonly confirmed = async (): Promise<CommittedState | null> => {
+  readonly confirmedState = async (): Promise<CommittedState | null> => {
     const askedAt = this.ports.clock.now();
     const state = await this.proposer.confirm(confirmTimeoutMs);
     if (state === null)
@@ -343,7 +343,7 @@
       replicas: this.endpointList.all(),
       listAgeMs: this.endpointList.ageMs(),
       prefixCaches: this.prefixCaches.sizes(),
-      stale: { isOn: this.settings.detectsStaleEntries, ...this.prefixCaches.stale() },
+      stale: { isOn: this.settings.detectsStaleEntries, ...this.prefixCaches.staleEntryCounts() },
     };
   };
 
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -12,8 +12,8 @@
 import type { LeaseManager, PeerPool } from '@martenworks/cluster-membership';
 import { acceptors } from '../consensus/acceptor.js';
 import type { Acceptor } from '../consensus/acceptor.js';
-import { claimTables } from '../endpoints/claims.js';
-import type { ClaimTable } from '../endpoints/claims.js';
+import { claimTables } from '../endpoints/claimTable.js';
+import type { ClaimTable } from '../endpoints/claimTable.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
 import type { ConsensusPace, ConsensusRole } from '../consensus/consensusOptions.js';
 import { ChangeService } from '../configuration/changeService.js';
@@ -58,21 +58,21 @@
   /** Gets changes committed. */
   readonly proposer: Proposer;
   /** Takes the operators' changes. */
-  readonly changes: ChangeService;
+  readonly changeService: ChangeService;
   /** Sends gateways the committed state and content. */
-  readonly push: GatewayPublisher;
+  readonly gatewayPublisher: GatewayPublisher;
   /** Agrees on replica records with the other control nodes. */
-  readonly replicas: ReplicaRegistry;
+  readonly replicaRegistry: ReplicaRegistry;
   /** Which isolation sides each replica serves. */
-  readonly sides: IsolationRegistry;
+  readonly isolationRegistry: IsolationRegistry;
   /** Follows the cache events of the replicas whose lease this node holds. */
-  readonly kv: KvEventFollower;
+  readonly kvEventFollower: KvEventFollower;
   /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
   /** Watches the nodes that the ring assigns to this one. */
   readonly failureDetector: FailureDetector;
   /** Which nodes count as down, by the reports of those that watch them. */
-  readonly verdicts: FailureVerdicts;
+  readonly failureVerdicts: FailureVerdicts;
   private readonly consensus: ConsensusMember;
   private readonly trimStep: RepeatingTimer;
   private listener: Listener | null = null;
@@ -85,20 +85,20 @@
     /** This node's vote and committed state. */
     readonly acceptor: Acceptor,
     /** The replica records. */
-    readonly table: ReplicaTable,
+    readonly replicaTable: ReplicaTable,
     /** The claims on idempotency keys. */
-    readonly claims: ClaimTable,
+    readonly claimTable: ClaimTable,
     private readonly leases: PersistedLeases,
   ) {
     const { clock } = ports;
     this.memberList = new MemberList(clock, this.hello);
-    this.verdicts = new FailureVerdicts(clock);
+    this.failureVerdicts = new FailureVerdicts(clock);
     this.failureDetector = new FailureDetector(
       ports,
       this.hello,
       this.memberList,
       () => this.peerPool,
-      (suspects) => this.verdicts.report(settings.name, suspects),
+      (suspects) => this.failureVerdicts.report(settings.name, suspects),
     );
     this.consensus = new ConsensusMember(
       { ports, hello: this.hello, memberList: this.memberList, seeds: settings.seeds, acceptor, leases },
@@ -108,28 +108,28 @@
     this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
     this.leaseManager = this.consensus.leaseManager;
-    this.changes = new ChangeService(this.proposer);
-    this.kv = this.createKvEventFollower();
-    this.push = new GatewayPublisher(acceptor, clock, table.records, this.kv.snapshots);
-    this.sides = new IsolationRegistry(table, clock);
-    this.replicas = new ReplicaRegistry(table, claims, acceptor, () => this.peerPool);
-    table.watch((records) => {
-      this.push.tellReplicas(records);
-      this.kv.align(table.records());
+    this.changeService = new ChangeService(this.proposer);
+    this.kvEventFollower = this.createKvEventFollower();
+    this.gatewayPublisher = new GatewayPublisher(acceptor, clock, replicaTable.records, this.kvEventFollower.snapshots);
+    this.isolationRegistry = new IsolationRegistry(replicaTable, clock);
+    this.replicaRegistry = new ReplicaRegistry(replicaTable, claimTable, acceptor, () => this.peerPool);
+    replicaTable.watch((records) => {
+      this.gatewayPublisher.sendReplicas(records);
+      this.kvEventFollower.align(replicaTable.records());
     });
-    this.kv.align(table.records());
+    this.kvEventFollower.align(replicaTable.records());
     this.consensus.start();
     this.trimStep = new RepeatingTimer(
       clock,
       () => trimMs,
-      () => background.run('trim claims', claims.trim()),
+      () => background.run('trim claims', claimTable.trim()),
     );
   }
 
   private readonly createKvEventFollower = (): KvEventFollower =>
     new KvEventFollower(
       this.ports,
-      (update) => this.push.tellKv(update),
+      (update) => this.gatewayPublisher.sendCacheEvents(update),
       (relayed) => this.consensus.tellPeers('kvRelay', relayed),
       (replica) => this.leaseManager.fenceOf(kvLease(replica)),
     );
@@ -154,7 +154,7 @@
   };
 
   private readonly prepareUpkeep = async (): Promise<void> => {
-    this.push.dropSilent();
+    this.gatewayPublisher.closeIdleConnections();
     await this.catchUp();
     await this.repairIndex();
   };
@@ -164,11 +164,11 @@
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
       const { incarnation } = connection.peer;
-      if (!this.replicas.syncedFrom.has(incarnation)) {
-        await this.replicas.reconcile(incarnation, this.peerPool);
+      if (!this.replicaRegistry.syncedFrom.has(incarnation)) {
+        await this.replicaRegistry.reconcile(incarnation, this.peerPool);
         await this.borrowSnapshots(
           connection,
-          this.table.records().map((record) => record.name),
+          this.replicaTable.records().map((record) => record.name),
         );
       }
     }
@@ -178,11 +178,11 @@
   private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
     const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
     if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
-    this.push.tellSnapshots(this.kv.takeSnapshots(reply.value));
+    this.gatewayPublisher.sendSnapshots(this.kvEventFollower.restoreSnapshots(reply.value));
   };
 
   private readonly repairIndex = async (): Promise<void> => {
-    const broken = this.kv.broken();
+    const broken = this.kvEventFollower.replicasWithGaps();
     if (broken.length === 0) return;
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
@@ -192,21 +192,21 @@
 
   private readonly role = (): ConsensusRole => ({
     extraAddresses: () => this.failureDetector.watcherAddresses(),
-    isDown: this.verdicts.isDown,
+    isDown: this.failureVerdicts.isDown,
     wantedLeases: () =>
-      this.table
+      this.replicaTable
         .records()
         .filter((record) => record.state !== 'gone')
         .map((record) => kvLease(record.name)),
-    leasesChanged: () => this.kv.align(this.table.records()),
+    leasesChanged: () => this.kvEventFollower.align(this.replicaTable.records()),
     needsCopies: true,
-    syncedFrom: () => [...this.replicas.syncedFrom],
+    syncedFrom: () => [...this.replicaRegistry.syncedFrom],
     prepareUpkeep: this.prepareUpkeep,
     sharedMembers: (entries) => entries,
     joined: () => {},
     left: (connection) => {
-      this.push.drop(connection);
-      if (connection.peer !== null) this.replicas.syncedFrom.delete(connection.peer.incarnation);
+      this.gatewayPublisher.unsubscribe(connection);
+      if (connection.peer !== null) this.replicaRegistry.syncedFrom.delete(connection.peer.incarnation);
     },
     told: this.takeMessage,
     asked: this.answer,
@@ -216,22 +216,22 @@
   private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
     switch (topic) {
       case 'subscribe':
-        if (isNumber(body)) this.push.subscribe(connection, body);
+        if (isNumber(body)) this.gatewayPublisher.subscribe(connection, body);
         return;
       case 'ack':
-        if (isNumber(body)) this.push.acked(connection, body);
+        if (isNumber(body)) this.gatewayPublisher.handleAck(connection, body);
         return;
       case 'longPrompts':
-        if (gatewayMessages.isLoadReport(body)) this.push.longPrompts(connection, body);
+        if (gatewayMessages.isLoadReport(body)) this.gatewayPublisher.handleLongPrompts(connection, body);
         return;
       case 'heartbeat':
         if (isText(body)) this.failureDetector.watch.heartbeatFrom(body);
         return;
       case 'suspects':
-        if (isTexts(body)) this.verdicts.report(connection.peer?.name ?? '', body);
+        if (isTexts(body)) this.failureVerdicts.report(connection.peer?.name ?? '', body);
         return;
       case 'kvRelay':
-        if (gatewayMessages.isRelayedKvEvents(body)) this.kv.takeRelayed(body);
+        if (gatewayMessages.isRelayedKvEvents(body)) this.kvEventFollower.applyRelayed(body);
         return;
       case 'indexSnapshotRequest':
         if (isTexts(body)) this.sendSnapshots(connection, body);
@@ -240,44 +240,44 @@
   };
 
   private readonly sendSnapshots = (connection: PeerConnection, replicas: readonly string[]): void => {
-    for (const snapshot of this.kv.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
+    for (const snapshot of this.kvEventFollower.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
   };
 
   /** Answers a gateway or another control node; null for a request that is malformed or of an unknown topic. */
   private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case 'ping':
-        return gatewayMessages.isLoadReport(body) ? this.push.pong(connection, body) : null;
+        return gatewayMessages.isLoadReport(body) ? this.gatewayPublisher.handlePing(connection, body) : null;
       case 'prefixCaches':
-        return isTexts(body) ? this.kv.snapshots(body) : null;
+        return isTexts(body) ? this.kvEventFollower.snapshots(body) : null;
       case 'replicaLook':
-        return isTexts(body) ? this.replicas.look(body) : null;
+        return isTexts(body) ? this.replicaRegistry.lookUp(body) : null;
       case 'replicaNews':
-        return gatewayMessages.isReplicaRecords(body) ? this.replicas.takeRecords(body) : null;
+        return gatewayMessages.isReplicaRecords(body) ? this.replicaRegistry.mergeRecords(body) : null;
       case 'replicaTable':
         return gatewayMessages.isReplicaRecords(body) ? this.exchangeRecords(body) : null;
       case 'claimPage':
-        return isNumber(body) ? this.claims.page(body) : null;
+        return isNumber(body) ? this.claimTable.page(body) : null;
       default:
         return this.acceptor.isVoter() ? this.answerAsVoter(topic, body) : null;
     }
   };
 
   private readonly exchangeRecords = async (records: readonly ReplicaRecord[]): Promise<ReplicaRecord[]> => {
-    await this.replicas.takeRecords(records);
-    return this.table.records();
+    await this.replicaRegistry.mergeRecords(records);
+    return this.replicaTable.records();
   };
 
   /** Answers the requests that only a voter may answer. */
   private readonly answerAsVoter = async (topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case 'admitSides':
-        return gatewayMessages.isIsolationClaims(body) ? this.sides.admit(body) : null;
+        return gatewayMessages.isIsolationClaims(body) ? this.isolationRegistry.recordClaims(body) : null;
       case 'claimPrepare':
-        return gatewayMessages.isClaimPrepare(body) ? this.claims.prepare(body.key, body.turn, body.ballot) : null;
+        return gatewayMessages.isClaimPrepare(body) ? this.claimTable.prepare(body.key, body.turn, body.ballot) : null;
       case 'claimAccept':
         return gatewayMessages.isClaimAccept(body)
-          ? this.claims.accept(body.key, body.turn, body.ballot, body.claimant)
+          ? this.claimTable.accept(body.key, body.turn, body.ballot, body.claimant)
           : null;
       case 'claimRelease':
         return gatewayMessages.isClaimTurn(body) ? this.releaseClaim(body.key, body.turn) : null;
@@ -287,15 +287,15 @@
   };
 
   private readonly releaseClaim = async (key: string, turn: number): Promise<ClaimVote | null> => {
-    if (!(await this.claims.release(key, turn))) return null;
+    if (!(await this.claimTable.release(key, turn))) return null;
     return { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } };
   };
 
   /** The newest committed state, or null where no majority of voters confirmed it within 700 ms. */
-  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
+  readonly confirmedState = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
   /** Number of voters with an open connection, this node counted if it is one. */
-  readonly reachable = (): number => this.consensus.reachableVoters().length;
+  readonly reachableVoterCount = (): number => this.consensus.reachableVoters().length;
 
   /** Whether this node may take requests: it reaches a majority of the members. */
   readonly isReady = (): boolean => this.consensus.reachesMajority();
@@ -306,12 +306,12 @@
     this.trimStep.stop();
     this.consensus.resign();
     this.failureDetector.stop();
-    this.kv.stop();
+    this.kvEventFollower.stop();
     this.consensus.close();
     await this.listener?.close();
     await this.acceptor.close();
-    await this.table.close();
-    await this.claims.close();
+    await this.replicaTable.close();
+    await this.claimTable.close();
     await this.leases.close();
   };
 }
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -52,7 +52,7 @@
   };
 
   /** Takes in another node's events; those under a fencing token below the highest one seen are dropped. */
-  readonly takeRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
+  readonly applyRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
     const admitted = update.filter(
       ({ replica }) => fences[replica] !== undefined && this.gate.admits(replica, fences[replica]),
@@ -62,10 +62,10 @@
   };
 
   /** Replicas whose events have a gap, so that a whole index is needed. */
-  readonly broken = (): string[] => this.index.broken();
+  readonly replicasWithGaps = (): string[] => this.index.broken();
 
   /** Restores whole indexes and gives those that were newer than the own ones. */
-  readonly takeSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
+  readonly restoreSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
     snapshots.filter((snapshot) => this.index.restore(snapshot, this.ports.clock.now()));
 
   /** Follows exactly the replicas that are present and whose lease this node holds. */
--- a/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
+++ b/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
@@ -16,7 +16,7 @@
   ) {}
 
   /** Adds an edge's notice to the bundle that is sent within 15 ms; notices beyond 2,000 are dropped. */
-  readonly take = (update: PrefillNotice): void => {
+  readonly add = (update: PrefillNotice): void => {
     if (update.tokens > 0) this.begun.add(update.id);
     if (update.tokens <= 0 && this.begun.has(update.id)) this.bundle.delete(update.id);
     else if (this.bundle.size < bundleLimit) this.bundle.set(update.id, update);
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -50,7 +50,7 @@
   ) {}
 
   /** The address now has these replicas, by the list, which shows a crashed one for a while. Where its events have not told a new epoch yet, what the one before kept is forgotten at once. */
-  readonly lives = (address: string, ids: ReadonlySet<string>): void => {
+  readonly updateReplicaIds = (address: string, ids: ReadonlySet<string>): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return;
     const isBorn = stored.ids.size > 0 && [...ids].some((id) => !stored.ids.has(id));
@@ -62,7 +62,7 @@
   };
 
   /** A edge's answers showed that these parts are gone: they come back by fresh events only. */
-  readonly missed = ({ address, salt, parts, isDecided }: CacheMissReport): void => {
+  readonly handleCacheMiss = ({ address, salt, parts, isDecided }: CacheMissReport): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined || !isDecided) return;
     for (const part of parts) {
@@ -114,7 +114,7 @@
   };
 
   /** Takes in what another control node followed, for addresses that this node does not follow itself. */
-  readonly takeRelayed = (bundle: readonly PrefixCacheUpdate[]): void => {
+  readonly applyRelayed = (bundle: readonly PrefixCacheUpdate[]): void => {
     const accepted = bundle.filter(({ address, isWhole, isHeard, events: update }) => {
       const stored = this.prefixCaches.get(address);
       if (stored === undefined || !stored.isStopped) return false;
@@ -209,7 +209,7 @@
   };
 
   /** All that is known, as updates that replace what the receiver knows. */
-  readonly whole = (): PrefixCacheUpdate[] =>
+  readonly snapshot = (): PrefixCacheUpdate[] =>
     [...this.prefixCaches].map(([address, stored]) => ({
       address,
       isWhole: true,
@@ -219,7 +219,7 @@
     }));
 
   /** What this node follows itself, as updates that replace what the receiver knows. */
-  readonly followed = (): PrefixCacheUpdate[] =>
+  readonly followedSnapshot = (): PrefixCacheUpdate[] =>
     [...this.prefixCaches]
       .filter(([, stored]) => !stored.isStopped && stored.epoch !== '')
       .map(([address, stored]) => ({
@@ -234,7 +234,7 @@
     [...this.prefixCaches].map(([address, stored]) => ({ address, parts: stored.kept.size, isHeard: stored.isHeard }));
 
   /** Counters of detected stale entries, for the status page. */
-  readonly stale = (): Record<string, number> => ({ ...this.counts });
+  readonly staleEntryCounts = (): Record<string, number> => ({ ...this.counts });
 
   /** Ends the following of all addresses. */
   readonly stop = (): void => this.align(new Set(), () => false);
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -82,10 +82,10 @@
     const state: ClaimState = { turn: 3, promised: [1, 'a'], accepted: null };
     const page = { entries: [['key', state] as const], next: null };
     mood.isFull = true;
-    expect(await finish(world, table.takePage(page))).to.equal(false);
-    expect(await finish(world, table.takePage(page))).to.equal(false);
+    expect(await finish(world, table.mergePage(page))).to.equal(false);
+    expect(await finish(world, table.mergePage(page))).to.equal(false);
     mood.isFull = false;
-    expect(await finish(world, table.takePage(page))).to.equal(true);
+    expect(await finish(world, table.mergePage(page))).to.equal(true);
   });
 
   it('given two replica records of which only the first is written, when the write of the second fails, then watchers still learn of the first', async () => {
@@ -102,10 +102,10 @@
       if (appends === 2) mood.isFull = true;
       return append(record);
     };
-    expect((await finish(world, table.take([replica('one'), replica('two')]))).isErr()).to.equal(true);
+    expect((await finish(world, table.merge([replica('one'), replica('two')]))).isErr()).to.equal(true);
     expect(seen).to.deep.equal(['one']);
     mood.isFull = false;
-    expect((await finish(world, table.take([replica('one'), replica('two')]))).isOk()).to.equal(true);
+    expect((await finish(world, table.merge([replica('one'), replica('two')]))).isOk()).to.equal(true);
     expect(seen).to.deep.equal(['one', 'two']);
   });
 });
--- a/packages/control-plane/test/replicaApi.test.ts
+++ b/packages/control-plane/test/replicaApi.test.ts
@@ -67,7 +67,7 @@
       fleet.killReplica('replica-1');
       fleet.bootReplica('replica-1');
       expect((await fleet.finish(fleet.announce('replica-1', 0))).status).to.equal(200);
-      expect(fleet.controlNodes[1]?.table.find('replica-1')?.incarnation).to.equal(1);
+      expect(fleet.controlNodes[1]?.replicaTable.find('replica-1')?.incarnation).to.equal(1);
       fleet.world.healAll();
       let told = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
       for (let attempt = 0; attempt < 20 && told.status !== 200; attempt += 1)
--- a/packages/control-plane/test/routingTableHistory.test.ts
+++ b/packages/control-plane/test/routingTableHistory.test.ts
@@ -64,7 +64,7 @@
 
 const history = (routingTables: readonly RoutingTable[]): RoutingTableHistory => {
   const made = new RoutingTableHistory();
-  for (const [at, one] of routingTables.entries()) made.note({ configVersion: at + 1, table: one, source: '' });
+  for (const [at, one] of routingTables.entries()) made.record({ configVersion: at + 1, table: one, source: '' });
   return made;
 };
 
--- a/packages/control-plane/test/staleIndex.test.ts
+++ b/packages/control-plane/test/staleIndex.test.ts
@@ -44,7 +44,7 @@
   desk.align(new Set([address]), () => true);
   const parts = (): string[] =>
     desk
-      .whole()
+      .snapshot()
       .flatMap((stored) => stored.events.map(({ part }) => part))
       .sort();
   await world.run(1_000);
@@ -58,40 +58,40 @@
     await world.run(1_500);
     expect(parts()).to.deep.equal(['a', 'b']);
     told.length = 0;
-    desk.missed(missed('a'));
-    desk.missed(missed('a'));
+    desk.handleCacheMiss(missed('a'));
+    desk.handleCacheMiss(missed('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['b']);
     expect(told.flatMap((one) => one.events)).to.deep.equal([{ isKept: false, salt: 's', part: 'a', tokens: 0 }]);
     teller.events.push(news('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['a', 'b']);
-    expect(desk.stale()).to.deep.include({ missed: 1, falseAlarms: 0 });
+    expect(desk.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 0 });
   });
 
   it('given a part that an edge found gone, when its drop is told only then, then it counts as a false alarm', async () => {
     const { world, desk, teller } = await office();
     teller.events.push(news('a'));
     await world.run(1_500);
-    desk.missed(missed('a'));
+    desk.handleCacheMiss(missed('a'));
     teller.events.push(news('a', 0));
     await world.run(1_500);
-    expect(desk.stale()).to.deep.include({ missed: 1, falseAlarms: 1 });
+    expect(desk.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 1 });
   });
 
   it('given another replica at the address, when the list shows it before its events do, then what the former one kept is forgotten at once, and the epoch that follows forgets nothing more', async () => {
     const { world, desk, teller, parts } = await office();
-    desk.lives(address, new Set(['i-1']));
+    desk.updateReplicaIds(address, new Set(['i-1']));
     teller.events.push(news('a'));
     await world.run(1_500);
     teller.isSilent = true;
-    desk.lives(address, new Set(['i-1', 'i-2']));
+    desk.updateReplicaIds(address, new Set(['i-1', 'i-2']));
     expect(parts()).to.deep.equal([]);
     Object.assign(teller, { epoch: 2, events: [news('b')], isSilent: false });
     await world.run(2_500);
-    desk.lives(address, new Set(['i-2']));
+    desk.updateReplicaIds(address, new Set(['i-2']));
     expect(parts()).to.deep.equal(['b']);
-    expect(desk.stale()).to.deep.include({ lives: 1 });
+    expect(desk.staleEntryCounts()).to.deep.include({ lives: 1 });
   });
 
   it('given a new epoch with more events than were heard of the former, when it is told, then all its events are read from the first', async () => {
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -110,8 +110,8 @@
         const started = await upgradedNodes.postmasterAlone(node, copy);
         const state = started.acceptor.agreed();
         const { incarnation, isFresh } = started.acceptor;
-        const replicas = started.table.records();
-        const claims = started.claims.size();
+        const replicas = started.replicaTable.records();
+        const claims = started.claimTable.size();
         await started.stop();
         expect([incarnation, isFresh]).to.deep.equal([held.incarnation, held.isFresh]);
         expect(state?.logIndex).to.equal(held.generation);
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -144,7 +144,7 @@
     await fleet.bootControlNode(2);
     const waited = await fleet.world.until('it votes', () => fleet.controlNodes[2]?.acceptor.isVoter() === true);
     expect(waited).to.be.lessThan(6_000);
-    expect(fleet.controlNodes[2]?.table.records().length).to.equal(5);
+    expect(fleet.controlNodes[2]?.replicaTable.records().length).to.equal(5);
     expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds['first-layout']).to.not.equal(undefined);
   });
 
@@ -250,7 +250,9 @@
     await fleet.world.run(20_000);
     expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.equal(0);
-    expect(fleet.controlNodes[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
+    expect(
+      fleet.controlNodes[0]?.replicaTable.records().every((record) => record.sides.includes('*unknown*')),
+    ).to.equal(true);
   });
 
   it('given claims past their retention, when control nodes tidy, then they are gone from memory and disk', async () => {
@@ -258,10 +260,10 @@
     const checker = new InvariantChecker(fleet);
     checker.keyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
-    const sizes = fleet.controlNodes.map((one) => one?.claims.size() ?? 0);
+    const sizes = fleet.controlNodes.map((one) => one?.claimTable.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
     await fleet.world.run(15_000);
-    expect(fleet.controlNodes.map((one) => one?.claims.size())).to.deep.equal([0, 0, 0]);
+    expect(fleet.controlNodes.map((one) => one?.claimTable.size())).to.deep.equal([0, 0, 0]);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -40,16 +40,16 @@
 
 const handlersOf = (acceptor: Acceptor, push: GatewayPublisher): Handlers => ({
   joined: () => {},
-  left: push.drop,
+  left: push.unsubscribe,
   told: (connection, topic, body) => {
     if (topic === 'subscribe')
       push.subscribe(connection, body === null ? (acceptor.agreed()?.logIndex ?? -1) : (body as number));
-    else if (topic === 'ack') push.acked(connection, body as number);
+    else if (topic === 'ack') push.handleAck(connection, body as number);
     else if (topic === 'longPrompts')
-      push.longPrompts(connection, body as Parameters<GatewayPublisher['longPrompts']>[1]);
+      push.handleLongPrompts(connection, body as Parameters<GatewayPublisher['handleLongPrompts']>[1]);
   },
   asked: async (connection, topic, body) =>
-    topic === 'ping' ? push.pong(connection, body as Parameters<GatewayPublisher['pong']>[1]) : null,
+    topic === 'ping' ? push.handlePing(connection, body as Parameters<GatewayPublisher['handlePing']>[1]) : null,
 });
 
 /** Opens a node; the caller closes it. */
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -55,7 +55,7 @@
   const logIndex = (node.acceptor.agreed()?.logIndex ?? 0) + 1;
   const spent = startWatch(node.meter);
   await node.acceptor.commit({ logIndex, change });
-  const isAcked = (): boolean => node.push.acks().every((ack) => ack.logIndex === logIndex);
+  const isAcked = (): boolean => node.push.status().every((ack) => ack.logIndex === logIndex);
   await until(isAcked, ackTimeoutMs, ackPollMs);
   const { cpuMs, wallMs, sentBytes } = spent();
   return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / edges };
@@ -67,7 +67,7 @@
   return (edges: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
     withConnectedNode(peers, { count: edges }, { tenants }, async (node) => {
       await peers.run({ verb: 'tell', topic: 'subscribe' });
-      await until(() => node.push.acks().length === edges, subscribeTimeoutMs);
+      await until(() => node.push.status().length === edges, subscribeTimeoutMs);
       await repeated(timers, 1, async (isKept) => {
         configVersion += 1;
         const base = node.acceptor.agreed()?.configLogIndex ?? 0;
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -118,7 +118,7 @@
   const ports: Ports = { ...probePorts(new Meter()), httpClient: feed.httpClient };
   return new KvEventFollower(
     ports,
-    (events) => node.push.tellKv(events),
+    (events) => node.push.sendCacheEvents(events),
     () => {},
     () => 1,
   );
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -32,10 +32,10 @@
   const table = (await replicaTables.open(temporaryDisk(), logs.silent()))._unsafeUnwrap();
   const records = sampleData.records(replicas);
   const first = startWatch();
-  await table.take(records);
+  await table.merge(records);
   series.firstList.add(replicas, first().wallMs);
   const unchanged = startWatch();
-  for (let list = 0; list < listsARepeat; list += 1) await table.take(records);
+  for (let list = 0; list < listsARepeat; list += 1) await table.merge(records);
   series.listCpu.add(replicas, unchanged().cpuMs / listsARepeat);
   series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'replicas', body: records }).length);
   await table.close();
@@ -44,11 +44,11 @@
 const measureRecord = (peers: PeerProcess, series: ListSeries, edges: number): Promise<void> =>
   withConnectedNode(peers, { count: edges }, {}, async ({ push }) => {
     await peers.run({ verb: 'tell', topic: 'subscribe' });
-    await until(() => push.acks().length === edges, subscribeTimeoutMs);
+    await until(() => push.status().length === edges, subscribeTimeoutMs);
     const record = sampleData.records(1);
     await repeated(timers, 1, async (isKept) => {
       const spent = startWatch();
-      for (const _ of upTo(recordsARepeat)) push.tellReplicas(record);
+      for (const _ of upTo(recordsARepeat)) push.sendReplicas(record);
       await pauseMs(sendMs);
       if (isKept) series.recordCpu.add(edges, spent().cpuUs / recordsARepeat);
     });
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -51,7 +51,7 @@
     immediateClock,
     machine.random,
     logs.silent(),
-    { everyMs: 0, perSecond: 1e9, readers: () => 1 },
+    { intervalMs: 0, maxCallsPerSecond: 1e9, readerCount: () => 1 },
     () => {},
   );
   const read = async (): Promise<void> => {
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -1,5 +1,5 @@
 /** Control node to edges of the users' platform: pings, pushes of the routing table, bare generations and notices. */
-import { NamedWeights, StatePublisher } from '@martenworks/control-plane';
+import { TargetWeightsAges, StatePublisher } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
 import type { Change, PrefillNotice } from '@martenworks/core-types';
 import type { Handlers } from '@martenworks/peer-transport';
@@ -58,13 +58,13 @@
 
 /** The publisher needs the node's state, and the node's listener the publisher, so the handlers look it up. */
 const handlersFor = (publisher: () => StatePublisher | null): Partial<Handlers> => ({
-  left: (connection) => publisher()?.drop(connection),
+  left: (connection) => publisher()?.unsubscribe(connection),
   told: (connection, topic, body) => {
     if (topic === 'subscribe') publisher()?.subscribe(connection, body as Body<'subscribe'>);
-    else if (topic === 'ack') publisher()?.acked(connection, body as Body<'acked'>);
+    else if (topic === 'ack') publisher()?.handleAck(connection, body as Body<'handleAck'>);
   },
   asked: async (connection, topic, body) =>
-    topic === 'ping' ? (publisher()?.pong(connection, body as Body<'pong'>, 0) ?? null) : null,
+    topic === 'ping' ? (publisher()?.handlePing(connection, body as Body<'handlePing'>, 0) ?? null) : null,
 });
 
 const withScenario = async (
@@ -81,7 +81,7 @@
       machine.clock,
       () => 100,
       () => {},
-      new NamedWeights(machine.clock),
+      new TargetWeightsAges(machine.clock),
     );
     publisher = own;
     await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges });
@@ -118,7 +118,7 @@
   };
   return repeated(timers, 1, async (isKept) => {
     const spent = startWatch(node.meter);
-    for (const _ of upTo(noticesARepeat)) publisher.tellContent('prefill', notice);
+    for (const _ of upTo(noticesARepeat)) publisher.sendToContentEdges('prefill', notice);
     await pauseMs(sendMs);
     const { cpuUs, sentBytes } = spent();
     if (isKept) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / edges);
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -12,7 +12,7 @@
 };
 
 const isDown = (fleet: SimFleet, node: string, least: number): boolean =>
-  fleet.controlNodes.filter((controlNode) => controlNode?.verdicts.isDown(node) === true).length >= least;
+  fleet.controlNodes.filter((controlNode) => controlNode?.failureVerdicts.isDown(node) === true).length >= least;
 
 const fleet = await startedFleet(1);
 const detectionTimesMs: number[] = [];
@@ -41,14 +41,14 @@
     frozen.freeze();
     await noisyFleet.world.run(freezeMs);
     for (const controlNode of noisyFleet.controlNodes)
-      for (const line of controlNode?.verdicts.status() ?? []) {
+      for (const line of controlNode?.failureVerdicts.status() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
     frozen.thaw();
     await noisyFleet.world.run(1_500);
     for (const controlNode of noisyFleet.controlNodes)
-      for (const line of controlNode?.verdicts.status() ?? []) {
+      for (const line of controlNode?.failureVerdicts.status() ?? []) {
         if (line.isDown) alarms += 1;
         else single += 1;
       }
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -240,8 +240,8 @@
     plan: {
       overrides: {
         onControlNode: (controlNode) => {
-          const config = controlNode.changes.config;
-          loosened(controlNode.changes).config = async (id, base, edit) => {
+          const config = controlNode.changeService.changeConfig;
+          loosened(controlNode.changeService).changeConfig = async (id, base, edit) => {
             const outcome = await config(id, base, edit);
             if (outcome.isErr() && outcome.error.code === 'conflict')
               void config(id, outcome.error.configLogIndex, edit);
@@ -258,8 +258,8 @@
     plan: {
       overrides: {
         onControlNode: (controlNode) => {
-          const config = controlNode.changes.config;
-          loosened(controlNode.changes).config = async (id, base, edit) =>
+          const config = controlNode.changeService.changeConfig;
+          loosened(controlNode.changeService).changeConfig = async (id, base, edit) =>
             (await config(id, base, edit)).orElse((fault) =>
               fault.code === 'conflict' ? ok({ logIndex: base + 1, isRepeat: false }) : err(fault),
             );
