--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' HTTP interface of a gateway control node (docs/wire.md): configuration, plans, changes by id, status,
- * health and metrics.
+ * The operator HTTP API of a gateway control node (docs/wire.md): configuration, plans, lookup of changes by id,
+ * status, health and metrics.
  */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
@@ -12,8 +12,8 @@
 import type { Result } from 'neverthrow';
 
 /**
- * The HTTP response to a proposed change: 200, or 409, 422, 504 and 503 for the codes of `ProposalError` in their
- * order.
+ * Returns the HTTP response to a proposed change: 200 if it was accepted, 409 for `conflict`, 422 for `rejected`, 504
+ * for `unknown` and 503 for `unavailable`.
  */
 export const changeResponse = (c: Context, changeId: string, outcome: Result<Applied, ProposalError>): Response => {
   if (outcome.isOk())
@@ -33,7 +33,7 @@
       return c.json({ outcome: 'rejected', changeId, complaints: error.complaints }, 422);
     case 'unknown':
       return c.json(
-        { outcome: 'unknown', changeId, detail: 'ask again by this change id, or send the change again under it' },
+        { outcome: 'unknown', changeId, detail: 'look the change up by this id, or send it again under the same id' },
         504,
         { 'retry-after': '1' },
       );
@@ -42,7 +42,7 @@
   }
 };
 
-/** The request's body parsed as JSON; `isJson` is false, and `value` null, where it is not JSON. */
+/** Parses the request body as JSON; returns `isJson: false` and `value: null` if it is not valid JSON. */
 export const readJsonBody = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
   try {
     return { isJson: true, value: (await c.req.json()) as unknown };
@@ -51,26 +51,30 @@
   }
 };
 
-/** The caller's `change-id` header, or a fresh id: a change sent again under the same id is applied once. */
+/** Returns the `change-id` header, or a new random id. A change sent again under the same id is applied once. */
 export const changeIdOf = (c: Context, controlNode: GatewayControlNode): string =>
   c.req.header('change-id') ?? controlNode.ports.random.token(12);
 
 const baseOf = (c: Context): number | null => {
-  const found = /^"?(\d+)"?$/.exec(c.req.header('if-match') ?? '');
-  return found === null ? null : Number(found[1]);
+  const match = /^"?(\d+)"?$/.exec(c.req.header('if-match') ?? '');
+  return match === null ? null : Number(match[1]);
 };
 
-const editOf = (c: Context, kind: 'whole' | 'part', given: unknown): GatewayConfigEdit =>
+const editOf = (c: Context, kind: 'whole' | 'part', value: unknown): GatewayConfigEdit =>
   kind === 'part' && (c.req.header('content-type') ?? '').startsWith('application/json-patch+json')
-    ? { kind: 'ops', given }
-    : { kind, given };
+    ? { kind: 'ops', given: value }
+    : { kind, given: value };
 
-const changed = async (c: Context, controlNode: GatewayControlNode, kind: 'whole' | 'part'): Promise<Response> => {
+const handleConfigChange = async (
+  c: Context,
+  controlNode: GatewayControlNode,
+  kind: 'whole' | 'part',
+): Promise<Response> => {
   const changeId = changeIdOf(c, controlNode);
   const base = baseOf(c);
   if (base === null)
     return c.json(
-      { outcome: 'rejected', changeId, detail: 'If-Match must state the generation this change is based on' },
+      { outcome: 'rejected', changeId, detail: 'If-Match must name the generation that this change is based on' },
       428,
     );
   const body = await readJsonBody(c);
@@ -79,26 +83,26 @@
   const planId = c.req.header('plan-id');
   if (planId !== undefined && planId !== planIds.of(base, edit))
     return c.json(
-      { outcome: 'conflict', changeId, detail: 'that plan was made for another base or another change' },
+      { outcome: 'conflict', changeId, detail: 'the plan was made for another base generation or another change' },
       409,
     );
   return changeResponse(c, changeId, await controlNode.changeService.changeConfig(changeId, base, edit));
 };
 
-const noMajority = 'no majority of voters confirmed the state';
+const noMajorityDetail = 'no majority of voters confirmed the state';
 
-const unconfirmed = (c: Context): Response => c.json({ detail: noMajority }, 503, { 'retry-after': '1' });
+const unconfirmedResponse = (c: Context): Response => c.json({ detail: noMajorityDetail }, 503, { 'retry-after': '1' });
 
 const addLayoutRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/layout', async (c) => {
     const state = await controlNode.confirmedState();
-    if (state === null) return unconfirmed(c);
+    if (state === null) return unconfirmedResponse(c);
     return c.json({ generation: state.configLogIndex, confirmed: true, layout: state.config }, 200, {
       etag: `"${state.configLogIndex}"`,
     });
   });
-  app.put('/operator/layout', (c) => changed(c, controlNode, 'whole'));
-  app.patch('/operator/layout', (c) => changed(c, controlNode, 'part'));
+  app.put('/operator/layout', (c) => handleConfigChange(c, controlNode, 'whole'));
+  app.patch('/operator/layout', (c) => handleConfigChange(c, controlNode, 'part'));
 };
 
 const addPlanRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
@@ -106,7 +110,7 @@
     const body = await readJsonBody(c);
     if (!body.isJson) return c.json({ outcome: 'rejected', detail: 'the body is not JSON' }, 400);
     const state = await controlNode.confirmedState();
-    if (state === null) return unconfirmed(c);
+    if (state === null) return unconfirmedResponse(c);
     const base = baseOf(c) ?? state.configLogIndex;
     if (base !== state.configLogIndex)
       return c.json(
@@ -117,8 +121,8 @@
         },
         409,
       );
-    const drawn = createPlan(state, editOf(c, 'part', body.value));
-    return drawn.match(
+    const planned = createPlan(state, editOf(c, 'part', body.value));
+    return planned.match(
       (plan) => c.json(plan, 200, { etag: `"${base}"` }),
       (complaints) => c.json({ outcome: 'rejected', complaints }, 422),
     );
@@ -130,11 +134,15 @@
     const id = c.req.param('id');
     const state = await controlNode.confirmedState();
     if (state === null)
-      return c.json({ outcome: 'unknown', changeId: id, detail: noMajority }, 504, { 'retry-after': '1' });
-    const known = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
-    if (known !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: known.logIndex });
+      return c.json({ outcome: 'unknown', changeId: id, detail: noMajorityDetail }, 504, { 'retry-after': '1' });
+    const accepted = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
+    if (accepted !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: accepted.logIndex });
     return c.json(
-      { outcome: 'not accepted', changeId: id, detail: 'not accepted so far; a change still under way may yet be' },
+      {
+        outcome: 'not accepted',
+        changeId: id,
+        detail: 'not accepted so far; a change still in progress may be accepted later',
+      },
       404,
     );
   });
@@ -183,7 +191,7 @@
   );
 };
 
-const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, vitals: () => string[]): void => {
+const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, extraMetrics: () => string[]): void => {
   app.get('/metrics', (c) => {
     const state = controlNode.acceptor.agreed();
     const lines = [
@@ -191,7 +199,7 @@
       `martenworks_members_reachable ${controlNode.reachableVoterCount()}`,
       `martenworks_subscribed_counters ${controlNode.gatewayPublisher.status().length}`,
       `martenworks_ledger_segments ${controlNode.acceptor.segmentCount()}`,
-      ...vitals(),
+      ...extraMetrics(),
       ...controlNode.gatewayPublisher
         .status()
         .map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
@@ -200,7 +208,9 @@
   });
 };
 
-/** The routes of one node; `vitals` gives further lines for `/metrics`, in the Prometheus text format. */
+/**
+ * Returns the routes of one node. `extraMetrics` returns further lines for `/metrics`, in the Prometheus text format.
+ */
 export const operatorApi = (controlNode: GatewayControlNode, extraMetrics: () => string[] = () => []): Hono => {
   const app = new Hono();
   addLayoutRoutes(app, controlNode);
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's HTTP interface of a gateway control node (docs/wire.md): replicas that come and go, clients and their
- * keys.
+ * The platform HTTP API of a gateway control node (docs/wire.md): replica announcements and departures, clients and
+ * API keys.
  */
 import { type } from 'arktype';
 import type { ArkErrors } from 'arktype';
@@ -13,22 +13,22 @@
 import { readJsonBody, changeIdOf, changeResponse } from './operatorApi.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 
-const label = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
-const address = type(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/);
+const labelPattern = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
+const addressPattern = type(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/);
 
 const announcement = type({
-  name: label,
-  address,
-  'pool?': label,
+  name: labelPattern,
+  address: addressPattern,
+  'pool?': labelPattern,
   'kind?': "'replica' | 'store'",
   'incarnation?': 'number.integer >= 1',
   'state?': "'ready' | 'leaving' | 'gone'",
-  'zone?': label,
+  'zone?': labelPattern,
   'slots?': type('1 <= number.integer <= 4096 | null'),
 });
 
 const client = type({
-  tenant: label,
+  tenant: labelPattern,
   'key?': 'string >= 8',
   'keyHash?': type(/^[0-9a-f]{64}$/),
   'grant?': 'object',
@@ -37,33 +37,37 @@
 const keyRef = type({ 'key?': 'string >= 8', 'keyHash?': type(/^[0-9a-f]{64}$/) });
 
 const recordOf = (
-  given: typeof announcement.infer,
-  held: ReplicaRecord | undefined,
+  announced: typeof announcement.infer,
+  known: ReplicaRecord | undefined,
   logIndex: number,
 ): ReplicaRecord => {
-  const isBack = held?.state === 'gone' || (held?.state === 'leaving' && given.state === 'ready');
+  const hasReturned = known?.state === 'gone' || (known?.state === 'leaving' && announced.state === 'ready');
   const isSame =
-    held !== undefined && held.address === given.address && held.pool === (given.pool ?? held.pool) && !isBack;
+    known !== undefined &&
+    known.address === announced.address &&
+    known.pool === (announced.pool ?? known.pool) &&
+    !hasReturned;
   return {
-    name: given.name,
-    kind: given.kind ?? 'replica',
-    incarnation: given.incarnation ?? (held === undefined ? 1 : isSame ? held.incarnation : held.incarnation + 1),
-    state: given.state ?? 'ready',
-    pool: given.pool ?? held?.pool ?? 'default',
-    address: given.address,
-    zone: given.zone ?? '',
-    slots: given.slots ?? null,
+    name: announced.name,
+    kind: announced.kind ?? 'replica',
+    incarnation:
+      announced.incarnation ?? (known === undefined ? 1 : isSame ? known.incarnation : known.incarnation + 1),
+    state: announced.state ?? 'ready',
+    pool: announced.pool ?? known?.pool ?? 'default',
+    address: announced.address,
+    zone: announced.zone ?? '',
+    slots: announced.slots ?? null,
     born: logIndex,
     sides: [],
   };
 };
 
-const unheard = (c: Context): Response =>
+const noMajorityResponse = (c: Context): Response =>
   c.json({ outcome: 'not accepted', detail: 'no majority of control nodes can be reached' }, 503, {
     'retry-after': '1',
   });
 
-const announced = async (
+const announceRecords = async (
   c: Context,
   controlNode: GatewayControlNode,
   records: readonly ReplicaRecord[],
@@ -75,36 +79,42 @@
       replicas: records.map((record) => controlNode.replicaTable.find(record.name)),
     });
   return outcome.error.code === 'disk'
-    ? c.json({ outcome: 'not accepted', detail: 'the disk did not take it' }, 503, { 'retry-after': '1' })
-    : c.json({ outcome: 'unknown', detail: 'no majority of control nodes has confirmed it yet; send it again' }, 504, {
+    ? c.json({ outcome: 'not accepted', detail: 'the record could not be written to disk' }, 503, {
         'retry-after': '1',
-      });
+      })
+    : c.json(
+        { outcome: 'unknown', detail: 'no majority of control nodes has confirmed the record yet; send it again' },
+        504,
+        {
+          'retry-after': '1',
+        },
+      );
 };
 
 const badRequest = (c: Context, detail: string): Response => c.json({ outcome: 'rejected', detail }, 400);
 
-const invalid = (c: Context, errors: ArkErrors): Response => {
+const invalidResponse = (c: Context, errors: ArkErrors): Response => {
   const complaints = errors.map((error) => ({ path: `/${error.path.join('/')}`, message: error.message }));
   return c.json({ outcome: 'rejected', complaints }, 422);
 };
 
 const missingKey = (c: Context): Response =>
-  c.json({ outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] }, 422);
+  c.json({ outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash is required' }] }, 422);
 
-const keyHashOf = (given: typeof keyRef.infer): string | undefined =>
-  given.keyHash ?? (given.key === undefined ? undefined : keys.hash(given.key));
+const keyHashOf = (ref: typeof keyRef.infer): string | undefined =>
+  ref.keyHash ?? (ref.key === undefined ? undefined : keys.hash(ref.key));
 
-/** Complaints about replicas that are announced in another pool under an incarnation that already serves one. */
-const movedReplicas = (
+/** Returns an issue for each replica announced in another pool than the one its current incarnation serves. */
+const poolChangeIssues = (
   controlNode: GatewayControlNode,
   announcements: readonly (typeof announcement.infer)[],
 ): ValidationIssue[] =>
   announcements.flatMap(({ name, incarnation, pool }, at) => {
     const known = controlNode.replicaTable.find(name);
-    const isMoved =
+    const changesPool =
       known !== undefined && known.incarnation === incarnation && pool !== undefined && pool !== known.pool;
-    if (!isMoved) return [];
-    const message = `this incarnation serves pool ${known.pool}; in another pool it must be a new one`;
+    if (!changesPool) return [];
+    const message = `this incarnation serves pool ${known.pool}; another pool requires a new incarnation`;
     return [{ path: `/${at}/pool`, message }];
   });
 
@@ -115,11 +125,12 @@
     const body = await readJsonBody(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = announcement.array()(Array.isArray(body.value) ? body.value : [body.value]);
-    if (checked instanceof type.errors) return invalid(c, checked);
-    if (!(await controlNode.replicaRegistry.fetchFromMajority(checked.map((one) => one.name)))) return unheard(c);
-    const moved = movedReplicas(controlNode, checked);
-    if (moved.length > 0) return c.json({ outcome: 'rejected', complaints: moved }, 422);
-    return announced(
+    if (checked instanceof type.errors) return invalidResponse(c, checked);
+    if (!(await controlNode.replicaRegistry.fetchFromMajority(checked.map((one) => one.name))))
+      return noMajorityResponse(c);
+    const issues = poolChangeIssues(controlNode, checked);
+    if (issues.length > 0) return c.json({ outcome: 'rejected', complaints: issues }, 422);
+    return announceRecords(
       c,
       controlNode,
       checked.map((one) =>
@@ -130,15 +141,15 @@
 };
 
 const addDepartureRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
-  const moved = async (c: Context, state: 'leaving' | 'gone'): Promise<Response> => {
+  const changeState = async (c: Context, state: 'leaving' | 'gone'): Promise<Response> => {
     const name = c.req.param('name') ?? '';
-    if (!(await controlNode.replicaRegistry.fetchFromMajority([name]))) return unheard(c);
-    const held = controlNode.replicaTable.find(name);
-    if (held === undefined) return c.json({ outcome: 'rejected', detail: 'no such replica' }, 404);
-    return announced(c, controlNode, [{ ...held, state }]);
+    if (!(await controlNode.replicaRegistry.fetchFromMajority([name]))) return noMajorityResponse(c);
+    const known = controlNode.replicaTable.find(name);
+    if (known === undefined) return c.json({ outcome: 'rejected', detail: 'no such replica' }, 404);
+    return announceRecords(c, controlNode, [{ ...known, state }]);
   };
-  app.post('/platform/replicas/:name/leaving', (c) => moved(c, 'leaving'));
-  app.delete('/platform/replicas/:name', (c) => moved(c, 'gone'));
+  app.post('/platform/replicas/:name/leaving', (c) => changeState(c, 'leaving'));
+  app.delete('/platform/replicas/:name', (c) => changeState(c, 'gone'));
 };
 
 const addClientRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
@@ -146,14 +157,14 @@
     const body = await readJsonBody(c);
     if (!body.isJson) return badRequest(c, 'the body is not JSON');
     const checked = client(body.value);
-    if (checked instanceof type.errors) return invalid(c, checked);
+    if (checked instanceof type.errors) return invalidResponse(c, checked);
     const keyHash = keyHashOf(checked);
     if (keyHash === undefined) return missingKey(c);
     let tenant: Tenant | null = null;
     if (checked.grant !== undefined) {
-      const shaped = gatewayConfigs.tenant(checked.grant);
-      if (shaped.isErr()) return c.json({ outcome: 'rejected', complaints: shaped.error }, 422);
-      tenant = shaped.value;
+      const parsed = gatewayConfigs.tenant(checked.grant);
+      if (parsed.isErr()) return c.json({ outcome: 'rejected', complaints: parsed.error }, 422);
+      tenant = parsed.value;
     }
     const changeId = changeIdOf(c, controlNode);
     return changeResponse(
@@ -177,7 +188,9 @@
   });
 };
 
-/** The routes of one node. An announcement is acknowledged once a majority of the control nodes has it on disk. */
+/**
+ * Returns the routes of one node. A majority of control nodes has an announcement on disk before it is acknowledged.
+ */
 export const replicaApi = (controlNode: GatewayControlNode): Hono => {
   const app = new Hono();
   addReplicaRoutes(app, controlNode);
--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -1,4 +1,4 @@
-/** Changes of the gateways' configuration, and of the keys granted under it, as proposals to the consensus group. */
+/** Proposes changes of the gateway configuration and of API key grants to the consensus group. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
@@ -12,7 +12,7 @@
 
 const timeoutMs = 3_000;
 
-const edited = (state: CommittedState, edit: GatewayConfigEdit): Result<GatewayConfig, ProposalError> =>
+const applyEdit = (state: CommittedState, edit: GatewayConfigEdit): Result<GatewayConfig, ProposalError> =>
   editConfig(state.config, edit).mapErr(proposalErrors.rejected);
 
 const checkGrant = (state: CommittedState, tenantName: string, tenant: Tenant | null): Result<void, ProposalError> => {
@@ -25,41 +25,41 @@
     .mapErr(proposalErrors.rejected);
 };
 
-/** Proposes changes, each checked against the state it is applied to; every call answers within 3 s. */
+/** Proposes changes, each validated against the state that it is applied to. Every call returns within 3 s. */
 export class ChangeService {
   constructor(private readonly proposer: Proposer) {}
 
-  private readonly put = (
+  private readonly propose = (
     id: string,
-    asked: unknown,
-    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
+    request: unknown,
+    createBody: (state: CommittedState) => Result<ChangeBody, ProposalError>,
   ): Promise<Result<Applied, ProposalError>> => {
-    const digest = digests.of(asked);
+    const digest = digests.of(request);
     const check = (state: CommittedState): Result<Change, ProposalError> =>
-      bodyFor(state).map((body) => ({ id, digest, body }));
+      createBody(state).map((body) => ({ id, digest, body }));
     return this.proposer.propose(check, id, digest, timeoutMs);
   };
 
   /**
-   * Replaces or edits the configuration that was committed at log index `base`; `conflict` where another one is in
-   * force.
+   * Replaces or edits the configuration committed at log index `base`. Fails with `conflict` if another configuration
+   * has been committed since.
    */
   readonly changeConfig = (
     id: string,
     base: number,
     edit: GatewayConfigEdit,
   ): Promise<Result<Applied, ProposalError>> =>
-    this.put(id, ['layout', base, edit], (state) => {
+    this.propose(id, ['layout', base, edit], (state) => {
       if (state.configLogIndex !== base)
         return err(
           proposalErrors.conflict(state.configLogIndex, `the layout is at generation ${state.configLogIndex}`),
         );
-      return edited(state, edit).map((config) => ({ kind: 'config', config, base }));
+      return applyEdit(state, edit).map((config) => ({ kind: 'config', config, base }));
     });
 
   /**
-   * Grants a key to a tenant, which is created from `tenant` where it is absent; `rejected` where another tenant has
-   * the key.
+   * Grants a key to a tenant; a tenant that does not exist yet is created from `tenant`. Fails with `rejected` if the
+   * key belongs to another tenant.
    */
   readonly grant = (
     id: string,
@@ -67,14 +67,14 @@
     grant: KeyGrant,
     tenant: Tenant | null,
   ): Promise<Result<Applied, ProposalError>> =>
-    this.put(id, ['grant', keyHash, grant, tenant], (state) => {
+    this.propose(id, ['grant', keyHash, grant, tenant], (state) => {
       const current = state.keys[keyHash];
       if (current !== undefined && current.tenant !== grant.tenant)
-        return err(proposalErrors.rejected([{ path: '/key', message: 'is held by another tenant' }]));
+        return err(proposalErrors.rejected([{ path: '/key', message: 'belongs to another tenant' }]));
       return checkGrant(state, grant.tenant, tenant).map(() => ({ kind: 'grant', keyHash, grant, tenant }));
     });
 
-  /** Revokes a key by its hash; revoking one that is not granted is committed as well. */
+  /** Revokes a key by its hash; the revocation is committed even if the key is not granted. */
   readonly revoke = (id: string, keyHash: string): Promise<Result<Applied, ProposalError>> =>
-    this.put(id, ['revoke', keyHash], () => ok({ kind: 'revoke', keyHash }));
+    this.propose(id, ['revoke', keyHash], () => ok({ kind: 'revoke', keyHash }));
 }
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -1,4 +1,4 @@
-/** Changes of the routing table and of the target weights' versions, as proposals to the consensus group. */
+/** Proposes changes of the routing table and of the target weights versions to the consensus group. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
@@ -11,25 +11,27 @@
 
 const timeoutMs = 700;
 const bytesPerExtraMs = 4_000;
-const nameTimeoutMs = 700;
+const weightsTimeoutMs = 700;
 
-type EditOf = (held: ActiveRouting | null) => Result<ConfigurationChange, readonly RoutingTableError[]>;
+type EditOf = (current: ActiveRouting | null) => Result<ConfigurationChange, readonly RoutingTableError[]>;
 
-/** One order of the operator to change the configuration. */
+/** An operator's request to change the configuration. */
 export interface ConfigChangeRequest {
   readonly kind: 'whole' | 'part';
-  /** The configuration version it builds on. */
+  /** The configuration version that the change is based on. */
   readonly base: number;
-  /** The configuration version it would bring into force. */
+  /** The configuration version that the change creates. */
   readonly configVersion: number;
-  /** The parsed body: with kind and base, the identity of the order. */
+  /** The parsed request body; together with `kind` and `base` it identifies the change. */
   readonly requestBody: unknown;
+  /** Size of the request body. */
   readonly byteCount: number;
+  /** Computes the edit on the current routing. */
   readonly editOf: EditOf;
 }
 
-/** The edit as checked against the configuration in force, computed once for each that is met. */
-const checkedOnce = (editOf: EditOf): EditOf => {
+/** Validates the resulting routing table as well, and caches the result for the last routing it was called with. */
+const withCachedCheck = (editOf: EditOf): EditOf => {
   let last: { readonly held: ActiveRouting | null; readonly outcome: ReturnType<EditOf> } | null = null;
   return (held) => {
     if (last === null || last.held !== held)
@@ -38,24 +40,31 @@
   };
 };
 
-/** Takes the operator's changes of the configuration and names of weights; each is one agreed change, told apart by what was asked and on which base, so that the same one sent again is the same change. */
+/**
+ * Proposes an operator's changes of the configuration and of target weights. The change id is derived from the request
+ * and its base version, so that a repeated request counts as the same change.
+ */
 export class ConfigService {
   constructor(private readonly proposer: Proposer) {}
 
-  private readonly put = (
+  private readonly propose = (
     id: string,
     digest: string,
-    withinMs: number,
-    bodyFor: (state: CommittedState) => Result<ChangeBody, ProposalError>,
+    proposalTimeoutMs: number,
+    createBody: (state: CommittedState) => Result<ChangeBody, ProposalError>,
   ): Promise<Result<Applied, ProposalError>> =>
     this.proposer.propose(
-      (state): Result<Change, ProposalError> => bodyFor(state).map((body) => ({ id, digest, body })),
+      (state): Result<Change, ProposalError> => createBody(state).map((body) => ({ id, digest, body })),
       id,
       digest,
-      withinMs,
+      proposalTimeoutMs,
     );
 
-  /** Answers within 700 ms and 1 ms more for each 4,000 bytes. Faults: `conflict` where another configuration version is in force, `rejected` where the edit is invalid, `unknown` where it may have been taken, `unavailable` where it was not. */
+  /**
+   * Changes the configuration; returns within 700 ms plus 1 ms for each 4,000 bytes. Fails with `conflict` if `base` is
+   * not the current configuration version, `rejected` if the edit is invalid, `unknown` if the change may have been
+   * committed, and `unavailable` if it was not.
+   */
   readonly change = ({
     kind,
     base,
@@ -66,19 +75,19 @@
   }: ConfigChangeRequest): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.ofCanonical([kind, base, requestBody]);
     const id = `ways/${digest}`;
-    const checked = checkedOnce(editOf);
-    return this.put(id, digest, timeoutMs + byteCount / bytesPerExtraMs, (state) => {
-      const inForce = state.routing?.configVersion ?? 0;
-      if (base !== inForce) {
+    const checked = withCachedCheck(editOf);
+    return this.propose(id, digest, timeoutMs + byteCount / bytesPerExtraMs, (state) => {
+      const currentVersion = state.routing?.configVersion ?? 0;
+      if (base !== currentVersion) {
         const mayBeForgotten = base < configVersion && configVersion <= state.forgotten.configVersion;
         return err(
           mayBeForgotten
             ? proposalErrors.unknown(id)
-            : proposalErrors.conflict(inForce, `edition ${inForce} is in force`),
+            : proposalErrors.conflict(currentVersion, `configuration version ${currentVersion} is in force`),
         );
       }
-      if (configVersion <= inForce)
-        return err(proposalErrors.rejected([{ path: '/edition', message: `must be above ${inForce}` }]));
+      if (configVersion <= currentVersion)
+        return err(proposalErrors.rejected([{ path: '/edition', message: `must be above ${currentVersion}` }]));
       return checked(state.routing)
         .mapErr(proposalErrors.rejected)
         .map(
@@ -91,18 +100,18 @@
     });
   };
 
-  /** Names the version of a model's weights; faults as for `change`, within 700 ms. */
+  /** Sets the target version of a model's weights; returns within 700 ms, with the errors of `change`. */
   readonly setTargetWeights = (model: string, version: number): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.of(['weights', model, version]);
     const id = `weights/${model}/${version}`;
-    return this.put(id, digest, nameTimeoutMs, (state) => {
-      const named = state.targetWeights[model] ?? 0;
-      if (version >= named) return ok({ kind: 'weights', model, version });
+    return this.propose(id, digest, weightsTimeoutMs, (state) => {
+      const currentTarget = state.targetWeights[model] ?? 0;
+      if (version >= currentTarget) return ok({ kind: 'weights', model, version });
       const mayBeForgotten = version <= (state.forgotten.targetWeights[model] ?? 0);
       return err(
         mayBeForgotten
           ? proposalErrors.unknown(id)
-          : proposalErrors.rejected([{ path: '/version', message: `must be above ${named}` }]),
+          : proposalErrors.rejected([{ path: '/version', message: `must be above ${currentTarget}` }]),
       );
     });
   };
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -1,22 +1,22 @@
-/** Sends gateways the committed state, replica records, prefix index updates and each other's load. */
+/** Sends gateways the committed state, replica records, prefix index updates and the load of the other gateways. */
 import type { Clock, KvCacheEvent, Contention, LoadReport, Loads, Pong, ReplicaRecord } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import type { Acceptor } from '../consensus/acceptor.js';
 import type { CommittedChange } from '../consensus/ballots.js';
 
-const reportAgeMs = 2_000;
-const silentMs = 6_000;
+const maxReportAgeMs = 2_000;
+const idleTimeoutMs = 6_000;
 
 interface Subscriber {
-  sent: number;
-  acked: number;
+  sentLogIndex: number;
+  ackedLogIndex: number;
   ackedAt: number;
-  heardAt: number;
+  lastPingAt: number;
   report: LoadReport;
 }
 
-/** One subscribed gateway: the last log index it acknowledged, and how many milliseconds ago it did. */
+/** A subscribed gateway: the last log index that it acknowledged, and the time since then in milliseconds. */
 export interface GatewayStatus {
   readonly gateway: string;
   readonly http: string;
@@ -26,7 +26,8 @@
 }
 
 /**
- * The gateways subscribed to this node. Each gets every committed change once, in order, or a whole state after a gap.
+ * Publishes to the gateways subscribed to this node. Each gets every committed change once and in order, or the full
+ * state after a gap.
  */
 export class GatewayPublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
@@ -41,15 +42,15 @@
   }
 
   /**
-   * Begins to send to a gateway that has the state of `logIndex`, -1 for none; starts with all replica records and
-   * snapshots.
+   * Adds a gateway that has the state of `logIndex` (-1 for none), and sends it all replica records, the prefix index
+   * snapshots and the missing changes.
    */
   readonly subscribe = (connection: PeerConnection, logIndex: number): void => {
     this.subscribers.set(connection, {
-      sent: logIndex,
-      acked: logIndex,
+      sentLogIndex: logIndex,
+      ackedLogIndex: logIndex,
       ackedAt: this.clock.now(),
-      heardAt: this.clock.now(),
+      lastPingAt: this.clock.now(),
       report: { replicas: {}, pools: {} },
     });
     connection.tell('replicas', this.records());
@@ -57,59 +58,60 @@
     this.update(connection);
   };
 
-  /** Forgets a gateway whose connection has closed. */
+  /** Removes a gateway whose connection has closed. */
   readonly unsubscribe = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (committed: CommittedChange | null): void => {
     if (committed === null)
-      for (const subscriber of this.subscribers.values()) subscriber.sent = Math.min(subscriber.sent, -1);
+      for (const subscriber of this.subscribers.values())
+        subscriber.sentLogIndex = Math.min(subscriber.sentLogIndex, -1);
     for (const connection of this.subscribers.keys()) this.update(connection);
   };
 
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    const since = this.acceptor.since(subscriber.sent);
+    const since = this.acceptor.since(subscriber.sentLogIndex);
     if (since.kind === 'nothing') return;
     if (since.kind === 'checkpoint') {
       connection.tell('checkpoint', since.agreed);
-      subscriber.sent = since.agreed.logIndex;
+      subscriber.sentLogIndex = since.agreed.logIndex;
       return;
     }
     for (const committed of since.committed) {
       connection.tell('change', committed);
-      subscriber.sent = committed.logIndex;
+      subscriber.sentLogIndex = committed.logIndex;
     }
   };
 
-  /** A gateway has applied the state of `logIndex`. */
+  /** Records that a gateway has applied the state of `logIndex`. */
   readonly handleAck = (connection: PeerConnection, logIndex: number): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    subscriber.acked = logIndex;
+    subscriber.ackedLogIndex = logIndex;
     subscriber.ackedAt = this.clock.now();
   };
 
-  private readonly report = (connection: PeerConnection, report: LoadReport): void => {
+  private readonly recordReport = (connection: PeerConnection, report: LoadReport): void => {
     const subscriber = this.subscribers.get(connection);
-    if (subscriber !== undefined) Object.assign(subscriber, { report, heardAt: this.clock.now() });
+    if (subscriber !== undefined) Object.assign(subscriber, { report, lastPingAt: this.clock.now() });
   };
 
-  private readonly others = (connection: PeerConnection): LoadReport[] => {
+  private readonly otherReports = (connection: PeerConnection): LoadReport[] => {
     const now = this.clock.now();
-    return [...this.subscribers].flatMap(([other, { report, heardAt }]) =>
-      other === connection || now - heardAt > reportAgeMs ? [] : [report],
+    return [...this.subscribers].flatMap(([other, { report, lastPingAt }]) =>
+      other === connection || now - lastPingAt > maxReportAgeMs ? [] : [report],
     );
   };
 
   private readonly loadsFor = (connection: PeerConnection): Loads => {
     const loads: Record<string, [number, number]> = {};
-    for (const { replicas } of this.others(connection)) {
+    for (const { replicas } of this.otherReports(connection)) {
       for (const [replica, [running, tokens]] of Object.entries(replicas)) {
-        const held = loads[replica] ?? [0, 0];
-        loads[replica] = held;
-        held[0] += running;
-        held[1] += tokens;
+        const sums = loads[replica] ?? [0, 0];
+        loads[replica] = sums;
+        sums[0] += running;
+        sums[1] += tokens;
       }
     }
     return loads;
@@ -117,30 +119,32 @@
 
   private readonly contentionFor = (connection: PeerConnection): Contention => {
     const contention: Record<string, [number, number]> = {};
-    for (const { pools } of this.others(connection)) {
+    for (const { pools } of this.otherReports(connection)) {
       for (const [pool, [waiting, running]] of Object.entries(pools)) {
-        const held = contention[pool] ?? [0, 0];
-        contention[pool] = held;
-        if (waiting > 0) held[0] += 1;
-        else held[1] += running;
+        const sums = contention[pool] ?? [0, 0];
+        contention[pool] = sums;
+        if (waiting > 0) sums[0] += 1;
+        else sums[1] += running;
       }
     }
     return contention;
   };
 
   /**
-   * A gateway's load has changed by a long prompt: the others are told at once, without waiting for their next ping.
+   * Handles a load report that a gateway sends when a long prompt changes its load. The new load is sent to the other
+   * gateways at once instead of with their next ping.
    */
   readonly handleLongPrompts = (connection: PeerConnection, report: LoadReport): void => {
-    this.report(connection, report);
+    this.recordReport(connection, report);
     for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
   };
 
   /**
-   * The reply to a gateway's ping: this node's position, and the load of the other gateways reported in the last 2 s.
+   * Records the load report of a gateway's ping, and returns the reply: this node's log position, and the load that the
+   * other gateways reported in the last 2 s.
    */
   readonly handlePing = (connection: PeerConnection, report: LoadReport): Pong => {
-    this.report(connection, report);
+    this.recordReport(connection, report);
     return {
       logIndex: this.acceptor.agreed()?.logIndex ?? -1,
       acceptedSlot: this.acceptor.acceptedSlot(),
@@ -156,31 +160,32 @@
     for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
   };
 
-  /** Sends whole prefix indexes of replicas to all gateways. */
+  /** Sends prefix index snapshots of replicas to all gateways. */
   readonly sendSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
     for (const connection of this.subscribers.keys())
       for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
   };
 
   /** Sends cache events to all gateways. */
-  readonly sendCacheEvents = (update: readonly KvCacheEvent[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('kv', update);
+  readonly sendCacheEvents = (events: readonly KvCacheEvent[]): void => {
+    for (const connection of this.subscribers.keys()) connection.tell('kv', events);
   };
 
-  /** Closes the connections of gateways that have sent no ping for 6 s; they dial again. */
+  /** Closes the connections of gateways that have sent no ping for 6 s; the gateways reconnect. */
   readonly closeIdleConnections = (): void => {
     const now = this.clock.now();
-    for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
+    for (const [connection, { lastPingAt }] of [...this.subscribers])
+      if (now - lastPingAt > idleTimeoutMs) connection.close();
   };
 
-  /** The subscribed gateways, for the status page. */
+  /** Returns the subscribed gateways, for the status page. */
   readonly status = (): GatewayStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
       gateway: connection.peer?.name ?? '',
       http: connection.peer?.http ?? '',
       zone: connection.peer?.zone ?? '',
-      logIndex: one.acked,
+      logIndex: one.ackedLogIndex,
       ackAgeMs: Math.round(now - one.ackedAt),
     }));
   };
--- a/packages/control-plane/src/configuration/plan.ts
+++ b/packages/control-plane/src/configuration/plan.ts
@@ -1,4 +1,4 @@
-/** Edits of the gateways' configuration, and plans that show what an edit would change before it is made. */
+/** Edits of the gateway configuration, and plans that show what an edit would change before it is applied. */
 import jsonPatch from 'fast-json-patch';
 import type { Operation } from 'fast-json-patch';
 import { err, ok } from 'neverthrow';
@@ -9,14 +9,14 @@
 import type { ValidationIssue } from '@martenworks/settings';
 
 /**
- * An edit as an operator sent it: a whole configuration, a part merged into the current one, or a JSON Patch (RFC
- * 6902).
+ * An edit as an operator sent it: a full configuration (`whole`), a part to merge into the current one (`part`), or a
+ * JSON Patch according to RFC 6902 (`ops`).
  */
 export type GatewayConfigEdit = { readonly kind: 'whole' | 'part' | 'ops'; readonly given: unknown };
 
 /**
- * What an edit of the configuration at log index `base` would change, and which tenants, lanes, pools and keys that
- * concerns.
+ * What an edit of the configuration at log index `base` would change, and the tenants, lanes, pools and number of keys
+ * that it affects.
  */
 export interface Plan {
   readonly planId: string;
@@ -36,15 +36,15 @@
   };
 }
 
-const patched = (config: GatewayConfig, given: unknown): Result<unknown, ValidationIssue[]> => {
-  if (!Array.isArray(given)) return err([{ path: '/', message: 'a JSON Patch is an array of operations' }]);
-  const fault = jsonPatch.validate(given as Operation[], config);
-  if (fault !== undefined)
-    return err([{ path: `/${String(fault.index ?? '')}`, message: fault.message.split('\n')[0] ?? fault.name }]);
+const applyJsonPatch = (config: GatewayConfig, given: unknown): Result<unknown, ValidationIssue[]> => {
+  if (!Array.isArray(given)) return err([{ path: '/', message: 'a JSON Patch must be an array of operations' }]);
+  const error = jsonPatch.validate(given as Operation[], config);
+  if (error !== undefined)
+    return err([{ path: `/${String(error.index ?? '')}`, message: error.message.split('\n')[0] ?? error.name }]);
   return ok(jsonPatch.applyPatch(jsonPatch.deepClone(config), given as Operation[], true).newDocument);
 };
 
-/** The configuration after an edit, checked as a whole; the errors name each place that is invalid. */
+/** Returns the configuration after an edit, fully validated; the errors name each invalid field. */
 export const editConfig = (
   config: GatewayConfig,
   edit: GatewayConfigEdit,
@@ -55,18 +55,19 @@
     case 'part':
       return gatewayConfigs.check(gatewayConfigs.merge(config, edit.given));
     case 'ops':
-      return patched(config, edit.given).andThen(gatewayConfigs.check);
+      return applyJsonPatch(config, edit.given).andThen(gatewayConfigs.check);
   }
 };
 
 /**
- * Ids of plans: the same edit of the same base has the same id, so that an operator can apply exactly what was shown.
+ * Plan ids. The same edit of the same base always has the same id, so that an operator can apply exactly the plan that
+ * was shown.
  */
 export const planIds = { of: (base: number, edit: GatewayConfigEdit): string => digests.of(['plan', base, edit]) };
 
 const valueAt = (config: GatewayConfig, path: string): unknown => {
-  const held: unknown = path.endsWith('/-') ? undefined : jsonPatch.getValueByPointer(config, path);
-  return held ?? null;
+  const value: unknown = path.endsWith('/-') ? undefined : jsonPatch.getValueByPointer(config, path);
+  return value ?? null;
 };
 
 const changesBetween = (config: GatewayConfig, next: GatewayConfig): Plan['changes'] =>
@@ -88,7 +89,7 @@
     config.pools[name] !== undefined && config.pools[name].weights !== pool.weights ? [`${name}: ${pool.weights}`] : [],
   );
 
-const touchedBy = (state: CommittedState, next: GatewayConfig, changes: Plan['changes']): Plan['touches'] => {
+const affectedBy = (state: CommittedState, next: GatewayConfig, changes: Plan['changes']): Plan['touches'] => {
   const tiers = new Set(namesIn('tiers', changes));
   const pools = new Set(namesIn('pools', changes));
   const lanesOfPools = Object.entries(next.lanes).flatMap(([name, lane]) => (pools.has(lane.pool) ? [name] : []));
@@ -106,7 +107,9 @@
   };
 };
 
-/** The plan for an edit of the current configuration; the errors are those of `editConfig`. Nothing is changed. */
+/**
+ * Returns the plan for an edit of the current configuration without applying it; the errors are those of `editConfig`.
+ */
 export const createPlan = (state: CommittedState, edit: GatewayConfigEdit): Result<Plan, ValidationIssue[]> =>
   editConfig(state.config, edit).map((next) => {
     const changes = changesBetween(state.config, next);
@@ -114,6 +117,6 @@
       planId: planIds.of(state.configLogIndex, edit),
       base: state.configLogIndex,
       changes,
-      touches: touchedBy(state, next, changes),
+      touches: affectedBy(state, next, changes),
     };
   });
--- a/packages/control-plane/src/configuration/routingTableHistory.ts
+++ b/packages/control-plane/src/configuration/routingTableHistory.ts
@@ -1,65 +1,71 @@
-/** The differences between the last configuration versions of the routing table, as edges are sent them. */
+/** Patches between recent configuration versions of the routing table, for edges that have an older version. */
 import type { RoutingTablePatch, PackedRoutingTable, RoutingTable, ActiveRouting } from '@martenworks/core-types';
 import { packedRoutingTables, patches } from '@martenworks/route-table';
 
-const mostPatches = 256;
+const maxPatches = 256;
 
 interface Step {
   readonly patch: RoutingTablePatch;
   readonly to: number;
 }
 
-/** Keeps the differences between successive configuration versions, as many as name no more entries together than the routing table does, and packs each message once for all edges. */
+/**
+ * Keeps the patches between successive configuration versions, and encodes each message once for all edges. Old patches
+ * are dropped when all patches together would have as many entries as the routing table.
+ */
 export class RoutingTableHistory {
   private steps: Step[] = [];
   private packed = new Map<number, PackedRoutingTable>();
-  private whole: PackedRoutingTable | null = null;
+  private packedFullTable: PackedRoutingTable | null = null;
   private current: ActiveRouting | null = null;
 
-  /** Takes the routing in force now; the same configuration version again changes nothing. */
-  readonly record = (routes: ActiveRouting | null): void => {
-    if (routes === null || routes.configVersion === this.current?.configVersion) return;
-    const before = this.current;
-    this.current = routes;
+  /** Records the current routing; has no effect if its configuration version is the current one. */
+  readonly record = (routing: ActiveRouting | null): void => {
+    if (routing === null || routing.configVersion === this.current?.configVersion) return;
+    const previous = this.current;
+    this.current = routing;
     this.packed = new Map();
-    this.whole = null;
-    if (before === null) return;
-    const isKeyedAsBefore = (before.table.customers === null) === (routes.table.customers === null);
-    if (routes.configVersion < before.configVersion || !isKeyedAsBefore) this.steps = [];
+    this.packedFullTable = null;
+    if (previous === null) return;
+    const isKeyUseUnchanged = (previous.table.customers === null) === (routing.table.customers === null);
+    if (routing.configVersion < previous.configVersion || !isKeyUseUnchanged) this.steps = [];
     else
       this.append(
-        { patch: patches.between(before.configVersion, before.table, routes.table), to: routes.configVersion },
-        routes.table,
+        { patch: patches.between(previous.configVersion, previous.table, routing.table), to: routing.configVersion },
+        routing.table,
       );
   };
 
   private readonly append = (step: Step, routingTable: RoutingTable): void => {
     this.steps.push(step);
-    let entries = 0;
-    let kept = 0;
-    while (kept < this.steps.length && kept < mostPatches) {
-      entries += patches.size((this.steps[this.steps.length - 1 - kept] as Step).patch);
-      if (entries >= routingTable.routes.length + (routingTable.customers?.length ?? 0)) break;
-      kept += 1;
+    let entryCount = 0;
+    let keptCount = 0;
+    while (keptCount < this.steps.length && keptCount < maxPatches) {
+      entryCount += patches.size((this.steps[this.steps.length - 1 - keptCount] as Step).patch);
+      if (entryCount >= routingTable.routes.length + (routingTable.customers?.length ?? 0)) break;
+      keptCount += 1;
     }
-    this.steps = kept === 0 ? [] : this.steps.slice(-kept);
+    this.steps = keptCount === 0 ? [] : this.steps.slice(-keptCount);
   };
 
-  /** What brings an edge from its configuration version to the one in force: null where it has that one, a patch where one is known and smaller, else the whole table. */
+  /**
+   * Returns the message that brings an edge from its configuration version to the current one: a patch if the patches
+   * since then are kept, otherwise the full table. Null if the edge is up to date.
+   */
   readonly messageFrom = (configVersion: number): PackedRoutingTable | null => {
     if (this.current === null || this.current.configVersion === configVersion) return null;
-    const held = this.packed.get(configVersion);
-    if (held !== undefined) return held;
+    const cached = this.packed.get(configVersion);
+    if (cached !== undefined) return cached;
     const patch = this.patchFrom(configVersion);
-    if (patch === null) return this.packWhole(this.current.table);
+    if (patch === null) return this.packFullTable(this.current.table);
     const packed = packedRoutingTables.patch(patch);
     this.packed.set(configVersion, packed);
     return packed;
   };
 
-  private readonly packWhole = (routingTable: RoutingTable): PackedRoutingTable => {
-    this.whole ??= packedRoutingTables.whole(routingTable);
-    return this.whole;
+  private readonly packFullTable = (routingTable: RoutingTable): PackedRoutingTable => {
+    this.packedFullTable ??= packedRoutingTables.whole(routingTable);
+    return this.packedFullTable;
   };
 
   private readonly patchFrom = (configVersion: number): RoutingTablePatch | null => {
@@ -68,6 +74,6 @@
     return this.steps
       .slice(first)
       .map(({ patch }) => patch)
-      .reduce((joined, next) => patches.joined(joined, next));
+      .reduce((combined, next) => patches.joined(combined, next));
   };
 }
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -1,4 +1,4 @@
-/** Sends edges what is in force: all of it to those that take their content from this node, the bare log index to the others. */
+/** Sends the committed state to edges that use this node as their content source, and only its log index to others. */
 import type {
   CommittedState,
   Clock,
@@ -13,26 +13,26 @@
 import type { TargetWeightsAges } from './targetWeightsAges.js';
 import { RoutingTableHistory } from './routingTableHistory.js';
 
-const silentMs = 4_000;
-const resendMs = 1_000;
+const idleTimeoutMs = 4_000;
+const resendTimeoutMs = 1_000;
 
-/** A state that was sent to an edge and that it has not confirmed. */
-interface Transfer {
+/** A state that was sent to an edge and is not acknowledged yet. */
+interface PendingTransfer {
   readonly logIndex: number;
   readonly sentAt: number;
 }
 
-/** A subscribed edge; `logIndex` and `configVersion` are what it is known to have. */
+/** A subscribed edge; `logIndex` and `configVersion` are the last ones that it acknowledged. */
 interface Subscriber {
   logIndex: number;
   configVersion: number;
-  underWay: Transfer | null;
-  announced: number;
-  heardAt: number;
+  inFlight: PendingTransfer | null;
+  announcedLogIndex: number;
+  lastReceivedAt: number;
   wantsContent: boolean;
 }
 
-/** One subscribed edge: the last log index it acknowledged, and whether it takes its content from this node. */
+/** A subscribed edge: the last log index that it acknowledged, and whether this node is its content source. */
 export interface EdgeStatus {
   readonly edge: string;
   readonly zone: string;
@@ -42,8 +42,8 @@
 }
 
 /**
- * The edges subscribed to this node. At most one state is on the way to an edge; a newer one follows its
- * acknowledgement.
+ * Publishes to the edges subscribed to this node. At most one state is in flight to an edge; the newest one follows
+ * when it is acknowledged.
  */
 export class StatePublisher {
   private readonly subscribers = new Map<PeerConnection, Subscriber>();
@@ -53,24 +53,24 @@
     private readonly acceptor: Acceptor,
     private readonly clock: Clock,
     private readonly listAgeMs: () => number | null,
-    private readonly greet: (connection: PeerConnection) => void,
+    private readonly sendInitialContent: (connection: PeerConnection) => void,
     private readonly targetWeightsAges: TargetWeightsAges,
   ) {
     this.history.record(acceptor.agreed()?.routing ?? null);
-    this.noteNamed();
+    this.recordTargetWeights();
     acceptor.watch(this.updateAll);
   }
 
-  private readonly noteNamed = (): void =>
+  private readonly recordTargetWeights = (): void =>
     this.targetWeightsAges.recordTargets(this.acceptor.agreed()?.targetWeights ?? {});
 
-  private readonly message = (state: CommittedState, held: StatePosition): EdgeStateMessage => {
+  private readonly message = (state: CommittedState, current: StatePosition): EdgeStateMessage => {
     const configVersion = state.routing?.configVersion ?? 0;
     this.history.record(state.routing);
     return {
       logIndex: state.logIndex,
       configVersion,
-      packedTable: this.history.messageFrom(held.configVersion),
+      packedTable: this.history.messageFrom(current.configVersion),
       targetWeights: state.targetWeights,
       weightsAges: this.targetWeightsAges.ages(),
       members: state.members,
@@ -78,67 +78,70 @@
   };
 
   /**
-   * Begins to send to an edge that has the given position, or takes in that an edge wants its content from here or no
-   * longer does.
+   * Adds an edge that has the given state position, or updates whether a subscribed edge uses this node as its content
+   * source.
    */
   readonly subscribe = (connection: PeerConnection, { logIndex, configVersion, wantsContent }: Subscription): void => {
-    const before = this.subscribers.get(connection);
-    const wasContent = before?.wantsContent === true;
+    const previous = this.subscribers.get(connection);
+    const wantedContent = previous?.wantsContent === true;
     this.subscribers.set(connection, {
       logIndex,
       configVersion,
-      underWay: connection.isSending('state') ? (before?.underWay ?? null) : null,
-      announced: before?.announced ?? -1,
-      heardAt: this.clock.now(),
+      inFlight: connection.isSending('state') ? (previous?.inFlight ?? null) : null,
+      announcedLogIndex: previous?.announcedLogIndex ?? -1,
+      lastReceivedAt: this.clock.now(),
       wantsContent,
     });
     this.update(connection);
-    if (wantsContent && !wasContent) this.greet(connection);
+    if (wantsContent && !wantedContent) this.sendInitialContent(connection);
   };
 
-  /** Forgets an edge whose connection has closed. */
+  /** Removes an edge whose connection has closed. */
   readonly unsubscribe = (connection: PeerConnection): void => void this.subscribers.delete(connection);
 
   private readonly updateAll = (): void => {
     this.history.record(this.acceptor.agreed()?.routing ?? null);
-    this.noteNamed();
+    this.recordTargetWeights();
     for (const connection of this.subscribers.keys()) this.update(connection);
   };
 
-  /** Announces the log index in force and, to an edge that takes its content from here, sends the state unless an older one is under way: once that is confirmed, the newest follows. */
+  /**
+   * Announces the current log index, and sends the state to an edge that uses this node as its content source. If an
+   * older state is still in flight, the newest one follows when that is acknowledged.
+   */
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.agreed();
     if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
-    if (state.logIndex > subscriber.announced) connection.tell('stateAnnounced', state.logIndex);
-    subscriber.announced = state.logIndex;
-    if (!subscriber.wantsContent || subscriber.underWay !== null) return;
-    subscriber.underWay = { logIndex: state.logIndex, sentAt: this.clock.now() };
+    if (state.logIndex > subscriber.announcedLogIndex) connection.tell('stateAnnounced', state.logIndex);
+    subscriber.announcedLogIndex = state.logIndex;
+    if (!subscriber.wantsContent || subscriber.inFlight !== null) return;
+    subscriber.inFlight = { logIndex: state.logIndex, sentAt: this.clock.now() };
     connection.tell('state', this.message(state, subscriber));
   };
 
-  /** What is in force for an edge that asks: null where nothing was agreed. */
-  readonly stateFor = (held: StatePosition): EdgeStateMessage | null => {
+  /** Returns the current state as a message for an edge at the given position; null if nothing is committed yet. */
+  readonly stateFor = (current: StatePosition): EdgeStateMessage | null => {
     const state = this.acceptor.agreed();
-    return state === null ? null : this.message(state, held);
+    return state === null ? null : this.message(state, current);
   };
 
-  /** An edge has applied the state of the given position; a newer one is sent if there is one. */
+  /** Records that an edge has applied the state at the given position, and sends a newer one if there is one. */
   readonly handleAck = (connection: PeerConnection, { logIndex, configVersion }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    subscriber.heardAt = this.clock.now();
+    subscriber.lastReceivedAt = this.clock.now();
     if (logIndex >= subscriber.logIndex) Object.assign(subscriber, { logIndex, configVersion });
-    if (this.isOver(connection, subscriber)) subscriber.underWay = null;
+    if (this.isTransferOver(connection, subscriber)) subscriber.inFlight = null;
     this.update(connection);
   };
 
-  private readonly isOver = (connection: PeerConnection, { underWay, logIndex }: Subscriber): boolean => {
-    if (underWay === null || logIndex >= underWay.logIndex) return true;
-    return this.clock.now() - underWay.sentAt > resendMs && !connection.isSending('state');
+  private readonly isTransferOver = (connection: PeerConnection, { inFlight, logIndex }: Subscriber): boolean => {
+    if (inFlight === null || logIndex >= inFlight.logIndex) return true;
+    return this.clock.now() - inFlight.sentAt > resendTimeoutMs && !connection.isSending('state');
   };
 
-  /** The reply to an edge's ping, which counts as an acknowledgement too. Times in milliseconds. */
+  /** Handles an edge's ping as an acknowledgement, and returns the reply. Times in milliseconds. */
   readonly handlePing = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
     this.handleAck(connection, ping);
     return {
@@ -150,10 +153,10 @@
     };
   };
 
-  /** Edges heard from in the last 4 s; an edge divides shared limits by it. */
+  /** Returns the number of edges that sent a message in the last 4 s. Each edge divides shared limits by it. */
   readonly edgeCount = (): number => {
     const now = this.clock.now();
-    return [...this.subscribers.values()].filter(({ heardAt }) => now - heardAt <= silentMs).length;
+    return [...this.subscribers.values()].filter(({ lastReceivedAt }) => now - lastReceivedAt <= idleTimeoutMs).length;
   };
 
   /** Sends a message to all subscribed edges. */
@@ -161,24 +164,25 @@
     for (const connection of this.subscribers.keys()) connection.tell(topic, body);
   };
 
-  /** Sends a message to the edges that take their content from this node. */
+  /** Sends a message to the edges that use this node as their content source. */
   readonly sendToContentEdges = (topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.tell(topic, body);
   };
 
-  /** Sends a message to the edges that take their content from this node, other than its sender. */
+  /** Sends a message to the edges that use this node as their content source, except the one that it came from. */
   readonly sendToOtherContentEdges = (sender: PeerConnection, topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers)
       if (wantsContent && connection !== sender) connection.tell(topic, body);
   };
 
-  /** Closes the connections of edges that were not heard for 4 s; they dial again. */
+  /** Closes the connections of edges that have sent nothing for 4 s; the edges reconnect. */
   readonly closeIdleConnections = (): void => {
     const now = this.clock.now();
-    for (const [connection, { heardAt }] of [...this.subscribers]) if (now - heardAt > silentMs) connection.close();
+    for (const [connection, { lastReceivedAt }] of [...this.subscribers])
+      if (now - lastReceivedAt > idleTimeoutMs) connection.close();
   };
 
-  /** The subscribed edges, for the status page. */
+  /** Returns the subscribed edges, for the status page. */
   readonly status = (): EdgeStatus[] => {
     const now = this.clock.now();
     return [...this.subscribers].map(([connection, one]) => ({
@@ -186,7 +190,7 @@
       zone: connection.peer?.zone ?? '',
       acked: one.logIndex,
       isContent: one.wantsContent,
-      heardMsAgo: Math.round(now - one.heardAt),
+      heardMsAgo: Math.round(now - one.lastReceivedAt),
     }));
   };
 }
--- a/packages/control-plane/src/configuration/targetWeightsAges.ts
+++ b/packages/control-plane/src/configuration/targetWeightsAges.ts
@@ -1,54 +1,55 @@
-/** Since when the target versions of models' weights are named, as far as any control node remembers. */
+/** Tracks when each target version of a model's weights was set. */
 import type { Clock, EdgeStateMessage } from '@martenworks/core-types';
 
-const versionsKept = 8;
+const maxVersionsPerModel = 8;
 
-interface NamedVersion {
+interface TargetVersion {
   readonly version: number;
-  readonly at: number;
+  readonly setAt: number;
 }
 
-/** How long ago each version of a model was named, in milliseconds, by model. */
+/** How many milliseconds ago each target version was set, by model. */
 export type WeightsAges = EdgeStateMessage['weightsAges'];
 
 /**
- * Remembers when this node first heard of each target. A node that restarts, or hears late, would count a target's age
- * from then; it takes the longer age from the others, so that an edge which starts after it counts right.
+ * Tracks when each target version was first seen. A control node that restarts or learns of a target late would count
+ * its age from that time, so it adopts the longer ages that other control nodes report. Edges that connect to it then
+ * get the correct age.
  */
 export class TargetWeightsAges {
-  private readonly named = new Map<string, readonly NamedVersion[]>();
+  private readonly versionsByModel = new Map<string, readonly TargetVersion[]>();
 
   constructor(private readonly clock: Clock) {}
 
-  private readonly put = (model: string, version: number, at: number): void => {
-    const held = this.named.get(model) ?? [];
-    const known = held.find((one) => one.version === version);
-    if (known !== undefined && known.at <= at) return;
-    const others = held.filter((one) => one !== known);
-    const versions = [...others, { version, at }].sort((a, b) => a.version - b.version);
-    this.named.set(model, versions.slice(-versionsKept));
+  private readonly add = (model: string, version: number, setAt: number): void => {
+    const versions = this.versionsByModel.get(model) ?? [];
+    const known = versions.find((one) => one.version === version);
+    if (known !== undefined && known.setAt <= setAt) return;
+    const others = versions.filter((one) => one !== known);
+    const sorted = [...others, { version, setAt }].sort((a, b) => a.version - b.version);
+    this.versionsByModel.set(model, sorted.slice(-maxVersionsPerModel));
   };
 
-  /** Takes the targets of the committed state; those that are not known yet are named now. */
+  /** Records the targets of the committed state; the age of a new target starts now. */
   readonly recordTargets = (targetWeights: Readonly<Record<string, number>>): void => {
     const now = this.clock.now();
-    for (const [model, version] of Object.entries(targetWeights)) this.put(model, version, now);
+    for (const [model, version] of Object.entries(targetWeights)) this.add(model, version, now);
   };
 
-  /** Takes what another control node remembers; the longer age of a version counts. */
+  /** Merges the ages that another control node reports; the longer age of each version wins. */
   readonly mergeAges = (ages: WeightsAges): void => {
     const now = this.clock.now();
     for (const [model, list] of Object.entries(ages))
-      for (const { version, msAgo } of list) this.put(model, version, now - msAgo);
+      for (const { version, msAgo } of list) this.add(model, version, now - msAgo);
   };
 
-  /** How long ago the latest versions of each model were named. */
+  /** Returns the ages of the latest 8 target versions of each model. */
   readonly ages = (): WeightsAges => {
     const now = this.clock.now();
     return Object.fromEntries(
-      [...this.named].map(([model, list]) => [
+      [...this.versionsByModel].map(([model, list]) => [
         model,
-        list.map(({ version, at }) => ({ version, msAgo: Math.round(now - at) })),
+        list.map(({ version, setAt }) => ({ version, msAgo: Math.round(now - setAt) })),
       ]),
     );
   };
--- a/packages/control-plane/src/endpoints/claimTable.ts
+++ b/packages/control-plane/src/endpoints/claimTable.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of gateways on idempotency keys, one single-decree Paxos for each key and turn, kept in a log that is trimmed
- * by age.
+ * Claims of gateways on idempotency keys: one instance of single-decree Paxos for each key and turn, stored in a log
+ * that is trimmed by age.
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -27,12 +27,12 @@
 
 interface Entry {
   state: ClaimState;
-  touchedAt: number;
+  updatedAt: number;
   serial: number;
   isDurable: boolean;
 }
 
-const merged = (a: ClaimState, b: ClaimState): ClaimState => {
+const mergeStates = (a: ClaimState, b: ClaimState): ClaimState => {
   if (a.turn !== b.turn) return a.turn > b.turn ? a : b;
   const promised =
     a.promised === null || (b.promised !== null && claimBallots.compare(b.promised, a.promised) > 0)
@@ -46,12 +46,12 @@
 };
 
 /**
- * One voter's promises and votes on claims, each on disk before it is told. Claims older than the retention are
- * forgotten.
+ * Promises and votes of one voter on claims. Each is on disk before it is sent. Claims that have not changed within the
+ * retention period are removed.
  */
 export class ClaimTable {
   private readonly entries = new Map<string, Entry>();
-  private readonly filledAt = new Map<number, number>();
+  private readonly segmentWrittenAt = new Map<number, number>();
   private serial = 0;
 
   constructor(
@@ -61,16 +61,16 @@
     private readonly retentionMs: number,
   ) {}
 
-  /** Restores the claims from disk; called once, before any other method. */
+  /** Restores the claims from disk. Must be called once, before any other method. */
   readonly replay = (records: readonly ClaimRecord[]): void => {
-    for (const [key, state] of records) this.put(key, earlierRecords.claim(state), true);
-    this.filledAt.set(this.wal.currentSegment() - 1, this.clock.now());
+    for (const [key, state] of records) this.set(key, earlierRecords.claim(state), true);
+    this.segmentWrittenAt.set(this.wal.currentSegment() - 1, this.clock.now());
   };
 
-  private readonly put = (key: string, state: ClaimState, isDurable: boolean): Entry => {
-    const held = this.entries.get(key);
-    if (held !== undefined) this.entries.delete(key);
-    const entry = { state, touchedAt: this.clock.now(), serial: ++this.serial, isDurable };
+  private readonly set = (key: string, state: ClaimState, isDurable: boolean): Entry => {
+    const previous = this.entries.get(key);
+    if (previous !== undefined) this.entries.delete(key);
+    const entry = { state, updatedAt: this.clock.now(), serial: ++this.serial, isDurable };
     this.entries.set(key, entry);
     return entry;
   };
@@ -79,57 +79,57 @@
 
   private readonly stateOf = (key: string): ClaimState => this.entries.get(key)?.state ?? empty;
 
-  private readonly keep = async (key: string, state: ClaimState): Promise<boolean> => {
-    const entry = this.put(key, state, false);
+  private readonly persist = async (key: string, state: ClaimState): Promise<boolean> => {
+    const entry = this.set(key, state, false);
     const written = await this.wal.append([key, state] satisfies ClaimRecord);
     if (written.isErr()) {
       this.log.error('log append failed for a claim', { fault: written.error });
       return false;
     }
     entry.isDurable = true;
-    this.filledAt.set(this.wal.currentSegment(), this.clock.now());
+    this.segmentWrittenAt.set(this.wal.currentSegment(), this.clock.now());
     return true;
   };
 
-  private readonly at = (key: string, turn: number): ClaimState => {
+  private readonly stateForTurn = (key: string, turn: number): ClaimState => {
     const state = this.stateOf(key);
     return state.turn < turn ? { turn, promised: null, accepted: null } : state;
   };
 
   /**
-   * Phase 1: promises the ballot for a key's turn unless a higher one was promised; `unavailable` where the disk
-   * failed.
+   * Phase 1: promises the ballot for a key's turn unless an equal or higher one was promised. Returns `unavailable` if
+   * the write failed.
    */
   readonly prepare = async (key: string, turn: number, ballot: ClaimBallot): Promise<ClaimVote> => {
-    const state = this.at(key, turn);
+    const state = this.stateForTurn(key, turn);
     if (state.turn > turn || (state.promised !== null && claimBallots.compare(ballot, state.promised) <= 0))
       return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { ...state, promised: ballot };
-    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
+    return (await this.persist(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
   /**
-   * Phase 2: accepts the claimant for a key's turn unless a higher ballot was promised; `unavailable` where the disk
-   * failed.
+   * Phase 2: accepts the claimant for a key's turn unless a higher ballot was promised. Returns `unavailable` if the
+   * write failed.
    */
   readonly accept = async (key: string, turn: number, ballot: ClaimBallot, claimant: Claimant): Promise<ClaimVote> => {
-    const state = this.at(key, turn);
+    const state = this.stateForTurn(key, turn);
     if (state.turn > turn || claimBallots.isOver(state.promised, ballot))
       return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { turn, promised: ballot, accepted: { ballot, claimant } };
-    return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
+    return (await this.persist(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
   };
 
-  /** Ends a key's turn, so that it can be claimed anew in the next; false where the disk failed. */
+  /** Ends a key's turn, so that the key can be claimed again in the next one; false if the write failed. */
   readonly release = async (key: string, turn: number): Promise<boolean> => {
-    const held = this.stateOf(key);
-    if (held.turn > turn) return this.isDurable(key) || this.keep(key, held);
-    return this.keep(key, { turn: turn + 1, promised: null, accepted: null });
+    const state = this.stateOf(key);
+    if (state.turn > turn) return this.isDurable(key) || this.persist(key, state);
+    return this.persist(key, { turn: turn + 1, promised: null, accepted: null });
   };
 
   /**
-   * Up to 4,000 claims that were changed after the serial number `from`; `next` is the serial number to go on from,
-   * null at the end.
+   * Returns up to 4,000 claims that changed after the serial number `from`. `next` is the serial number to continue
+   * from, null on the last page.
    */
   readonly page = (from: number): ClaimPage => {
     const entries: ClaimRecord[] = [];
@@ -141,32 +141,38 @@
     return { entries, next: null };
   };
 
-  /** Merges another voter's claims into the own ones; false where the disk did not take all of them. */
+  /** Merges another voter's claims into this table; false if not all of them could be written to disk. */
   readonly mergePage = async (page: ClaimPage): Promise<boolean> => {
-    const kept = await Promise.all(
+    const persisted = await Promise.all(
       page.entries.map(async ([key, received]) => {
-        const held = this.stateOf(key);
-        const state = merged(held, received);
-        return this.isDurable(key) && JSON.stringify(state) === JSON.stringify(held) ? true : this.keep(key, state);
+        const current = this.stateOf(key);
+        const state = mergeStates(current, received);
+        return this.isDurable(key) && JSON.stringify(state) === JSON.stringify(current)
+          ? true
+          : this.persist(key, state);
       }),
     );
-    return kept.every(Boolean);
+    return persisted.every(Boolean);
   };
 
-  /** Forgets claims untouched for the retention time, and removes the log segments that hold only such. */
+  /**
+   * Removes claims that have not changed within the retention period, and log segments that contain only such claims.
+   */
   readonly trim = async (): Promise<void> => {
     const now = this.clock.now();
     for (const [key, entry] of this.entries) {
-      if (now - entry.touchedAt <= this.retentionMs) break;
+      if (now - entry.updatedAt <= this.retentionMs) break;
       this.entries.delete(key);
     }
     let keepFrom = this.wal.currentSegment();
-    for (const [segment, at] of this.filledAt) if (now - at <= this.retentionMs) keepFrom = Math.min(keepFrom, segment);
-    for (const segment of [...this.filledAt.keys()]) if (segment < keepFrom) this.filledAt.delete(segment);
+    for (const [segment, writtenAt] of this.segmentWrittenAt)
+      if (now - writtenAt <= this.retentionMs) keepFrom = Math.min(keepFrom, segment);
+    for (const segment of [...this.segmentWrittenAt.keys()])
+      if (segment < keepFrom) this.segmentWrittenAt.delete(segment);
     await this.wal.dropBefore(keepFrom);
   };
 
-  /** Number of claims in memory. */
+  /** Returns the number of claims in memory. */
   readonly size = (): number => this.entries.size;
 
   /** Closes the log. */
@@ -174,7 +180,7 @@
 }
 
 /**
- * Opens the claim table of a node; `retentionMs` is how long a claim is kept. The error is that of the disk, or a
+ * Opens the claim table of a node. `retentionMs` is how long an unchanged claim is kept. The error is a disk error or a
  * damaged log.
  */
 export const claimTables = {
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -1,4 +1,7 @@
-/** Replica records agreed on by a majority of the control nodes, without a log entry: records merge in any order. */
+/**
+ * Replicates replica records to a majority of the control nodes. No log entries are needed, as records merge in any
+ * order.
+ */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
@@ -13,9 +16,9 @@
 
 const timeoutMs = 1_500;
 
-/** Announces records to the other control nodes, learns theirs, and copies whole tables from them. */
+/** Announces records to the other control nodes, fetches theirs, and synchronizes full tables with them. */
 export class ReplicaRegistry {
-  /** The members, by incarnation, whose records and claims were copied since their connection opened. */
+  /** Incarnations of the members whose records and claims were copied since their connection opened. */
   readonly syncedFrom = new Set<string>();
 
   constructor(
@@ -25,22 +28,22 @@
     private readonly peerPool: () => PeerPool,
   ) {}
 
-  private readonly byMajority = (
+  private readonly askMajority = (
     topic: string,
     body: unknown,
-    isHeard: (reply: unknown) => boolean | Promise<boolean>,
+    isConfirmation: (reply: unknown) => boolean | Promise<boolean>,
   ): Promise<boolean> => {
     const members = this.acceptor.agreed()?.members ?? [];
     const majority = majorityOf(members);
     const others = members.filter((member) => member.incarnation !== this.acceptor.incarnation);
     return new Promise((resolve) => {
-      let heard = this.acceptor.isVoter() ? 1 : 0;
-      let open = others.length;
-      const count = (isOne: boolean): void => {
-        open -= 1;
-        if (isOne) heard += 1;
-        if (heard >= majority) resolve(true);
-        else if (open <= 0) resolve(false);
+      let confirmations = this.acceptor.isVoter() ? 1 : 0;
+      let pending = others.length;
+      const count = (isConfirmed: boolean): void => {
+        pending -= 1;
+        if (isConfirmed) confirmations += 1;
+        if (confirmations >= majority) resolve(true);
+        else if (pending <= 0) resolve(false);
       };
       if (others.length === 0) resolve(false);
       for (const member of others) {
@@ -51,52 +54,52 @@
             'quorum call on replicas',
             connection
               .ask(topic, body, timeoutMs)
-              .then(async (reply) => count(reply.isOk() && (await isHeard(reply.value)))),
+              .then(async (reply) => count(reply.isOk() && (await isConfirmation(reply.value)))),
           );
       }
     });
   };
 
   /**
-   * Writes records to this node's disk and a majority's. `unknown`: fewer have confirmed them so far; announcing them
-   * again is safe.
+   * Writes records to the disks of this node and of a majority. Fails with `unknown` if no majority has confirmed them
+   * yet; announcing them again is safe.
    */
   readonly announce = async (records: readonly ReplicaRecord[]): Promise<Result<void, AnnouncementError>> => {
-    const kept = await this.table.merge(records);
-    if (kept.isErr()) return err({ kind: 'announcement', code: 'disk' });
+    const written = await this.table.merge(records);
+    if (written.isErr()) return err({ kind: 'announcement', code: 'disk' });
     const merged = records.flatMap((record) => this.table.find(record.name) ?? []);
-    return (await this.byMajority('replicaNews', merged, (reply) => reply === true))
+    return (await this.askMajority('replicaNews', merged, (reply) => reply === true))
       ? ok(undefined)
       : err({ kind: 'announcement', code: 'unknown' });
   };
 
-  /** Takes in what a majority knows of these replicas; false where no majority replied in time. */
+  /** Merges the records that a majority has of these replicas; false if no majority replied in time. */
   readonly fetchFromMajority = (names: readonly string[]): Promise<boolean> =>
-    this.byMajority(
+    this.askMajority(
       'replicaLook',
       names,
       async (reply) => gatewayMessages.isReplicaRecords(reply) && (await this.mergeRecords(reply)),
     );
 
-  /** What this node knows of these replicas; null where it is no voter. */
+  /** Returns this node's records of these replicas; null if it is not a voter. */
   readonly lookUp = (names: readonly string[]): ReplicaRecord[] | null =>
     this.acceptor.isVoter() ? names.flatMap((name) => this.table.find(name) ?? []) : null;
 
-  /** Merges records of another node; false where the disk failed. */
+  /** Merges records of another node; false if the write failed. */
   readonly mergeRecords = async (records: readonly ReplicaRecord[]): Promise<boolean> =>
     (await this.table.merge(records)).isOk();
 
   /**
-   * Copies the records and claims of a member, and sends it the own records; ends quietly where the member does not
-   * reply.
+   * Copies the records and claims of a member, and sends it this node's records. Returns without an error if the member
+   * does not reply.
    */
   readonly reconcile = async (incarnation: string, peerPool: PeerPool): Promise<void> => {
     const connection = peerPool.to(incarnation);
     if (connection === undefined) return;
     const reply = await connection.ask('replicaTable', this.table.records(), timeoutMs);
     if (reply.isErr() || !gatewayMessages.isReplicaRecords(reply.value)) return;
-    const kept = await this.table.merge(reply.value);
-    if (kept.isErr()) return;
+    const merged = await this.table.merge(reply.value);
+    if (merged.isErr()) return;
     for (let from: number | null = 0; from !== null; ) {
       const page = await connection.ask('claimPage', from, timeoutMs);
       if (page.isErr() || !gatewayMessages.isClaimPage(page.value)) return;
--- a/packages/control-plane/src/endpoints/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -1,4 +1,4 @@
-/** The replica records of a gateway control node, in a log of their own. */
+/** Stores the replica records of a gateway control node in a separate log. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { CommandQueue, replicas } from '@martenworks/core-types';
@@ -9,7 +9,7 @@
 
 const segmentsBeforeSnapshot = 4;
 
-/** One record for each replica, by name; a record is on disk before its watchers see it. */
+/** One record for each replica, by name. A record is on disk before watchers see it. */
 export class ReplicaTable {
   private readonly queue = new CommandQueue();
   private readonly byName = new Map<string, ReplicaRecord>();
@@ -20,53 +20,53 @@
     private readonly log: Log,
   ) {}
 
-  /** Restores the records from disk; called once, before any other method. */
+  /** Restores the records from disk. Must be called once, before any other method. */
   readonly replay = (records: readonly ReplicaRecord[]): void => {
     for (const record of records)
       this.byName.set(record.name, replicas.merge(this.byName.get(record.name), replicas.filled(record)));
   };
 
-  /** Calls the listener with each set of records that changed. */
+  /** Calls the listener with the changed records after each merge. */
   readonly watch = (listener: (records: readonly ReplicaRecord[]) => void): void => void this.watchers.push(listener);
 
-  /** Merges records and gives those that were new. On a failed write the records before it stay merged. */
+  /** Merges records and returns those that changed. After a failed write, the records before it stay merged. */
   readonly merge = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
     this.queue.run(async () => {
-      const update = records
+      const changed = records
         .filter((record) => replicas.isNews(this.byName.get(record.name), record))
         .map((record) => replicas.merge(this.byName.get(record.name), record));
-      if (update.length === 0) return ok(update);
-      const kept: ReplicaRecord[] = [];
-      for (const record of update) {
-        const written = await this.wal.append(record);
-        if (written.isErr()) {
-          this.log.error('log append failed for a replica record', { fault: written.error });
-          this.tellWatchers(kept);
-          return err(written.error);
+      if (changed.length === 0) return ok(changed);
+      const written: ReplicaRecord[] = [];
+      for (const record of changed) {
+        const appended = await this.wal.append(record);
+        if (appended.isErr()) {
+          this.log.error('log append failed for a replica record', { fault: appended.error });
+          this.notifyWatchers(written);
+          return err(appended.error);
         }
         this.byName.set(record.name, record);
-        kept.push(record);
+        written.push(record);
       }
-      this.tellWatchers(kept);
+      this.notifyWatchers(written);
       if (this.wal.segmentCount() > segmentsBeforeSnapshot) await this.wal.snapshot(this.records);
-      return ok(update);
+      return ok(changed);
     });
 
-  private readonly tellWatchers = (kept: readonly ReplicaRecord[]): void => {
-    if (kept.length > 0) for (const watcher of this.watchers) watcher(kept);
+  private readonly notifyWatchers = (records: readonly ReplicaRecord[]): void => {
+    if (records.length > 0) for (const watcher of this.watchers) watcher(records);
   };
 
-  /** All records. */
+  /** Returns all records. */
   readonly records = (): ReplicaRecord[] => [...this.byName.values()];
 
-  /** The record of this name, if there is one. */
+  /** Returns the record with this name, if there is one. */
   readonly find = (name: string): ReplicaRecord | undefined => this.byName.get(name);
 
   /** Closes the log. */
   readonly close = (): Promise<void> => this.wal.close();
 }
 
-/** Opens the replica table of a node. The error is that of the disk, or a damaged log. */
+/** Opens the replica table of a node. The error is a disk error or a damaged log. */
 export const replicaTables = {
   open: async (disk: Disk, log: Log): Promise<Result<ReplicaTable, WriteAheadLogError>> => {
     const opened = await writeAheadLogs.open(disk, logPrefixes.replicas);
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The control plane: consensus on the configuration, membership, endpoint lists, prefix caches, and the two kinds of
- * node that run it.
+ * The control plane: consensus on the configuration, cluster membership, endpoint lists, prefix caches, and the two
+ * kinds of control node.
  */
 export * from './consensus/acceptor.js';
 export * from './consensus/ballots.js';
--- a/packages/control-plane/src/messages/edgeMessages.ts
+++ b/packages/control-plane/src/messages/edgeMessages.ts
@@ -1,4 +1,4 @@
-/** Checks of the messages that edges send to a control node, and that control nodes relay to each other for them. */
+/** Checks for messages that edges send to a control node, and that control nodes relay to each other for edges. */
 import type {
   CacheMissReport,
   EdgePing,
@@ -56,7 +56,7 @@
 const isWeightsAges = (value: unknown): value is WeightsAgesMessage =>
   isObject(value) && isRecordOf(isListOf(isWeightsAge))(value.weightsAges);
 
-/** True where a body has the shape of the message; others are ignored by the node, as unknown topics are. */
+/** Type guards for message bodies. Control nodes ignore malformed messages, like those with unknown topics. */
 export const edgeMessages = {
   isStatePosition,
   isSubscription,
--- a/packages/control-plane/src/messages/gatewayMessages.ts
+++ b/packages/control-plane/src/messages/gatewayMessages.ts
@@ -1,4 +1,4 @@
-/** Checks of the messages that gateways and gateway control nodes send to a gateway control node. */
+/** Checks for messages that gateways and gateway control nodes send to a gateway control node. */
 import type {
   Claimant,
   ClaimAccepted,
@@ -15,7 +15,7 @@
 import { messageChecks } from './messageChecks.js';
 import type { RelayedKvEvents } from '../prefixcache/kvEventFollower.js';
 
-/** Which turn of a claim key a message is about. */
+/** The key and turn of a claim that a message refers to. */
 interface ClaimTurn {
   readonly key: string;
   readonly turn: number;
@@ -112,7 +112,7 @@
   isTexts(value.scopes) &&
   isListOf(isIndexBlock)(value.blocks);
 
-/** True where a body has the shape of the message; others are ignored by the node, as unknown topics are. */
+/** Type guards for message bodies. Control nodes ignore malformed messages, like those with unknown topics. */
 export const gatewayMessages = {
   isLoadReport,
   isRelayedKvEvents,
--- a/packages/control-plane/src/messages/messageChecks.ts
+++ b/packages/control-plane/src/messages/messageChecks.ts
@@ -1,9 +1,9 @@
-/** Building blocks for checks of message bodies that came from another process, which may be of any shape. */
+/** Building blocks for type guards of message bodies, which arrive from other processes and can have any shape. */
 
-/** True where a value that came from another process has the type. */
+/** Returns whether a value received from another process has the type. */
 export type MessageCheck<T> = (value: unknown) => value is T;
 
-/** An object whose fields are not checked yet. */
+/** An object with fields that are not checked yet. */
 type UncheckedFields = Record<string, unknown>;
 
 const isObject = (value: unknown): value is UncheckedFields => typeof value === 'object' && value !== null;
@@ -28,7 +28,7 @@
   (value): value is T | null =>
     value === null || check(value);
 
-/** Checks of plain values, and of lists, records and nullable values made of them. */
+/** Type guards for primitive values, and for lists, records and nullable values composed of other guards. */
 export const messageChecks = {
   isObject,
   isText,
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -1,4 +1,4 @@
-/** A control node of the platform's edges: the consensus member with all that it publishes to edges. */
+/** A control node for the platform's edges: a consensus member that publishes state and content to edges. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { RepeatingTimer } from '@martenworks/core-types';
@@ -36,7 +36,7 @@
 import { WeightsRollout } from '../weights/weightsRollout.js';
 
 const handoverShare = 0.5;
-const weightsStepMs = 60;
+const weightsStepIntervalMs = 60;
 const { confirmTimeoutMs, weightsLease } = controlNodeSettings;
 
 const consensusPace: ConsensusPace = {
@@ -44,31 +44,31 @@
   dialPace: { timeoutMs: 700, longestWaitMs: 400 },
 };
 
-/** Wires the parts of a control node together and dispatches the messages of edges and other control nodes. */
+/** Connects the components of a control node, and dispatches messages from edges and other control nodes. */
 export class ControlNode {
-  /** The nodes this one has heard of. */
+  /** The nodes that this node knows of. */
   readonly memberList: MemberList;
-  /** The held connections to other control nodes. */
+  /** Connections to other control nodes. */
   readonly peerPool: PeerPool;
-  /** Gets changes committed. */
+  /** Proposes changes to the consensus group. */
   readonly proposer: Proposer;
-  /** Takes the operator's changes. */
+  /** Proposes operators' configuration changes. */
   readonly configService: ConfigService;
-  /** Sends edges the committed state and content. */
+  /** Sends the committed state and content to edges. */
   readonly statePublisher: StatePublisher;
-  /** The platform's list of replica endpoints. */
+  /** Reads the platform's list of replica endpoints. */
   readonly endpointList: EndpointListReader;
-  /** What replicas and stores keep in their prefix caches. */
+  /** Tracks the contents of the prefix caches of replicas and stores. */
   readonly prefixCaches: PrefixCacheFollower;
-  /** Relays notices of long prompts between edges. */
+  /** Relays notices of long prefills between edges. */
   readonly prefillNotices: PrefillNoticeRelay;
   /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
-  /** Loads new weights onto replicas while this node holds the lease for it. */
+  /** Loads new weights onto replicas while this node holds the weights lease. */
   readonly weightsRollout: WeightsRollout;
   private readonly consensus: ConsensusMember;
-  private readonly namedWeights: TargetWeightsAges;
-  private readonly weightsStep: RepeatingTimer;
+  private readonly targetWeightsAges: TargetWeightsAges;
+  private readonly weightsTimer: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
@@ -76,9 +76,9 @@
     readonly settings: NodeSettings,
     /** Clock, network, disk, random numbers and log. */
     readonly ports: Ports,
-    /** Calls on the platform and on replicas. */
+    /** Client for the platform and replicas. */
     readonly backendClient: BackendClient,
-    /** This node's vote and committed state. */
+    /** This node's votes and committed state. */
     readonly acceptor: Acceptor,
     private readonly leases: PersistedLeases,
     terms: LeaseTerms,
@@ -99,23 +99,23 @@
     this.configService = new ConfigService(this.proposer);
     this.endpointList = this.createEndpointList();
     this.prefixCaches = this.createPrefixCaches();
-    this.prefillNotices = new PrefillNoticeRelay(clock, (bundle) => {
-      this.statePublisher.sendToContentEdges('prefill', bundle);
-      this.consensus.tellPeers('prefillRelay', bundle);
+    this.prefillNotices = new PrefillNoticeRelay(clock, (batch) => {
+      this.statePublisher.sendToContentEdges('prefill', batch);
+      this.consensus.tellPeers('prefillRelay', batch);
     });
-    this.namedWeights = new TargetWeightsAges(clock);
+    this.targetWeightsAges = new TargetWeightsAges(clock);
     this.statePublisher = new StatePublisher(
       acceptor,
       clock,
       this.endpointList.ageMs,
       this.sendContent,
-      this.namedWeights,
+      this.targetWeightsAges,
     );
     this.weightsRollout = this.createWeightsRollout();
     this.consensus.start();
     acceptor.watch(this.alignPrefixCaches);
     this.alignPrefixCaches();
-    this.weightsStep = new RepeatingTimer(clock, () => weightsStepMs, this.weightsRollout.step);
+    this.weightsTimer = new RepeatingTimer(clock, () => weightsStepIntervalMs, this.weightsRollout.step);
   }
 
   private readonly createEndpointList = (): EndpointListReader => {
@@ -151,7 +151,7 @@
       clock,
       log,
       this.endpointList.all,
-      this.wantedWeights,
+      this.weightTargets,
       () => this.leaseManager.fenceOf(weightsLease),
       () => this.settings.name,
       (update) => this.statePublisher.sendToAll('weights', update),
@@ -159,14 +159,16 @@
     );
   };
 
-  /** Sends an edge that now takes its content from this node the endpoint list and the prefix caches as a whole. */
+  /**
+   * Sends the full endpoint list and prefix cache contents to an edge that now uses this node as its content source.
+   */
   private readonly sendContent = (connection: PeerConnection): void => {
     if (this.endpointList.ageMs() !== null)
       connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
     connection.tell('prefixCaches', this.prefixCaches.snapshot());
   };
 
-  /** What this node says of itself when a connection opens. */
+  /** Returns the handshake message that this node sends when a connection opens. */
   readonly hello = (): Hello =>
     hellos.of(
       'control',
@@ -180,7 +182,7 @@
       this.acceptor.incarnation,
     );
 
-  /** Listens for peers; the error is that of the address. */
+  /** Starts listening for peers; the error is that of binding the address. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -196,7 +198,7 @@
     return ok(undefined);
   };
 
-  private readonly wantedWeights = (): { pool: string; model: string; version: number }[] => {
+  private readonly weightTargets = (): { pool: string; model: string; version: number }[] => {
     const state = this.acceptor.agreed();
     return (state?.routing?.table.pools ?? []).flatMap(({ name, engine }) =>
       (engine?.models ?? []).flatMap((model) => {
@@ -209,25 +211,25 @@
   private readonly alignPrefixCaches = (): void => {
     const routingTable = this.acceptor.agreed()?.routing?.table;
     if (routingTable === undefined) return;
-    const engines = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
+    const enginePools = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
     const voters = this.consensus.reachableVoters();
-    const isMine = (address: string): boolean =>
+    const isAssigned = (address: string): boolean =>
       rendezvousHashing.isAssigned(address, this.acceptor.incarnation, voters);
     this.prefixCaches.align(
       new Set([
         ...this.endpointList
           .all()
-          .filter((endpoint) => engines.has(endpoint.pool))
+          .filter((endpoint) => enginePools.has(endpoint.pool))
           .map((endpoint) => endpoint.address),
         ...routingTable.stores.map((store) => store.address),
       ]),
-      isMine,
+      isAssigned,
     );
     if (!this.settings.detectsStaleEntries) return;
-    const lives = new Map<string, Set<string>>();
+    const idsByAddress = new Map<string, Set<string>>();
     for (const { address, id } of this.endpointList.all())
-      lives.set(address, (lives.get(address) ?? new Set()).add(id));
-    for (const [address, ids] of lives) this.prefixCaches.updateReplicaIds(address, ids);
+      idsByAddress.set(address, (idsByAddress.get(address) ?? new Set()).add(id));
+    for (const [address, ids] of idsByAddress) this.prefixCaches.updateReplicaIds(address, ids);
   };
 
   private readonly prepareUpkeep = async (): Promise<void> => {
@@ -249,15 +251,15 @@
     joined: (connection) => {
       if (connection.peer?.role !== 'control') return;
       connection.tell('prefixCacheRelay', this.prefixCaches.followedSnapshot());
-      connection.tell('weightsAges', { weightsAges: this.namedWeights.ages() } satisfies WeightsAgesMessage);
+      connection.tell('weightsAges', { weightsAges: this.targetWeightsAges.ages() } satisfies WeightsAgesMessage);
     },
     left: (connection) => this.statePublisher.unsubscribe(connection),
-    told: this.takeMessage,
-    asked: this.answer,
+    told: this.handleMessage,
+    asked: this.handleRequest,
   });
 
-  /** Takes a message of an edge or another control node; one that is malformed or of an unknown topic is ignored. */
-  private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
+  /** Handles a message from an edge or another control node; malformed messages and unknown topics are ignored. */
+  private readonly handleMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
     switch (topic) {
       case 'subscribe':
         if (edgeMessages.isSubscription(body)) this.statePublisher.subscribe(connection, body);
@@ -269,7 +271,7 @@
         if (edgeMessages.isPrefixCacheUpdates(body)) this.prefixCaches.applyRelayed(body);
         return;
       case 'weightsAges':
-        if (edgeMessages.isWeightsAges(body)) this.namedWeights.mergeAges(body.weightsAges);
+        if (edgeMessages.isWeightsAges(body)) this.targetWeightsAges.mergeAges(body.weightsAges);
         return;
       case 'prefill':
         if (edgeMessages.isPrefillNotice(body)) this.prefillNotices.add(body);
@@ -278,36 +280,43 @@
         if (edgeMessages.isPrefillNotices(body)) this.statePublisher.sendToContentEdges('prefill', body);
         return;
       case 'cacheMiss':
-        if (edgeMessages.isCacheMissReport(body)) this.takeCacheMiss(connection, body);
+        if (edgeMessages.isCacheMissReport(body)) this.handleCacheMiss(connection, body);
         return;
       case 'cacheMissRelay':
-        if (edgeMessages.isCacheMissReport(body)) this.takeRelayedCacheMiss(body);
+        if (edgeMessages.isCacheMissReport(body)) this.handleRelayedCacheMiss(body);
         return;
     }
   };
 
-  private readonly takeCacheMiss = (connection: PeerConnection, report: CacheMissReport): void => {
+  private readonly handleCacheMiss = (connection: PeerConnection, report: CacheMissReport): void => {
     this.prefixCaches.handleCacheMiss(report);
     this.statePublisher.sendToOtherContentEdges(connection, 'cacheMiss', report);
     this.consensus.tellPeers('cacheMissRelay', report);
   };
 
-  private readonly takeRelayedCacheMiss = (report: CacheMissReport): void => {
+  private readonly handleRelayedCacheMiss = (report: CacheMissReport): void => {
     this.prefixCaches.handleCacheMiss(report);
     this.statePublisher.sendToContentEdges('cacheMiss', report);
   };
 
-  /** Answers an edge; null for a request that is malformed or of an unknown topic. */
-  private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+  /** Returns the reply to a request of an edge; null if the request is malformed or its topic unknown. */
+  private readonly handleRequest = async (
+    connection: PeerConnection,
+    topic: string,
+    body: unknown,
+  ): Promise<unknown> => {
     if (topic === 'ping' && edgeMessages.isEdgePing(body))
       return this.statePublisher.handlePing(connection, body, this.consensus.majorityHeardMs());
     if (topic === 'state' && edgeMessages.isStatePosition(body)) return this.statePublisher.stateFor(body);
     return null;
   };
 
-  /** The newest committed state, after finishing what a majority had accepted; null where no majority replied in time. */
+  /**
+   * Returns the newest committed state, after committing what a majority had accepted; null if no majority replied in
+   * time.
+   */
   readonly confirmedState = async (): Promise<CommittedState | null> => {
-    const askedAt = this.ports.clock.now();
+    const startedAt = this.ports.clock.now();
     const state = await this.proposer.confirm(confirmTimeoutMs);
     if (state === null)
       this.ports.log.warn('read not confirmed by a majority', {
@@ -316,15 +325,15 @@
         reachable: this.consensus.reachableVoters().length,
         pendingMs: this.acceptor.pendingForMs(),
         proposals: this.proposer.depth(),
-        afterMs: Math.round(this.ports.clock.now() - askedAt),
+        afterMs: Math.round(this.ports.clock.now() - startedAt),
       });
     return state;
   };
 
-  /** Whether this node may take requests: it stays, and reaches a majority of the members. */
+  /** Whether this node can serve requests: it is not leaving the cluster, and reaches a majority of the members. */
   readonly isReady = (): boolean => !this.consensus.isLeaving() && this.consensus.reachesMajority();
 
-  /** The status page's content, as JSON values. Times in milliseconds. */
+  /** Returns the content of the status page as JSON values. Times in milliseconds. */
   readonly status = (): Record<string, unknown> => {
     const state = this.acceptor.agreed();
     return {
@@ -347,13 +356,16 @@
     };
   };
 
-  /** Hands the seat over by agreement, gives up the leases and tells the others, within a share of the drain time; to be called before `stop`. */
+  /**
+   * Hands over the voting membership by a committed membership change, releases the leases and notifies the other
+   * nodes, within half of the drain time. To be called before `stop`.
+   */
   readonly leave = (): Promise<void> => this.consensus.leave(this.settings.drainMs * handoverShare);
 
-  /** Ends all work and closes the logs; `leave` comes first where the node is to hand over its seat. */
+  /** Stops all work and closes the logs. Call `leave` first if the node should hand over its voting membership. */
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
-    this.weightsStep.stop();
+    this.weightsTimer.stop();
     this.endpointList.stop();
     this.prefixCaches.stop();
     this.consensus.resign();
@@ -364,7 +376,7 @@
   };
 }
 
-/** Starts control nodes from their logs; `seeds` are addresses to dial before any member is known. */
+/** Starts control nodes from their logs. `seeds` are the addresses to connect to while no member is known. */
 export const controlNodes = {
   start: async (
     settings: NodeSettings,
--- a/packages/control-plane/src/nodes/controlNodeSettings.ts
+++ b/packages/control-plane/src/nodes/controlNodeSettings.ts
@@ -1,4 +1,6 @@
-/** Timing of a control node's consensus and leases, shared with the model check so that it explores the same values. */
+/**
+ * Timing of a control node's consensus and leases. The model checker uses it too, so that it explores the same values.
+ */
 import type { LeaseTerms } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
 import type { ConsensusPace } from '../consensus/consensusOptions.js';
@@ -12,10 +14,10 @@
   /** How long a confirmed read may take, in milliseconds. */
   confirmTimeoutMs: 700,
 
-  /** Name of the lease whose holder loads weights. */
+  /** Name of the lease whose holder loads weights onto replicas. */
   weightsLease: 'weights',
 
-  /** Timing of the consensus group's steps. */
+  /** Intervals and timeouts of the consensus group. */
   consensusPace: {
     voteTimeoutMs: 800,
     foundingMs: 150,
@@ -28,8 +30,8 @@
   } satisfies ConsensusPace,
 
   /**
-   * Terms of the leases; `orderGapMs` milliseconds lie between two holders of one. Fencing tokens start above all that
-   * may have been granted at earlier log indexes, so that they rise across a loss of every lease log.
+   * Lease terms, with a gap of `orderGapMs` milliseconds between successive holders of a lease. Fencing tokens start
+   * above all that may have been granted at earlier log indexes, so that they increase even if every lease log is lost.
    */
   leaseTerms: (acceptor: Acceptor, orderGapMs: number): LeaseTerms => ({
     leaseMs,
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -1,6 +1,4 @@
-/**
- * A control node of gateways: the consensus member with replica records, claims, prefix indexes and failure detection.
- */
+/** A control node for gateways: a consensus member with replica records, claims, prefix index and failure detection. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, RepeatingTimer } from '@martenworks/core-types';
@@ -33,7 +31,7 @@
 const { isNumber, isText, isTexts } = messageChecks;
 const snapshotTimeoutMs = 1_000;
 const confirmTimeoutMs = 700;
-const trimMs = 5_000;
+const trimIntervalMs = 5_000;
 
 const consensusPace: ConsensusPace = {
   voteTimeoutMs: 1_000,
@@ -47,34 +45,32 @@
 
 const kvLease = (replica: string): string => `kv/${replica}`;
 
-/**
- * Wires the parts of a gateway control node together and dispatches the messages of gateways and other control nodes.
- */
+/** Connects the components of a gateway control node, and dispatches messages from gateways and other control nodes. */
 export class GatewayControlNode {
-  /** The nodes this one has heard of. */
+  /** The nodes that this node knows of. */
   readonly memberList: MemberList;
-  /** The held connections to other nodes. */
+  /** Connections to other nodes. */
   readonly peerPool: PeerPool;
-  /** Gets changes committed. */
+  /** Proposes changes to the consensus group. */
   readonly proposer: Proposer;
-  /** Takes the operators' changes. */
+  /** Proposes operators' changes. */
   readonly changeService: ChangeService;
-  /** Sends gateways the committed state and content. */
+  /** Sends the committed state and content to gateways. */
   readonly gatewayPublisher: GatewayPublisher;
-  /** Agrees on replica records with the other control nodes. */
+  /** Replicates replica records to the other control nodes. */
   readonly replicaRegistry: ReplicaRegistry;
-  /** Which isolation sides each replica serves. */
+  /** Tracks which isolation sides each replica serves. */
   readonly isolationRegistry: IsolationRegistry;
   /** Follows the cache events of the replicas whose lease this node holds. */
   readonly kvEventFollower: KvEventFollower;
   /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
-  /** Watches the nodes that the ring assigns to this one. */
+  /** Monitors the nodes that the ring assigns to this one. */
   readonly failureDetector: FailureDetector;
-  /** Which nodes count as down, by the reports of those that watch them. */
+  /** Decides which nodes count as down, by the reports of the nodes that monitor them. */
   readonly failureVerdicts: FailureVerdicts;
   private readonly consensus: ConsensusMember;
-  private readonly trimStep: RepeatingTimer;
+  private readonly trimTimer: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
@@ -82,7 +78,7 @@
     readonly settings: GatewaySettings,
     /** Clock, network, disk, random numbers and log. */
     readonly ports: Ports,
-    /** This node's vote and committed state. */
+    /** This node's votes and committed state. */
     readonly acceptor: Acceptor,
     /** The replica records. */
     readonly replicaTable: ReplicaTable,
@@ -119,9 +115,9 @@
     });
     this.kvEventFollower.align(replicaTable.records());
     this.consensus.start();
-    this.trimStep = new RepeatingTimer(
+    this.trimTimer = new RepeatingTimer(
       clock,
-      () => trimMs,
+      () => trimIntervalMs,
       () => background.run('trim claims', claimTable.trim()),
     );
   }
@@ -129,15 +125,15 @@
   private readonly createKvEventFollower = (): KvEventFollower =>
     new KvEventFollower(
       this.ports,
-      (update) => this.gatewayPublisher.sendCacheEvents(update),
+      (events) => this.gatewayPublisher.sendCacheEvents(events),
       (relayed) => this.consensus.tellPeers('kvRelay', relayed),
       (replica) => this.leaseManager.fenceOf(kvLease(replica)),
     );
 
-  /** What this node says of itself when a connection opens. */
+  /** Returns the handshake message that this node sends when a connection opens. */
   readonly hello = (): Hello => hellos.of('control', this.settings, this.acceptor.incarnation);
 
-  /** Listens for peers; the error is that of the address. */
+  /** Starts listening for peers; the error is that of binding the address. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -166,7 +162,7 @@
       const { incarnation } = connection.peer;
       if (!this.replicaRegistry.syncedFrom.has(incarnation)) {
         await this.replicaRegistry.reconcile(incarnation, this.peerPool);
-        await this.borrowSnapshots(
+        await this.fetchSnapshots(
           connection,
           this.replicaTable.records().map((record) => record.name),
         );
@@ -175,18 +171,18 @@
     await this.consensus.catchUp.step();
   };
 
-  private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
+  private readonly fetchSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
     const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
     if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
     this.gatewayPublisher.sendSnapshots(this.kvEventFollower.restoreSnapshots(reply.value));
   };
 
   private readonly repairIndex = async (): Promise<void> => {
-    const broken = this.kvEventFollower.replicasWithGaps();
-    if (broken.length === 0) return;
+    const names = this.kvEventFollower.replicasWithGaps();
+    if (names.length === 0) return;
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
-      await this.borrowSnapshots(connection, broken);
+      await this.fetchSnapshots(connection, names);
     }
   };
 
@@ -208,12 +204,12 @@
       this.gatewayPublisher.unsubscribe(connection);
       if (connection.peer !== null) this.replicaRegistry.syncedFrom.delete(connection.peer.incarnation);
     },
-    told: this.takeMessage,
-    asked: this.answer,
+    told: this.handleMessage,
+    asked: this.handleRequest,
   });
 
-  /** Takes a message of a gateway or another control node; one that is malformed or of an unknown topic is ignored. */
-  private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
+  /** Handles a message from a gateway or another control node; malformed messages and unknown topics are ignored. */
+  private readonly handleMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
     switch (topic) {
       case 'subscribe':
         if (isNumber(body)) this.gatewayPublisher.subscribe(connection, body);
@@ -243,8 +239,12 @@
     for (const snapshot of this.kvEventFollower.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
   };
 
-  /** Answers a gateway or another control node; null for a request that is malformed or of an unknown topic. */
-  private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+  /** Returns the reply to a gateway or another control node; null if the request is malformed or its topic unknown. */
+  private readonly handleRequest = async (
+    connection: PeerConnection,
+    topic: string,
+    body: unknown,
+  ): Promise<unknown> => {
     switch (topic) {
       case 'ping':
         return gatewayMessages.isLoadReport(body) ? this.gatewayPublisher.handlePing(connection, body) : null;
@@ -259,7 +259,7 @@
       case 'claimPage':
         return isNumber(body) ? this.claimTable.page(body) : null;
       default:
-        return this.acceptor.isVoter() ? this.answerAsVoter(topic, body) : null;
+        return this.acceptor.isVoter() ? this.handleVoterRequest(topic, body) : null;
     }
   };
 
@@ -268,8 +268,8 @@
     return this.replicaTable.records();
   };
 
-  /** Answers the requests that only a voter may answer. */
-  private readonly answerAsVoter = async (topic: string, body: unknown): Promise<unknown> => {
+  /** Handles the requests that only a voter may answer. */
+  private readonly handleVoterRequest = async (topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case 'admitSides':
         return gatewayMessages.isIsolationClaims(body) ? this.isolationRegistry.recordClaims(body) : null;
@@ -291,19 +291,19 @@
     return { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } };
   };
 
-  /** The newest committed state, or null where no majority of voters confirmed it within 700 ms. */
+  /** Returns the newest committed state; null if no majority of voters confirmed it within 700 ms. */
   readonly confirmedState = (): Promise<CommittedState | null> => this.proposer.confirm(confirmTimeoutMs);
 
-  /** Number of voters with an open connection, this node counted if it is one. */
+  /** Returns the number of voters with an open connection, including this node if it is a voter. */
   readonly reachableVoterCount = (): number => this.consensus.reachableVoters().length;
 
-  /** Whether this node may take requests: it reaches a majority of the members. */
+  /** Whether this node can serve requests: it reaches a majority of the members. */
   readonly isReady = (): boolean => this.consensus.reachesMajority();
 
-  /** Ends all work and closes the logs. */
+  /** Stops all work and closes the logs. */
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
-    this.trimStep.stop();
+    this.trimTimer.stop();
     this.consensus.resign();
     this.failureDetector.stop();
     this.kvEventFollower.stop();
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -1,4 +1,4 @@
-/** Follows the cache events of replicas for gateways: each replica by the control node that holds its lease. */
+/** Follows the KV cache events of replicas for gateways. Each replica is followed by the holder of its lease. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { KvCacheEvent, Ports, ReplicaRecord } from '@martenworks/core-types';
 import { kvFollow } from '@martenworks/upstream';
@@ -7,10 +7,10 @@
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { FenceGate } from '@martenworks/cluster-membership';
 
-const bundleMs = 20;
-const ageLimitMs = 3_600_000;
+const batchIntervalMs = 20;
+const maxAgeMs = 3_600_000;
 
-/** Events that another control node followed, with the fencing token of its lease for each replica. */
+/** Events from another control node, with the fencing token of its lease on each replica. */
 export interface RelayedKvEvents {
   readonly fences: Record<string, number>;
   readonly events: readonly KvCacheEvent[];
@@ -21,54 +21,54 @@
   readonly follower: Follower;
 }
 
-/** Keeps the prefix index, sends gateways its events in bundles, and relays them to the other control nodes. */
+/** Maintains the prefix index, sends its events to gateways in batches, and relays them to other control nodes. */
 export class KvEventFollower {
-  private readonly index = new PrefixIndex(ageLimitMs);
+  private readonly index = new PrefixIndex(maxAgeMs);
   private readonly followed = new Map<string, Followed>();
-  private readonly gate = new FenceGate();
-  private bundle: KvCacheEvent[] = [];
-  private readonly bundleTimer: RepeatingTimer;
+  private readonly fenceGate = new FenceGate();
+  private batch: KvCacheEvent[] = [];
+  private readonly batchTimer: RepeatingTimer;
 
   constructor(
     private readonly ports: Ports,
-    private readonly tell: (update: readonly KvCacheEvent[]) => void,
+    private readonly sendToGateways: (events: readonly KvCacheEvent[]) => void,
     private readonly relay: (relayed: RelayedKvEvents) => void,
     private readonly fenceOf: (replica: string) => number | null,
   ) {
-    this.bundleTimer = new RepeatingTimer(ports.clock, () => bundleMs, this.sendBundle);
+    this.batchTimer = new RepeatingTimer(ports.clock, () => batchIntervalMs, this.sendBatch);
   }
 
-  private readonly sendBundle = (): void => {
-    if (this.bundle.length === 0) return;
-    const update = this.bundle;
-    this.bundle = [];
-    this.tell(update);
+  private readonly sendBatch = (): void => {
+    if (this.batch.length === 0) return;
+    const events = this.batch;
+    this.batch = [];
+    this.sendToGateways(events);
     const fences: Record<string, number> = {};
-    for (const { replica } of update) {
+    for (const { replica } of events) {
       const fence = this.fenceOf(replica);
       if (fence !== null) fences[replica] = fence;
     }
-    this.relay({ fences, events: update });
+    this.relay({ fences, events });
   };
 
-  /** Takes in another node's events; those under a fencing token below the highest one seen are dropped. */
-  readonly applyRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
+  /** Applies events from another control node; those with a fencing token below the highest one seen are dropped. */
+  readonly applyRelayed = ({ fences, events }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
-    const admitted = update.filter(
-      ({ replica }) => fences[replica] !== undefined && this.gate.admits(replica, fences[replica]),
+    const admitted = events.filter(
+      ({ replica }) => fences[replica] !== undefined && this.fenceGate.admits(replica, fences[replica]),
     );
-    for (const one of admitted) this.index.take(one, now);
-    if (admitted.length > 0) this.tell(admitted);
+    for (const event of admitted) this.index.take(event, now);
+    if (admitted.length > 0) this.sendToGateways(admitted);
   };
 
-  /** Replicas whose events have a gap, so that a whole index is needed. */
+  /** Returns the replicas whose events have a gap, so that a full index snapshot is needed. */
   readonly replicasWithGaps = (): string[] => this.index.broken();
 
-  /** Restores whole indexes and gives those that were newer than the own ones. */
+  /** Restores index snapshots, and returns those that were newer than the index of this node. */
   readonly restoreSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
     snapshots.filter((snapshot) => this.index.restore(snapshot, this.ports.clock.now()));
 
-  /** Follows exactly the replicas that are present and whose lease this node holds. */
+  /** Follows exactly those replicas that are not removed and whose lease this node holds. */
   readonly align = (records: readonly ReplicaRecord[]): void => {
     this.index.reconcile(records, () => 0);
     const wanted = new Map(
@@ -92,33 +92,33 @@
         record.name,
         record.address,
         () => this.index.seqOf(record.name, record.incarnation),
-        this.take,
+        this.handleEvent,
       );
       this.followed.set(record.name, { incarnation: record.incarnation, follower });
     }
   };
 
-  private readonly take = (update: KvCacheEvent): void => {
-    if (this.fenceOf(update.replica) === null) return;
-    this.index.take(update, this.ports.clock.now());
-    this.bundle.push(update);
+  private readonly handleEvent = (event: KvCacheEvent): void => {
+    if (this.fenceOf(event.replica) === null) return;
+    this.index.take(event, this.ports.clock.now());
+    this.batch.push(event);
   };
 
-  /** Whole indexes of the named replicas; of all that have events where no names are given. */
+  /** Returns the complete index snapshots of the named replicas, or without names those of all replicas with events. */
   readonly snapshots = (names: readonly string[] | null = null): PrefixIndexSnapshot[] =>
     this.index
       .snapshot(this.ports.clock.now())
       .filter((snapshot) => (names === null ? snapshot.seq > 0 : names.includes(snapshot.replica) && snapshot.isWhole));
 
-  /** Number of replicas that this node follows. */
+  /** Returns the number of replicas that this node follows. */
   readonly followedCount = (): number => this.followed.size;
 
-  /** Sizes of the index, for the status page. */
+  /** Returns the sizes of the index, for the status page. */
   readonly sizes = (): ReturnType<PrefixIndex['sizes']> => this.index.sizes();
 
-  /** Ends the following and the sending of bundles. */
+  /** Stops following replicas and sending batches. */
   readonly stop = (): void => {
-    this.bundleTimer.stop();
+    this.batchTimer.stop();
     for (const followed of this.followed.values()) followed.follower.stop();
   };
 }
--- a/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
+++ b/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
@@ -1,35 +1,38 @@
-/** Relays edges' notices of long prompts that a replica is reading, in bundles. */
+/** Relays edges' notices of long prefills on replicas, in batches. */
 import type { Clock, PrefillNotice } from '@martenworks/core-types';
 
-const bundleMs = 15;
-const bundleLimit = 2_000;
+const batchDelayMs = 15;
+const maxBatchSize = 2_000;
 
-/** Gathers for some milliseconds what edges tell of long reads and passes it on in one frame: a note that began and ended within a bundle is not passed on at all. */
+/**
+ * Collects notices for some milliseconds and sends them in one message. A prefill that starts and ends within a batch
+ * is left out.
+ */
 export class PrefillNoticeRelay {
-  private readonly bundle = new Map<string, PrefillNotice>();
-  private readonly begun = new Set<string>();
-  private isPlanned = false;
+  private readonly batch = new Map<string, PrefillNotice>();
+  private readonly startedIds = new Set<string>();
+  private isScheduled = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly send: (bundle: readonly PrefillNotice[]) => void,
+    private readonly send: (batch: readonly PrefillNotice[]) => void,
   ) {}
 
-  /** Adds an edge's notice to the bundle that is sent within 15 ms; notices beyond 2,000 are dropped. */
-  readonly add = (update: PrefillNotice): void => {
-    if (update.tokens > 0) this.begun.add(update.id);
-    if (update.tokens <= 0 && this.begun.has(update.id)) this.bundle.delete(update.id);
-    else if (this.bundle.size < bundleLimit) this.bundle.set(update.id, update);
-    if (this.isPlanned) return;
-    this.isPlanned = true;
-    this.clock.after(bundleMs, this.flush);
+  /** Adds an edge's notice to the batch that is sent within 15 ms; notices beyond 2,000 are dropped. */
+  readonly add = (notice: PrefillNotice): void => {
+    if (notice.tokens > 0) this.startedIds.add(notice.id);
+    if (notice.tokens <= 0 && this.startedIds.has(notice.id)) this.batch.delete(notice.id);
+    else if (this.batch.size < maxBatchSize) this.batch.set(notice.id, notice);
+    if (this.isScheduled) return;
+    this.isScheduled = true;
+    this.clock.after(batchDelayMs, this.flush);
   };
 
   private readonly flush = (): void => {
-    this.isPlanned = false;
-    const notices = [...this.bundle.values()];
-    this.bundle.clear();
-    this.begun.clear();
+    this.isScheduled = false;
+    const notices = [...this.batch.values()];
+    this.batch.clear();
+    this.startedIds.clear();
     if (notices.length > 0) this.send(notices);
   };
 }
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -1,4 +1,4 @@
-/** Follows what replicas and stores keep in their prefix caches, for edges: each address by one control node. */
+/** Tracks the prefix cache contents of replicas and stores for edges. Each address is followed by one control node. */
 import { background, IncarnationMatcher, pause } from '@martenworks/core-types';
 import type {
   BackendClient,
@@ -10,232 +10,264 @@
   PrefixCacheUpdate,
 } from '@martenworks/core-types';
 
-const leastTokens = 256;
-const holdMs = 1_000;
-const paceMs = 400;
-const faultPauseMs = 250;
-const unheardMs = 1_500;
-const bundleMs = 150;
-const doubtMs = 60_000;
-
-const labelOf = ({ salt, part }: { salt: string; part: string }): string => `${salt}\n${part}`;
-
-interface StoredPrefixes {
-  readonly kept: Map<string, PrefixCacheEvent>;
-  readonly fresh: PrefixCacheEvent[];
-  readonly doubted: Map<string, number>;
-  readonly pairs: IncarnationMatcher;
-  ids: ReadonlySet<string>;
+const minTokens = 256;
+const longPollMs = 1_000;
+const pollIntervalMs = 400;
+const errorBackoffMs = 250;
+const contactTimeoutMs = 1_500;
+const batchDelayMs = 150;
+const falseAlarmWindowMs = 60_000;
+
+const keyOf = ({ salt, part }: { salt: string; part: string }): string => `${salt}\n${part}`;
+
+/** What is known of the prefix cache at one address, and the progress of following it. */
+interface CacheContents {
+  readonly entries: Map<string, PrefixCacheEvent>;
+  /** Changes that are not sent in a batch yet. */
+  readonly unsent: PrefixCacheEvent[];
+  readonly reportedMissingAt: Map<string, number>;
+  readonly incarnations: IncarnationMatcher;
+  replicaIds: ReadonlySet<string>;
   epoch: string;
   since: number;
-  heardAt: number;
-  isHeard: boolean;
+  lastReceivedAt: number;
+  isReachable: boolean;
+  /** The entries were cleared since the last batch, so that the next one replaces those of the receivers. */
   isCleared: boolean;
+  /** This node does not follow the address itself. */
   isStopped: boolean;
 }
 
-/** Knows what replicas and stores keep. Each address is followed by one control node, which tells its edges and the other control nodes in bundles; parts below 256 tokens are not worth telling. */
+/**
+ * Follows the addresses assigned to this node, and sends their updates in batches to edges and the other control nodes.
+ * Prompt parts below 256 tokens are left out.
+ */
 export class PrefixCacheFollower {
-  private readonly prefixCaches = new Map<string, StoredPrefixes>();
+  private readonly prefixCaches = new Map<string, CacheContents>();
   private readonly counts = { missed: 0, lives: 0, falseAlarms: 0 };
-  private isBundling = false;
+  private isBatchScheduled = false;
 
   constructor(
     private readonly backendClient: BackendClient,
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly log: Log,
-    private readonly tell: (update: readonly PrefixCacheUpdate[]) => void,
-    private readonly relay: (update: readonly PrefixCacheUpdate[]) => void,
+    private readonly sendToEdges: (batch: readonly PrefixCacheUpdate[]) => void,
+    private readonly sendToPeers: (batch: readonly PrefixCacheUpdate[]) => void,
   ) {}
 
-  /** The address now has these replicas, by the list, which shows a crashed one for a while. Where its events have not told a new epoch yet, what the one before kept is forgotten at once. */
+  /**
+   * Updates the ids of the replicas that the endpoint list shows at an address; a crashed replica stays listed for a
+   * while. If a new id appears before the cache events show a new epoch, the previous replica's contents are discarded
+   * at once.
+   */
   readonly updateReplicaIds = (address: string, ids: ReadonlySet<string>): void => {
-    const stored = this.prefixCaches.get(address);
-    if (stored === undefined) return;
-    const isBorn = stored.ids.size > 0 && [...ids].some((id) => !stored.ids.has(id));
-    stored.ids = ids;
-    if (!isBorn || !stored.pairs.isFirstById()) return;
+    const contents = this.prefixCaches.get(address);
+    if (contents === undefined) return;
+    const hasNewId = contents.replicaIds.size > 0 && [...ids].some((id) => !contents.replicaIds.has(id));
+    contents.replicaIds = ids;
+    if (!hasNewId || !contents.incarnations.isFirstById()) return;
     this.counts.lives += 1;
-    this.clear(stored);
-    this.scheduleBundle();
+    this.clear(contents);
+    this.scheduleBatch();
   };
 
-  /** A edge's answers showed that these parts are gone: they come back by fresh events only. */
+  /** Removes prompt parts that responses on an edge showed to be missing; only new events can add them again. */
   readonly handleCacheMiss = ({ address, salt, parts, isDecided }: CacheMissReport): void => {
-    const stored = this.prefixCaches.get(address);
-    if (stored === undefined || !isDecided) return;
+    const contents = this.prefixCaches.get(address);
+    if (contents === undefined || !isDecided) return;
     for (const part of parts) {
-      const label = labelOf({ salt, part });
-      if (!stored.kept.delete(label)) continue;
+      const key = keyOf({ salt, part });
+      if (!contents.entries.delete(key)) continue;
       this.counts.missed += 1;
-      stored.doubted.set(label, this.clock.now());
-      stored.fresh.splice(0, stored.fresh.length, ...stored.fresh.filter((update) => labelOf(update) !== label));
-      stored.fresh.push({ isKept: false, salt, part, tokens: 0 });
-      this.scheduleBundle();
+      contents.reportedMissingAt.set(key, this.clock.now());
+      contents.unsent.splice(0, contents.unsent.length, ...contents.unsent.filter((event) => keyOf(event) !== key));
+      contents.unsent.push({ isKept: false, salt, part, tokens: 0 });
+      this.scheduleBatch();
     }
   };
 
-  private readonly clear = (stored: StoredPrefixes): void => {
-    stored.kept.clear();
-    stored.doubted.clear();
-    stored.fresh.length = 0;
-    stored.isCleared = true;
+  private readonly clear = (contents: CacheContents): void => {
+    contents.entries.clear();
+    contents.reportedMissingAt.clear();
+    contents.unsent.length = 0;
+    contents.isCleared = true;
   };
 
-  /** `isMine` says which addresses this node follows; the others it hears of from whoever does. */
-  readonly align = (addresses: ReadonlySet<string>, isMine: (address: string) => boolean): void => {
-    for (const [address, stored] of this.prefixCaches) {
+  /**
+   * Tracks exactly these addresses. This node follows those for which `isAssigned` is true, and receives the updates of
+   * the others from the nodes that follow them.
+   */
+  readonly align = (addresses: ReadonlySet<string>, isAssigned: (address: string) => boolean): void => {
+    for (const [address, contents] of this.prefixCaches) {
       if (addresses.has(address)) continue;
-      stored.isStopped = true;
+      contents.isStopped = true;
       this.prefixCaches.delete(address);
     }
     for (const address of addresses) {
-      const held = this.prefixCaches.get(address);
-      const isMineNow = isMine(address);
-      if (held !== undefined && held.isStopped !== isMineNow) continue;
-      const stored: StoredPrefixes = {
-        kept: held?.kept ?? new Map<string, PrefixCacheEvent>(),
-        fresh: [],
-        doubted: held?.doubted ?? new Map<string, number>(),
-        pairs: held?.pairs ?? new IncarnationMatcher(this.clock),
-        ids: held?.ids ?? new Set<string>(),
+      const previous = this.prefixCaches.get(address);
+      const isFollowed = isAssigned(address);
+      if (previous !== undefined && previous.isStopped !== isFollowed) continue;
+      const contents: CacheContents = {
+        entries: previous?.entries ?? new Map<string, PrefixCacheEvent>(),
+        unsent: [],
+        reportedMissingAt: previous?.reportedMissingAt ?? new Map<string, number>(),
+        incarnations: previous?.incarnations ?? new IncarnationMatcher(this.clock),
+        replicaIds: previous?.replicaIds ?? new Set<string>(),
         epoch: '',
         since: 0,
-        heardAt: this.clock.now(),
-        isHeard: held?.isHeard ?? false,
+        lastReceivedAt: this.clock.now(),
+        isReachable: previous?.isReachable ?? false,
         isCleared: false,
-        isStopped: !isMineNow,
+        isStopped: !isFollowed,
       };
-      if (held !== undefined) held.isStopped = true;
-      this.prefixCaches.set(address, stored);
-      if (isMineNow) background.run('follow kept prefixes', this.follow(address, stored, held !== undefined));
+      if (previous !== undefined) previous.isStopped = true;
+      this.prefixCaches.set(address, contents);
+      if (isFollowed)
+        background.run('follow prefix cache events', this.follow(address, contents, previous !== undefined));
     }
   };
 
-  /** Takes in what another control node followed, for addresses that this node does not follow itself. */
-  readonly applyRelayed = (bundle: readonly PrefixCacheUpdate[]): void => {
-    const accepted = bundle.filter(({ address, isWhole, isHeard, events: update }) => {
-      const stored = this.prefixCaches.get(address);
-      if (stored === undefined || !stored.isStopped) return false;
-      stored.isHeard = isHeard;
-      if (isWhole) stored.kept.clear();
-      for (const one of update) this.note(stored, one);
-      stored.fresh.length = 0;
+  /** Applies updates from another control node to the addresses that this node does not follow itself. */
+  readonly applyRelayed = (batch: readonly PrefixCacheUpdate[]): void => {
+    const accepted = batch.filter(({ address, isWhole, isHeard, events }) => {
+      const contents = this.prefixCaches.get(address);
+      if (contents === undefined || !contents.isStopped) return false;
+      contents.isReachable = isHeard;
+      if (isWhole) contents.entries.clear();
+      for (const event of events) this.applyEvent(contents, event);
+      contents.unsent.length = 0;
       return true;
     });
-    if (accepted.length > 0) this.tell(accepted);
+    if (accepted.length > 0) this.sendToEdges(accepted);
   };
 
-  private readonly follow = async (address: string, stored: StoredPrefixes, isTakenOver: boolean): Promise<void> => {
-    let isFirst = isTakenOver;
-    await pause.for(this.clock, this.random.fraction() * paceMs);
-    while (!stored.isStopped) {
-      const askedAt = this.clock.now();
-      const page = await this.backendClient.prefixCacheEvents(address, stored.since, holdMs);
-      if (stored.isStopped) return;
+  private readonly follow = async (address: string, contents: CacheContents, isTakenOver: boolean): Promise<void> => {
+    let isFirstAfterTakeover = isTakenOver;
+    await pause.for(this.clock, this.random.fraction() * pollIntervalMs);
+    while (!contents.isStopped) {
+      const requestedAt = this.clock.now();
+      const page = await this.backendClient.prefixCacheEvents(address, contents.since, longPollMs);
+      if (contents.isStopped) return;
       if (page.isErr()) {
-        if (stored.isHeard && this.clock.now() - stored.heardAt > unheardMs) this.markSilent(address, stored);
-        await pause.for(this.clock, faultPauseMs * (0.5 + this.random.fraction()));
+        if (contents.isReachable && this.clock.now() - contents.lastReceivedAt > contactTimeoutMs)
+          this.markUnreachable(address, contents);
+        await pause.for(this.clock, errorBackoffMs * (0.5 + this.random.fraction()));
         continue;
       }
-      const { epoch, next, isLost, events: update } = page.value;
-      const isReborn = stored.epoch !== '' && stored.epoch !== epoch;
-      if (isReborn || isLost || isFirst) {
-        this.log.info('prefix cache contents resynchronized', { address, isReborn, isLost, isTakenOver: isFirst });
-        isFirst = false;
-        if (isReborn) stored.pairs.isFirstByEpoch();
-        this.clear(stored);
+      const { epoch, next, isLost, events } = page.value;
+      const hasNewEpoch = contents.epoch !== '' && contents.epoch !== epoch;
+      if (hasNewEpoch || isLost || isFirstAfterTakeover) {
+        this.log.info('prefix cache contents resynchronized', {
+          address,
+          isReborn: hasNewEpoch,
+          isLost,
+          isTakenOver: isFirstAfterTakeover,
+        });
+        isFirstAfterTakeover = false;
+        if (hasNewEpoch) contents.incarnations.isFirstByEpoch();
+        this.clear(contents);
       }
-      if (isReborn && stored.since > 0) {
-        Object.assign(stored, { epoch, since: 0, heardAt: this.clock.now(), isHeard: true });
-        this.scheduleBundle();
+      if (hasNewEpoch && contents.since > 0) {
+        Object.assign(contents, { epoch, since: 0, lastReceivedAt: this.clock.now(), isReachable: true });
+        this.scheduleBatch();
         continue;
       }
-      const isBack = !stored.isHeard;
-      Object.assign(stored, { epoch, since: next, heardAt: this.clock.now(), isHeard: true });
-      for (const one of update) this.note(stored, one);
-      if (isBack || stored.isCleared || stored.fresh.length > 0) this.scheduleBundle();
-      const spentMs = this.clock.now() - askedAt;
-      if (spentMs < paceMs) await pause.for(this.clock, (paceMs - spentMs) * (0.9 + 0.2 * this.random.fraction()));
+      const hasRecovered = !contents.isReachable;
+      Object.assign(contents, { epoch, since: next, lastReceivedAt: this.clock.now(), isReachable: true });
+      for (const event of events) this.applyEvent(contents, event);
+      if (hasRecovered || contents.isCleared || contents.unsent.length > 0) this.scheduleBatch();
+      const elapsedMs = this.clock.now() - requestedAt;
+      if (elapsedMs < pollIntervalMs)
+        await pause.for(this.clock, (pollIntervalMs - elapsedMs) * (0.9 + 0.2 * this.random.fraction()));
     }
   };
 
-  private readonly note = (stored: StoredPrefixes, update: PrefixCacheEvent): void => {
-    const label = labelOf(update);
-    const doubtedAt = stored.doubted.get(label);
-    stored.doubted.delete(label);
-    if (doubtedAt !== undefined && !update.isKept && this.clock.now() - doubtedAt <= doubtMs)
+  private readonly applyEvent = (contents: CacheContents, event: PrefixCacheEvent): void => {
+    const key = keyOf(event);
+    const missingSince = contents.reportedMissingAt.get(key);
+    contents.reportedMissingAt.delete(key);
+    if (missingSince !== undefined && !event.isKept && this.clock.now() - missingSince <= falseAlarmWindowMs)
       this.counts.falseAlarms += 1;
-    if (update.tokens >= leastTokens) stored.kept.set(label, update);
-    else if (!stored.kept.delete(label)) return;
-    stored.fresh.push(update);
+    if (event.tokens >= minTokens) contents.entries.set(key, event);
+    else if (!contents.entries.delete(key)) return;
+    contents.unsent.push(event);
   };
 
-  private readonly markSilent = (address: string, stored: StoredPrefixes): void => {
-    stored.isHeard = false;
+  private readonly markUnreachable = (address: string, contents: CacheContents): void => {
+    contents.isReachable = false;
     this.log.warn('kv-events source is silent', { address });
-    this.scheduleBundle();
+    this.scheduleBatch();
   };
 
-  private readonly scheduleBundle = (): void => {
-    if (this.isBundling) return;
-    this.isBundling = true;
-    this.clock.after(bundleMs, this.sendBundle);
+  private readonly scheduleBatch = (): void => {
+    if (this.isBatchScheduled) return;
+    this.isBatchScheduled = true;
+    this.clock.after(batchDelayMs, this.sendBatch);
   };
 
-  private readonly sentHeard = new Map<string, boolean>();
+  private readonly sentReachable = new Map<string, boolean>();
 
-  private readonly sendBundle = (): void => {
-    this.isBundling = false;
-    const bundle: PrefixCacheUpdate[] = [];
-    for (const [address, stored] of this.prefixCaches) {
-      if (stored.isStopped) continue;
-      if (!stored.isCleared && stored.fresh.length === 0 && this.sentHeard.get(address) === stored.isHeard) continue;
-      bundle.push({
+  private readonly sendBatch = (): void => {
+    this.isBatchScheduled = false;
+    const batch: PrefixCacheUpdate[] = [];
+    for (const [address, contents] of this.prefixCaches) {
+      if (contents.isStopped) continue;
+      if (
+        !contents.isCleared &&
+        contents.unsent.length === 0 &&
+        this.sentReachable.get(address) === contents.isReachable
+      )
+        continue;
+      batch.push({
         address,
-        isWhole: stored.isCleared,
-        isHeard: stored.isHeard,
-        epoch: stored.epoch,
-        events: stored.fresh.splice(0),
+        isWhole: contents.isCleared,
+        isHeard: contents.isReachable,
+        epoch: contents.epoch,
+        events: contents.unsent.splice(0),
       });
-      stored.isCleared = false;
-      this.sentHeard.set(address, stored.isHeard);
+      contents.isCleared = false;
+      this.sentReachable.set(address, contents.isReachable);
     }
-    for (const address of this.sentHeard.keys()) if (!this.prefixCaches.has(address)) this.sentHeard.delete(address);
-    if (bundle.length === 0) return;
-    this.tell(bundle);
-    this.relay(bundle);
+    for (const address of this.sentReachable.keys())
+      if (!this.prefixCaches.has(address)) this.sentReachable.delete(address);
+    if (batch.length === 0) return;
+    this.sendToEdges(batch);
+    this.sendToPeers(batch);
   };
 
-  /** All that is known, as updates that replace what the receiver knows. */
+  /** Returns the contents of all addresses, as updates that replace the receiver's entries. */
   readonly snapshot = (): PrefixCacheUpdate[] =>
-    [...this.prefixCaches].map(([address, stored]) => ({
+    [...this.prefixCaches].map(([address, contents]) => ({
       address,
       isWhole: true,
-      isHeard: stored.isHeard,
-      epoch: stored.epoch,
-      events: [...stored.kept.values()],
+      isHeard: contents.isReachable,
+      epoch: contents.epoch,
+      events: [...contents.entries.values()],
     }));
 
-  /** What this node follows itself, as updates that replace what the receiver knows. */
+  /** Returns the contents of the addresses that this node follows, as updates that replace the receiver's entries. */
   readonly followedSnapshot = (): PrefixCacheUpdate[] =>
     [...this.prefixCaches]
-      .filter(([, stored]) => !stored.isStopped && stored.epoch !== '')
-      .map(([address, stored]) => ({
+      .filter(([, contents]) => !contents.isStopped && contents.epoch !== '')
+      .map(([address, contents]) => ({
         address,
         isWhole: true,
-        isHeard: stored.isHeard,
-        events: [...stored.kept.values()],
+        isHeard: contents.isReachable,
+        events: [...contents.entries.values()],
       }));
 
-  /** Number of kept parts for each address, for the status page. */
+  /** Returns the number of cached prompt parts of each address, for the status page. */
   readonly sizes = (): { address: string; parts: number; isHeard: boolean }[] =>
-    [...this.prefixCaches].map(([address, stored]) => ({ address, parts: stored.kept.size, isHeard: stored.isHeard }));
+    [...this.prefixCaches].map(([address, contents]) => ({
+      address,
+      parts: contents.entries.size,
+      isHeard: contents.isReachable,
+    }));
 
-  /** Counters of detected stale entries, for the status page. */
+  /** Returns counters of detected stale entries, for the status page. */
   readonly staleEntryCounts = (): Record<string, number> => ({ ...this.counts });
 
-  /** Ends the following of all addresses. */
+  /** Stops following all addresses. */
   readonly stop = (): void => this.align(new Set(), () => false);
 }
--- a/packages/control-plane/src/prefixcache/rendezvousHashing.ts
+++ b/packages/control-plane/src/prefixcache/rendezvousHashing.ts
@@ -1,23 +1,23 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1998): each address goes to the voter with the highest score for it, so
- * that a lost voter's addresses spread over the others and no other address moves.
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): each address is assigned to the voter with the highest score for
+ * it. When a voter is lost, its addresses are spread over the others and no other address moves.
  */
 import { createHash } from 'node:crypto';
 
-const cachedScores = 20_000;
+const maxCachedScores = 20_000;
 const scores = new Map<string, string>();
 
 const scoreOf = (address: string, voter: string): string => {
-  const label = `${address}\n${voter}`;
-  const known = scores.get(label);
-  if (known !== undefined) return known;
-  const score = createHash('sha1').update(label).digest('hex');
-  if (scores.size > cachedScores) scores.clear();
-  scores.set(label, score);
+  const key = `${address}\n${voter}`;
+  const cached = scores.get(key);
+  if (cached !== undefined) return cached;
+  const score = createHash('sha1').update(key).digest('hex');
+  if (scores.size > maxCachedScores) scores.clear();
+  scores.set(key, score);
   return score;
 };
 
-/** Assignment of addresses to voters. */
+/** Assigns addresses to voters. */
 export const rendezvousHashing = {
   /** Whether no voter has a higher score for the address than the node with the incarnation `own`. */
   isAssigned: (address: string, own: string, voters: readonly string[]): boolean =>
