--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -1,10 +1,10 @@
 /**
- * The operators' HTTP interface of a gateway control node (docs/wire.md): configuration, plans, changes by id, status,
- * health and metrics.
+ * The operator HTTP API of a gateway control node (docs/wire.md): configuration, plans, lookup of changes by id,
+ * status, health and metrics.
  */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
-import { drawPlan, planIds } from '../configuration/plan.js';
+import { createPlan, planIds } from '../configuration/plan.js';
 import type { GatewayConfigEdit } from '../configuration/plan.js';
 import type { GatewayControlNode } from '../nodes/gatewayControlNode.js';
 import type { AppliedChange } from '../consensus/proposer.js';
@@ -12,10 +12,10 @@
 import type { Result } from 'neverthrow';
 
 /**
- * The HTTP response to a proposed change: 200, or 409, 422, 504 and 503 for the codes of `ProposalError` in their
- * order.
+ * Returns the HTTP response to a proposed change: 200 if it was accepted, 409 for `conflict`, 422 for `rejected`, 504
+ * for `unknown` and 503 for `unavailable`.
  */
-export const replyTo = (c: Context, changeId: string, outcome: Result<AppliedChange, ProposalError>): Response => {
+export const changeResponse = (c: Context, changeId: string, outcome: Result<AppliedChange, ProposalError>): Response => {
   if (outcome.isOk())
     return c.json(
       { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
@@ -33,7 +33,7 @@
       return c.json({ outcome: 'rejected', changeId, complaints: error.complaints }, 422);
     case 'unknown':
       return c.json(
-        { outcome: 'unknown', changeId, detail: 'ask again by this change id, or send the change again under it' },
+        { outcome: 'unknown', changeId, detail: 'look the change up by this id, or send it again under the same id' },
         504,
         { 'retry-after': '1' },
       );
@@ -42,8 +42,8 @@
   }
 };
 
-/** The request's body parsed as JSON; `isJson` is false, and `value` null, where it is not JSON. */
-export const bodyOf = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
+/** Parses the request body as JSON; returns `isJson: false` and `value: null` if it is not valid JSON. */
+export const readJsonBody = async (c: Context): Promise<{ isJson: boolean; value: unknown }> => {
   try {
     return { isJson: true, value: (await c.req.json()) as unknown };
   } catch {
@@ -51,62 +51,66 @@
   }
 };
 
-/** The caller's `change-id` header, or a fresh id: a change sent again under the same id is applied once. */
+/** Returns the `change-id` header, or a new random id. A change sent again under the same id is applied once. */
 export const changeIdOf = (c: Context, controlNode: GatewayControlNode): string =>
   c.req.header('change-id') ?? controlNode.ports.random.token(12);
 
 const baseOf = (c: Context): number | null => {
-  const found = /^"?(\d+)"?$/.exec(c.req.header('if-match') ?? '');
-  return found === null ? null : Number(found[1]);
+  const match = /^"?(\d+)"?$/.exec(c.req.header('if-match') ?? '');
+  return match === null ? null : Number(match[1]);
 };
 
-const editOf = (c: Context, kind: 'whole' | 'part', given: unknown): GatewayConfigEdit =>
+const editOf = (c: Context, kind: 'whole' | 'part', value: unknown): GatewayConfigEdit =>
   kind === 'part' && (c.req.header('content-type') ?? '').startsWith('application/json-patch+json')
-    ? { kind: 'ops', given }
-    : { kind, given };
+    ? { kind: 'ops', given: value }
+    : { kind, given: value };
 
-const changed = async (c: Context, controlNode: GatewayControlNode, kind: 'whole' | 'part'): Promise<Response> => {
+const handleConfigChange = async (
+  c: Context,
+  controlNode: GatewayControlNode,
+  kind: 'whole' | 'part',
+): Promise<Response> => {
   const changeId = changeIdOf(c, controlNode);
   const base = baseOf(c);
   if (base === null)
     return c.json(
-      { outcome: 'rejected', changeId, detail: 'If-Match must state the generation this change is based on' },
+      { outcome: 'rejected', changeId, detail: 'If-Match must name the generation that this change is based on' },
       428,
     );
-  const body = await bodyOf(c);
+  const body = await readJsonBody(c);
   if (!body.isJson) return c.json({ outcome: 'rejected', changeId, detail: 'the body is not JSON' }, 400);
   const edit = editOf(c, kind, body.value);
   const planId = c.req.header('plan-id');
   if (planId !== undefined && planId !== planIds.of(base, edit))
     return c.json(
-      { outcome: 'conflict', changeId, detail: 'that plan was made for another base or another change' },
+      { outcome: 'conflict', changeId, detail: 'the plan was made for another base generation or another change' },
       409,
     );
-  return replyTo(c, changeId, await controlNode.changes.config(changeId, base, edit));
+  return changeResponse(c, changeId, await controlNode.changeService.changeConfig(changeId, base, edit));
 };
 
-const noMajority = 'no majority of voters confirmed the state';
+const noMajorityDetail = 'no majority of voters confirmed the state';
 
-const unconfirmed = (c: Context): Response => c.json({ detail: noMajority }, 503, { 'retry-after': '1' });
+const unconfirmedResponse = (c: Context): Response => c.json({ detail: noMajorityDetail }, 503, { 'retry-after': '1' });
 
 const addLayoutRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/layout', async (c) => {
-    const state = await controlNode.confirmed();
-    if (state === null) return unconfirmed(c);
+    const state = await controlNode.confirmedState();
+    if (state === null) return unconfirmedResponse(c);
     return c.json({ generation: state.configLogIndex, confirmed: true, layout: state.config }, 200, {
       etag: `"${state.configLogIndex}"`,
     });
   });
-  app.put('/operator/layout', (c) => changed(c, controlNode, 'whole'));
-  app.patch('/operator/layout', (c) => changed(c, controlNode, 'part'));
+  app.put('/operator/layout', (c) => handleConfigChange(c, controlNode, 'whole'));
+  app.patch('/operator/layout', (c) => handleConfigChange(c, controlNode, 'part'));
 };
 
 const addPlanRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.post('/operator/plans', async (c) => {
-    const body = await bodyOf(c);
+    const body = await readJsonBody(c);
     if (!body.isJson) return c.json({ outcome: 'rejected', detail: 'the body is not JSON' }, 400);
-    const state = await controlNode.confirmed();
-    if (state === null) return unconfirmed(c);
+    const state = await controlNode.confirmedState();
+    if (state === null) return unconfirmedResponse(c);
     const base = baseOf(c) ?? state.configLogIndex;
     if (base !== state.configLogIndex)
       return c.json(
@@ -117,8 +121,8 @@
         },
         409,
       );
-    const drawn = drawPlan(state, editOf(c, 'part', body.value));
-    return drawn.match(
+    const planned = createPlan(state, editOf(c, 'part', body.value));
+    return planned.match(
       (plan) => c.json(plan, 200, { etag: `"${base}"` }),
       (complaints) => c.json({ outcome: 'rejected', complaints }, 422),
     );
@@ -128,13 +132,17 @@
 const addChangeRoutes = (app: Hono, controlNode: GatewayControlNode): void => {
   app.get('/operator/changes/:id', async (c) => {
     const id = c.req.param('id');
-    const state = await controlNode.confirmed();
+    const state = await controlNode.confirmedState();
     if (state === null)
-      return c.json({ outcome: 'unknown', changeId: id, detail: noMajority }, 504, { 'retry-after': '1' });
-    const known = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
-    if (known !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: known.logIndex });
+      return c.json({ outcome: 'unknown', changeId: id, detail: noMajorityDetail }, 504, { 'retry-after': '1' });
+    const accepted = Object.hasOwn(state.changeIds, id) ? state.changeIds[id] : undefined;
+    if (accepted !== undefined) return c.json({ outcome: 'accepted', changeId: id, generation: accepted.logIndex });
     return c.json(
-      { outcome: 'not accepted', changeId: id, detail: 'not accepted so far; a change still under way may yet be' },
+      {
+        outcome: 'not accepted',
+        changeId: id,
+        detail: 'not accepted so far; a change still in progress may be accepted later',
+      },
       404,
     );
   });
@@ -151,7 +159,7 @@
       layoutGeneration: state?.configLogIndex ?? null,
       members: state?.members ?? [],
       voter: controlNode.acceptor.isVoter(),
-      reachable: controlNode.reachable(),
+      reachable: controlNode.reachableVoterCount(),
       controlNodes: controlNode.memberList
         .entries()
         .filter(({ hello }) => hello.role === 'control')
@@ -162,13 +170,13 @@
           zone: hello.zone,
           heardMsAgo: Math.round(ageMs),
         })),
-      counters: controlNode.push.acks(),
-      claims: controlNode.claims.size(),
+      counters: controlNode.gatewayPublisher.status(),
+      claims: controlNode.claimTable.size(),
       leases: controlNode.leaseManager.status(),
-      followed: controlNode.kv.followedCount(),
-      watch: controlNode.verdicts.status(),
-      replicas: controlNode.table.records(),
-      index: controlNode.kv.sizes(),
+      followed: controlNode.kvEventFollower.followedCount(),
+      watch: controlNode.failureVerdicts.status(),
+      replicas: controlNode.replicaTable.records(),
+      index: controlNode.kvEventFollower.sizes(),
       segmentCount: controlNode.acceptor.segmentCount(),
     });
   });
@@ -183,29 +191,33 @@
   );
 };
 
-const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, vitals: () => string[]): void => {
+const addMetricsRoutes = (app: Hono, controlNode: GatewayControlNode, extraMetrics: () => string[]): void => {
   app.get('/metrics', (c) => {
     const state = controlNode.acceptor.committedState();
     const lines = [
       `martenworks_generation ${state?.logIndex ?? -1}`,
-      `martenworks_members_reachable ${controlNode.reachable()}`,
-      `martenworks_subscribed_counters ${controlNode.push.acks().length}`,
+      `martenworks_members_reachable ${controlNode.reachableVoterCount()}`,
+      `martenworks_subscribed_counters ${controlNode.gatewayPublisher.status().length}`,
       `martenworks_ledger_segments ${controlNode.acceptor.segmentCount()}`,
-      ...vitals(),
-      ...controlNode.push.acks().map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
+      ...extraMetrics(),
+      ...controlNode.gatewayPublisher
+        .status()
+        .map((ack) => `martenworks_acked_generation{counter="${ack.gateway}"} ${ack.logIndex}`),
     ];
     return c.text(`${lines.join('\n')}\n`);
   });
 };
 
-/** The routes of one node; `vitals` gives further lines for `/metrics`, in the Prometheus text format. */
-export const operatorApi = (controlNode: GatewayControlNode, vitals: () => string[] = () => []): Hono => {
+/**
+ * Returns the routes of one node. `extraMetrics` returns further lines for `/metrics`, in the Prometheus text format.
+ */
+export const operatorApi = (controlNode: GatewayControlNode, extraMetrics: () => string[] = () => []): Hono => {
   const app = new Hono();
   addLayoutRoutes(app, controlNode);
   addPlanRoutes(app, controlNode);
   addChangeRoutes(app, controlNode);
   addStatusRoutes(app, controlNode);
   addHealthRoutes(app, controlNode);
-  addMetricsRoutes(app, controlNode, vitals);
+  addMetricsRoutes(app, controlNode, extraMetrics);
   return app;
 };
--- a/packages/control-plane/src/index.ts
+++ b/packages/control-plane/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The control plane: consensus on the configuration, membership, endpoint lists, prefix caches, and the two kinds of
- * node that run it.
+ * The control plane: consensus on the configuration, cluster membership, endpoint lists, prefix caches, and the two
+ * kinds of control node.
  */
 export * from './consensus/acceptor.js';
 export * from './consensus/ballots.js';
@@ -20,7 +20,7 @@
 export * from './configuration/configService.js';
 export * from './errors.js';
 export * from './prefixcache/kvEventFollower.js';
-export * from './endpoints/claims.js';
+export * from './endpoints/claimTable.js';
 export { edgeMessages } from './messages/edgeMessages.js';
 export { gatewayMessages } from './messages/gatewayMessages.js';
 export type { MemberStatus } from './membership/bootstrapMessages.js';
@@ -30,7 +30,7 @@
 export * from './membership/membership.js';
 export * from './endpoints/replicaTable.js';
 export * from './configuration/routingTableHistory.js';
-export * from './configuration/namedWeights.js';
+export * from './configuration/targetWeightsAges.js';
 export * from './configuration/statePublisher.js';
 export * from './prefixcache/prefixCacheFollower.js';
 export * from './endpoints/endpointListReader.js';
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -1,6 +1,4 @@
-/**
- * A control node of gateways: the consensus member with replica records, claims, prefix indexes and failure detection.
- */
+/** A control node for gateways: a consensus member with replica records, claims, prefix index and failure detection. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, RepeatingTimer } from '@martenworks/core-types';
@@ -12,8 +10,8 @@
 import type { LeaseManager, PeerPool } from '@martenworks/cluster-membership';
 import { acceptors } from '../consensus/acceptor.js';
 import type { Acceptor } from '../consensus/acceptor.js';
-import { claimTables } from '../endpoints/claims.js';
-import type { ClaimTable } from '../endpoints/claims.js';
+import { claimTables } from '../endpoints/claimTable.js';
+import type { ClaimTable } from '../endpoints/claimTable.js';
 import { ConsensusMember } from '../consensus/consensusMember.js';
 import type { ConsensusTiming, ConsensusHooks } from '../consensus/consensusOptions.js';
 import { ChangeService } from '../configuration/changeService.js';
@@ -33,7 +31,7 @@
 const { isNumber, isText, isTexts } = messageChecks;
 const snapshotTimeoutMs = 1_000;
 const confirmTimeoutMs = 700;
-const trimMs = 5_000;
+const trimIntervalMs = 5_000;
 
 const consensusPace: ConsensusTiming = {
   voteTimeoutMs: 1_000,
@@ -47,34 +45,32 @@
 
 const kvLease = (replica: string): string => `kv/${replica}`;
 
-/**
- * Wires the parts of a gateway control node together and dispatches the messages of gateways and other control nodes.
- */
+/** Connects the components of a gateway control node, and dispatches messages from gateways and other control nodes. */
 export class GatewayControlNode {
-  /** The nodes this one has heard of. */
+  /** The nodes that this node knows of. */
   readonly memberList: MemberList;
-  /** The held connections to other nodes. */
+  /** Connections to other nodes. */
   readonly peerPool: PeerPool;
-  /** Gets changes committed. */
+  /** Proposes changes to the consensus group. */
   readonly proposer: Proposer;
-  /** Takes the operators' changes. */
-  readonly changes: ChangeService;
-  /** Sends gateways the committed state and content. */
-  readonly push: GatewayPublisher;
-  /** Agrees on replica records with the other control nodes. */
-  readonly replicas: ReplicaRegistry;
-  /** Which isolation sides each replica serves. */
-  readonly sides: IsolationRegistry;
+  /** Proposes operators' changes. */
+  readonly changeService: ChangeService;
+  /** Sends the committed state and content to gateways. */
+  readonly gatewayPublisher: GatewayPublisher;
+  /** Replicates replica records to the other control nodes. */
+  readonly replicaRegistry: ReplicaRegistry;
+  /** Tracks which isolation sides each replica serves. */
+  readonly isolationRegistry: IsolationRegistry;
   /** Follows the cache events of the replicas whose lease this node holds. */
-  readonly kv: KvEventFollower;
+  readonly kvEventFollower: KvEventFollower;
   /** The leases this node holds. */
   readonly leaseManager: LeaseManager;
-  /** Watches the nodes that the ring assigns to this one. */
+  /** Monitors the nodes that the ring assigns to this one. */
   readonly failureDetector: FailureDetector;
-  /** Which nodes count as down, by the reports of those that watch them. */
-  readonly verdicts: FailureVerdicts;
+  /** Decides which nodes count as down, by the reports of the nodes that monitor them. */
+  readonly failureVerdicts: FailureVerdicts;
   private readonly consensus: ConsensusMember;
-  private readonly trimStep: RepeatingTimer;
+  private readonly trimTimer: RepeatingTimer;
   private listener: Listener | null = null;
 
   constructor(
@@ -82,23 +78,23 @@
     readonly settings: GatewaySettings,
     /** Clock, network, disk, random numbers and log. */
     readonly ports: Ports,
-    /** This node's vote and committed state. */
+    /** This node's votes and committed state. */
     readonly acceptor: Acceptor,
     /** The replica records. */
-    readonly table: ReplicaTable,
+    readonly replicaTable: ReplicaTable,
     /** The claims on idempotency keys. */
-    readonly claims: ClaimTable,
+    readonly claimTable: ClaimTable,
     private readonly leases: PersistedLeases,
   ) {
     const { clock } = ports;
     this.memberList = new MemberList(clock, this.hello);
-    this.verdicts = new FailureVerdicts(clock);
+    this.failureVerdicts = new FailureVerdicts(clock);
     this.failureDetector = new FailureDetector(
       ports,
       this.hello,
       this.memberList,
       () => this.peerPool,
-      (suspects) => this.verdicts.report(settings.name, suspects),
+      (suspects) => this.failureVerdicts.report(settings.name, suspects),
     );
     this.consensus = new ConsensusMember(
       { ports, hello: this.hello, memberList: this.memberList, seeds: settings.seeds, acceptor, leases },
@@ -108,36 +104,36 @@
     this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
     this.leaseManager = this.consensus.leaseManager;
-    this.changes = new ChangeService(this.proposer);
-    this.kv = this.createKvEventFollower();
-    this.push = new GatewayPublisher(acceptor, clock, table.records, this.kv.snapshots);
-    this.sides = new IsolationRegistry(table, clock);
-    this.replicas = new ReplicaRegistry(table, claims, acceptor, () => this.peerPool);
-    table.watch((records) => {
-      this.push.tellReplicas(records);
-      this.kv.align(table.records());
+    this.changeService = new ChangeService(this.proposer);
+    this.kvEventFollower = this.createKvEventFollower();
+    this.gatewayPublisher = new GatewayPublisher(acceptor, clock, replicaTable.records, this.kvEventFollower.snapshots);
+    this.isolationRegistry = new IsolationRegistry(replicaTable, clock);
+    this.replicaRegistry = new ReplicaRegistry(replicaTable, claimTable, acceptor, () => this.peerPool);
+    replicaTable.watch((records) => {
+      this.gatewayPublisher.sendReplicas(records);
+      this.kvEventFollower.align(replicaTable.records());
     });
-    this.kv.align(table.records());
+    this.kvEventFollower.align(replicaTable.records());
     this.consensus.start();
-    this.trimStep = new RepeatingTimer(
+    this.trimTimer = new RepeatingTimer(
       clock,
-      () => trimMs,
-      () => background.run('trim claims', claims.trim()),
+      () => trimIntervalMs,
+      () => background.run('trim claims', claimTable.trim()),
     );
   }
 
   private readonly createKvEventFollower = (): KvEventFollower =>
     new KvEventFollower(
       this.ports,
-      (update) => this.push.tellKv(update),
+      (events) => this.gatewayPublisher.sendCacheEvents(events),
       (relayed) => this.consensus.broadcast('kvRelay', relayed),
       (replica) => this.leaseManager.fenceOf(kvLease(replica)),
     );
 
-  /** What this node says of itself when a connection opens. */
+  /** Returns the handshake message that this node sends when a connection opens. */
   readonly hello = (): Hello => hellos.of('control', this.settings, this.acceptor.incarnation);
 
-  /** Listens for peers; the error is that of the address. */
+  /** Starts listening for peers; the error is that of binding the address. */
   readonly open = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -154,7 +150,7 @@
   };
 
   private readonly prepareUpkeep = async (): Promise<void> => {
-    this.push.dropSilent();
+    this.gatewayPublisher.closeIdleConnections();
     await this.catchUp();
     await this.repairIndex();
   };
@@ -164,74 +160,74 @@
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
       const { incarnation } = connection.peer;
-      if (!this.replicas.syncedFrom.has(incarnation)) {
-        await this.replicas.reconcile(incarnation, this.peerPool);
-        await this.borrowSnapshots(
+      if (!this.replicaRegistry.syncedFrom.has(incarnation)) {
+        await this.replicaRegistry.reconcile(incarnation, this.peerPool);
+        await this.fetchSnapshots(
           connection,
-          this.table.records().map((record) => record.name),
+          this.replicaTable.records().map((record) => record.name),
         );
       }
     }
     await this.consensus.catchUp.fromNewestPeer();
   };
 
-  private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
+  private readonly fetchSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
     const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
     if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
-    this.push.tellSnapshots(this.kv.takeSnapshots(reply.value));
+    this.gatewayPublisher.sendSnapshots(this.kvEventFollower.restoreSnapshots(reply.value));
   };
 
   private readonly repairIndex = async (): Promise<void> => {
-    const broken = this.kv.broken();
-    if (broken.length === 0) return;
+    const names = this.kvEventFollower.replicasWithGaps();
+    if (names.length === 0) return;
     for (const connection of this.peerPool.open()) {
       if (connection.peer?.role !== 'control') continue;
-      await this.borrowSnapshots(connection, broken);
+      await this.fetchSnapshots(connection, names);
     }
   };
 
   private readonly role = (): ConsensusHooks => ({
     extraAddresses: () => this.failureDetector.watcherAddresses(),
-    isDown: this.verdicts.isDown,
+    isDown: this.failureVerdicts.isDown,
     wantedLeases: () =>
-      this.table
+      this.replicaTable
         .records()
         .filter((record) => record.state !== 'gone')
         .map((record) => kvLease(record.name)),
-    leasesChanged: () => this.kv.align(this.table.records()),
+    leasesChanged: () => this.kvEventFollower.align(this.replicaTable.records()),
     requiresSync: true,
-    syncedFrom: () => [...this.replicas.syncedFrom],
+    syncedFrom: () => [...this.replicaRegistry.syncedFrom],
     beforeMembershipCheck: this.prepareUpkeep,
     sharedMembers: (entries) => entries,
     joined: () => {},
     left: (connection) => {
-      this.push.drop(connection);
-      if (connection.peer !== null) this.replicas.syncedFrom.delete(connection.peer.incarnation);
+      this.gatewayPublisher.unsubscribe(connection);
+      if (connection.peer !== null) this.replicaRegistry.syncedFrom.delete(connection.peer.incarnation);
     },
-    told: this.takeMessage,
-    asked: this.answer,
+    told: this.handleMessage,
+    asked: this.handleRequest,
   });
 
-  /** Takes a message of a gateway or another control node; one that is malformed or of an unknown topic is ignored. */
-  private readonly takeMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
+  /** Handles a message from a gateway or another control node; malformed messages and unknown topics are ignored. */
+  private readonly handleMessage = (connection: PeerConnection, topic: string, body: unknown): void => {
     switch (topic) {
       case 'subscribe':
-        if (isNumber(body)) this.push.subscribe(connection, body);
+        if (isNumber(body)) this.gatewayPublisher.subscribe(connection, body);
         return;
       case 'ack':
-        if (isNumber(body)) this.push.acked(connection, body);
+        if (isNumber(body)) this.gatewayPublisher.handleAck(connection, body);
         return;
       case 'longPrompts':
-        if (gatewayMessages.isLoadReport(body)) this.push.longPrompts(connection, body);
+        if (gatewayMessages.isLoadReport(body)) this.gatewayPublisher.handleLongPrompts(connection, body);
         return;
       case 'heartbeat':
         if (isText(body)) this.failureDetector.watch.heartbeatFrom(body);
         return;
       case 'suspects':
-        if (isTexts(body)) this.verdicts.report(connection.peer?.name ?? '', body);
+        if (isTexts(body)) this.failureVerdicts.report(connection.peer?.name ?? '', body);
         return;
       case 'kvRelay':
-        if (gatewayMessages.isRelayedKvEvents(body)) this.kv.takeRelayed(body);
+        if (gatewayMessages.isRelayedKvEvents(body)) this.kvEventFollower.applyRelayed(body);
         return;
       case 'indexSnapshotRequest':
         if (isTexts(body)) this.sendSnapshots(connection, body);
@@ -240,44 +236,48 @@
   };
 
   private readonly sendSnapshots = (connection: PeerConnection, replicas: readonly string[]): void => {
-    for (const snapshot of this.kv.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
+    for (const snapshot of this.kvEventFollower.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
   };
 
-  /** Answers a gateway or another control node; null for a request that is malformed or of an unknown topic. */
-  private readonly answer = async (connection: PeerConnection, topic: string, body: unknown): Promise<unknown> => {
+  /** Returns the reply to a gateway or another control node; null if the request is malformed or its topic unknown. */
+  private readonly handleRequest = async (
+    connection: PeerConnection,
+    topic: string,
+    body: unknown,
+  ): Promise<unknown> => {
     switch (topic) {
       case 'ping':
-        return gatewayMessages.isLoadReport(body) ? this.push.pong(connection, body) : null;
+        return gatewayMessages.isLoadReport(body) ? this.gatewayPublisher.handlePing(connection, body) : null;
       case 'prefixCaches':
-        return isTexts(body) ? this.kv.snapshots(body) : null;
+        return isTexts(body) ? this.kvEventFollower.snapshots(body) : null;
       case 'replicaLook':
-        return isTexts(body) ? this.replicas.look(body) : null;
+        return isTexts(body) ? this.replicaRegistry.lookUp(body) : null;
       case 'replicaNews':
-        return gatewayMessages.isReplicaRecords(body) ? this.replicas.takeRecords(body) : null;
+        return gatewayMessages.isReplicaRecords(body) ? this.replicaRegistry.mergeRecords(body) : null;
       case 'replicaTable':
         return gatewayMessages.isReplicaRecords(body) ? this.exchangeRecords(body) : null;
       case 'claimPage':
-        return isNumber(body) ? this.claims.page(body) : null;
+        return isNumber(body) ? this.claimTable.page(body) : null;
       default:
-        return this.acceptor.isVoter() ? this.answerAsVoter(topic, body) : null;
+        return this.acceptor.isVoter() ? this.handleVoterRequest(topic, body) : null;
     }
   };
 
   private readonly exchangeRecords = async (records: readonly ReplicaRecord[]): Promise<ReplicaRecord[]> => {
-    await this.replicas.takeRecords(records);
-    return this.table.records();
+    await this.replicaRegistry.mergeRecords(records);
+    return this.replicaTable.records();
   };
 
-  /** Answers the requests that only a voter may answer. */
-  private readonly answerAsVoter = async (topic: string, body: unknown): Promise<unknown> => {
+  /** Handles the requests that only a voter may answer. */
+  private readonly handleVoterRequest = async (topic: string, body: unknown): Promise<unknown> => {
     switch (topic) {
       case 'admitSides':
-        return gatewayMessages.isIsolationClaims(body) ? this.sides.admit(body) : null;
+        return gatewayMessages.isIsolationClaims(body) ? this.isolationRegistry.recordClaims(body) : null;
       case 'claimPrepare':
-        return gatewayMessages.isClaimPrepare(body) ? this.claims.prepare(body.key, body.turn, body.ballot) : null;
+        return gatewayMessages.isClaimPrepare(body) ? this.claimTable.prepare(body.key, body.turn, body.ballot) : null;
       case 'claimAccept':
         return gatewayMessages.isClaimAccept(body)
-          ? this.claims.accept(body.key, body.turn, body.ballot, body.claimant)
+          ? this.claimTable.accept(body.key, body.turn, body.ballot, body.claimant)
           : null;
       case 'claimRelease':
         return gatewayMessages.isClaimTurn(body) ? this.releaseClaim(body.key, body.turn) : null;
@@ -287,31 +287,31 @@
   };
 
   private readonly releaseClaim = async (key: string, turn: number): Promise<ClaimVote | null> => {
-    if (!(await this.claims.release(key, turn))) return null;
+    if (!(await this.claimTable.release(key, turn))) return null;
     return { kind: 'state', isGranted: true, state: { turn: turn + 1, promised: null, accepted: null } };
   };
 
-  /** The newest committed state, or null where no majority of voters confirmed it within 700 ms. */
-  readonly confirmed = (): Promise<CommittedState | null> => this.proposer.linearizableRead(confirmTimeoutMs);
+  /** Returns the newest committed state; null if no majority of voters confirmed it within 700 ms. */
+  readonly confirmedState = (): Promise<CommittedState | null> => this.proposer.linearizableRead(confirmTimeoutMs);
 
-  /** Number of voters with an open connection, this node counted if it is one. */
-  readonly reachable = (): number => this.consensus.reachableVoters().length;
+  /** Returns the number of voters with an open connection, including this node if it is a voter. */
+  readonly reachableVoterCount = (): number => this.consensus.reachableVoters().length;
 
-  /** Whether this node may take requests: it reaches a majority of the members. */
+  /** Whether this node can serve requests: it reaches a majority of the members. */
   readonly isReady = (): boolean => this.consensus.reachesMajority();
 
-  /** Ends all work and closes the logs. */
+  /** Stops all work and closes the logs. */
   readonly stop = async (): Promise<void> => {
     this.consensus.pause();
-    this.trimStep.stop();
+    this.trimTimer.stop();
     this.consensus.resign();
     this.failureDetector.stop();
-    this.kv.stop();
+    this.kvEventFollower.stop();
     this.consensus.close();
     await this.listener?.close();
     await this.acceptor.close();
-    await this.table.close();
-    await this.claims.close();
+    await this.replicaTable.close();
+    await this.claimTable.close();
     await this.leases.close();
   };
 }
--- a/packages/control-plane/test/failedWrites.test.ts
+++ b/packages/control-plane/test/failedWrites.test.ts
@@ -84,10 +84,10 @@
     const state: ClaimState = { turn: 3, promised: [1, 'a'], accepted: null };
     const page = { entries: [['key', state] as const], next: null };
     diskFaults.isFull = true;
-    expect(await finish(world, table.takePage(page))).to.equal(false);
-    expect(await finish(world, table.takePage(page))).to.equal(false);
+    expect(await finish(world, table.mergePage(page))).to.equal(false);
+    expect(await finish(world, table.mergePage(page))).to.equal(false);
     diskFaults.isFull = false;
-    expect(await finish(world, table.takePage(page))).to.equal(true);
+    expect(await finish(world, table.mergePage(page))).to.equal(true);
   });
 
   it('given two replica records, when only the write of the second fails, then watchers are still notified of the first', async () => {
@@ -104,10 +104,10 @@
       if (appends === 2) diskFaults.isFull = true;
       return append(record);
     };
-    expect((await finish(world, table.take([replica('one'), replica('two')]))).isErr()).to.equal(true);
+    expect((await finish(world, table.merge([replica('one'), replica('two')]))).isErr()).to.equal(true);
     expect(observed).to.deep.equal(['one']);
     diskFaults.isFull = false;
-    expect((await finish(world, table.take([replica('one'), replica('two')]))).isOk()).to.equal(true);
+    expect((await finish(world, table.merge([replica('one'), replica('two')]))).isOk()).to.equal(true);
     expect(observed).to.deep.equal(['one', 'two']);
   });
 });
--- a/packages/control-plane/test/maintenance.test.ts
+++ b/packages/control-plane/test/maintenance.test.ts
@@ -155,7 +155,7 @@
       () => fleet.controlNodes[2]?.acceptor.isVoter() === true,
     );
     expect(waitedMs).to.be.lessThan(6_000);
-    expect(fleet.controlNodes[2]?.table.records().length).to.equal(5);
+    expect(fleet.controlNodes[2]?.replicaTable.records().length).to.equal(5);
     expect(fleet.controlNodes[2]?.acceptor.committedState()?.changeIds['first-layout']).to.not.equal(undefined);
   });
 
@@ -263,7 +263,9 @@
     await fleet.world.run(20_000);
     expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.equal(0);
-    expect(fleet.controlNodes[0]?.table.records().every((record) => record.sides.includes('*unknown*'))).to.equal(true);
+    expect(
+      fleet.controlNodes[0]?.replicaTable.records().every((record) => record.sides.includes('*unknown*')),
+    ).to.equal(true);
   });
 
   it('given claims past their retention, when control nodes drop them, then none is left in memory', async () => {
@@ -271,10 +273,10 @@
     const checker = new InvariantChecker(fleet);
     checker.keyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
-    const sizes = fleet.controlNodes.map((node) => node?.claims.size() ?? 0);
+    const sizes = fleet.controlNodes.map((node) => node?.claimTable.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
     await fleet.world.run(15_000);
-    expect(fleet.controlNodes.map((node) => node?.claims.size())).to.deep.equal([0, 0, 0]);
+    expect(fleet.controlNodes.map((node) => node?.claimTable.size())).to.deep.equal([0, 0, 0]);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
