--- a/packages/cli/src/commands/runRole.ts
+++ b/packages/cli/src/commands/runRole.ts
@@ -21,6 +21,6 @@
   }
   const settings = checked.value;
   const log = settings.logs ? logs.named('martenworks', { role, node: settings.name }) : logs.silent();
-  uncaughtExceptions.endProcess(log, exitCodes.crashed);
+  uncaughtExceptions.installHandler(log, exitCodes.crashed);
   return role === 'gateway-control' ? runGatewayControl(settings, log) : runGateway(settings, log);
 };
--- a/packages/cli/test/openHandles.test.ts
+++ b/packages/cli/test/openHandles.test.ts
@@ -137,7 +137,7 @@
   const gateway = (await gateways.start(settings, portsIn(null)))._unsafeUnwrap();
   const closePages = await servedPage(settings.http, callerApi(gateway).fetch, '/healthz');
   return {
-    hasPeer: () => gateway.peerPool.open().length > 0,
+    hasPeer: () => gateway.peerPool.openConnections().length > 0,
     stop: async () => {
       await gateway.drain();
       await gateway.stop();
--- a/packages/cluster-membership/src/failureDetector.ts
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -15,7 +15,7 @@
  */
 export class FailureDetector {
   /** The heartbeats that this node watches. */
-  readonly watch: HeartbeatMonitor;
+  readonly heartbeatMonitor: HeartbeatMonitor;
   private readonly timer: RepeatingTimer;
   private tickedAt: number;
 
@@ -27,7 +27,7 @@
     private readonly reportLocally: (suspects: readonly string[]) => void,
   ) {
     const { clock, random } = ports;
-    this.watch = new HeartbeatMonitor(clock, own, this.nodes);
+    this.heartbeatMonitor = new HeartbeatMonitor(clock, own, this.nodes);
     this.tickedAt = clock.now();
     this.timer = new RepeatingTimer(
       clock,
@@ -44,7 +44,7 @@
 
   /** Addresses of the nodes that watch this one, to hold connections to. */
   readonly watcherAddresses = (): string[] => {
-    const names = new Set(this.watch.watchers());
+    const names = new Set(this.heartbeatMonitor.watchers());
     return this.memberList
       .entries()
       .filter(({ hello }) => names.has(hello.name))
@@ -52,14 +52,14 @@
   };
 
   private readonly tick = (now: number): void => {
-    if (now - this.tickedAt > frozenMs) this.watch.clearAfterFreeze();
+    if (now - this.tickedAt > frozenMs) this.heartbeatMonitor.resetAfterPause();
     this.tickedAt = now;
-    const watchers = new Set(this.watch.watchers());
-    const suspects = this.watch.suspects();
-    for (const connection of this.peerPool().open()) {
+    const watchers = new Set(this.heartbeatMonitor.watchers());
+    const suspects = this.heartbeatMonitor.suspects();
+    for (const connection of this.peerPool().openConnections()) {
       if (connection.peer === null) continue;
-      if (watchers.has(connection.peer.name)) connection.tell('heartbeat', this.own().name);
-      if (connection.peer.role === 'control') connection.tell('suspects', suspects);
+      if (watchers.has(connection.peer.name)) connection.send('heartbeat', this.own().name);
+      if (connection.peer.role === 'control') connection.send('suspects', suspects);
     }
     this.reportLocally(suspects);
   };
--- a/packages/cluster-membership/src/heartbeatMonitor.ts
+++ b/packages/cluster-membership/src/heartbeatMonitor.ts
@@ -45,7 +45,7 @@
   };
 
   /** Notes a heartbeat. */
-  readonly heartbeatFrom = (name: string): void => {
+  readonly recordHeartbeat = (name: string): void => {
     const now = this.clock.now();
     const history = this.histories.get(name);
     if (history === undefined) {
@@ -71,7 +71,7 @@
   };
 
   /** This process stood still itself: all silences begin anew. */
-  readonly clearAfterFreeze = (): void => {
+  readonly resetAfterPause = (): void => {
     const now = this.clock.now();
     for (const history of this.histories.values()) history.at = now;
   };
--- a/packages/cluster-membership/src/index.ts
+++ b/packages/cluster-membership/src/index.ts
@@ -5,7 +5,7 @@
 export type { LeaseReply, LeaseRequest, LeaseTerms } from './leaseTerms.js';
 export * from './leaseTable.js';
 export * from './leaseManager.js';
-export * from './fenceGate.js';
+export * from './fencingTokenCheck.js';
 export * from './hashRing.js';
 export * from './heartbeatMonitor.js';
 export * from './failureVerdicts.js';
--- a/packages/cluster-membership/src/leaseManager.ts
+++ b/packages/cluster-membership/src/leaseManager.ts
@@ -47,7 +47,7 @@
   private readonly clockOffset = (): number => this.clock.wall() - this.clock.now();
 
   /** The fencing token of a duty whose lease is held at this moment, else null. */
-  readonly fenceOf = (duty: string): number | null => {
+  readonly fencingTokenOf = (duty: string): number | null => {
     const lease = this.leases.get(duty);
     if (lease === undefined) return null;
     const isSound = this.clock.now() < lease.endAt && Math.abs(this.clockOffset() - lease.clockOffset) < jumpMs;
@@ -79,7 +79,7 @@
   private readonly dropEnded = (wanted: ReadonlySet<string>): void => {
     let hasChanged = false;
     for (const duty of [...this.leases.keys()]) {
-      if (wanted.has(duty) && this.fenceOf(duty) !== null) continue;
+      if (wanted.has(duty) && this.fencingTokenOf(duty) !== null) continue;
       this.leases.delete(duty);
       hasChanged = true;
     }
@@ -91,7 +91,7 @@
    * that.
    */
   private readonly requestFor = (duty: string): DutyFence | null => {
-    const fence = this.fenceOf(duty);
+    const fence = this.fencingTokenOf(duty);
     if (fence !== null) {
       this.idleTicks.set(duty, 0);
       return { duty, fence };
@@ -99,7 +99,7 @@
     const idleTicks = (this.idleTicks.get(duty) ?? 0) + 1;
     this.idleTicks.set(duty, idleTicks);
     if (idleTicks <= this.rankFor(duty) * idleTicksPerRank) return null;
-    return { duty, fence: Math.max(this.fences.get(duty) ?? 0, this.terms.floor()) + 1 };
+    return { duty, fence: Math.max(this.fences.get(duty) ?? 0, this.terms.fenceFloor()) + 1 };
   };
 
   private readonly ask = async (duties: readonly DutyFence[]): Promise<void> => {
@@ -136,7 +136,7 @@
   /** The leases held now. */
   readonly status = (): LeaseStatus[] =>
     [...this.leases].flatMap(([duty, lease]) =>
-      this.fenceOf(duty) === null
+      this.fencingTokenOf(duty) === null
         ? []
         : [{ duty, fence: lease.fence, leftMs: Math.round(lease.endAt - this.clock.now()) }],
     );
--- a/packages/cluster-membership/src/leaseTable.ts
+++ b/packages/cluster-membership/src/leaseTable.ts
@@ -67,7 +67,7 @@
         const written = this.grantAnew(duty, holder, fence, now + this.terms.leaseMs);
         writes.push(written.then((isGranted) => void (isGranted && granted.push(duty))));
       }
-      fences[duty] = Math.max(this.highestFence(duty), this.terms.floor());
+      fences[duty] = Math.max(this.highestFence(duty), this.terms.fenceFloor());
     }
     await Promise.all(writes);
     return { granted, fences };
@@ -84,7 +84,7 @@
   private readonly mayGrant = (duty: string, holder: string, fence: number, now: number): boolean => {
     if (now < this.quietUntil || this.pending.has(duty)) return false;
     const grant = this.grants.get(duty);
-    const isAbove = fence > Math.max(grant?.fence ?? 0, this.terms.floor());
+    const isAbove = fence > Math.max(grant?.fence ?? 0, this.terms.fenceFloor());
     if (!isAbove || grant === undefined) return isAbove;
     const gapMs = grant.holder === holder ? 0 : this.terms.gapMs;
     return grant.endAt + gapMs <= now;
--- a/packages/cluster-membership/src/leaseTerms.ts
+++ b/packages/cluster-membership/src/leaseTerms.ts
@@ -32,8 +32,8 @@
   readonly leaseMs: number;
   readonly marginMs: number;
   readonly gapMs: number;
-  readonly floor: () => number;
+  readonly fenceFloor: () => number;
 }
 
 /** The terms without a gap or a floor. */
-export const defaultTerms: LeaseTerms = { leaseMs, marginMs, gapMs: 0, floor: () => 0 };
+export const defaultTerms: LeaseTerms = { leaseMs, marginMs, gapMs: 0, fenceFloor: () => 0 };
--- a/packages/cluster-membership/src/memberList.ts
+++ b/packages/cluster-membership/src/memberList.ts
@@ -25,7 +25,7 @@
 
 /** Checks member entries that came from a peer; those that can't be read are left out. */
 export const memberEntries = {
-  received: (body: unknown): MemberEntry[] => (Array.isArray(body) ? body.filter(isEntry) : []),
+  parse: (body: unknown): MemberEntry[] => (Array.isArray(body) ? body.filter(isEntry) : []),
 };
 
 /** Keeps the newest hello of each other node; one that nobody has seen for two minutes is forgotten. */
@@ -38,7 +38,7 @@
   ) {}
 
   /** Notes that this node is connected now. */
-  readonly heard = (hello: Hello): void => this.merge([{ hello, ageMs: 0 }]);
+  readonly recordContact = (hello: Hello): void => this.merge([{ hello, ageMs: 0 }]);
 
   /** Takes another node's entries; of each node the newer sighting stays. */
   readonly merge = (entries: readonly MemberEntry[]): void => {
--- a/packages/cluster-membership/src/peerPool.ts
+++ b/packages/cluster-membership/src/peerPool.ts
@@ -1,24 +1,24 @@
 /** Keeps a connection to each control node, dialled from this node. */
-import { background, RepeatingTimer, pause } from '@martenworks/core-types';
+import { background, RepeatingTimer, timing } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { PeerConnection, Handlers, Hello } from '@martenworks/peer-transport';
+import type { PeerConnection, PeerHandlers, Hello } from '@martenworks/peer-transport';
 import { memberEntries } from './memberList.js';
 import type { MemberList } from './memberList.js';
 
 const firstWaitMs = 50;
-const longestWaitMs = 1_000;
+const maxBackoffMs = 1_000;
 const refreshMs = 1_000;
 const memberListTimeoutMs = 800;
 const enoughControlNodes = 3;
 
 /** Milliseconds: how long one dial may take, and the longest wait between two. */
-export interface DialPace {
+export interface DialOptions {
   readonly timeoutMs: number;
-  readonly longestWaitMs: number;
+  readonly maxBackoffMs: number;
 }
 
-const defaultPace: DialPace = { timeoutMs: 2_000, longestWaitMs };
+const defaultPace: DialOptions = { timeoutMs: 2_000, maxBackoffMs };
 
 interface PooledPeer {
   connection: PeerConnection | null;
@@ -40,15 +40,15 @@
     private readonly seeds: readonly string[],
     private readonly memberList: MemberList,
     private readonly memberAddresses: () => readonly string[],
-    private readonly handlers: Handlers,
-    private readonly pace: DialPace = defaultPace,
+    private readonly handlers: PeerHandlers,
+    private readonly pace: DialOptions = defaultPace,
   ) {
     this.refresher = new RepeatingTimer(
       ports.clock,
       () => refreshMs * (0.75 + 0.5 * ports.random.fraction()),
       this.refresh,
     );
-    this.align();
+    this.reconcile();
   }
 
   private readonly wanted = (): Set<string> => {
@@ -56,14 +56,14 @@
       ...this.memberAddresses(),
       ...this.memberList.withRole('control').map((hello) => hello.address),
     ]);
-    const liveControlNodes = this.open().filter((connection) => connection.peer?.role === 'control').length;
+    const liveControlNodes = this.openConnections().filter((connection) => connection.peer?.role === 'control').length;
     const addresses = liveControlNodes >= enoughControlNodes ? controlNodes : new Set([...controlNodes, ...this.seeds]);
     addresses.delete(this.own().address);
     return addresses;
   };
 
   /** Dials addresses that became wanted, closes connections that no longer are. */
-  readonly align = (): void => {
+  readonly reconcile = (): void => {
     if (this.isStopped) return;
     const wanted = this.wanted();
     for (const address of wanted) if (!this.peers.has(address)) this.start(address);
@@ -92,10 +92,10 @@
     let waitMs = firstWaitMs;
     while (!this.isEnded(pooled)) {
       const heldMs = await this.connectOnce(address, pooled);
-      if (heldMs > this.pace.longestWaitMs) waitMs = firstWaitMs;
+      if (heldMs > this.pace.maxBackoffMs) waitMs = firstWaitMs;
       if (this.isEnded(pooled)) return;
-      await pause.for(clock, waitMs * (0.5 + random.fraction()));
-      waitMs = Math.min(waitMs * 2, this.pace.longestWaitMs);
+      await timing.sleep(clock, waitMs * (0.5 + random.fraction()));
+      waitMs = Math.min(waitMs * 2, this.pace.maxBackoffMs);
     }
   };
 
@@ -104,10 +104,10 @@
     const { clock, net, log } = this.ports;
     let notifyClosed = (): void => {};
     const closed = new Promise<void>((resolve) => (notifyClosed = resolve));
-    const handlers: Handlers = {
+    const handlers: PeerHandlers = {
       ...this.handlers,
-      left: (connection) => {
-        this.handlers.left(connection);
+      onClose: (connection) => {
+        this.handlers.onClose(connection);
         notifyClosed();
       },
     };
@@ -123,31 +123,31 @@
   private readonly adopt = (connection: PeerConnection, pooled: PooledPeer): void => {
     if (this.isEnded(pooled)) connection.close();
     pooled.connection = connection;
-    if (connection.peer !== null) this.memberList.heard(connection.peer);
+    if (connection.peer !== null) this.memberList.recordContact(connection.peer);
     background.run('learn the members from a peer', this.learnFrom(connection));
   };
 
   private readonly learnFrom = async (connection: PeerConnection): Promise<void> => {
-    const reply = await connection.ask('memberList', this.memberList.entries(), memberListTimeoutMs);
-    if (reply.isOk()) this.memberList.merge(memberEntries.received(reply.value));
-    if (connection.peer !== null && reply.isOk()) this.memberList.heard(connection.peer);
-    this.align();
+    const reply = await connection.call('memberList', this.memberList.entries(), memberListTimeoutMs);
+    if (reply.isOk()) this.memberList.merge(memberEntries.parse(reply.value));
+    if (connection.peer !== null && reply.isOk()) this.memberList.recordContact(connection.peer);
+    this.reconcile();
   };
 
   private readonly refresh = (): void => {
-    const live = this.open();
+    const live = this.openConnections();
     const connection = live[Math.floor(this.ports.random.fraction() * live.length)];
     if (connection !== undefined) background.run('learn the members from a peer', this.learnFrom(connection));
-    else this.align();
+    else this.reconcile();
   };
 
   /** The open connections. */
-  readonly open = (): PeerConnection[] =>
+  readonly openConnections = (): PeerConnection[] =>
     [...this.peers.values()].flatMap((pooled) => (pooled.connection?.isLive() ? [pooled.connection] : []));
 
   /** The open connection to the run of a node with this incarnation. */
-  readonly to = (incarnation: string): PeerConnection | undefined =>
-    this.open().find((connection) => connection.peer?.incarnation === incarnation);
+  readonly connectionTo = (incarnation: string): PeerConnection | undefined =>
+    this.openConnections().find((connection) => connection.peer?.incarnation === incarnation);
 
   /** Closes all connections and dials no more. */
   readonly stop = (): void => {
--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -6,7 +6,7 @@
   fleet.controlNodes.flatMap((controlNode, at) =>
     controlNode !== null &&
     !fleet.machineOf('control', at).isFrozen &&
-    controlNode.leaseManager.fenceOf(`kv/${replica}`) !== null
+    controlNode.leaseManager.fencingTokenOf(`kv/${replica}`) !== null
       ? [at]
       : [],
   );
--- a/packages/cluster-membership/test/leaseTerms.test.ts
+++ b/packages/cluster-membership/test/leaseTerms.test.ts
@@ -7,7 +7,7 @@
   const world = new SimWorld(11);
   const { clock } = world.machine('10.0.0.1').ports();
   let logIndex = 1;
-  const terms: LeaseTerms = { leaseMs: 1_600, marginMs: 400, gapMs, floor: () => logIndex * 1_000 };
+  const terms: LeaseTerms = { leaseMs: 1_600, marginMs: 400, gapMs, fenceFloor: () => logIndex * 1_000 };
   const leaseTables = Array.from({ length: 3 }, () => new LeaseTable(clock, async () => true, [], false, terms));
   const dutiesOf = (name: string, reached: () => readonly number[]) =>
     new LeaseManager(
@@ -48,17 +48,17 @@
     const a = dutiesOf('a', () => (isCut ? [] : [0, 1, 2]));
     const b = dutiesOf('b', () => [0, 1, 2]);
     await turn(world, [a], 6_000);
-    expect(a.fenceOf('weights')).to.not.equal(null);
+    expect(a.fencingTokenOf('weights')).to.not.equal(null);
     isCut = true;
     let lastOfA = 0;
     let firstOfB = 0;
     await turn(world, [a, b], 9_000, (at) => {
-      if (a.fenceOf('weights') !== null) lastOfA = at;
-      if (b.fenceOf('weights') !== null && firstOfB === 0) firstOfB = at;
+      if (a.fencingTokenOf('weights') !== null) lastOfA = at;
+      if (b.fencingTokenOf('weights') !== null && firstOfB === 0) firstOfB = at;
     });
     expect(firstOfB).to.be.greaterThan(0);
     expect(firstOfB - lastOfA).to.be.at.least(3_000);
-    expect(b.fenceOf('weights')).to.be.greaterThan(1_001);
+    expect(b.fencingTokenOf('weights')).to.be.greaterThan(1_001);
   });
 
   it('given voters that start anew and forgot a grant, when another asks at once, then it waits as long as the old one might still act', async () => {
@@ -66,21 +66,21 @@
     const b = dutiesOf('b', () => [0, 1, 2]);
     await turn(world, [b], 4_000);
     expect(leaseTables.length).to.equal(3);
-    expect(b.fenceOf('weights')).to.equal(null);
+    expect(b.fencingTokenOf('weights')).to.equal(null);
     await turn(world, [b], 2_000);
-    expect(b.fenceOf('weights')).to.not.equal(null);
+    expect(b.fencingTokenOf('weights')).to.not.equal(null);
   });
 
   it('given a voter that lost its disk and was swapped in anew, when the others raise the generation, then every later fence is above all earlier ones', async () => {
     const { world, leaseTables, terms, clock, raise, dutiesOf } = office(0);
     const a = dutiesOf('a', () => [0, 1]);
     await turn(world, [a], 3_000);
-    const before = a.fenceOf('weights') as number;
+    const before = a.fencingTokenOf('weights') as number;
     raise();
     leaseTables[0] = new LeaseTable(clock, async () => true, [], false, terms);
     await world.run(5_000);
     const b = dutiesOf('b', () => [0, 2]);
     await turn(world, [b], 3_000);
-    expect(b.fenceOf('weights')).to.be.greaterThan(before);
+    expect(b.fencingTokenOf('weights')).to.be.greaterThan(before);
   });
 });
--- a/packages/cluster-membership/test/memberEntries.test.ts
+++ b/packages/cluster-membership/test/memberEntries.test.ts
@@ -20,11 +20,11 @@
       { hello, ageMs: '20' },
       { hello: { ...hello, role: 'king' }, ageMs: 0 },
     ];
-    expect(memberEntries.received([sound, ...unreadable, other])).to.deep.equal([sound, other]);
+    expect(memberEntries.parse([sound, ...unreadable, other])).to.deep.equal([sound, other]);
   });
 
   it('given what is no list, when it is received, then there are no entries', () => {
     for (const body of [null, undefined, 7, 'entries', { hello, ageMs: 0 }])
-      expect(memberEntries.received(body)).to.deep.equal([]);
+      expect(memberEntries.parse(body)).to.deep.equal([]);
   });
 });
--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -6,7 +6,7 @@
 import type { ArkErrors } from 'arktype';
 import { Hono } from 'hono';
 import type { Context } from 'hono';
-import { keys } from '@martenworks/core-types';
+import { apiKeys } from '@martenworks/core-types';
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
 import { gatewayConfigs } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
@@ -89,7 +89,7 @@
   c.json({ outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash must be given' }] }, 422);
 
 const keyHashOf = (given: typeof keyRef.infer): string | undefined =>
-  given.keyHash ?? (given.key === undefined ? undefined : keys.hash(given.key));
+  given.keyHash ?? (given.key === undefined ? undefined : apiKeys.hash(given.key));
 
 /** Complaints about replicas that are announced in another pool under an incarnation that already serves one. */
 const movedReplicas = (
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -52,8 +52,8 @@
       heardAt: this.clock.now(),
       report: { replicas: {}, pools: {} },
     });
-    connection.tell('replicas', this.records());
-    for (const snapshot of this.snapshots()) connection.tell('indexSnapshot', snapshot);
+    connection.send('replicas', this.records());
+    for (const snapshot of this.snapshots()) connection.send('indexSnapshot', snapshot);
     this.update(connection);
   };
 
@@ -72,12 +72,12 @@
     const since = this.acceptor.since(subscriber.sent);
     if (since.kind === 'nothing') return;
     if (since.kind === 'checkpoint') {
-      connection.tell('checkpoint', since.agreed);
+      connection.send('checkpoint', since.agreed);
       subscriber.sent = since.agreed.logIndex;
       return;
     }
     for (const committed of since.committed) {
-      connection.tell('change', committed);
+      connection.send('change', committed);
       subscriber.sent = committed.logIndex;
     }
   };
@@ -133,7 +133,7 @@
    */
   readonly longPrompts = (connection: PeerConnection, report: LoadReport): void => {
     this.report(connection, report);
-    for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
+    for (const other of this.subscribers.keys()) if (other !== connection) other.send('loads', this.loadsFor(other));
   };
 
   /**
@@ -153,18 +153,18 @@
 
   /** Sends changed replica records to all gateways. */
   readonly tellReplicas = (records: readonly ReplicaRecord[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
+    for (const connection of this.subscribers.keys()) connection.send('replicas', records);
   };
 
   /** Sends whole prefix indexes of replicas to all gateways. */
   readonly tellSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
     for (const connection of this.subscribers.keys())
-      for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
+      for (const snapshot of snapshots) connection.send('indexSnapshot', snapshot);
   };
 
   /** Sends cache events to all gateways. */
   readonly tellKv = (update: readonly KvCacheEvent[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('kv', update);
+    for (const connection of this.subscribers.keys()) connection.send('kv', update);
   };
 
   /** Closes the connections of gateways that have sent no ping for 6 s; they dial again. */
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -109,11 +109,11 @@
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.agreed();
     if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
-    if (state.logIndex > subscriber.announced) connection.tell('stateAnnounced', state.logIndex);
+    if (state.logIndex > subscriber.announced) connection.send('stateAnnounced', state.logIndex);
     subscriber.announced = state.logIndex;
     if (!subscriber.wantsContent || subscriber.underWay !== null) return;
     subscriber.underWay = { logIndex: state.logIndex, sentAt: this.clock.now() };
-    connection.tell('state', this.message(state, subscriber));
+    connection.send('state', this.message(state, subscriber));
   };
 
   /** What is in force for an edge that asks: null where nothing was agreed. */
@@ -157,18 +157,18 @@
 
   /** Sends a message to all subscribed edges. */
   readonly tellAll = (topic: string, body: unknown): void => {
-    for (const connection of this.subscribers.keys()) connection.tell(topic, body);
+    for (const connection of this.subscribers.keys()) connection.send(topic, body);
   };
 
   /** Sends a message to the edges that take their content from this node. */
   readonly tellContent = (topic: string, body: unknown): void => {
-    for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.tell(topic, body);
+    for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.send(topic, body);
   };
 
   /** Sends a message to the edges that take their content from this node, other than its sender. */
   readonly tellOthers = (sender: PeerConnection, topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers)
-      if (wantsContent && connection !== sender) connection.tell(topic, body);
+      if (wantsContent && connection !== sender) connection.send(topic, body);
   };
 
   /** Closes the connections of edges that were not heard for 4 s; they dial again. */
--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -64,7 +64,7 @@
     this.incarnation = snapshot.incarnation;
     this.isFresh = snapshot.isFresh ?? true;
     this.foundingVote = snapshot.foundingVote;
-    this.state = snapshot.agreed === null ? null : stateMachine.filled(snapshot.agreed);
+    this.state = snapshot.agreed === null ? null : stateMachine.withDefaults(snapshot.agreed);
     this.ballotState = snapshot.live;
   };
 
@@ -78,7 +78,7 @@
         this.foundingVote = event.members;
         return;
       case 'adopted':
-        this.state = stateMachine.filled(event.agreed);
+        this.state = stateMachine.withDefaults(event.agreed);
         this.ballotState = noBallot;
         this.recent.clear();
         return;
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -78,7 +78,7 @@
 
   /** Asks a peer that is behind to catch up from this node. */
   readonly supply = async (peer: PeerConnection, timeoutMs: number): Promise<void> =>
-    void (await peer.ask(catchUpTopics.behind, null, timeoutMs));
+    void (await peer.call(catchUpTopics.behind, null, timeoutMs));
 
   /** Commits a change that a peer sent, or catches up where earlier ones are missing. */
   readonly commit = async (peer: PeerConnection, { logIndex, change }: CompressedCommit): Promise<void> => {
@@ -103,7 +103,7 @@
   };
 
   private readonly logIndexOf = async (peer: PeerConnection, timeoutMs: number): Promise<number | null> => {
-    const reply = await peer.ask(catchUpTopics.logIndex, null, timeoutMs);
+    const reply = await peer.call(catchUpTopics.logIndex, null, timeoutMs);
     return reply.isOk() && typeof reply.value === 'number' ? reply.value : null;
   };
 
@@ -137,7 +137,7 @@
         digest: progress?.digest ?? null,
         offset: progress?.received ?? 0,
       };
-      const reply = await peer.ask(catchUpTopics.page, ask, pageTimeoutMs);
+      const reply = await peer.call(catchUpTopics.page, ask, pageTimeoutMs);
       if (reply.isErr()) return false;
       if (reply.value === null) {
         this.progress = null;
--- a/packages/control-plane/src/consensus/compression.ts
+++ b/packages/control-plane/src/consensus/compression.ts
@@ -44,5 +44,5 @@
 
   /** The state in these bytes; throws on bytes that `encode` did not make. */
   decode: (bytes: Uint8Array): CommittedState =>
-    stateMachine.filled(earlierRecords.state(inflated(bytes) as CommittedState)),
+    stateMachine.withDefaults(earlierRecords.state(inflated(bytes) as CommittedState)),
 };
--- a/packages/control-plane/src/consensus/confirmedRead.ts
+++ b/packages/control-plane/src/consensus/confirmedRead.ts
@@ -2,7 +2,7 @@
  * Linearizable reads without a log entry: a majority confirms that the local state is the newest
  * (docs/control/operators.md).
  */
-import { stateMachine, pause } from '@martenworks/core-types';
+import { stateMachine, timing } from '@martenworks/core-types';
 import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
 import type { Since } from './ballots.js';
@@ -49,7 +49,7 @@
       if (look.kind === 'no majority') return null;
       if (look.kind === 'ahead') await this.catchUpFrom(look.member, state.logIndex);
       else if (++pendingLooks < looksBeforeBallot)
-        await pause.for(this.clock, pendingPauseMs * (0.5 + this.random.fraction()));
+        await timing.sleep(this.clock, pendingPauseMs * (0.5 + this.random.fraction()));
       else if (this.acceptor.agreed()?.logIndex === state.logIndex) await settlePending(state);
     } while (this.clock.now() < until);
     return null;
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -2,7 +2,7 @@
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import { PeerPool } from '@martenworks/cluster-membership';
 import type { LeaseManager } from '@martenworks/cluster-membership';
-import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import { Founding } from '../membership/founding.js';
 import { Membership } from '../membership/membership.js';
 import type { Acceptor } from './acceptor.js';
@@ -105,7 +105,7 @@
     const { pace } = this;
     const varied = (everyMs: number) => (): number => everyMs * (0.5 + random.fraction());
     this.leases.start();
-    this.acceptor.watch(() => this.peerPool.align());
+    this.acceptor.watch(() => this.peerPool.reconcile());
     this.timers.push(
       new RepeatingTimer(clock, varied(pace.foundingMs), this.stepFounding),
       new RepeatingTimer(clock, varied(pace.upkeepMs), this.upkeep),
@@ -186,20 +186,20 @@
   };
 
   /** Handlers for every connection of the node: the group's own topics here, all others by the role. */
-  readonly handlers = (): Handlers => ({
-    joined: (connection) => {
+  readonly handlers = (): PeerHandlers => ({
+    onOpen: (connection) => {
       this.noteJoined(connection);
-      this.role.joined(connection);
+      this.role.onOpen(connection);
     },
-    left: (connection) => this.role.left(connection),
-    told: (connection, topic, body) => {
+    onClose: (connection) => this.role.onClose(connection),
+    onMessage: (connection, topic, body) => {
       if (topic === 'committed') this.takeCommitted(connection, body);
       else if (topic === 'leaseRelease') this.leases.takeRelease(body);
       else if (topic === 'leaving') this.takeLeaving(connection);
-      else this.role.told(connection, topic, body);
+      else this.role.onMessage(connection, topic, body);
     },
-    asked: (connection, topic, body) => {
-      if (connection.peer !== null) this.parts.memberList.heard(connection.peer);
+    onCall: (connection, topic, body) => {
+      if (connection.peer !== null) this.parts.memberList.recordContact(connection.peer);
       return this.requests.answer(connection, topic, body);
     },
   });
@@ -209,11 +209,11 @@
 
   private readonly noteJoined = (connection: PeerConnection): void => {
     if (connection.peer === null) return;
-    this.parts.memberList.heard(connection.peer);
+    this.parts.memberList.recordContact(connection.peer);
     if (connection.peer.role !== 'control') return;
     this.membership.noteBack(connection.peer.incarnation);
-    if (this.isLeaving()) connection.tell('leaving', null);
-    if (this.acceptor.agreed() !== null && this.isNewcomer(connection.peer)) this.peerPool.align();
+    if (this.isLeaving()) connection.send('leaving', null);
+    if (this.acceptor.agreed() !== null && this.isNewcomer(connection.peer)) this.peerPool.reconcile();
   };
 
   private readonly takeLeaving = (connection: PeerConnection): void => {
--- a/packages/control-plane/src/consensus/consensusOptions.ts
+++ b/packages/control-plane/src/consensus/consensusOptions.ts
@@ -1,7 +1,7 @@
 /** What a consensus member is made with: its collaborators, its timing, and what the kind of node adds. */
-import type { DialPace, LeaseTerms, MemberEntry, MemberList } from '@martenworks/cluster-membership';
+import type { DialOptions, LeaseTerms, MemberEntry, MemberList } from '@martenworks/cluster-membership';
 import type { Ports } from '@martenworks/core-types';
-import type { Handlers, Hello } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
 import type { PersistedLeases } from './leaseLog.js';
 
@@ -18,13 +18,13 @@
   readonly keepaliveTimeoutMs: number;
   readonly leaseIntervalMs: number;
   readonly leaseTimeoutMs: number;
-  readonly dialPace?: DialPace;
+  readonly dialPace?: DialOptions;
   /** How long a member must be lost before a node of another name may take its seat. */
   readonly strangerWaitMs?: number;
 }
 
 /** What the kind of node adds to the group's own work; its handlers get the topics that are not the group's. */
-export interface ConsensusRole extends Handlers {
+export interface ConsensusRole extends PeerHandlers {
   /** Addresses to hold connections to, besides those of the members. */
   readonly extraAddresses: () => readonly string[];
   /** Whether a lost member of this name is known to be down. */
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -46,7 +46,7 @@
       case catchUpTopics.behind:
         return this.catchUp.answer(connection, topic, body);
       default:
-        return this.role.asked(connection, topic, body);
+        return this.role.onCall(connection, topic, body);
     }
   };
 
--- a/packages/control-plane/src/consensus/memberPeers.ts
+++ b/packages/control-plane/src/consensus/memberPeers.ts
@@ -24,17 +24,18 @@
   readonly isSelf = (member: Member): boolean => member.incarnation === this.acceptor.incarnation;
 
   /** The open connection to a member, if there is one. */
-  readonly connectionTo = (member: Member): PeerConnection | undefined => this.peerPool().to(member.incarnation);
+  readonly connectionTo = (member: Member): PeerConnection | undefined =>
+    this.peerPool().connectionTo(member.incarnation);
 
   /** Open connections to the other control nodes, voters or not. */
   readonly controlNodes = (): PeerConnection[] =>
     this.peerPool()
-      .open()
+      .openConnections()
       .filter((connection) => connection.peer?.role === 'control');
 
   /** Sends a message to all other control nodes, without a reply. */
   readonly tellAll = (topic: string, body: unknown): void => {
-    for (const connection of this.controlNodes()) connection.tell(topic, body);
+    for (const connection of this.controlNodes()) connection.send(topic, body);
   };
 
   /** Incarnations of the voters with an open connection, this node's own among them if it is one. */
@@ -51,7 +52,7 @@
     const silences = this.distinctVoters().flatMap((member) => {
       if (this.isSelf(member)) return [0];
       const connection = this.connectionTo(member);
-      return connection === undefined ? [] : [connection.silentMs()];
+      return connection === undefined ? [] : [connection.idleMs()];
     });
     const majority = majorityOf(this.members());
     return silences.sort((a, b) => a - b)[majority - 1] ?? null;
@@ -65,15 +66,15 @@
     check: MessageCheck<T>,
     timeoutMs: number,
   ): Promise<T | null> => {
-    const reply = await this.connectionTo(member)?.ask(topic, body, timeoutMs);
+    const reply = await this.connectionTo(member)?.call(topic, body, timeoutMs);
     return reply?.isOk() === true && check(reply.value) ? reply.value : null;
   };
 
   /** Probes every open connection and closes those whose peer does not answer in time. */
   readonly sendKeepalives = (timeoutMs: number): void => {
-    for (const connection of this.peerPool().open()) {
-      const probe = connection.ask('keepalive', null, timeoutMs).then((reply) => {
-        if (reply.isErr() && reply.error.code === 'late') connection.close();
+    for (const connection of this.peerPool().openConnections()) {
+      const probe = connection.call('keepalive', null, timeoutMs).then((reply) => {
+        if (reply.isErr() && reply.error.code === 'timeout') connection.close();
       });
       background.run('heartbeat a peer', probe);
     }
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -4,7 +4,7 @@
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
+import { CommandQueue, stateMachine, timing } from '@martenworks/core-types';
 import type { CommittedState, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
 import { proposalErrors } from '../errors.js';
 import type { ProposalError } from '../errors.js';
@@ -102,7 +102,7 @@
     const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
     if (this.queue.depth() >= queueLimit) return Promise.resolve(attempt.giveUp('too many changes are waiting'));
     const work = this.queue.run(() => this.push(check, attempt));
-    return pause.within(this.clock, timeoutMs, work, () => attempt.giveUp(lateDetail));
+    return timing.withTimeout(this.clock, timeoutMs, work, () => attempt.giveUp(lateDetail));
   };
 
   /** Settles a value that was accepted here and whose proposer may be gone. */
@@ -119,7 +119,7 @@
     const settlePending = (state: CommittedState): Promise<unknown> =>
       this.queue.run(() => this.round(state, null, null));
     const work = this.read.newest(this.clock.now() + timeoutMs, settlePending);
-    return pause.within(this.clock, timeoutMs, work, () => null);
+    return timing.withTimeout(this.clock, timeoutMs, work, () => null);
   };
 
   /** Proposals that run or wait in the queue. */
@@ -170,7 +170,7 @@
   /** Waits about as long as a ballot takes here, longer after each try, so that proposers on slow disks let each other finish. */
   private readonly backOff = (attemptNumber: number): Promise<void> => {
     const base = Math.min(Math.max(backoffMs, this.lastRoundMs), longestBackoffMs);
-    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, mostBackoffs));
+    return timing.sleep(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, mostBackoffs));
   };
 
   /** Applies what another member has committed beyond this node's log index. */
@@ -254,7 +254,7 @@
       logIndex: slot,
       changeId: change.id,
       kind: change.body.kind,
-      isVoid: stateMachine.isVoid(state, change),
+      isVoid: stateMachine.isNoOp(state, change),
       isKept,
     });
     return { kind: 'committed', committed };
--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -114,7 +114,7 @@
    */
   readonly accept = async (key: string, turn: number, ballot: ClaimBallot, claimant: Claimant): Promise<ClaimVote> => {
     const state = this.at(key, turn);
-    if (state.turn > turn || claimBallots.isOver(state.promised, ballot))
+    if (state.turn > turn || claimBallots.isHigher(state.promised, ballot))
       return { kind: 'state', isGranted: false, state };
     const next: ClaimState = { turn, promised: ballot, accepted: { ballot, claimant } };
     return (await this.keep(key, next)) ? { kind: 'state', isGranted: true, state: next } : { kind: 'unavailable' };
--- a/packages/control-plane/src/endpoints/endpointListReader.ts
+++ b/packages/control-plane/src/endpoints/endpointListReader.ts
@@ -1,5 +1,5 @@
 /** Reads the platform's list of replica endpoints at a pace that all control nodes share. */
-import { background, pause } from '@martenworks/core-types';
+import { background, timing } from '@martenworks/core-types';
 import type { BackendClient, EndpointListUpdate, Clock, Log, Random, ReplicaEndpoint } from '@martenworks/core-types';
 
 /** Milliseconds between two readings, and calls a second that all readers may make together. */
@@ -44,11 +44,11 @@
 
   private readonly run = async (): Promise<void> => {
     while (!this.isStopped) {
-      const read = await this.backendClient.replicas();
+      const read = await this.backendClient.listReplicas();
       if (this.isStopped) return;
       if (read.isOk()) this.take(read.value);
       else this.log.warn('endpoint list request failed', { fault: read.error });
-      await pause.for(this.clock, this.waitMs() * (0.9 + 0.2 * this.random.fraction()));
+      await timing.sleep(this.clock, this.waitMs() * (0.9 + 0.2 * this.random.fraction()));
     }
   };
 
--- a/packages/control-plane/src/endpoints/replicaRegistry.ts
+++ b/packages/control-plane/src/endpoints/replicaRegistry.ts
@@ -44,13 +44,13 @@
       };
       if (others.length === 0) resolve(false);
       for (const member of others) {
-        const connection = this.peerPool().to(member.incarnation);
+        const connection = this.peerPool().connectionTo(member.incarnation);
         if (connection === undefined) count(false);
         else
           background.run(
             'quorum call on replicas',
             connection
-              .ask(topic, body, timeoutMs)
+              .call(topic, body, timeoutMs)
               .then(async (reply) => count(reply.isOk() && (await isHeard(reply.value)))),
           );
       }
@@ -91,14 +91,14 @@
    * reply.
    */
   readonly reconcile = async (incarnation: string, peerPool: PeerPool): Promise<void> => {
-    const connection = peerPool.to(incarnation);
+    const connection = peerPool.connectionTo(incarnation);
     if (connection === undefined) return;
-    const reply = await connection.ask('replicaTable', this.table.records(), timeoutMs);
+    const reply = await connection.call('replicaTable', this.table.records(), timeoutMs);
     if (reply.isErr() || !gatewayMessages.isReplicaRecords(reply.value)) return;
     const kept = await this.table.take(reply.value);
     if (kept.isErr()) return;
     for (let from: number | null = 0; from !== null; ) {
-      const page = await connection.ask('claimPage', from, timeoutMs);
+      const page = await connection.call('claimPage', from, timeoutMs);
       if (page.isErr() || !gatewayMessages.isClaimPage(page.value)) return;
       if (!(await this.claims.takePage(page.value))) return;
       from = page.value.next;
--- a/packages/control-plane/src/endpoints/replicaTable.ts
+++ b/packages/control-plane/src/endpoints/replicaTable.ts
@@ -1,7 +1,7 @@
 /** The replica records of a gateway control node, in a log of their own. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { CommandQueue, replicas } from '@martenworks/core-types';
+import { CommandQueue, replicaRecords } from '@martenworks/core-types';
 import type { Disk, Log, ReplicaRecord } from '@martenworks/core-types';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { WriteAheadLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
@@ -23,7 +23,10 @@
   /** Restores the records from disk; called once, before any other method. */
   readonly replay = (records: readonly ReplicaRecord[]): void => {
     for (const record of records)
-      this.byName.set(record.name, replicas.merge(this.byName.get(record.name), replicas.filled(record)));
+      this.byName.set(
+        record.name,
+        replicaRecords.merge(this.byName.get(record.name), replicaRecords.withDefaults(record)),
+      );
   };
 
   /** Calls the listener with each set of records that changed. */
@@ -33,8 +36,8 @@
   readonly take = (records: readonly ReplicaRecord[]): Promise<Result<readonly ReplicaRecord[], WriteAheadLogError>> =>
     this.queue.run(async () => {
       const update = records
-        .filter((record) => replicas.isNews(this.byName.get(record.name), record))
-        .map((record) => replicas.merge(this.byName.get(record.name), record));
+        .filter((record) => replicaRecords.isUpdate(this.byName.get(record.name), record))
+        .map((record) => replicaRecords.merge(this.byName.get(record.name), record));
       if (update.length === 0) return ok(update);
       const kept: ReplicaRecord[] = [];
       for (const record of update) {
--- a/packages/control-plane/src/membership/founding.ts
+++ b/packages/control-plane/src/membership/founding.ts
@@ -33,7 +33,7 @@
   private readonly controlNodes = (): Map<string, PeerConnection> =>
     new Map(
       this.peerPool()
-        .open()
+        .openConnections()
         .flatMap((connection) =>
           connection.peer?.role === 'control' ? [[connection.peer.incarnation, connection] as const] : [],
         ),
@@ -45,7 +45,7 @@
     const reached = this.controlNodes();
     const statuses: MemberStatus[] = [];
     for (const connection of reached.values()) {
-      const reply = await connection.ask('memberStatus', null, timeoutMs);
+      const reply = await connection.call('memberStatus', null, timeoutMs);
       if (reply.isErr() || !consensusMessages.isMemberStatus(reply.value)) return;
       if (reply.value.logIndex >= 0) return this.catchUpFrom(connection);
       statuses.push(reply.value);
@@ -89,14 +89,14 @@
     if (!own.isGranted) return;
     for (const [incarnation, connection] of reached) {
       if (!members.some((member) => member.incarnation === incarnation)) continue;
-      const reply = await connection.ask('foundingVote', members, timeoutMs);
+      const reply = await connection.call('foundingVote', members, timeoutMs);
       if (reply.isErr() || !consensusMessages.isFoundingVoteReply(reply.value) || !reply.value.isGranted) return;
     }
     await this.found(members);
   };
 
   private readonly found = async (members: readonly Member[]): Promise<void> => {
-    const isFounded = await this.acceptor.adopt(stateMachine.founded(members));
+    const isFounded = await this.acceptor.adopt(stateMachine.initialState(members));
     if (isFounded) this.log.info('cluster founded', { members: members.map((member) => member.name) });
   };
 }
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -2,7 +2,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Change, Clock, Log, Member } from '@martenworks/core-types';
-import { stateMachine, digests, pause } from '@martenworks/core-types';
+import { stateMachine, digests, timing } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
@@ -30,7 +30,7 @@
 const pollUntil = async (clock: Clock, untilMs: number, isDone: () => Promise<boolean>): Promise<boolean> => {
   while (!(await isDone())) {
     if (clock.now() + retryMs > untilMs) return false;
-    await pause.for(clock, retryMs);
+    await timing.sleep(clock, retryMs);
   }
   return true;
 };
@@ -66,7 +66,10 @@
   private readonly noteLost = (members: readonly Member[]): void => {
     const now = this.clock.now();
     for (const member of members) {
-      if (member.incarnation === this.acceptor.incarnation || this.peerPool().to(member.incarnation) !== undefined)
+      if (
+        member.incarnation === this.acceptor.incarnation ||
+        this.peerPool().connectionTo(member.incarnation) !== undefined
+      )
         this.lostAt.delete(member.incarnation);
       else if (!this.lostAt.has(member.incarnation)) this.lostAt.set(member.incarnation, now);
     }
@@ -77,8 +80,8 @@
   /** Forgets of leaving nodes those that are gone and have no seat. */
   private readonly forgetGone = (state: CommittedState): void => {
     for (const incarnation of this.leaving) {
-      const isKnown = incarnation === this.acceptor.incarnation || stateMachine.holdsSeat(state, incarnation);
-      if (!isKnown && this.peerPool().to(incarnation) === undefined) this.leaving.delete(incarnation);
+      const isKnown = incarnation === this.acceptor.incarnation || stateMachine.isVoter(state, incarnation);
+      if (!isKnown && this.peerPool().connectionTo(incarnation) === undefined) this.leaving.delete(incarnation);
     }
   };
 
@@ -101,17 +104,17 @@
   /** Open connections to control nodes that have no seat and stay. */
   private readonly newcomers = (state: CommittedState): { connection: PeerConnection; member: Member }[] =>
     this.peerPool()
-      .open()
+      .openConnections()
       .flatMap((connection) => {
         const { peer } = connection;
         if (peer === null || peer.role !== 'control') return [];
         const { name, address, incarnation } = peer;
-        if (stateMachine.holdsSeat(state, incarnation) || this.leaving.has(incarnation)) return [];
+        if (stateMachine.isVoter(state, incarnation) || this.leaving.has(incarnation)) return [];
         return [{ connection, member: { name, address, incarnation } }];
       });
 
   private readonly memberStatusOf = async (connection: PeerConnection): Promise<MemberStatus | null> => {
-    const reply = await connection.ask('memberStatus', null, timeoutMs);
+    const reply = await connection.call('memberStatus', null, timeoutMs);
     return reply.isOk() && consensusMessages.isMemberStatus(reply.value) ? reply.value : null;
   };
 
@@ -148,7 +151,7 @@
     if (before === null || !this.acceptor.isVoter()) return;
     const untilMs = this.clock.now() + budgetMs;
     const handover = pollUntil(this.clock, untilMs, () => this.handOver(before));
-    const isInTime = await Promise.race([handover, pause.for(this.clock, budgetMs).then(() => false)]);
+    const isInTime = await Promise.race([handover, timing.sleep(this.clock, budgetMs).then(() => false)]);
     this.log.info('draining: this node is leaving the cluster', { hasSeat: this.acceptor.isVoter(), isInTime });
   };
 
@@ -171,7 +174,7 @@
     incoming: Member,
     memberStatus: MemberStatus,
   ): string | null => {
-    if (!stateMachine.maySwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
+    if (!stateMachine.canSwap(state, outgoing.incarnation, incoming)) return 'the seats have changed';
     return this.isCaughtUp(memberStatus, state, outgoing) ? null : 'the newcomer has not reported the newest state';
   };
 
@@ -203,13 +206,13 @@
   private readonly isHeldByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
     const isHolder = await Promise.all(state.members.map((member) => this.isHeldBy(member, state)));
     const holders = state.members.filter((_, at) => isHolder[at]);
-    const newMembers = state.members.filter((member) => !stateMachine.holdsSeat(before, member.incarnation));
+    const newMembers = state.members.filter((member) => !stateMachine.isVoter(before, member.incarnation));
     return holders.length >= majorityOf(state.members) && newMembers.every((member) => holders.includes(member));
   };
 
   private readonly isHeldBy = async (member: Member, state: CommittedState): Promise<boolean> => {
     if (member.incarnation === this.acceptor.incarnation) return true;
-    const connection = this.peerPool().to(member.incarnation);
+    const connection = this.peerPool().connectionTo(member.incarnation);
     if (connection === undefined) return false;
     const memberStatus = await this.memberStatusOf(connection);
     if (memberStatus === null) return false;
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -41,7 +41,7 @@
 
 const consensusPace: ConsensusPace = {
   ...controlNodeSettings.consensusPace,
-  dialPace: { timeoutMs: 700, longestWaitMs: 400 },
+  dialPace: { timeoutMs: 700, maxBackoffMs: 400 },
 };
 
 /** Wires the parts of a control node together and dispatches the messages of edges and other control nodes. */
@@ -152,7 +152,7 @@
       log,
       this.endpointList.all,
       this.wantedWeights,
-      () => this.leaseManager.fenceOf(weightsLease),
+      () => this.leaseManager.fencingTokenOf(weightsLease),
       () => this.settings.name,
       (update) => this.statePublisher.tellAll('weights', update),
       this.endpointList.holds,
@@ -162,8 +162,8 @@
   /** Sends an edge that now takes its content from this node the endpoint list and the prefix caches as a whole. */
   private readonly sendContent = (connection: PeerConnection): void => {
     if (this.endpointList.ageMs() !== null)
-      connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
-    connection.tell('prefixCaches', this.prefixCaches.whole());
+      connection.send('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
+    connection.send('prefixCaches', this.prefixCaches.whole());
   };
 
   /** What this node says of itself when a connection opens. */
@@ -246,14 +246,14 @@
     syncedFrom: () => [],
     prepareUpkeep: this.prepareUpkeep,
     sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
-    joined: (connection) => {
+    onOpen: (connection) => {
       if (connection.peer?.role !== 'control') return;
-      connection.tell('prefixCacheRelay', this.prefixCaches.followed());
-      connection.tell('weightsAges', { weightsAges: this.namedWeights.ages() } satisfies WeightsAgesMessage);
+      connection.send('prefixCacheRelay', this.prefixCaches.followed());
+      connection.send('weightsAges', { weightsAges: this.namedWeights.ages() } satisfies WeightsAgesMessage);
     },
-    left: (connection) => this.statePublisher.drop(connection),
-    told: this.takeMessage,
-    asked: this.answer,
+    onClose: (connection) => this.statePublisher.drop(connection),
+    onMessage: this.takeMessage,
+    onCall: this.answer,
   });
 
   /** Takes a message of an edge or another control node; one that is malformed or of an unknown topic is ignored. */
--- a/packages/control-plane/src/nodes/controlNodeSettings.ts
+++ b/packages/control-plane/src/nodes/controlNodeSettings.ts
@@ -35,6 +35,6 @@
     leaseMs,
     marginMs: leaseMarginMs,
     gapMs: orderGapMs,
-    floor: () => (acceptor.agreed()?.logIndex ?? 0) * fencesPerLogIndex,
+    fenceFloor: () => (acceptor.agreed()?.logIndex ?? 0) * fencesPerLogIndex,
   }),
 };
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -131,7 +131,7 @@
       this.ports,
       (update) => this.push.tellKv(update),
       (relayed) => this.consensus.tellPeers('kvRelay', relayed),
-      (replica) => this.leaseManager.fenceOf(kvLease(replica)),
+      (replica) => this.leaseManager.fencingTokenOf(kvLease(replica)),
     );
 
   /** What this node says of itself when a connection opens. */
@@ -161,7 +161,7 @@
 
   private readonly catchUp = async (): Promise<void> => {
     if (this.acceptor.agreed() === null) return;
-    for (const connection of this.peerPool.open()) {
+    for (const connection of this.peerPool.openConnections()) {
       if (connection.peer?.role !== 'control') continue;
       const { incarnation } = connection.peer;
       if (!this.replicas.syncedFrom.has(incarnation)) {
@@ -176,7 +176,7 @@
   };
 
   private readonly borrowSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
-    const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
+    const reply = await connection.call('prefixCaches', names, snapshotTimeoutMs);
     if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
     this.push.tellSnapshots(this.kv.takeSnapshots(reply.value));
   };
@@ -184,7 +184,7 @@
   private readonly repairIndex = async (): Promise<void> => {
     const broken = this.kv.broken();
     if (broken.length === 0) return;
-    for (const connection of this.peerPool.open()) {
+    for (const connection of this.peerPool.openConnections()) {
       if (connection.peer?.role !== 'control') continue;
       await this.borrowSnapshots(connection, broken);
     }
@@ -203,13 +203,13 @@
     syncedFrom: () => [...this.replicas.syncedFrom],
     prepareUpkeep: this.prepareUpkeep,
     sharedMembers: (entries) => entries,
-    joined: () => {},
-    left: (connection) => {
+    onOpen: () => {},
+    onClose: (connection) => {
       this.push.drop(connection);
       if (connection.peer !== null) this.replicas.syncedFrom.delete(connection.peer.incarnation);
     },
-    told: this.takeMessage,
-    asked: this.answer,
+    onMessage: this.takeMessage,
+    onCall: this.answer,
   });
 
   /** Takes a message of a gateway or another control node; one that is malformed or of an unknown topic is ignored. */
@@ -225,7 +225,7 @@
         if (gatewayMessages.isLoadReport(body)) this.push.longPrompts(connection, body);
         return;
       case 'heartbeat':
-        if (isText(body)) this.failureDetector.watch.heartbeatFrom(body);
+        if (isText(body)) this.failureDetector.heartbeatMonitor.recordHeartbeat(body);
         return;
       case 'suspects':
         if (isTexts(body)) this.verdicts.report(connection.peer?.name ?? '', body);
@@ -240,7 +240,7 @@
   };
 
   private readonly sendSnapshots = (connection: PeerConnection, replicas: readonly string[]): void => {
-    for (const snapshot of this.kv.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
+    for (const snapshot of this.kv.snapshots(replicas)) connection.send('indexSnapshot', snapshot);
   };
 
   /** Answers a gateway or another control node; null for a request that is malformed or of an unknown topic. */
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -5,7 +5,7 @@
 import type { Follower } from '@martenworks/upstream';
 import { PrefixIndex } from '@martenworks/prefix-index';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
-import { FenceGate } from '@martenworks/cluster-membership';
+import { FencingTokenCheck } from '@martenworks/cluster-membership';
 
 const bundleMs = 20;
 const ageLimitMs = 3_600_000;
@@ -25,7 +25,7 @@
 export class KvEventFollower {
   private readonly index = new PrefixIndex(ageLimitMs);
   private readonly followed = new Map<string, Followed>();
-  private readonly gate = new FenceGate();
+  private readonly gate = new FencingTokenCheck();
   private bundle: KvCacheEvent[] = [];
   private readonly bundleTimer: RepeatingTimer;
 
@@ -55,7 +55,7 @@
   readonly takeRelayed = ({ fences, events: update }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
     const admitted = update.filter(
-      ({ replica }) => fences[replica] !== undefined && this.gate.admits(replica, fences[replica]),
+      ({ replica }) => fences[replica] !== undefined && this.gate.accepts(replica, fences[replica]),
     );
     for (const one of admitted) this.index.take(one, now);
     if (admitted.length > 0) this.tell(admitted);
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -1,5 +1,5 @@
 /** Follows what replicas and stores keep in their prefix caches, for edges: each address by one control node. */
-import { background, IncarnationMatcher, pause } from '@martenworks/core-types';
+import { background, IncarnationMatcher, timing } from '@martenworks/core-types';
 import type {
   BackendClient,
   Clock,
@@ -55,7 +55,7 @@
     if (stored === undefined) return;
     const isBorn = stored.ids.size > 0 && [...ids].some((id) => !stored.ids.has(id));
     stored.ids = ids;
-    if (!isBorn || !stored.pairs.isFirstById()) return;
+    if (!isBorn || !stored.pairs.recordNewId()) return;
     this.counts.lives += 1;
     this.clear(stored);
     this.scheduleBundle();
@@ -129,14 +129,14 @@
 
   private readonly follow = async (address: string, stored: StoredPrefixes, isTakenOver: boolean): Promise<void> => {
     let isFirst = isTakenOver;
-    await pause.for(this.clock, this.random.fraction() * paceMs);
+    await timing.sleep(this.clock, this.random.fraction() * paceMs);
     while (!stored.isStopped) {
       const askedAt = this.clock.now();
       const page = await this.backendClient.prefixCacheEvents(address, stored.since, holdMs);
       if (stored.isStopped) return;
       if (page.isErr()) {
         if (stored.isHeard && this.clock.now() - stored.heardAt > unheardMs) this.markSilent(address, stored);
-        await pause.for(this.clock, faultPauseMs * (0.5 + this.random.fraction()));
+        await timing.sleep(this.clock, faultPauseMs * (0.5 + this.random.fraction()));
         continue;
       }
       const { epoch, next, isLost, events: update } = page.value;
@@ -144,7 +144,7 @@
       if (isReborn || isLost || isFirst) {
         this.log.info('prefix cache contents resynchronized', { address, isReborn, isLost, isTakenOver: isFirst });
         isFirst = false;
-        if (isReborn) stored.pairs.isFirstByEpoch();
+        if (isReborn) stored.pairs.recordNewEpoch();
         this.clear(stored);
       }
       if (isReborn && stored.since > 0) {
@@ -157,7 +157,7 @@
       for (const one of update) this.note(stored, one);
       if (isBack || stored.isCleared || stored.fresh.length > 0) this.scheduleBundle();
       const spentMs = this.clock.now() - askedAt;
-      if (spentMs < paceMs) await pause.for(this.clock, (paceMs - spentMs) * (0.9 + 0.2 * this.random.fraction()));
+      if (spentMs < paceMs) await timing.sleep(this.clock, (paceMs - spentMs) * (0.9 + 0.2 * this.random.fraction()));
     }
   };
 
--- a/packages/control-plane/src/weights/weightsRollout.ts
+++ b/packages/control-plane/src/weights/weightsRollout.ts
@@ -1,5 +1,5 @@
 /** Brings replicas to the target versions of their models' weights, under a lease that one control node holds. */
-import { background, pause } from '@martenworks/core-types';
+import { background, timing } from '@martenworks/core-types';
 import type { BackendClient, Clock, Log, ReplicaEndpoint, WeightsUpdate } from '@martenworks/core-types';
 
 const noticeMs = 70;
@@ -100,11 +100,16 @@
     const { endpoint, model, version } = one;
     const beganAt = this.clock.now();
     this.rest(one, restMs);
-    await pause.for(this.clock, noticeMs);
+    await timing.sleep(this.clock, noticeMs);
     const fence = this.fence();
     if (fence === null) return this.postpone(one, 0);
     this.orders += 1;
-    const reply = await this.backendClient.order(endpoint, { model, version, holder: this.holder(), fence });
+    const reply = await this.backendClient.requestWeightsLoad(endpoint, {
+      model,
+      version,
+      holder: this.holder(),
+      fence,
+    });
     this.log.info('weights load ordered', { replica: endpoint.id, model, version, fence, reply });
     if (reply === 'holds') return this.done(one, beganAt);
     if (reply === 'outranked' || reply === 'refused' || reply === 'elsewhere') return this.postpone(one, againMs);
@@ -114,11 +119,11 @@
   private readonly watch = async (one: Waiting, beganAt: number): Promise<void> => {
     const { endpoint, model, version } = one;
     const until = this.clock.now() + giveUpMs;
-    await pause.for(this.clock, firstLookMs);
+    await timing.sleep(this.clock, firstLookMs);
     let toldAt = this.clock.now();
     while (this.clock.now() < until) {
       if (this.fence() === null) return;
-      const report = await this.backendClient.report(endpoint);
+      const report = await this.backendClient.readReport(endpoint);
       if (report.isOk() && (report.value.weights[model] ?? 0) >= version) return this.done(one, beganAt);
       if (report.isOk() && !report.value.isBusy) return this.postpone(one, againMs);
       if (report.isErr() && !this.endpoints().some((held) => held.id === endpoint.id)) return;
@@ -126,7 +131,7 @@
         this.rest(one, restMs);
         toldAt = this.clock.now();
       }
-      await pause.for(this.clock, lookMs);
+      await timing.sleep(this.clock, lookMs);
     }
     this.postpone(one, againMs);
   };
--- a/packages/control-plane/test/catchUp.test.ts
+++ b/packages/control-plane/test/catchUp.test.ts
@@ -75,7 +75,7 @@
       acceptor: (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap(),
     });
   }
-  const founded = stateMachine.founded(
+  const founded = stateMachine.initialState(
     members.map(({ acceptor }, at) => ({ name: `m${at}`, address: `m${at}:1`, incarnation: acceptor.incarnation })),
   );
   for (const { acceptor } of members) await finish(world, acceptor.adopt(founded));
@@ -94,7 +94,7 @@
     ({ acceptor }, at) =>
       ({
         peer: { incarnation: acceptor.incarnation, role: 'control' },
-        ask: async (topic: string, body: unknown) => {
+        call: async (topic: string, body: unknown) => {
           if (topic !== catchUpTopics.page)
             return ok(await catchUps[at]?.answer(peers[at] as PeerConnection, topic, body));
           traffic.open += 1;
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -76,7 +76,7 @@
     };
     proposers.set(host, new Proposer(held.get(host) as Acceptor, voters, clock, random, log));
   }
-  const founded = stateMachine.founded(members);
+  const founded = stateMachine.initialState(members);
   for (const acceptor of held.values()) await done(world, acceptor.adopt(founded));
   built.value = {
     world,
--- a/packages/control-plane/test/seats.test.ts
+++ b/packages/control-plane/test/seats.test.ts
@@ -25,12 +25,12 @@
 };
 
 describe('the seats of the voters', () => {
-  const founded = stateMachine.founded([member('a'), member('b'), member('x')]);
+  const founded = stateMachine.initialState([member('a'), member('b'), member('x')]);
 
   it('given two swaps prepared for one newcomer, when both are settled, then the second is void, uses up its generation and gives no second seat', () => {
     const first = stateMachine.apply(founded, swap('x', 'n'));
     expect(seatsOf(first)).to.deep.equal(['a', 'b', 'n']);
-    expect(stateMachine.isVoid(first, swap('a', 'n'))).to.equal(true);
+    expect(stateMachine.isNoOp(first, swap('a', 'n'))).to.equal(true);
     const second = stateMachine.apply(first, swap('a', 'n'));
     expect(seatsOf(second)).to.deep.equal(['a', 'b', 'n']);
     expect(second.logIndex).to.equal(2);
@@ -39,9 +39,9 @@
 
   it('given a swap whose outgoing member has no seat, when it is settled, then it is void', () => {
     const first = stateMachine.apply(founded, swap('x', 'n'));
-    expect(stateMachine.isVoid(first, swap('x', 'm'))).to.equal(true);
+    expect(stateMachine.isNoOp(first, swap('x', 'm'))).to.equal(true);
     expect(seatsOf(stateMachine.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
-    expect(stateMachine.isVoid(founded, swap('x', 'n'))).to.equal(false);
+    expect(stateMachine.isNoOp(founded, swap('x', 'n'))).to.equal(false);
   });
 
   it('given a state of an older release in which one member holds two of three seats, when that member alone votes, then it is no majority', async () => {
@@ -68,7 +68,7 @@
     const { disk, clock, random, log } = world.machine('10.0.0.1').ports();
     const acceptor: Acceptor = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
     const own = member(acceptor.incarnation);
-    const prepared = stateMachine.founded([own, member('b'), member('x')]);
+    const prepared = stateMachine.initialState([own, member('b'), member('x')]);
     await finish(world, acceptor.adopt(prepared));
     const checks: ((state: CommittedState) => { isErr: () => boolean })[] = [];
     const proposer = {
@@ -84,10 +84,10 @@
       foundingVote: null,
       syncedFrom: [own.incarnation, 'b'],
     };
-    const newcomer = { peer: { ...member('n'), role: 'control' }, ask: async () => ok(memberStatus) };
+    const newcomer = { peer: { ...member('n'), role: 'control' }, call: async () => ok(memberStatus) };
     const peerPool = {
-      to: (incarnation: string) => (incarnation === 'x' ? undefined : newcomer),
-      open: () => [newcomer],
+      connectionTo: (incarnation: string) => (incarnation === 'x' ? undefined : newcomer),
+      openConnections: () => [newcomer],
     };
     const membership = new Membership(
       acceptor,
--- a/packages/control-plane/test/since.test.ts
+++ b/packages/control-plane/test/since.test.ts
@@ -31,7 +31,7 @@
     for (const missed of [1, 16, 17, 100]) {
       const world = new SimWorld(7);
       const [ahead, behind] = [await routingTableOf(world, '10.0.0.1'), await routingTableOf(world, '10.0.0.2')];
-      const founded = stateMachine.founded([{ name: 'a', address: '10.0.0.1:1', incarnation: ahead.incarnation }]);
+      const founded = stateMachine.initialState([{ name: 'a', address: '10.0.0.1:1', incarnation: ahead.incarnation }]);
       await done(world, ahead.adopt(founded));
       await done(world, behind.adopt(founded));
       for (let version = 1; version <= missed; version += 1)
--- a/packages/control-plane/test/upkeep.test.ts
+++ b/packages/control-plane/test/upkeep.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import { acceptors, compressedChanges, compressedStates, recovery } from '@martenworks/control-plane';
-import { wireRelease } from '@martenworks/peer-transport';
+import { protocolVersion } from '@martenworks/peer-transport';
 import { InvariantChecker, keyOf, sampleWorkload, SimFleet, stateViolations } from '@martenworks/test-fleet';
 import type { SimDisk } from '@martenworks/test-fleet';
 
@@ -83,14 +83,17 @@
       onCounter: (gateway) => {
         if (!isStrange) return;
         const hello = gateway.hello;
-        (gateway.peerPool as unknown as { own: () => unknown }).own = () => ({ ...hello(), release: wireRelease + 1 });
+        (gateway.peerPool as unknown as { own: () => unknown }).own = () => ({
+          ...hello(),
+          release: protocolVersion + 1,
+        });
       },
     });
     isStrange = true;
     fleet.killCounter(2);
     await fleet.bootCounter(2);
     await fleet.world.run(100);
-    for (const connection of fleet.gateways[2]?.peerPool.open() ?? []) connection.close();
+    for (const connection of fleet.gateways[2]?.peerPool.openConnections() ?? []) connection.close();
     await fleet.world.run(10_000);
     expect(fleet.gateways.map((gateway) => gateway?.freshness.isFresh())).to.deep.equal([true, true, false]);
     expect(fleet.world.logLines.some((line) => line.context.cause === 'peer protocol version mismatch')).to.equal(true);
--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -3,7 +3,7 @@
 import type { BackendError } from './errors.js';
 import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
 
-interface WeightsOrder {
+interface WeightsLoadRequest {
   readonly model: string;
   readonly version: number;
   readonly holder: string;
@@ -14,7 +14,7 @@
  * `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fencing token was seen;
  * `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken.
  */
-export type WeightsOrderOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
+export type WeightsLoadOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
 interface ReplicaReport {
   readonly weights: Record<string, number>;
@@ -43,9 +43,9 @@
  * timeout.
  */
 export interface BackendClient {
-  readonly replicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
-  readonly order: (endpoint: ReplicaEndpoint, order: WeightsOrder) => Promise<WeightsOrderOutcome>;
-  readonly report: (endpoint: ReplicaEndpoint) => Promise<Result<ReplicaReport, BackendError>>;
+  readonly listReplicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
+  readonly requestWeightsLoad: (endpoint: ReplicaEndpoint, order: WeightsLoadRequest) => Promise<WeightsLoadOutcome>;
+  readonly readReport: (endpoint: ReplicaEndpoint) => Promise<Result<ReplicaReport, BackendError>>;
   readonly prefixCacheEvents: (
     address: string,
     since: number,
@@ -58,7 +58,7 @@
 export interface RequestMetadata {
   readonly id: string;
   readonly key: string | null;
-  readonly leftMs: number | null;
+  readonly remainingMs: number | null;
   readonly model: string | null;
   readonly tokensIn: number;
   readonly tokensOut: number;
@@ -66,14 +66,14 @@
 }
 
 /**
- * What one attempt tells its replica. `leftMs` is the milliseconds until its deadline; `urgency` the rank, 0
+ * What one attempt tells its replica. `remainingMs` is the milliseconds until its deadline; `urgency` the rank, 0
  * first; `salt` the cache namespace; `version` the weights version it must run on; `holder` and `store` are the
  * addresses to fetch cached parts from and to keep them at; `resumeAfter` is the id of the last event that the
  * caller has.
  */
 export interface AttemptPlan {
   readonly replica: string;
-  readonly leftMs: number;
+  readonly remainingMs: number;
   readonly tenant: string | null;
   readonly urgency: number;
   readonly salt: string | null;
@@ -84,21 +84,21 @@
 }
 
 /**
- * `isOwn`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier
+ * `isForRequest`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier
  * request.
  */
 export interface ResponseHead {
-  readonly isOwn: boolean;
+  readonly isForRequest: boolean;
   readonly isNotRun: boolean;
   readonly isSealed: boolean;
-  readonly isElsewhere: boolean;
+  readonly isFromOtherReplica: boolean;
   readonly retryAfterMs: number | null;
   readonly versions: Record<string, number>;
 }
 
 /** How callers' and replicas' headers are read and written. Header lists alternate names and values, as they came. */
 export interface HeaderCodec {
-  readonly order: (headers: readonly string[]) => Result<RequestMetadata, string>;
+  readonly requestMetadata: (headers: readonly string[]) => Result<RequestMetadata, string>;
   readonly attemptHeaders: (headers: readonly string[], attempt: AttemptPlan) => string[];
   readonly responseHead: (
     status: number,
--- a/packages/core-types/src/changeRecords.ts
+++ b/packages/core-types/src/changeRecords.ts
@@ -1,5 +1,5 @@
 /** The records of changes that were taken, so that a change sent again is known; the oldest are dropped. */
-import type { Change, ChangeRecord, CommittedState, ForgottenChanges } from './committedState.js';
+import type { Change, ChangeRecord, CommittedState, PrunedChanges } from './committedState.js';
 
 const keptChangeIds = 4096;
 
@@ -30,7 +30,7 @@
 
 const weightsId = /^weights\/(.+)\/(\d+)$/;
 
-const forget = (forgotten: ForgottenChanges, id: string, { configVersion }: ChangeRecord): ForgottenChanges => {
+const forget = (forgotten: PrunedChanges, id: string, { configVersion }: ChangeRecord): PrunedChanges => {
   if (configVersion !== undefined)
     return { ...forgotten, configVersion: Math.max(forgotten.configVersion, configVersion) };
   const [, model, version] = weightsId.exec(id) ?? [];
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -28,7 +28,7 @@
 }
 
 /** The newest changes whose records were dropped: of none up to these can it be told whether it was taken. */
-export interface ForgottenChanges {
+export interface PrunedChanges {
   /** Configuration version of the routing table; 0 where none was dropped. */
   readonly configVersion: number;
   /** Version of its weights, by model. */
@@ -49,7 +49,7 @@
   readonly keys: Record<string, KeyGrant>;
   readonly members: readonly Member[];
   readonly changeIds: Record<string, ChangeRecord>;
-  readonly forgotten: ForgottenChanges;
+  readonly forgotten: PrunedChanges;
   readonly routing: ActiveRouting | null;
   readonly targetWeights: Record<string, number>;
 }
--- a/packages/core-types/src/errors.ts
+++ b/packages/core-types/src/errors.ts
@@ -29,7 +29,7 @@
 }
 
 /** Whether a rejected request may have run on a replica. */
-export type Ran = 'no' | 'unknown';
+export type ExecutionStatus = 'no' | 'unknown';
 
 /** Why a request was rejected. The codes and their HTTP statuses are part of the wire format. */
 export type RejectionCode =
@@ -61,7 +61,7 @@
 export interface Rejection {
   readonly kind: 'rejection';
   readonly code: RejectionCode;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly detail: string;
   readonly retryAfterSeconds: number | null;
 }
--- a/packages/core-types/src/idempotencyClaim.ts
+++ b/packages/core-types/src/idempotencyClaim.ts
@@ -41,5 +41,5 @@
 /** The order of ballots. */
 export const claimBallots = {
   compare: (a: ClaimBallot, b: ClaimBallot): number => a[0] - b[0] || (a[1] < b[1] ? -1 : a[1] > b[1] ? 1 : 0),
-  isOver: (a: ClaimBallot | null, b: ClaimBallot): boolean => a !== null && claimBallots.compare(a, b) > 0,
+  isHigher: (a: ClaimBallot | null, b: ClaimBallot): boolean => a !== null && claimBallots.compare(a, b) > 0,
 };
--- a/packages/core-types/src/incarnationMatcher.ts
+++ b/packages/core-types/src/incarnationMatcher.ts
@@ -17,7 +17,7 @@
   private readonly isRecent = (at: number | null): boolean => at !== null && this.clock.now() - at <= matchMs;
 
   /** The list shows another id. True where no new epoch came shortly before. */
-  readonly isFirstById = (): boolean => {
+  readonly recordNewId = (): boolean => {
     const isPaired = this.isRecent(this.epochAt);
     this.epochAt = null;
     this.idAt = isPaired ? null : this.clock.now();
@@ -25,7 +25,7 @@
   };
 
   /** The events show another epoch. True where no new id came shortly before. */
-  readonly isFirstByEpoch = (): boolean => {
+  readonly recordNewEpoch = (): boolean => {
     const isPaired = this.isRecent(this.idAt);
     this.idAt = null;
     this.epochAt = isPaired ? null : this.clock.now();
--- a/packages/core-types/src/ports/ports.ts
+++ b/packages/core-types/src/ports/ports.ts
@@ -46,13 +46,13 @@
 }
 
 /**
- * A connection of bytes. `backlog` is the bytes written that have not left; `listen` is called once, and calls
+ * A connection of bytes. `bufferedBytes` is the bytes written that have not left; `listen` is called once, and calls
  * `onClose` once, after the last bytes.
  */
 export interface RawConnection {
-  readonly remote: string;
+  readonly remoteAddress: string;
   readonly write: (bytes: Uint8Array) => void;
-  readonly backlog: () => number;
+  readonly bufferedBytes: () => number;
   readonly listen: (onBytes: (bytes: Uint8Array) => void, onClose: () => void) => void;
   readonly close: () => void;
 }
@@ -80,7 +80,7 @@
 }
 
 /** The head of a response; `isDelimited` tells that its end can be told from a broken connection (RFC 9112, 6.3). */
-export interface AnswerHead {
+export interface HttpResponseHead {
   readonly status: number;
   readonly headers: readonly string[];
   readonly isDelimited: boolean;
@@ -98,7 +98,7 @@
   readonly body: string | Uint8Array | null;
   readonly signal: AbortSignal;
   readonly gate: () => boolean;
-  readonly accepts?: (head: AnswerHead) => boolean;
+  readonly accepts?: (head: HttpResponseHead) => boolean;
 }
 
 /**
--- a/packages/core-types/src/ports/realNetwork.ts
+++ b/packages/core-types/src/ports/realNetwork.ts
@@ -11,11 +11,11 @@
   socket.setNoDelay(true);
   socket.on('error', () => {});
   return {
-    remote: `${socket.remoteAddress ?? ''}:${socket.remotePort ?? 0}`,
+    remoteAddress: `${socket.remoteAddress ?? ''}:${socket.remotePort ?? 0}`,
     write: (bytes) => {
       if (!socket.destroyed) socket.write(bytes);
     },
-    backlog: () => socket.writableLength,
+    bufferedBytes: () => socket.writableLength,
     listen: (onBytes, onClose) => {
       socket.on('data', onBytes);
       socket.on('close', onClose);
--- a/packages/core-types/src/prompt.ts
+++ b/packages/core-types/src/prompt.ts
@@ -29,7 +29,7 @@
 };
 
 /** API keys are kept as hashes only. */
-export const keys = {
+export const apiKeys = {
   hash: (key: string): string => createHash('sha256').update('martenworks-key:').update(key).digest('hex'),
 };
 
--- a/packages/core-types/src/rejection.ts
+++ b/packages/core-types/src/rejection.ts
@@ -1,5 +1,5 @@
 /** Rejections and the HTTP statuses they are sent with. */
-import type { Ran, Rejection, RejectionCode } from './errors.js';
+import type { ExecutionStatus, Rejection, RejectionCode } from './errors.js';
 
 const statusByCode: Record<RejectionCode, number> = {
   bad_request: 400,
@@ -43,7 +43,7 @@
  * otherwise.
  */
 export const rejections = {
-  of: (code: RejectionCode, ran: Ran, detail: string, retryAfterSeconds?: number): Rejection => ({
+  of: (code: RejectionCode, ran: ExecutionStatus, detail: string, retryAfterSeconds?: number): Rejection => ({
     kind: 'rejection',
     code,
     ran,
--- a/packages/core-types/src/replicaRecords.ts
+++ b/packages/core-types/src/replicaRecords.ts
@@ -33,10 +33,10 @@
 
 /**
  * Merges records of one replica. The merge is commutative and idempotent, so that nodes agree whatever the order
- * they hear of them; `filled` completes a record of an older release, whose sides are unknown.
+ * they hear of them; `withDefaults` completes a record of an older release, whose sides are unknown.
  */
-export const replicas = {
-  filled: (record: ReplicaRecord): ReplicaRecord => ({
+export const replicaRecords = {
+  withDefaults: (record: ReplicaRecord): ReplicaRecord => ({
     ...record,
     sides: (record.sides as readonly string[] | undefined) ?? [unknownSide],
   }),
@@ -47,8 +47,8 @@
     const sides = new Set([...known.sides, ...received.sides, ...(known.pool === received.pool ? [] : [movedSide])]);
     return { ...ahead, born: Math.min(known.born, received.born), sides: [...sides].sort() };
   },
-  isNews: (known: ReplicaRecord | undefined, received: ReplicaRecord): boolean => {
-    const merged = replicas.merge(known, received);
+  isUpdate: (known: ReplicaRecord | undefined, received: ReplicaRecord): boolean => {
+    const merged = replicaRecords.merge(known, received);
     return known === undefined || JSON.stringify(merged) !== JSON.stringify(known);
   },
 };
--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -1,6 +1,6 @@
 /** The deterministic state machine of the control nodes: applies one committed change to the committed state. */
 import { changeRecords } from './changeRecords.js';
-import type { Change, ChangeBody, CommittedState, ForgottenChanges, Member } from './committedState.js';
+import type { Change, ChangeBody, CommittedState, PrunedChanges, Member } from './committedState.js';
 import { emptyGatewayConfig } from './gatewayConfig.js';
 import type { GatewayConfig } from './gatewayConfig.js';
 import type { ActiveRouting } from './routing.js';
@@ -49,12 +49,12 @@
   return since;
 };
 
-const holdsSeat = (state: CommittedState, incarnation: string): boolean =>
+const isVoter = (state: CommittedState, incarnation: string): boolean =>
   state.members.some((member) => member.incarnation === incarnation);
 
 /** Whether a swap keeps the seats distinct: its outgoing member holds one, its incoming member holds none. */
-const maySwap = (state: CommittedState, outgoing: string, incoming: Member): boolean =>
-  holdsSeat(state, outgoing) && !holdsSeat(state, incoming.incarnation);
+const canSwap = (state: CommittedState, outgoing: string, incoming: Member): boolean =>
+  isVoter(state, outgoing) && !isVoter(state, incoming.incarnation);
 
 /**
  * The voters: one for each distinct incarnation, also where an older release gave one of them two seats. A majority is
@@ -65,15 +65,15 @@
 ];
 
 /** States of older releases lack the newer fields. */
-const filled = (state: CommittedState): CommittedState => ({
+const withDefaults = (state: CommittedState): CommittedState => ({
   ...state,
   storeSince: (state.storeSince as CommittedState['storeSince'] | undefined) ?? {},
   routing: (state.routing as ActiveRouting | null | undefined) ?? null,
   targetWeights: (state.targetWeights as CommittedState['targetWeights'] | undefined) ?? {},
-  forgotten: (state.forgotten as ForgottenChanges | undefined) ?? { configVersion: 0, targetWeights: {} },
+  forgotten: (state.forgotten as PrunedChanges | undefined) ?? { configVersion: 0, targetWeights: {} },
 });
 
-const founded = (members: readonly Member[]): CommittedState => ({
+const initialState = (members: readonly Member[]): CommittedState => ({
   logIndex: 0,
   configLogIndex: 0,
   config: emptyGatewayConfig,
@@ -114,7 +114,7 @@
 });
 
 const applySwap = (state: CommittedState, { outgoing, incoming }: ChangeOf<'swap'>): ChangedFields => {
-  if (!maySwap(state, outgoing, incoming)) return {};
+  if (!canSwap(state, outgoing, incoming)) return {};
   return { members: state.members.map((member) => (member.incarnation === outgoing ? incoming : member)) };
 };
 
@@ -151,12 +151,12 @@
   };
 };
 
-const isVoid = (state: CommittedState, { body }: Change): boolean => {
+const isNoOp = (state: CommittedState, { body }: Change): boolean => {
   switch (body.kind) {
     case 'config':
       return body.base !== state.configLogIndex;
     case 'swap':
-      return !maySwap(state, body.outgoing, body.incoming);
+      return !canSwap(state, body.outgoing, body.incoming);
     case 'routing':
       return body.base !== (state.routing?.configVersion ?? 0);
     case 'weights':
@@ -167,16 +167,16 @@
 };
 
 /**
- * The state machine. `founded` is the state of a new cluster, `filled` one of an older release with its missing fields;
- * `apply` gives the state after a change, and `isVoid` tells whether the change would take effect on none of it.
+ * The state machine. `initialState` is the state of a new cluster, `withDefaults` one of an older release with its missing fields;
+ * `apply` gives the state after a change, and `isNoOp` tells whether the change would take effect on none of it.
  */
 export const stateMachine = {
   servesIsolated,
-  holdsSeat,
-  maySwap,
+  isVoter,
+  canSwap,
   distinctVoters,
-  filled,
-  founded,
+  withDefaults,
+  initialState,
   apply,
-  isVoid,
+  isNoOp,
 };
--- a/packages/core-types/src/timers.ts
+++ b/packages/core-types/src/timers.ts
@@ -2,12 +2,12 @@
 import type { Clock } from './ports/ports.js';
 
 /**
- * `for` waits for some milliseconds; `within` gives what `late` returns where the work takes longer than that, and
+ * `sleep` waits for some milliseconds; `withTimeout` gives what `late` returns where the work takes longer than that, and
  * does not stop the work.
  */
-export const pause = {
-  for: (clock: Clock, delayMs: number): Promise<void> => new Promise((wake) => void clock.after(delayMs, wake)),
-  within: <T>(clock: Clock, delayMs: number, work: Promise<T>, late: () => T): Promise<T> =>
+export const timing = {
+  sleep: (clock: Clock, delayMs: number): Promise<void> => new Promise((wake) => void clock.after(delayMs, wake)),
+  withTimeout: <T>(clock: Clock, delayMs: number, work: Promise<T>, late: () => T): Promise<T> =>
     new Promise((resolve, fail) => {
       const timer = clock.after(delayMs, () => resolve(late()));
       work.then(
--- a/packages/core-types/src/uncaughtExceptions.ts
+++ b/packages/core-types/src/uncaughtExceptions.ts
@@ -24,7 +24,7 @@
  * Ends the process with `exitCode` on the first uncaught exception: an invariant broke, and a restart from what is on
  * disk is safer than going on. Node hands rejections that nobody handles to the same event.
  */
-const endProcess = (log: Log, exitCode: number): void => {
+const installHandler = (log: Log, exitCode: number): void => {
   process.on('uncaughtException', (failure) => {
     log.error('invariant violated', report(failure));
     process.exit(exitCode);
@@ -32,4 +32,4 @@
 };
 
 /** What becomes of an exception that nobody caught. */
-export const uncaughtExceptions = { report, endProcess };
+export const uncaughtExceptions = { report, installHandler };
--- a/packages/core-types/test/background.test.ts
+++ b/packages/core-types/test/background.test.ts
@@ -14,7 +14,7 @@
   const script = `
     import { background, uncaughtExceptions } from ${JSON.stringify(import.meta.resolve('@martenworks/core-types'))};
     const log = { error: (message, fields) => console.log(JSON.stringify({ message, ...fields })) };
-    uncaughtExceptions.endProcess(log, ${brokenExitCode});
+    uncaughtExceptions.installHandler(log, ${brokenExitCode});
     ${body}
   `;
   return new Promise((resolve) => {
--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -13,7 +13,7 @@
 } from '@martenworks/core-types';
 import type { NodeSettings } from '@martenworks/settings';
 import { hellos } from '@martenworks/peer-transport';
-import type { PeerConnection, Handlers, Hello } from '@martenworks/peer-transport';
+import type { PeerConnection, PeerHandlers, Hello } from '@martenworks/peer-transport';
 import { PeerPool, MemberList } from '@martenworks/cluster-membership';
 import { edgeMessages } from './edgeMessages.js';
 import { SourceScorer } from './sourceScorer.js';
@@ -25,7 +25,7 @@
 const chooseMs = 150;
 const staleListFactor = 3;
 const edgeCountHoldFactor = 2;
-const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
+const dialPace = { timeoutMs: 700, maxBackoffMs: 400 };
 
 /**
  * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
@@ -101,22 +101,22 @@
       this.incarnation,
     );
 
-  private readonly handlers = (): Handlers => ({
-    joined: (connection) => {
+  private readonly handlers = (): PeerHandlers => ({
+    onOpen: (connection) => {
       if (connection.peer?.role !== 'control') return;
-      this.memberList.heard(connection.peer);
-      connection.tell('subscribe', { ...this.statePosition(), wantsContent: false });
+      this.memberList.recordContact(connection.peer);
+      connection.send('subscribe', { ...this.statePosition(), wantsContent: false });
       this.choose();
     },
-    left: (connection) => {
+    onClose: (connection) => {
       this.scorer.forget(connection);
       this.receiver.forget(connection);
       if (this.source === connection) this.source = null;
       this.step();
     },
-    told: this.receive,
-    asked: async (connection, topic, body) => {
-      if (connection.peer !== null) this.memberList.heard(connection.peer);
+    onMessage: this.receive,
+    onCall: async (connection, topic, body) => {
+      if (connection.peer !== null) this.memberList.recordContact(connection.peer);
       if (topic === 'keepalive') return true;
       if (topic !== 'memberList') return null;
       if (edgeMessages.isMemberEntries(body)) this.memberList.merge(body);
@@ -144,14 +144,14 @@
 
   private readonly applyState = (state: EdgeState): void => {
     this.listeners.state(state);
-    this.peerPool.align();
+    this.peerPool.reconcile();
   };
 
   /** Log index and configuration version of the state that this edge has; -1 and 0 before the first. */
   readonly statePosition = (): StatePosition => this.receiver.position();
 
   private readonly controlNodes = (): PeerConnection[] =>
-    this.peerPool.open().filter((connection) => connection.peer?.role === 'control');
+    this.peerPool.openConnections().filter((connection) => connection.peer?.role === 'control');
 
   private readonly step = (): void => {
     this.choose();
@@ -162,9 +162,9 @@
     const best = this.scorer.best(this.controlNodes());
     if (best === null || best === this.source) return;
     if (this.source?.isLive() === true && !this.scorer.isBetter(best, this.source)) return;
-    if (this.source?.isLive()) this.source.tell('subscribe', { ...this.statePosition(), wantsContent: false });
+    if (this.source?.isLive()) this.source.send('subscribe', { ...this.statePosition(), wantsContent: false });
     this.source = best;
-    best.tell('subscribe', { ...this.statePosition(), wantsContent: true });
+    best.send('subscribe', { ...this.statePosition(), wantsContent: true });
   };
 
   private readonly ping = (): void => {
@@ -180,10 +180,10 @@
     background.run(
       'ping a control node',
       connection
-        .ask('ping', { ...this.statePosition(), isReady: this.listeners.isReady() }, pingTimeoutMs)
+        .call('ping', { ...this.statePosition(), isReady: this.listeners.isReady() }, pingTimeoutMs)
         .then((reply) => {
           if (reply.isErr()) {
-            if (reply.error.code === 'late' && connection.silentMs() >= pingTimeoutMs) connection.close();
+            if (reply.error.code === 'timeout' && connection.idleMs() >= pingTimeoutMs) connection.close();
             return;
           }
           if (edgeMessages.isPong(reply.value)) this.takePong(connection, reply.value, askedAt);
@@ -202,13 +202,13 @@
    * Sends a report of missing cache entries to the source; lost where there is none, since each edge decides by its own
    * strikes too.
    */
-  readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.tell('cacheMiss', update);
+  readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.send('cacheMiss', update);
 
   /**
    * Tells the source that a long prefill begins or ends; lost where there is none, and forgotten by the receivers after
    * a while.
    */
-  readonly reportPrefill = (update: PrefillNotice): void => void this.source?.tell('prefill', update);
+  readonly reportPrefill = (update: PrefillNotice): void => void this.source?.send('prefill', update);
 
   /** The newest state that this edge has received; null before the first. */
   readonly state = (): EdgeState | null => this.receiver.state();
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -30,7 +30,7 @@
   readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
 
   /** Whether the connection has brought nothing for so long that the node may be gone. */
-  readonly isSilent = (connection: PeerConnection): boolean => connection.silentMs() > silenceLimitMs;
+  readonly isSilent = (connection: PeerConnection): boolean => connection.idleMs() > silenceLimitMs;
 
   /** The connection with the highest score, the first among equals; null where there is none. */
   readonly best = (connections: readonly PeerConnection[]): PeerConnection | null =>
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -49,7 +49,7 @@
   /** Takes a state where it is newer, and acknowledges what the edge has afterwards. */
   readonly take = (connection: PeerConnection, message: EdgeStateMessage): void => {
     if (this.latest === null || message.logIndex > this.latest.logIndex) this.takeNewer(connection, message);
-    connection.tell('ack', this.position());
+    connection.send('ack', this.position());
   };
 
   /** Takes the log index that a control node has; a newer state is fetched unless the source sends it soon. */
@@ -118,7 +118,7 @@
     const request = { logIndex: this.position().logIndex, configVersion };
     background.run(
       'fetch the configuration',
-      connection.ask('state', request, fetchTimeoutMs).then((reply) => {
+      connection.call('state', request, fetchTimeoutMs).then((reply) => {
         this.pendingFetch = null;
         if (reply.isOk() && edgeMessages.isState(reply.value)) this.take(connection, reply.value);
       }),
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,6 +1,6 @@
 /** One attempt of a request at one replica: timeouts, outcome and what it teaches of the replica. */
 import { background } from '@martenworks/core-types';
-import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
+import type { HttpResponseHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
 import { headerLists } from '../ingress/headers.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
@@ -123,13 +123,13 @@
     const { call, customer, view, body } = this.request.admission;
     const { tracked, salt, version, holder, store } = this.placed;
     const { endpoint } = tracked;
-    const leftMs = this.boundStart();
+    const remainingMs = this.boundStart();
     return ports.httpClient.send({
       method: call.method,
       url: `http://${endpoint.address}${call.target}`,
       headers: wire.attemptHeaders(headerLists.endToEnd(call.headers), {
         replica: endpoint.id,
-        leftMs,
+        remainingMs,
         tenant: customer?.name ?? null,
         urgency: customer?.rank ?? view.route.rank,
         salt,
@@ -192,9 +192,9 @@
   };
 
   /** Whether a head belongs to this request, and its answer's end can be told from a broken connection. */
-  private readonly isAcceptable = ({ status, headers, isDelimited }: AnswerHead): boolean => {
+  private readonly isAcceptable = ({ status, headers, isDelimited }: HttpResponseHead): boolean => {
     if (!isDelimited) this.context.metrics.add('answers_undelimited');
-    return isDelimited && this.headOf(status, headers).isOwn;
+    return isDelimited && this.headOf(status, headers).isForRequest;
   };
 
   private readonly stop = (cause: StopCause): void => {
@@ -297,7 +297,7 @@
       resting: tracked.restUntil - ports.clock.now(),
     });
     for (const [model, version] of Object.entries(head.versions)) replicaTracker.holds(tracked, model, version);
-    if (head.isElsewhere) replicaTracker.health.failed(tracked);
+    if (head.isFromOtherReplica) replicaTracker.health.failed(tracked);
     else replicaTracker.health.full(tracked, head.retryAfterMs ?? fullRestMs);
     background.run('drain a rejected response', this.drain(response));
     return { kind: 'not run', isArrival: true, retryAfterMs: head.retryAfterMs };
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -37,7 +37,7 @@
     const { call, order, view } = admission;
     this.relay = new AnswerRelay(call);
     this.arrivedAt = context.ports.clock.now();
-    this.deadlineAt = this.arrivedAt + Math.min(order.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
+    this.deadlineAt = this.arrivedAt + Math.min(order.remainingMs ?? view.route.timeoutMs, view.route.timeoutMs);
     call.whenGone(() => this.stop('caller left'));
   }
 
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -45,11 +45,11 @@
   head: ResponseHead,
   { hasReply, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
-  if (head.isOwn && head.isNotRun) return { kind: 'connection rejected' };
+  if (head.isForRequest && head.isNotRun) return { kind: 'connection rejected' };
   const isSuccess = status >= 200 && status < 300;
   const isFailure = status >= 500;
   const drop = (cause: string, holdsAgainst = true): HeadVerdict => ({ kind: 'drop', cause, holdsAgainst });
-  if (!head.isOwn || (isSuccess && !head.isSealed)) return drop("the answer is not this request's");
+  if (!head.isForRequest || (isSuccess && !head.isSealed)) return drop("the answer is not this request's");
   if (isFailure && (hasReply || mayTryAnother)) return drop(`the replica answered ${status}`);
   if (!isSuccess && hasReply) return drop(`the replica answered ${status} to a resumption`, false);
   if (promises.has(status)) return drop(`the replica answered ${status} and did not say that it had not run it`);
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -1,7 +1,7 @@
 /** Admission of callers' requests: by route, key and size limits of the routing table in force. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { keys } from '@martenworks/core-types';
+import { apiKeys } from '@martenworks/core-types';
 import type { Customer, HeaderCodec, Random } from '@martenworks/core-types';
 import { shares } from '@martenworks/route-table';
 import type { RoutingTableView, RouteView } from '@martenworks/route-table';
@@ -37,9 +37,9 @@
     if (view === null) return err(admissionErrors.notReady);
     const { limits } = view.routingTable;
     if (call.headerBytes > limits.headerBytes) return err(admissionErrors.headersTooLarge);
-    const order = this.wire.order(call.headers);
+    const order = this.wire.requestMetadata(call.headers);
     if (order.isErr()) return err(admissionErrors.malformedHeaders(order.error));
-    const keyHash = order.value.key === null ? null : keys.hash(order.value.key);
+    const keyHash = order.value.key === null ? null : apiKeys.hash(order.value.key);
     const early = this.grant(call, keyHash);
     if (early.isErr()) return err(early.error);
     const body = await call.body(limits.bodyBytes);
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -55,7 +55,7 @@
       stored.unheardAt = isHeard ? null : (stored.unheardAt ?? this.clock.now());
       stored.isHeard = isHeard;
       if (epoch !== undefined && epoch !== '' && epoch !== stored.epoch) {
-        if (stored.epoch !== '') stored.pairs.isFirstByEpoch();
+        if (stored.epoch !== '') stored.pairs.recordNewEpoch();
         stored.epoch = epoch;
       }
       if (isWhole) stored.kept.clear();
@@ -75,7 +75,7 @@
   readonly onIncarnationChange = (address: string): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return;
-    if (stored.pairs.isFirstById()) stored.kept.clear();
+    if (stored.pairs.recordNewId()) stored.kept.clear();
     stored.own.clear();
     stored.reading.clear();
     stored.quarantined.clear();
--- a/packages/edge-proxy/test/controlNodeStub.ts
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -71,10 +71,10 @@
     this.statesSent = 0;
     const { net, clock } = this.world.machine(this.host).ports();
     const listening = await peerConnections.listen(net, clock, logs.silent(), this.hello, memberOf(this.host).address, {
-      joined: (connection) => void this.connections.add(connection),
-      left: this.forget,
-      told: this.told,
-      asked: async (_, topic) => this.answer(topic),
+      onOpen: (connection) => void this.connections.add(connection),
+      onClose: this.forget,
+      onMessage: this.told,
+      onCall: async (_, topic) => this.answer(topic),
     });
     this.listener = listening._unsafeUnwrap();
   };
@@ -119,10 +119,10 @@
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
     if (this.publishing === 'newer states only' && this.logIndex <= subscriber.held) return;
-    connection.tell('stateAnnounced', this.logIndex);
+    connection.send('stateAnnounced', this.logIndex);
     if (!subscriber.wantsContent) return;
     this.statesSent += 1;
-    connection.tell('state', this.message());
+    connection.send('state', this.message());
   };
 
   private readonly message = (): EdgeStateMessage => ({
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -129,7 +129,7 @@
 const long = (id: string): RequestMetadata => ({
   id: 'q',
   key: null,
-  leftMs: null,
+  remainingMs: null,
   model,
   tokensIn: 17_000,
   tokensOut: 17,
--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { bodyLimit } from 'hono/body-limit';
-import { rejections, pause } from '@martenworks/core-types';
+import { rejections, timing } from '@martenworks/core-types';
 import type { Rejection } from '@martenworks/core-types';
 import { backWire } from '@martenworks/upstream';
 import type { CompletionPath, Piece } from '@martenworks/upstream';
@@ -37,7 +37,7 @@
     {
       pull: async (controller) => {
         if (isCut) {
-          await pause.for(gateway.ports.clock, flushMs);
+          await timing.sleep(gateway.ports.clock, flushMs);
           return controller.error(new Error('the stream was cut'));
         }
         const next = await response.pieces.next();
--- a/packages/gateway/src/claims/claimQuorum.ts
+++ b/packages/gateway/src/claims/claimQuorum.ts
@@ -58,7 +58,7 @@
   };
 
   private readonly ask = (member: Member, topic: ClaimTopic, body: unknown, count: VoteCount): void => {
-    const connection = this.peerPool().to(member.incarnation);
+    const connection = this.peerPool().connectionTo(member.incarnation);
     if (connection === undefined) {
       count.add(null);
       return;
@@ -66,7 +66,7 @@
     background.run(
       'quorum call on a claim',
       connection
-        .ask(topic, body, voteTimeoutMs)
+        .call(topic, body, voteTimeoutMs)
         .then((response) => count.add(response.isOk() ? peerMessages.claimVote(response.value) : null)),
     );
   };
--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -3,7 +3,7 @@
  * single-decree Paxos over the control nodes (prepare and accept, with ballots); a claim whose request was not run is
  * released, and the key's next turn is open.
  */
-import { background, claimBallots, pause } from '@martenworks/core-types';
+import { background, claimBallots, timing } from '@martenworks/core-types';
 import type { Claimant, ClaimAccepted, ClaimBallot, Member, Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
@@ -90,7 +90,7 @@
     const { clock, random } = this.ports;
     let turn = 0;
     for (let round = 0; round < roundLimit && clock.now() < deadlineAt; round += 1) {
-      if (round > 0) await pause.for(clock, backoffStepMs * round * (0.5 + random.fraction()));
+      if (round > 0) await timing.sleep(clock, backoffStepMs * round * (0.5 + random.fraction()));
       const ballot: ClaimBallot = [++this.round, own.id];
       const promises = await this.quorum.poll('claimPrepare', { key, turn, ballot });
       this.round = newestRound(promises, this.round);
@@ -119,16 +119,16 @@
     if (claimant.gateway === this.own().incarnation) return this.responseStore.stateOf(claimant.id);
     const { net, clock, log } = this.ports;
     const dialed = await peerConnections.dial(net, clock, log, this.own(), claimant.address, {
-      told: () => {},
-      asked: async () => null,
-      joined: () => {},
-      left: () => {},
+      onMessage: () => {},
+      onCall: async () => null,
+      onOpen: () => {},
+      onClose: () => {},
     });
     if (dialed.isErr()) return { kind: 'unknown' };
     const connection = dialed.value;
     const response =
       connection.peer?.incarnation === claimant.gateway
-        ? await connection.ask('claimState', claimant.id, askTimeoutMs)
+        ? await connection.call('claimState', claimant.id, askTimeoutMs)
         : null;
     connection.close();
     const state = response?.isOk() === true ? peerMessages.storedResponseState(response.value) : null;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,7 +1,7 @@
 /** The gateway: takes callers' requests and has replicas run them. This module assembles its parts. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { background, MetricCounters, pause } from '@martenworks/core-types';
+import { background, MetricCounters, timing } from '@martenworks/core-types';
 import type { Listener, Member, NetworkError, Ports } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
 import { peerConnections, hellos } from '@martenworks/peer-transport';
@@ -123,10 +123,10 @@
 
   /** The parts are made one after the other, so some may be absent when the first state comes. */
   private readonly stateChanged = (): void => {
-    for (const connection of this.peerPool?.open() ?? []) connection.tell('ack', this.stateView.logIndex());
+    for (const connection of this.peerPool?.openConnections() ?? []) connection.send('ack', this.stateView.logIndex());
     this.stages?.recheck();
     if (this.peerPool !== undefined) this.admitIsolatedTenants();
-    this.peerPool?.align();
+    this.peerPool?.reconcile();
   };
 
   /** Serves one request; resolves with a rejection or once the first piece came. */
@@ -138,7 +138,7 @@
     this.stages.drain();
     const { clock } = this.ports;
     const endAt = clock.now() + this.settings.drainMs;
-    while (this.stages.live.size > 0 && clock.now() < endAt) await pause.for(clock, drainPollMs);
+    while (this.stages.live.size > 0 && clock.now() < endAt) await timing.sleep(clock, drainPollMs);
   };
 
   /** Rejects the requests still live and closes all connections. */
--- a/packages/gateway/src/peers/controlReporter.ts
+++ b/packages/gateway/src/peers/controlReporter.ts
@@ -32,13 +32,13 @@
   /** Reports the load at once, for a long prompt that other gateways should know of. */
   readonly reportLongPrompt = (): void => {
     const report = this.report();
-    for (const connection of this.gateway.peerPool.open())
-      if (connection.peer?.role === 'control') connection.tell('longPrompts', report);
+    for (const connection of this.gateway.peerPool.openConnections())
+      if (connection.peer?.role === 'control') connection.send('longPrompts', report);
   };
 
   private readonly pingAll = (): void => {
     this.beforePing();
-    for (const connection of this.gateway.peerPool.open())
+    for (const connection of this.gateway.peerPool.openConnections())
       background.run('report load to a control node', this.ping(connection));
   };
 
@@ -47,7 +47,7 @@
     this.pending.add(connection);
     const { freshness, replicaTracker, stateView, stages } = this.gateway;
     const stamp = freshness.stamp();
-    const response = await connection.ask('ping', this.report(), pingTimeoutMs);
+    const response = await connection.call('ping', this.report(), pingTimeoutMs);
     this.pending.delete(connection);
     if (response.isErr()) return connection.close();
     const pong = peerMessages.pong(response.value);
@@ -56,15 +56,15 @@
     replicaTracker.takeOtherLoads(pong.loads);
     stages.placementStage.takeContention(pong.contention);
     const broken = stateView.index.broken();
-    if (broken.length > 0) connection.tell('indexSnapshotRequest', broken);
-    if (pong.logIndex > stateView.logIndex()) connection.tell('subscribe', stateView.logIndex());
+    if (broken.length > 0) connection.send('indexSnapshotRequest', broken);
+    if (pong.logIndex > stateView.logIndex()) connection.send('subscribe', stateView.logIndex());
     stages.placementStage.pumpAll();
   };
 
   /** Subscribes to a newly connected control node's changes and pings it. */
   readonly joined = (connection: PeerConnection): void => {
     if (connection.peer?.role !== 'control') return;
-    connection.tell('subscribe', this.gateway.stateView.logIndex());
+    connection.send('subscribe', this.gateway.stateView.logIndex());
     background.run('report load to a control node', this.ping(connection));
   };
 
--- a/packages/gateway/src/peers/isolationAdmission.ts
+++ b/packages/gateway/src/peers/isolationAdmission.ts
@@ -63,7 +63,7 @@
   };
 
   private readonly askMember = (member: Member, claims: readonly IsolationClaim[], count: AdmissionCount): void => {
-    const connection = this.gateway.peerPool.to(member.incarnation);
+    const connection = this.gateway.peerPool.connectionTo(member.incarnation);
     if (connection === undefined) {
       count.add([]);
       return;
@@ -71,7 +71,7 @@
     background.run(
       'ask a control node to admit isolated tenants',
       connection
-        .ask('admitSides', claims, admitTimeoutMs)
+        .call('admitSides', claims, admitTimeoutMs)
         .then((response) => count.add((response.isOk() ? peerMessages.isolationStatuses(response.value) : null) ?? [])),
     );
   };
--- a/packages/gateway/src/peers/peerMessageHandlers.ts
+++ b/packages/gateway/src/peers/peerMessageHandlers.ts
@@ -1,5 +1,5 @@
 /** What a gateway does with the messages and questions of other nodes. */
-import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import type { GatewayParts } from '../gatewayParts.js';
 import { peerMessages } from './peerMessages.js';
 
@@ -18,13 +18,15 @@
 
 /** Tells a control node which state is held, so that it sends what is missing. */
 const acknowledge = (gateway: GatewayParts, connection: PeerConnection): void => {
-  connection.tell('ack', gateway.stateView.logIndex());
+  connection.send('ack', gateway.stateView.logIndex());
 };
 
 const messageHandlers: ReadonlyMap<string, MessageHandler> = new Map([
   [
     'heartbeat',
-    handler(peerMessages.heartbeat, (gateway, incarnation) => gateway.failureDetector.watch.heartbeatFrom(incarnation)),
+    handler(peerMessages.heartbeat, (gateway, incarnation) =>
+      gateway.failureDetector.heartbeatMonitor.recordHeartbeat(incarnation),
+    ),
   ],
   [
     'change',
@@ -66,17 +68,17 @@
   }
 };
 
-/** The handlers of a gateway's peer connections; `joined` is called once the other side has introduced itself. */
+/** The handlers of a gateway's peer connections; `onOpen` is called once the other side has introduced itself. */
 export const peerMessageHandlers = {
   /** Makes them for one gateway. */
-  of: (gateway: GatewayParts, joined: (connection: PeerConnection) => void): Handlers => ({
-    joined: (connection) => {
+  of: (gateway: GatewayParts, joined: (connection: PeerConnection) => void): PeerHandlers => ({
+    onOpen: (connection) => {
       if (connection.peer === null) return;
-      gateway.memberList.heard(connection.peer);
+      gateway.memberList.recordContact(connection.peer);
       joined(connection);
     },
-    left: () => {},
-    told: (connection, topic, body) => messageHandlers.get(topic)?.(gateway, body, connection),
-    asked: async (_connection, topic, body) => answerQuestion(gateway, topic, body),
+    onClose: () => {},
+    onMessage: (connection, topic, body) => messageHandlers.get(topic)?.(gateway, body, connection),
+    onCall: async (_connection, topic, body) => answerQuestion(gateway, topic, body),
   }),
 };
--- a/packages/gateway/src/pipeline/admissionStage.ts
+++ b/packages/gateway/src/pipeline/admissionStage.ts
@@ -1,5 +1,5 @@
 /** First stage: admits a request if this gateway may serve and the caller's key is granted. */
-import { keys } from '@martenworks/core-types';
+import { apiKeys } from '@martenworks/core-types';
 import type { StageContext } from './stageContext.js';
 import type { Rejector } from './rejector.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
@@ -32,7 +32,7 @@
       this.rejector.refuse(request, 'unknown_key', 'no bearer key was given');
       return;
     }
-    request.keyHash = keys.hash(request.completion.key);
+    request.keyHash = apiKeys.hash(request.completion.key);
     const tenant = grants.tenantOfKey(view, request.keyHash);
     if (tenant === undefined) {
       this.rejector.refuse(request, 'unknown_key', 'the key is not granted');
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,5 +1,5 @@
 /** Last stage: relays a replica's pieces to the caller and notices when the stream is cut. */
-import { background, pause } from '@martenworks/core-types';
+import { background, timing } from '@martenworks/core-types';
 import type { Piece } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
@@ -42,7 +42,7 @@
         (step): Piece =>
           step.done === true ? { kind: 'cut', cause: 'the stream ended without its end marker' } : step.value,
       );
-    return pause.within<Piece>(
+    return timing.withTimeout<Piece>(
       this.context.ports.clock,
       this.context.settings.stallMs,
       Promise.race([next, stopped]),
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -1,5 +1,5 @@
 /** What a gateway holds of the fleet's state: configuration, replicas, prefix index and tenant partitions. */
-import { stateMachine, replicas } from '@martenworks/core-types';
+import { stateMachine, replicaRecords } from '@martenworks/core-types';
 import type {
   CommittedState,
   Change,
@@ -76,7 +76,7 @@
   /** Takes replica records; of two records of a replica the newer one stays. */
   readonly takeReplicas = (told: readonly ReplicaRecord[]): void => {
     for (const record of told)
-      this.replicaRecords.set(record.name, replicas.merge(this.replicaRecords.get(record.name), record));
+      this.replicaRecords.set(record.name, replicaRecords.merge(this.replicaRecords.get(record.name), record));
     this.reindex();
     this.changed();
   };
--- a/packages/gateway/test/malformedMessages.test.ts
+++ b/packages/gateway/test/malformedMessages.test.ts
@@ -77,10 +77,10 @@
     gateway = (await gateways.start(settings, ports))._unsafeUnwrap();
     const hello = hellos.of('edge', settingsAt('gateway-2', 1), 'other-incarnation');
     const dialed = await peerConnections.dial(ports.net, ports.clock, ports.log, hello, settings.peerAddress, {
-      told: () => {},
-      asked: async () => null,
-      joined: () => {},
-      left: () => {},
+      onMessage: () => {},
+      onCall: async () => null,
+      onOpen: () => {},
+      onClose: () => {},
     });
     connection = dialed._unsafeUnwrap();
   });
@@ -91,11 +91,11 @@
   });
 
   const reply = async (topic: string, body: unknown): Promise<unknown> =>
-    (await connection.ask(topic, body, replyTimeoutMs))._unsafeUnwrap();
+    (await connection.call(topic, body, replyTimeoutMs))._unsafeUnwrap();
 
   for (const [topic, bodies] of Object.entries(malformedMessages))
     it(`given malformed bodies of ${topic}, when a gateway gets them, then it ignores them and answers on the same connection`, async () => {
-      for (const body of [null, true, ...bodies]) connection.tell(topic, body);
+      for (const body of [null, true, ...bodies]) connection.send(topic, body);
       expect(await reply('keepalive', null)).to.equal(true);
       expect(gateway.stateView.logIndex()).to.equal(-1);
       expect(gateway.stateView.records()).to.deep.equal([]);
@@ -111,7 +111,7 @@
   });
 
   it('given whole loads, when a gateway gets them, then it takes them', async () => {
-    connection.tell('loads', { 'replica-1': [2, 30] });
+    connection.send('loads', { 'replica-1': [2, 30] });
     expect(await reply('keepalive', null)).to.equal(true);
     expect(gateway.replicaTracker.all()).to.deep.equal([
       { replica: 'replica-1', running: 0, others: 2, isSuspect: false },
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -15,7 +15,7 @@
 import { logs } from '@martenworks/core-types';
 import type { CommittedState, Change, Clock, Disk, Ports, Random } from '@martenworks/core-types';
 import { hellos } from '@martenworks/peer-transport';
-import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import type { Break } from './breaks.js';
 import type { Observed } from './checker.js';
 import { ModelDisk } from './modelDisk.js';
@@ -51,7 +51,7 @@
 }
 
 /** A held connection as the product's nodes use it, over the modelled network. */
-type Connection = Pick<PeerConnection, 'peer' | 'ask' | 'tell' | 'isLive' | 'close'>;
+type Connection = Pick<PeerConnection, 'peer' | 'call' | 'send' | 'isLive' | 'close'>;
 
 /** Steps of the consensus member that its own timers would take, and parts of it that breaks replace. */
 interface MemberInside {
@@ -73,7 +73,7 @@
   readonly acceptor: Acceptor;
   readonly member: ConsensusMember;
   readonly inside: MemberInside;
-  readonly handlers: Handlers;
+  readonly handlers: PeerHandlers;
   readonly process: Process;
 }
 
@@ -169,8 +169,8 @@
   /** Both ends see a connection made. */
   readonly meet = (node: ModelNode): void => {
     if (this.parts === null || node.parts === null) return;
-    this.parts.handlers.joined(this.connectionTo(this.parts.process, node.parts) as PeerConnection);
-    node.parts.handlers.joined(node.connectionTo(node.parts.process, this.parts) as PeerConnection);
+    this.parts.handlers.onOpen(this.connectionTo(this.parts.process, node.parts) as PeerConnection);
+    node.parts.handlers.onOpen(node.connectionTo(node.parts.process, this.parts) as PeerConnection);
   };
 
   private readonly role = (acceptor: Acceptor): ConsensusRole => {
@@ -185,10 +185,10 @@
         await this.parts?.member.catchUp.step();
       },
       sharedMembers: () => [],
-      joined: () => {},
-      left: () => {},
-      told: () => {},
-      asked: async () => null,
+      onOpen: () => {},
+      onClose: () => {},
+      onMessage: () => {},
+      onCall: async () => null,
     };
     return role;
   };
@@ -291,11 +291,11 @@
     peer: this.peerOf(peer),
     isLive: () => process.isAlive() && peer.process.isAlive(),
     close: () => {},
-    ask: async (topic, body, timeoutMs) => {
+    call: async (topic, body, timeoutMs) => {
       const told = await this.world.network.ask(process, peer.process, topic, body, timeoutMs);
-      return told.isAnswered ? ok(told.value) : err({ kind: 'peer', code: 'late' });
+      return told.isAnswered ? ok(told.value) : err({ kind: 'peer', code: 'timeout' });
     },
-    tell: (topic, body) => {
+    send: (topic, body) => {
       this.world.network.tell(process, peer.process, topic, body);
       return true;
     },
@@ -316,7 +316,7 @@
       const peer = this.processOf(process, incarnation);
       return peer === undefined ? undefined : this.connectionTo(process, peer);
     };
-    return { open, to, align: () => {}, stop: () => {} } as unknown as PeerPool;
+    return { openConnections: open, connectionTo: to, reconcile: () => {}, stop: () => {} } as unknown as PeerPool;
   };
 
   private readonly handle = async (topic: string, body: unknown, from: Process): Promise<unknown> => {
@@ -325,10 +325,10 @@
     if (own === null || sender == null) return null;
     const connection = this.connectionTo(own.process, sender) as PeerConnection;
     if (toldTopics.has(topic)) {
-      own.handlers.told(connection, topic, body);
+      own.handlers.onMessage(connection, topic, body);
       return null;
     }
-    const answer = await own.handlers.asked(connection, topic, body);
+    const answer = await own.handlers.onCall(connection, topic, body);
     if (topic !== 'memberStatus') return answer;
     this.world.onMemberStatus(own.acceptor.incarnation);
     return this.world.broken?.memberStatus?.(answer as MemberStatus, sender.acceptor) ?? answer;
@@ -367,7 +367,7 @@
       isLost: this.lastIncarnation === '',
       state: this.lastState,
       accepted: this.vote?.slot === slot ? this.vote : null,
-      fence: this.parts?.member.leaseManager.fenceOf(weightsLease) ?? null,
+      fence: this.parts?.member.leaseManager.fencingTokenOf(weightsLease) ?? null,
     };
   };
 }
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -77,7 +77,7 @@
     const members = voters.map(
       (node): Member => ({ name: node.name, address: `${node.name}:1`, incarnation: node.incarnation() }),
     );
-    const founded = stateMachine.founded(members);
+    const founded = stateMachine.initialState(members);
     for (const node of voters) await node.found(founded);
     this.judge = new Checker(founded);
   };
--- a/packages/peer-transport/src/assembly.ts
+++ b/packages/peer-transport/src/assembly.ts
@@ -1,5 +1,5 @@
 /** The receiving side of large messages: puts parts together again. */
-import { frameLimit, joined } from './frames.js';
+import { maxFrameBytes, concatBytes } from './frames.js';
 import type { PartFrame } from './frames.js';
 
 interface Unfinished {
@@ -16,13 +16,13 @@
     const message = this.unfinished.get(stream) ?? { parts: [], bytes: 0 };
     message.parts.push(bytes);
     message.bytes += bytes.length;
-    if (message.bytes > frameLimit) return undefined;
+    if (message.bytes > maxFrameBytes) return undefined;
     if (!isLast) {
       this.unfinished.set(stream, message);
       return null;
     }
     this.unfinished.delete(stream);
-    return joined(message.parts);
+    return concatBytes(message.parts);
   };
 
   /** Whether a message of this stream has begun and is not whole. */
--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -2,7 +2,7 @@
 import { cbor } from '@martenworks/core-types';
 
 /** Most bytes of one message, and of one frame. */
-export const frameLimit = 16 * 1024 * 1024;
+export const maxFrameBytes = 16 * 1024 * 1024;
 const headBytes = 4;
 
 /** A bounded piece of a large message; pieces of one stream follow each other in order. */
@@ -25,17 +25,17 @@
   | PartFrame
   | { readonly f: 'got' };
 
-const withLength = (body: Uint8Array): Uint8Array => {
+const withLengthPrefix = (body: Uint8Array): Uint8Array => {
   const frame = new Uint8Array(headBytes + body.length);
   new DataView(frame.buffer).setUint32(0, body.length);
   frame.set(body, headBytes);
   return frame;
 };
 
-const pack = (message: unknown): Uint8Array => withLength(cbor.encode(message));
+const encodeFrame = (message: unknown): Uint8Array => withLengthPrefix(cbor.encode(message));
 
 /** The parts as one array of bytes. */
-export const joined = (parts: readonly Uint8Array[]): Uint8Array => {
+export const concatBytes = (parts: readonly Uint8Array[]): Uint8Array => {
   const whole = new Uint8Array(parts.reduce((size, part) => size + part.length, 0));
   let begin = 0;
   for (const part of parts) {
@@ -46,7 +46,7 @@
 };
 
 /** Cuts a stream of bytes into frames, and decodes them. Stops for good once it has complained. */
-export class Unpacker {
+export class FrameDecoder {
   private parts: Uint8Array[] = [];
   private size = 0;
   private wanted = headBytes;
@@ -57,11 +57,11 @@
   ) {}
 
   /** Takes the next bytes, and delivers each message that they complete. */
-  readonly take = (bytes: Uint8Array): void => {
+  readonly push = (bytes: Uint8Array): void => {
     this.parts.push(bytes);
     this.size += bytes.length;
     if (this.size < this.wanted) return;
-    const rest = this.deliverWhole(this.parts.length === 1 ? bytes : joined(this.parts));
+    const rest = this.deliverWhole(this.parts.length === 1 ? bytes : concatBytes(this.parts));
     if (rest === null) return;
     this.parts = rest.length === 0 ? [] : [rest];
     this.size = rest.length;
@@ -76,7 +76,7 @@
         return rest;
       }
       const length = new DataView(rest.buffer, rest.byteOffset).getUint32(0);
-      if (length > frameLimit) {
+      if (length > maxFrameBytes) {
         this.complain('frame over the limit');
         return null;
       }
@@ -126,7 +126,7 @@
 };
 
 /**
- * Encodes, decodes and checks frames; `pack` gives a message's bytes with the length in front, `withLength` takes it
+ * Encodes, decodes and checks frames; `encodeFrame` gives a message's bytes with the length in front, `withLengthPrefix` takes it
  * encoded already. `decode` throws on bytes that are no CBOR.
  */
-export const frames = { isFrame, pack, encode: cbor.encode, decode: cbor.decode, withLength };
+export const frames = { isFrame, encodeFrame, encode: cbor.encode, decode: cbor.decode, withLengthPrefix };
--- a/packages/peer-transport/src/hello.ts
+++ b/packages/peer-transport/src/hello.ts
@@ -1,7 +1,7 @@
 /** The handshake's one message: who a node is. Each side sends it first, and reads the other's before anything else. */
 
 /** The version of the protocol between nodes; peers of another version are not talked to. */
-export const wireRelease = 4;
+export const protocolVersion = 4;
 
 /**
  * A node as it presents itself. `address` takes peer connections, `http` serves its pages (empty where there are none);
@@ -31,7 +31,7 @@
   },
   incarnation: string,
 ): Hello => ({
-  release: wireRelease,
+  release: protocolVersion,
   name: node.name,
   role,
   address: node.peerAddress,
@@ -50,10 +50,10 @@
   );
 };
 
-const releaseOf = (value: unknown): unknown =>
+const protocolVersionOf = (value: unknown): unknown =>
   typeof value === 'object' && value !== null ? (value as { release?: unknown }).release : undefined;
 
 /**
- * Builds the hello of a node, and checks one that came from another: `releaseOf` reads its release whatever its form.
+ * Builds the hello of a node, and checks one that came from another: `protocolVersionOf` reads its release whatever its form.
  */
-export const hellos = { of, isHello, releaseOf };
+export const hellos = { of, isHello, protocolVersionOf };
--- a/packages/peer-transport/src/openCalls.ts
+++ b/packages/peer-transport/src/openCalls.ts
@@ -30,7 +30,7 @@
   readonly isFull = (): boolean => this.calls.size >= callLimit;
 
   /** Opens a call.
-   * @param timeoutMs milliseconds without progress on its stream after which it ends as `late`
+   * @param timeoutMs milliseconds without progress on its stream after which it ends as `timeout`
    * @param send writes the call under this id */
   readonly open = (
     stream: string,
@@ -67,6 +67,6 @@
     const progressAt = Math.max(call.askedAt, this.progressAt(call.stream));
     const leftMs = progressAt + call.timeoutMs - this.clock.now();
     if (leftMs > 0) call.timer = this.clock.after(leftMs, () => this.expire(id));
-    else this.end(id, err(peerError('late')));
+    else this.end(id, err(peerError('timeout')));
   };
 }
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -6,9 +6,9 @@
 import { Assembly } from './assembly.js';
 import { peerError } from './errors.js';
 import type { PeerError } from './errors.js';
-import { Unpacker, frameLimit, frames } from './frames.js';
+import { FrameDecoder, maxFrameBytes, frames } from './frames.js';
 import type { Frame, PartFrame } from './frames.js';
-import { hellos, wireRelease } from './hello.js';
+import { hellos, protocolVersion } from './hello.js';
 import type { Hello } from './hello.js';
 import { OpenCalls } from './openCalls.js';
 import { SendQueue, partBytes } from './sendQueue.js';
@@ -19,13 +19,13 @@
  * What the owner of a connection does with what comes on it. Bodies are as the peer sent them: each topic's reader
  * checks its own.
  */
-export interface Handlers {
-  readonly told: (from: PeerConnection, topic: string, body: unknown) => void;
-  readonly asked: (from: PeerConnection, topic: string, body: unknown) => Promise<unknown>;
+export interface PeerHandlers {
+  readonly onMessage: (from: PeerConnection, topic: string, body: unknown) => void;
+  readonly onCall: (from: PeerConnection, topic: string, body: unknown) => Promise<unknown>;
   /** The peer's hello has come; before it nothing else is handed on. */
-  readonly joined: (connection: PeerConnection) => void;
-  /** The connection ended; called only after `joined`. */
-  readonly left: (connection: PeerConnection) => void;
+  readonly onOpen: (connection: PeerConnection) => void;
+  /** The connection ended; called only after `onOpen`. */
+  readonly onClose: (connection: PeerConnection) => void;
 }
 
 /** One connection to a peer, dialled or accepted; both ends are alike. Made by `peerConnections`. */
@@ -46,53 +46,53 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly own: Hello,
-    private readonly handlers: Handlers,
+    private readonly handlers: PeerHandlers,
   ) {
     this.calls = new OpenCalls(clock, (stream) => this.progressAt.get(stream) ?? 0);
-    this.queue = new SendQueue(clock, (part) => this.connection.write(frames.pack(part)));
+    this.queue = new SendQueue(clock, (part) => this.connection.write(frames.encodeFrame(part)));
     this.stalls = new StallDetector(clock);
     this.receivedAt = clock.now();
   }
 
   /** Sends the own hello and begins to read. */
-  readonly begin = (): void => {
-    const unpacker = new Unpacker(this.receiveMessage, (cause) => this.drop(cause));
-    this.send('hello', { f: 'hello', hello: this.own });
+  readonly start = (): void => {
+    const unpacker = new FrameDecoder(this.receiveMessage, (cause) => this.drop(cause));
+    this.sendFrame('hello', { f: 'hello', hello: this.own });
     this.connection.listen(
       (bytes) => {
         if (!this.isOpen) return;
         this.receivedAt = this.clock.now();
-        unpacker.take(bytes);
+        unpacker.push(bytes);
       },
       () => this.close(),
     );
   };
 
   private readonly drop = (cause: string): void => {
-    this.log.warn('connection dropped', { cause, remote: this.connection.remote });
+    this.log.warn('connection dropped', { cause, remote: this.connection.remoteAddress });
     this.close();
   };
 
-  private readonly send = (topic: string, frame: Frame): boolean => {
+  private readonly sendFrame = (topic: string, frame: Frame): boolean => {
     if (!this.isOpen) return false;
-    if (this.stalls.isStalled(this.connection.backlog(), this.queue.bytes())) {
+    if (this.stalls.isStalled(this.connection.bufferedBytes(), this.queue.bytes())) {
       this.drop('peer reads too slowly');
       return false;
     }
     const message = frames.encode(frame);
-    if (message.length > frameLimit) {
+    if (message.length > maxFrameBytes) {
       this.drop('message over the limit');
       return false;
     }
     const stream = streams.of(topic);
     if (message.length <= partBytes && !this.queue.hasWaiting(stream))
-      this.connection.write(frames.withLength(message));
+      this.connection.write(frames.withLengthPrefix(message));
     else this.queue.add(stream, message);
     return true;
   };
 
   private readonly receivePart = (part: PartFrame): void => {
-    this.connection.write(frames.pack({ f: 'got' }));
+    this.connection.write(frames.encodeFrame({ f: 'got' }));
     this.progressAt.set(part.stream, this.clock.now());
     const message = this.assembly.take(part);
     if (message === undefined) this.drop('message over the limit');
@@ -128,10 +128,10 @@
   };
 
   private readonly receiveHello = (hello: unknown): void => {
-    const theirs = hellos.releaseOf(hello);
-    if (theirs !== wireRelease) {
+    const theirs = hellos.protocolVersionOf(hello);
+    if (theirs !== protocolVersion) {
       const cause = 'peer protocol version mismatch';
-      this.log.warn('connection dropped', { cause, theirs, ours: wireRelease });
+      this.log.warn('connection dropped', { cause, theirs, ours: protocolVersion });
       this.close();
       return;
     }
@@ -144,7 +144,7 @@
       return;
     }
     this.peer = hello;
-    this.handlers.joined(this);
+    this.handlers.onOpen(this);
   };
 
   private readonly receive = (frame: Exclude<Frame, { f: 'hello' }>): void => {
@@ -156,7 +156,7 @@
         this.receiveAcknowledgement();
         return;
       case 'tell':
-        this.handlers.told(this, frame.topic, frame.body);
+        this.handlers.onMessage(this, frame.topic, frame.body);
         return;
       case 'ask':
         background.run('answer a peer', this.answer(frame.id, frame.topic, frame.body));
@@ -167,26 +167,26 @@
   };
 
   private readonly answer = (id: number, topic: string, body: unknown): Promise<unknown> =>
-    this.handlers.asked(this, topic, body).then((reply) => this.send(topic, { f: 'reply', id, body: reply }));
+    this.handlers.onCall(this, topic, body).then((reply) => this.sendFrame(topic, { f: 'reply', id, body: reply }));
 
   /**
    * Sends a message. False where the connection is closed, or was dropped as the peer reads nothing or the message
    * passes the limit; true tells nothing of its arrival.
    */
-  readonly tell = (topic: string, body: unknown): boolean => this.send(topic, { f: 'tell', topic, body });
+  readonly send = (topic: string, body: unknown): boolean => this.sendFrame(topic, { f: 'tell', topic, body });
 
   /** Asks and waits for the reply.
    * @param timeoutMs milliseconds without progress: each part that arrives or is acknowledged on the ask's stream
    *   begins them anew
-   * @returns the reply's body, or `late`, `full` (too many calls are open) or `closed` */
-  readonly ask = (topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => {
+   * @returns the reply's body, or `timeout`, `full` (too many calls are open) or `closed` */
+  readonly call = (topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => {
     if (!this.isOpen) return Promise.resolve(err(peerError('closed')));
     if (this.calls.isFull()) return Promise.resolve(err(peerError('full')));
-    return this.calls.open(streams.of(topic), timeoutMs, (id) => this.send(topic, { f: 'ask', id, topic, body }));
+    return this.calls.open(streams.of(topic), timeoutMs, (id) => this.sendFrame(topic, { f: 'ask', id, topic, body }));
   };
 
   /** Milliseconds since the last byte from the peer. */
-  readonly silentMs = (): number => this.clock.now() - this.receivedAt;
+  readonly idleMs = (): number => this.clock.now() - this.receivedAt;
 
   /** Whether a large message of this topic's stream has begun to arrive and is not whole yet. */
   readonly isReceiving = (topic: string): boolean => this.assembly.isReceiving(streams.of(topic));
@@ -203,6 +203,6 @@
     this.isOpen = false;
     this.connection.close();
     this.calls.close();
-    if (this.peer !== null) this.handlers.left(this);
+    if (this.peer !== null) this.handlers.onClose(this);
   };
 }
--- a/packages/peer-transport/src/peerConnections.ts
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -6,7 +6,7 @@
 import type { PeerError } from './errors.js';
 import type { Hello } from './hello.js';
 import { PeerConnection } from './peerConnection.js';
-import type { Handlers } from './peerConnection.js';
+import type { PeerHandlers } from './peerConnection.js';
 
 const helloTimeoutMs = 2000;
 
@@ -21,14 +21,14 @@
     log: Log,
     own: () => Hello,
     address: string,
-    handlers: Handlers,
+    handlers: PeerHandlers,
   ): Promise<Result<Listener, NetworkError>> =>
     net.listen(address, (accepted) => {
       const connection = new PeerConnection(accepted, clock, log, own(), handlers);
       clock.after(helloTimeoutMs, () => {
         if (connection.peer === null) connection.close();
       });
-      connection.begin();
+      connection.start();
     }),
   dial: async (
     net: Net,
@@ -36,7 +36,7 @@
     log: Log,
     own: Hello,
     address: string,
-    handlers: Handlers,
+    handlers: PeerHandlers,
     timeoutMs = helloTimeoutMs,
   ): Promise<Result<PeerConnection, PeerError>> => {
     const raw = await net.dial(address, timeoutMs);
@@ -44,9 +44,9 @@
     return new Promise((resolve) => {
       const connection: PeerConnection = new PeerConnection(raw.value, clock, log, own, {
         ...handlers,
-        joined: (joined) => {
+        onOpen: (joined) => {
           timer.cancel();
-          handlers.joined(joined);
+          handlers.onOpen(joined);
           resolve(ok(joined));
         },
       });
@@ -54,7 +54,7 @@
         if (connection.peer === null) connection.close();
         resolve(err(peerError('unreachable')));
       });
-      connection.begin();
+      connection.start();
     });
   },
 };
--- a/packages/peer-transport/test/frameChecks.test.ts
+++ b/packages/peer-transport/test/frameChecks.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { frames, hellos, peerConnections, wireRelease } from '@martenworks/peer-transport';
-import type { Handlers, Hello } from '@martenworks/peer-transport';
+import { frames, hellos, peerConnections, protocolVersion } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello } from '@martenworks/peer-transport';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const nearHost = '10.0.0.1';
@@ -14,14 +14,14 @@
     host,
   );
 
-const quiet: Handlers = { told: () => {}, asked: async () => null, joined: () => {}, left: () => {} };
+const quiet: PeerHandlers = { onMessage: () => {}, onCall: async () => null, onOpen: () => {}, onClose: () => {} };
 
 /** Dials a peer that presents itself with this value; the outcome, and the causes of dropped connections. */
 const dialPeerWith = async (hello: unknown): Promise<{ code: string; causes: unknown[] }> => {
   const world = new SimWorld(5);
   const far = world.machine(farHost).ports();
   (
-    await far.net.listen(farAddress, (connection) => connection.write(frames.pack({ f: 'hello', hello })))
+    await far.net.listen(farAddress, (connection) => connection.write(frames.encodeFrame({ f: 'hello', hello })))
   )._unsafeUnwrap();
   const near = world.machine(nearHost).ports();
   let code = '';
@@ -46,7 +46,7 @@
   });
 
   it('given a hello of another release, whatever its form, when it comes, then the version mismatch is the cause', async () => {
-    for (const hello of [{ ...helloOf(farHost), release: wireRelease + 1 }, { release: 1 }, 'hello', null])
+    for (const hello of [{ ...helloOf(farHost), release: protocolVersion + 1 }, { release: 1 }, 'hello', null])
       expect((await dialPeerWith(hello)).causes, JSON.stringify(hello)).to.deep.equal([
         'peer protocol version mismatch',
       ]);
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import type { Result } from 'neverthrow';
 import type { RawConnection } from '@martenworks/core-types';
-import { Unpacker, frames, hellos, peerConnections } from '@martenworks/peer-transport';
-import type { Handlers, Hello, PeerConnection, PeerError } from '@martenworks/peer-transport';
+import { FrameDecoder, frames, hellos, peerConnections } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello, PeerConnection, PeerError } from '@martenworks/peer-transport';
 import { SimWorld } from '@martenworks/test-fleet';
 
 const nearHost = '10.0.0.1';
@@ -40,11 +40,11 @@
   readonly connections: PeerConnection[] = [];
   answer: (topic: string, body: unknown) => Promise<unknown> = async (_, body) => body;
 
-  private readonly handlers = (): Handlers => ({
-    told: (_, topic, body) => void this.told.push({ topic, body, at: this.world.time }),
-    asked: (_, topic, body) => this.answer(topic, body),
-    joined: () => {},
-    left: () => {},
+  private readonly handlers = (): PeerHandlers => ({
+    onMessage: (_, topic, body) => void this.told.push({ topic, body, at: this.world.time }),
+    onCall: (_, topic, body) => this.answer(topic, body),
+    onOpen: () => {},
+    onClose: () => {},
   });
 
   readonly listen = async (incarnation = farHost): Promise<void> => {
@@ -55,7 +55,7 @@
 
   readonly dial = async (): Promise<PeerConnection> => {
     const { net, clock, log } = this.world.machine(nearHost).ports();
-    const quiet: Handlers = { told: () => {}, asked: async () => null, joined: () => {}, left: () => {} };
+    const quiet: PeerHandlers = { onMessage: () => {}, onCall: async () => null, onOpen: () => {}, onClose: () => {} };
     void peerConnections
       .dial(net, clock, log, helloOf(nearHost), farAddress, quiet)
       .then((dialed) => this.connections.push(dialed._unsafeUnwrap()));
@@ -66,7 +66,7 @@
 
   readonly ask = (connection: PeerConnection, topic: string, body: unknown, timeoutMs: number): Seen => {
     const seen: Seen = { reply: null, at: 0 };
-    void connection.ask(topic, body, timeoutMs).then((reply) => Object.assign(seen, { reply, at: this.world.time }));
+    void connection.call(topic, body, timeoutMs).then((reply) => Object.assign(seen, { reply, at: this.world.time }));
     return seen;
   };
 
@@ -91,7 +91,7 @@
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     const began = pair.world.time;
-    connection.tell('state', bytesOf(3_000_000));
+    connection.send('state', bytesOf(3_000_000));
     const pings: { asked: number; seen: Seen }[] = [];
     for (let count = 0; count < 10; count += 1) {
       pings.push({ asked: pair.world.time, seen: pair.ask(connection, 'ping', null, 900) });
@@ -124,16 +124,16 @@
     const cutAt = pair.world.time;
     pair.world.partition(nearHost, farHost);
     await pair.world.run(3_000);
-    expect(codeOf(seen)).to.equal('late');
+    expect(codeOf(seen)).to.equal('timeout');
     expect(seen.at - cutAt).to.be.within(500, 750);
   });
 
   it("given a peer that reads at its link's pace, when more than 8 MB wait for it, then it is not cut and gets all of it", async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
-    for (const mark of [3, 5, 9]) connection.tell('prefixCaches', bytesOf(4_000_000, mark));
+    for (const mark of [3, 5, 9]) connection.send('prefixCaches', bytesOf(4_000_000, mark));
     for (let count = 0; count < 16; count += 1) {
-      connection.tell('stateAnnounced', count);
+      connection.send('stateAnnounced', count);
       await pair.world.run(1_000);
     }
     expect(pair.dropped()).to.deep.equal([]);
@@ -147,7 +147,7 @@
     pair.world.machine(farHost).freeze();
     let count = 0;
     for (; connection.isLive() && count < 100; count += 1) {
-      connection.tell('prefixCaches', bytesOf(1_000_000));
+      connection.send('prefixCaches', bytesOf(1_000_000));
       await pair.world.run(100);
     }
     expect(count).to.be.below(45);
@@ -157,8 +157,8 @@
   it('given a large body under way, when a smaller one of another kind follows, then they share the link and the smaller one is there first', async () => {
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
-    connection.tell('prefixCaches', bytesOf(2_000_000));
-    connection.tell('state', bytesOf(100_000));
+    connection.send('prefixCaches', bytesOf(2_000_000));
+    connection.send('state', bytesOf(100_000));
     await pair.world.until('both', () => pair.told.length === 2);
     expect(pair.told.map(({ topic }) => topic)).to.deep.equal(['state', 'prefixCaches']);
   });
@@ -167,7 +167,7 @@
     const { pair, connection } = await paired();
     pair.world.limitBandwidth(farHost, narrowBytesPerSecond);
     for (const topic of ['prefixCaches', 'prefill'])
-      for (const size of [200_000, 1, 100_000, 2, 3]) connection.tell(topic, bytesOf(size));
+      for (const size of [200_000, 1, 100_000, 2, 3]) connection.send(topic, bytesOf(size));
     await pair.world.until('all', () => pair.told.length === 10);
     for (const topic of ['prefixCaches', 'prefill'])
       expect(
@@ -187,7 +187,7 @@
     await pair.world.run(600);
     const second = pair.ask(connection, 'memberList', 'second', 500);
     await pair.world.run(1_000);
-    expect(codeOf(first)).to.equal('late');
+    expect(codeOf(first)).to.equal('timeout');
     expect(second.reply?._unsafeUnwrap()).to.equal('reply to second');
   });
 
@@ -198,8 +198,8 @@
     (
       await net.listen(farAddress, (wire) => {
         wires.push(wire);
-        wire.write(frames.pack({ f: 'hello', hello: helloOf(farHost) }));
-        const unpacker = new Unpacker(
+        wire.write(frames.encodeFrame({ f: 'hello', hello: helloOf(farHost) }));
+        const unpacker = new FrameDecoder(
           (message) => {
             const { f, id, body } = message as { f: string; id: number; body: string };
             if (f !== 'ask') return;
@@ -209,11 +209,11 @@
               [id, 'once more'],
               [id - 1, 'of the one before'],
             ])
-              wire.write(frames.pack({ f: 'reply', id: told, body: text }));
+              wire.write(frames.encodeFrame({ f: 'reply', id: told, body: text }));
           },
           () => {},
         );
-        wire.listen(unpacker.take, () => {});
+        wire.listen(unpacker.push, () => {});
       })
     )._unsafeUnwrap();
     const connection = await pair.dial();
@@ -267,11 +267,11 @@
       (
         await net.listen(farAddress, (wire) => {
           wires.push(wire);
-          wire.write(frames.pack({ f: 'hello', hello: helloOf(farHost) }));
+          wire.write(frames.encodeFrame({ f: 'hello', hello: helloOf(farHost) }));
         })
       )._unsafeUnwrap();
       const connection = await pair.dial();
-      wires[0]?.write(frames.pack(strange));
+      wires[0]?.write(frames.encodeFrame(strange));
       await pair.world.run(50);
       expect([strange, connection.isLive(), pair.dropped().length]).to.deep.equal([strange, false, 1]);
     }
--- a/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
+++ b/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
@@ -1,5 +1,5 @@
 /** One line of the capacity page: a cost in the planned fleet, worked out from measured runs. */
-import { frameLimit } from '@martenworks/peer-transport';
+import { maxFrameBytes } from '@martenworks/peer-transport';
 
 /** The most that a node may spend: milliseconds a second or until done, bytes held, a second or in one frame. */
 export const budget = {
@@ -8,7 +8,7 @@
   wireBytes: 8_000,
   inForceMs: 3_000,
   freshMs: 1_500,
-  frameBytes: frameLimit,
+  frameBytes: maxFrameBytes,
 } as const;
 
 /** Gives the forecast of a run at the planned size, or at another size of its dimension. */
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -3,7 +3,7 @@
 import { GatewayPublisher, acceptors } from '@martenworks/control-plane';
 import type { Acceptor } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { Handlers } from '@martenworks/peer-transport';
+import type { PeerHandlers } from '@martenworks/peer-transport';
 import type { PrefixIndex } from '@martenworks/prefix-index';
 import { Meter, freeAddress } from './meteredNet.js';
 import type { PeerProcess } from './peerProcessClient.js';
@@ -23,7 +23,7 @@
 export interface ControlNodeOptions {
   readonly tenants?: number;
   readonly records?: readonly ReplicaRecord[];
-  readonly handlers?: Partial<Handlers>;
+  readonly handlers?: Partial<PeerHandlers>;
   readonly prefixCaches?: () => ReturnType<PrefixIndex['snapshot']>;
 }
 
@@ -38,17 +38,17 @@
 /** The three members that sample states name. */
 export const sampleMembers = [1, 2, 3].map(memberOf);
 
-const handlersOf = (acceptor: Acceptor, push: GatewayPublisher): Handlers => ({
-  joined: () => {},
-  left: push.drop,
-  told: (connection, topic, body) => {
+const handlersOf = (acceptor: Acceptor, push: GatewayPublisher): PeerHandlers => ({
+  onOpen: () => {},
+  onClose: push.drop,
+  onMessage: (connection, topic, body) => {
     if (topic === 'subscribe')
       push.subscribe(connection, body === null ? (acceptor.agreed()?.logIndex ?? -1) : (body as number));
     else if (topic === 'ack') push.acked(connection, body as number);
     else if (topic === 'longPrompts')
       push.longPrompts(connection, body as Parameters<GatewayPublisher['longPrompts']>[1]);
   },
-  asked: async (connection, topic, body) =>
+  onCall: async (connection, topic, body) =>
     topic === 'ping' ? push.pong(connection, body as Parameters<GatewayPublisher['pong']>[1]) : null,
 });
 
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -3,7 +3,7 @@
 import type { KvCacheEvent, Loads, Pong, ReplicaRecord, EdgeStateMessage } from '@martenworks/core-types';
 import { StateView, ReplicaTracker } from '@martenworks/gateway';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { cpuUs, startWatch, until, upTo } from './measuring.js';
 import { Meter, metered } from './meteredNet.js';
@@ -32,17 +32,17 @@
   else if (topic === 'kv') routingTable.takeKv(body as KvCacheEvent[]);
 };
 
-const handlers: Handlers = {
-  joined: () => {},
-  left: () => {
+const handlers: PeerHandlers = {
+  onOpen: () => {},
+  onClose: () => {
     counted.left += 1;
   },
-  asked: async () => null,
-  told: (connection, topic, body) => {
-    if (topic === 'change' || topic === 'checkpoint') connection.tell('ack', (body as { logIndex: number }).logIndex);
+  onCall: async () => null,
+  onMessage: (connection, topic, body) => {
+    if (topic === 'change' || topic === 'checkpoint') connection.send('ack', (body as { logIndex: number }).logIndex);
     else if (topic === 'state') {
       const { logIndex, configVersion } = body as EdgeStateMessage;
-      connection.tell('ack', { logIndex, configVersion });
+      connection.send('ack', { logIndex, configVersion });
     } else if (topic === 'loads') counted.loads += 1;
     else if (isReal) takeAsGateway(topic, body);
   },
@@ -81,7 +81,7 @@
   const spent = startWatch(meter);
   await atOnce(count, pingsAtOnce, async (at) => {
     const index = at % connections.length;
-    const pong = await (connections[index] as PeerConnection).ask('ping', bodies[index], timeoutMs);
+    const pong = await (connections[index] as PeerConnection).call('ping', bodies[index], timeoutMs);
     if (pong.isOk()) onPong(pong.value);
   });
   const { cpuUs: us, gotBytes, sentBytes } = spent();
@@ -97,7 +97,7 @@
 
 const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
   const [loads, got] = [counted.loads, meter.got];
-  connections[0]?.tell('longPrompts', reportOf(0, load));
+  connections[0]?.send('longPrompts', reportOf(0, load));
   await until(() => counted.loads - loads >= connections.length - 1, noticeTimeoutMs);
   return { got: meter.got - got };
 };
@@ -108,8 +108,8 @@
   const id = `id-${key}`;
   const claimant = { id, gateway: 'incarnation-00001', address: '10.0.0.1:7100', digest: key.padStart(32, '0') };
   const slot = { key, turn: 0, ballot: [1, id] };
-  await connection.ask('claimPrepare', slot, timeoutMs);
-  await connection.ask('claimAccept', { ...slot, claimant }, timeoutMs);
+  await connection.call('claimPrepare', slot, timeoutMs);
+  await connection.call('claimAccept', { ...slot, claimant }, timeoutMs);
 };
 
 const hangUp = (): void => {
@@ -124,7 +124,7 @@
       await atOnce(command.count, dialsAtOnce, (at) => dial(command.address, command.from + at));
       return {};
     case 'tell':
-      for (const connection of connections) connection.tell(command.topic, command.body ?? null);
+      for (const connection of connections) connection.send(command.topic, command.body ?? null);
       return {};
     case 'ping':
       return ping(
@@ -141,7 +141,7 @@
       return {};
     case 'ask':
       await atOnce(command.count, 1, () =>
-        (connections[0] as PeerConnection).ask(command.topic, command.body, timeoutMs),
+        (connections[0] as PeerConnection).call(command.topic, command.body, timeoutMs),
       );
       return {};
     case 'readCounters':
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -4,7 +4,7 @@
 import { Proposer, acceptors } from '@martenworks/control-plane';
 import type { Acceptor, Ballot, Position, CommittedChange, Since, Vote } from '@martenworks/control-plane';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, tenantCounts } from '../fleetSize.js';
 import { repeated, startWatch, until, upTo } from '../measuring.js';
 import { Meter, freeAddress } from '../meteredNet.js';
@@ -41,11 +41,11 @@
   const ports = probePorts(meter);
   const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
   const address = await freeAddress();
-  const handlers: Handlers = {
-    joined: () => {},
-    left: () => {},
-    told: (_connection, topic, body) => void (topic === 'committed' && acceptor.commit(body as CommittedChange)),
-    asked: async (_connection, topic, body) => answerOf(acceptor, topic, body),
+  const handlers: PeerHandlers = {
+    onOpen: () => {},
+    onClose: () => {},
+    onMessage: (_connection, topic, body) => void (topic === 'committed' && acceptor.commit(body as CommittedChange)),
+    onCall: async (_connection, topic, body) => answerOf(acceptor, topic, body),
   };
   const hello = sampleData.helloOf('control', at, address);
   const listener = (
@@ -64,7 +64,7 @@
 type Connections = ReadonlyMap<string, PeerConnection>;
 
 const connect = async (ports: Ports, own: MemberNode, others: readonly MemberNode[]): Promise<Connections> => {
-  const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
+  const quiet: PeerHandlers = { onOpen: () => {}, onClose: () => {}, onMessage: () => {}, onCall: async () => null };
   const hello = sampleData.helloOf('control', 0, own.member.address);
   const connections = new Map<string, PeerConnection>();
   for (const { member } of others) {
@@ -77,7 +77,7 @@
 const proposerOf = (ports: Ports, own: Acceptor, connections: Connections): Proposer => {
   const ask = async <T>(member: Member, topic: string, body: unknown): Promise<T | null> => {
     const connection = connections.get(member.incarnation) as PeerConnection;
-    return (await connection.ask(topic, body, timeoutMs)).unwrapOr(null) as T | null;
+    return (await connection.call(topic, body, timeoutMs)).unwrapOr(null) as T | null;
   };
   const isOwn = (member: Member): boolean => member.incarnation === own.incarnation;
   return new Proposer(
@@ -89,7 +89,7 @@
         isOwn(member) ? own.accept(slot, ballot, change) : ask<Vote>(member, 'accept', { slot, ballot, change }),
       position: (member) => ask<Position>(member, 'position', null),
       commit: (committed) => {
-        for (const connection of connections.values()) connection.tell('committed', committed);
+        for (const connection of connections.values()) connection.send('committed', committed);
       },
       since: (member, logIndex) =>
         isOwn(member) ? Promise.resolve(own.since(logIndex)) : ask<Since>(member, 'since', logIndex),
--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -2,7 +2,7 @@
 import { logs, machine } from '@martenworks/core-types';
 import type { Claimant, ClaimBallot } from '@martenworks/core-types';
 import { claimTables } from '@martenworks/control-plane';
-import type { Handlers } from '@martenworks/peer-transport';
+import type { PeerHandlers } from '@martenworks/peer-transport';
 import { withConnectedNode } from '../measuredControlNode.js';
 import { heapBytes, repeated, startWatch, upTo } from '../measuring.js';
 import { Meter } from '../meteredNet.js';
@@ -37,7 +37,7 @@
 };
 
 const answering =
-  (table: Table): Handlers['asked'] =>
+  (table: Table): PeerHandlers['onCall'] =>
   async (_connection, topic, body) => {
     const { key, turn, ballot, claimant } = body as {
       key: string;
@@ -58,7 +58,7 @@
     next += claims;
     return peers.run({ verb: 'claim', width, count: claims, from: first });
   };
-  const options = { handlers: { asked: answering(table) } };
+  const options = { handlers: { onCall: answering(table) } };
   await withConnectedNode(peers, { count: connectionCount }, options, async ({ meter }) => {
     await claim(width * 2);
     await repeated(timers, 0, async () => {
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -38,7 +38,7 @@
   const memberList = new MemberList(machine.clock, () => own);
   for (const at of upTo(nodes - 1)) {
     const address = `10.0.${(at + 1) >> 8}.${(at + 1) & 255}:7100`;
-    memberList.heard(structuredClone(sampleData.helloOf('edge', at + 1, address)));
+    memberList.recordContact(structuredClone(sampleData.helloOf('edge', at + 1, address)));
   }
   return memberList;
 };
@@ -70,13 +70,13 @@
   memberList: MemberList,
   nodes: number,
 ): Promise<void> => {
-  const asked = async (_connection: unknown, topic: string, body: unknown): Promise<MemberEntry[] | null> => {
+  const onCall = async (_connection: unknown, topic: string, body: unknown): Promise<MemberEntry[] | null> => {
     if (topic !== 'memberList') return null;
     memberList.merge(body as MemberEntry[]);
     return memberList.entries();
   };
   const exchange = { verb: 'ask', topic: 'memberList', body: memberList.entries() } as const;
-  await withConnectedNode(peers, { count: 1, from: 500 }, { handlers: { asked } }, async ({ meter }) => {
+  await withConnectedNode(peers, { count: 1, from: 500 }, { handlers: { onCall } }, async ({ meter }) => {
     await peers.run({ ...exchange, count: warmUpExchanges });
     await repeated(exchangeRepeats, 0, async () => {
       const spent = startWatch(meter);
--- a/packages/test-fleet/src/capacity/probes/leases.ts
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -5,7 +5,7 @@
 import { logs, machine } from '@martenworks/core-types';
 import type { Net } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
-import type { Handlers, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, replicaCounts } from '../fleetSize.js';
 import { pauseMs, repeated, startWatch, upTo } from '../measuring.js';
 import { Meter, freeAddress, metered } from '../meteredNet.js';
@@ -26,7 +26,7 @@
     settle: 'leases/settle',
   });
 
-const quiet: Handlers = { joined: () => {}, left: () => {}, told: () => {}, asked: async () => null };
+const quiet: PeerHandlers = { onOpen: () => {}, onClose: () => {}, onMessage: () => {}, onCall: async () => null };
 
 /** One control node that grants leases to the others over a metered connection. */
 interface LeaseNode {
@@ -41,7 +41,7 @@
   const address = await freeAddress();
   const hello = sampleData.helloOf('control', at, address);
   const grant = async (ask: LeaseRequest): Promise<LeaseReply | null> => (await opened.table.grant(ask)) ?? null;
-  const handlers: Handlers = { ...quiet, asked: (_connection, _topic, body) => grant(body as LeaseRequest) };
+  const handlers: PeerHandlers = { ...quiet, onCall: (_connection, _topic, body) => grant(body as LeaseRequest) };
   const listener = (
     await peerConnections.listen(net, machine.clock, logs.silent(), () => hello, address, handlers)
   )._unsafeUnwrap();
@@ -70,7 +70,7 @@
   const askAll = async (ask: LeaseRequest): Promise<LeaseReply[]> => {
     const asked = connections.map(
       async (connection) =>
-        (await connection.ask('leaseRequest', ask, askTimeoutMs)).unwrapOr(null) as LeaseReply | null,
+        (await connection.call('leaseRequest', ask, askTimeoutMs)).unwrapOr(null) as LeaseReply | null,
     );
     const replies = await Promise.all([node.grant(ask), ...asked]);
     return replies.filter((reply) => reply !== null);
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -4,7 +4,7 @@
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
-import { Unpacker, frames } from '@martenworks/peer-transport';
+import { FrameDecoder, frames } from '@martenworks/peer-transport';
 import { PrefixIndex, place } from '@martenworks/prefix-index';
 import type { Probe } from './probe.js';
 
@@ -39,7 +39,7 @@
 const newIndex = (): PrefixIndex => new PrefixIndex(suspectMs);
 const recordsFor = (blocks: number): ReplicaRecord[] => sampleData.records(Math.ceil(blocks / blocksPerReplica));
 const packed = (index: PrefixIndex): Uint8Array[] =>
-  index.snapshot(1).map((body) => frames.pack({ f: 'tell', topic: 'indexSnapshot', body }));
+  index.snapshot(1).map((body) => frames.encodeFrame({ f: 'tell', topic: 'indexSnapshot', body }));
 
 /** Bytes of an index on the wire. */
 export const snapshotBytes = (index: PrefixIndex): number =>
@@ -50,14 +50,14 @@
   const body = upTo(eventsInAFrame).map((at) =>
     sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
   );
-  return frames.pack({ f: 'tell', topic: 'kv', body });
+  return frames.encodeFrame({ f: 'tell', topic: 'kv', body });
 };
 
 /** Names that come from a frame share its buffer, so memory differs from that of names made one by one. */
 const measureFromFrames = (series: IndexSeries): void => {
   const empty = heapBytes();
   const index = newIndex();
-  const unpacker = new Unpacker(
+  const unpacker = new FrameDecoder(
     (message) => {
       for (const event of (message as { body: KvCacheEvent[] }).body) index.take(event, 0);
     },
@@ -69,7 +69,7 @@
     index.reconcile(records, () => 0);
     for (; held < target; held += eventsInAFrame) {
       const record = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
-      unpacker.take(frameOf(index, record, held));
+      unpacker.push(frameOf(index, record, held));
     }
     series.memoryFromFrames.add(target, heapBytes() - empty);
   }
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -41,11 +41,11 @@
     logIndex: at,
     change: sampleData.configChange(fleetSize.tenants, at, at),
   }));
-  return frames.pack({ f: 'reply', id: 1, body: { k: 'changes', committed } }).length;
+  return frames.encodeFrame({ f: 'reply', id: 1, body: { k: 'changes', committed } }).length;
 };
 
 const snapshotBytes = (tenants: number): number =>
-  frames.pack({ f: 'tell', topic: 'checkpoint', body: sampleData.stateOf(tenants, 0, sampleMembers) }).length;
+  frames.encodeFrame({ f: 'tell', topic: 'checkpoint', body: sampleData.stateOf(tenants, 0, sampleMembers) }).length;
 
 const pushOne = async (
   node: MeasuredControlNode,
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -37,7 +37,7 @@
   const unchanged = startWatch();
   for (let list = 0; list < listsARepeat; list += 1) await table.take(records);
   series.listCpu.add(replicas, unchanged().cpuMs / listsARepeat);
-  series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'replicas', body: records }).length);
+  series.bytes.add(replicas, frames.encodeFrame({ f: 'tell', topic: 'replicas', body: records }).length);
   await table.close();
 };
 
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -3,7 +3,7 @@
 import { logs, machine } from '@martenworks/core-types';
 import type { BackendClient, PrefixCacheEvent, PrefixCacheUpdate } from '@martenworks/core-types';
 import { PrefixCacheIndex } from '@martenworks/edge-proxy';
-import { Unpacker, frames } from '@martenworks/peer-transport';
+import { FrameDecoder, frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
 import { replicaCounts } from '../fleetSize.js';
 import { cpuUs, heapBytes, pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
@@ -49,7 +49,7 @@
   new PrefixCacheFollower(backendClient, machine.clock, machine.random, logs.silent(), onBundle, () => {});
 
 const packed = (body: readonly PrefixCacheUpdate[]): Uint8Array =>
-  frames.pack({ f: 'tell', topic: 'prefixCaches', body });
+  frames.encodeFrame({ f: 'tell', topic: 'prefixCaches', body });
 
 const measureFollowing = async (series: IndexSeries, replicas: number): Promise<void> => {
   const idle = routeSamples.backendClient({
@@ -84,13 +84,13 @@
 const measureFront = (series: IndexSeries, parts: number, sent: readonly SentBundle[]): void => {
   const before = heapBytes();
   const index = new PrefixCacheIndex(machine.clock);
-  const unpacker = new Unpacker(
+  const unpacker = new FrameDecoder(
     (message) => index.take((message as { body: PrefixCacheUpdate[] }).body),
     () => {},
   );
   for (const { frame, events } of sent) {
     const began = cpuUs();
-    unpacker.take(frame);
+    unpacker.push(frame);
     if (events > leastEventsTimed) series.edgeUs.add(parts, (cpuUs() - began) / events);
   }
   series.frontMemory.add(parts, heapBytes() - before);
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -43,7 +43,7 @@
   let answer: (() => void) | null = null;
   const reader = new EndpointListReader(
     routeSamples.backendClient({
-      replicas: () =>
+      listReplicas: () =>
         new Promise((give) => {
           answer = () => give(ok(structuredClone([...list])));
         }),
@@ -115,7 +115,7 @@
     for (const replicas of replicaCounts) {
       const list = routeSamples.endpoints(replicas);
       const body = { isWhole: true, put: list, gone: [] };
-      series.bytes.add(replicas, frames.pack({ f: 'tell', topic: 'endpoints', body }).length);
+      series.bytes.add(replicas, frames.encodeFrame({ f: 'tell', topic: 'endpoints', body }).length);
       await measureReading(series, list);
       await measureSteps(series, list);
     }
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -48,7 +48,7 @@
   order: {
     id: 'order',
     key: null,
-    leftMs: 6_000,
+    remainingMs: 6_000,
     model,
     tokensIn: largePart.tokens + smallPart.tokens,
     tokensOut: 247,
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -2,7 +2,7 @@
 import { NamedWeights, StatePublisher } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
 import type { Change, PrefillNotice } from '@martenworks/core-types';
-import type { Handlers } from '@martenworks/peer-transport';
+import type { PeerHandlers } from '@martenworks/peer-transport';
 import { nodeCounts, tenantCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
@@ -57,13 +57,13 @@
   : never;
 
 /** The publisher needs the node's state, and the node's listener the publisher, so the handlers look it up. */
-const handlersFor = (publisher: () => StatePublisher | null): Partial<Handlers> => ({
-  left: (connection) => publisher()?.drop(connection),
-  told: (connection, topic, body) => {
+const handlersFor = (publisher: () => StatePublisher | null): Partial<PeerHandlers> => ({
+  onClose: (connection) => publisher()?.drop(connection),
+  onMessage: (connection, topic, body) => {
     if (topic === 'subscribe') publisher()?.subscribe(connection, body as Body<'subscribe'>);
     else if (topic === 'ack') publisher()?.acked(connection, body as Body<'acked'>);
   },
-  asked: async (connection, topic, body) =>
+  onCall: async (connection, topic, body) =>
     topic === 'ping' ? (publisher()?.pong(connection, body as Body<'pong'>, 0) ?? null) : null,
 });
 
--- a/packages/test-fleet/src/capacity/routeSamples.ts
+++ b/packages/test-fleet/src/capacity/routeSamples.ts
@@ -70,9 +70,9 @@
 
 /** Back ends that never answer, but for the calls given. */
 const backendClient = (answering: Partial<BackendClient>): BackendClient => ({
-  replicas: async () => ok([]),
-  order: () => new Promise(() => {}),
-  report: async () => ok({ weights: {}, isBusy: true }),
+  listReplicas: async () => ok([]),
+  requestWeightsLoad: () => new Promise(() => {}),
+  readReport: async () => ok({ weights: {}, isBusy: true }),
   prefixCacheEvents: () => new Promise(() => {}),
   prefixCacheListing: () => new Promise(() => {}),
   ...answering,
--- a/packages/test-fleet/src/capacity/sampleData.ts
+++ b/packages/test-fleet/src/capacity/sampleData.ts
@@ -9,12 +9,12 @@
   ReplicaRecord,
   Tenant,
 } from '@martenworks/core-types';
-import { wireRelease } from '@martenworks/peer-transport';
+import { protocolVersion } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
 import { poolCount } from './fleetSize.js';
 
 const helloOf = (role: Hello['role'], at: number, address: string): Hello => ({
-  release: wireRelease,
+  release: protocolVersion,
   name: `${role}-${at}`,
   role,
   address,
@@ -70,7 +70,7 @@
 const rememberedChanges = 4_096;
 
 const stateOf = (tenantCount: number, isolated: number, members: readonly Member[]): CommittedState => ({
-  ...stateMachine.founded(members),
+  ...stateMachine.initialState(members),
   logIndex: 5_000,
   configLogIndex: 5_000,
   config: configOf(tenantCount, isolated),
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -2,7 +2,7 @@
  * An emulated inference replica: it answers the completions API at a model's speed, keeps blocks of KV cache, pulls them
  * from other replicas, tells of them by events, and records all that it did. No model runs.
  */
-import { pause, prompts } from '@martenworks/core-types';
+import { timing, prompts } from '@martenworks/core-types';
 import type { HttpClient, Clock } from '@martenworks/core-types';
 import { Hono } from 'hono';
 import { BlockCache } from './blockCache.js';
@@ -151,7 +151,7 @@
     taken.forEach((copy, at) => {
       this.noteBreaches(run, holder, blocks[have + at] ?? '', copy);
     });
-    await pause.for(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.settings.pullTokensPerMs);
+    await timing.sleep(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.settings.pullTokensPerMs);
     return taken.length;
   };
 
@@ -225,7 +225,7 @@
       run.pulledTokens = pulled * prompts.blockTokens;
       run.prefilledTokens = Math.max(0, prompts.tokens(prompt) - run.localTokens - run.pulledTokens);
       this.prefilling = { requestId: run.requestId, tokens: run.prefilledTokens, beganAt: this.clock.now() };
-      await pause.for(this.clock, run.prefilledTokens / this.settings.prefillTokensPerMs);
+      await timing.sleep(this.clock, run.prefilledTokens / this.settings.prefillTokensPerMs);
       this.cache.store(blocks, copy);
       if (this.settings.store !== null) void this.offload(this.settings.store, blocks, copy);
     } finally {
@@ -243,12 +243,12 @@
     const digest = generatedText.digest(prompt);
     for (let at = 0; at < tokens; at += 1) {
       if (signal.aborted) return;
-      if (faults.stallMs > 0) await pause.for(this.clock, faults.stallMs);
+      if (faults.stallMs > 0) await timing.sleep(this.clock, faults.stallMs);
       if (faults.truncateAfterPieces !== null && at >= faults.truncateAfterPieces) {
         if (faults.omitsEnd) return;
         throw new Error('cut by a fault');
       }
-      await pause.for(this.clock, this.settings.decodeMs);
+      await timing.sleep(this.clock, this.settings.decodeMs);
       const text = generatedText.piece(digest, run.weights, run.runId, at);
       this.piecesSaid += 1;
       const last = at === tokens - 1 ? { promptTokens: prompts.tokens(prompt), tokens } : null;
--- a/packages/test-fleet/src/simulator/simConnection.ts
+++ b/packages/test-fleet/src/simulator/simConnection.ts
@@ -105,13 +105,13 @@
   };
   owner.crashListeners.add(crash);
   return {
-    remote: send.to.host,
+    remoteAddress: send.to.host,
     write: (bytes) => {
       if (receive.isShut || owner.incarnation !== ownerIncarnation) return;
       world.onWrite?.(owner.host, send.to.host, bytes);
       sender.write(bytes.slice());
     },
-    backlog: sender.backlog,
+    bufferedBytes: sender.backlog,
     listen: (onBytes, onClose) => {
       receive.onBytes = onBytes;
       receive.onClose = onClose;
--- a/packages/upstream/src/gatedAgent.ts
+++ b/packages/upstream/src/gatedAgent.ts
@@ -1,6 +1,6 @@
 /** An undici agent that asks before a request's first byte is written and as its response head arrives. */
 import { Agent, type Dispatcher } from 'undici';
-import type { AnswerHead } from '@martenworks/core-types';
+import type { HttpResponseHead } from '@martenworks/core-types';
 
 const noContentStatuses = new Set([204, 304]);
 const firstFinalStatus = 200;
@@ -8,7 +8,7 @@
 /** Asked as a request is written to its connection, and as the head of its answer is there. */
 export interface Gates {
   readonly mayWrite: () => boolean;
-  readonly accepts: (head: AnswerHead) => boolean;
+  readonly accepts: (head: HttpResponseHead) => boolean;
 }
 
 /** Why the agent ended a request by itself. */
--- a/packages/upstream/src/kvEvents.ts
+++ b/packages/upstream/src/kvEvents.ts
@@ -1,5 +1,5 @@
 /** Follows the stream of cache events of one replica and reconnects where it breaks. */
-import { background, pause } from '@martenworks/core-types';
+import { background, timing } from '@martenworks/core-types';
 import type { HttpClient, Clock, KvCacheEvent, Log, Random } from '@martenworks/core-types';
 import { backWire } from './replicaClient.js';
 
@@ -69,7 +69,7 @@
           }
         }
         if (quit.signal.aborted) return;
-        await pause.for(clock, waitMs * (0.5 + random.fraction()));
+        await timing.sleep(clock, waitMs * (0.5 + random.fraction()));
         waitMs = Math.min(waitMs * 2, 2_000);
       }
     };
