--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -6,7 +6,7 @@
 import type { ArkErrors } from 'arktype';
 import { Hono } from 'hono';
 import type { Context } from 'hono';
-import { keys } from '@martenworks/core-types';
+import { apiKeys } from '@martenworks/core-types';
 import type { ReplicaRecord, Tenant } from '@martenworks/core-types';
 import { gatewayConfigs } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
@@ -102,7 +102,7 @@
   c.json({ outcome: 'rejected', complaints: [{ path: '/key', message: 'key or keyHash is required' }] }, 422);
 
 const keyHashOf = (ref: typeof keyRef.infer): string | undefined =>
-  ref.keyHash ?? (ref.key === undefined ? undefined : keys.hash(ref.key));
+  ref.keyHash ?? (ref.key === undefined ? undefined : apiKeys.hash(ref.key));
 
 /** Returns an issue for each replica announced in another pool than the one its current incarnation serves. */
 const poolChangeIssues = (
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -53,8 +53,8 @@
       lastPingAt: this.clock.now(),
       report: { replicas: {}, pools: {} },
     });
-    connection.tell('replicas', this.records());
-    for (const snapshot of this.snapshots()) connection.tell('indexSnapshot', snapshot);
+    connection.send('replicas', this.records());
+    for (const snapshot of this.snapshots()) connection.send('indexSnapshot', snapshot);
     this.update(connection);
   };
 
@@ -74,12 +74,12 @@
     const since = this.acceptor.logSuffixAfter(subscriber.sentLogIndex);
     if (since.kind === 'nothing') return;
     if (since.kind === 'checkpoint') {
-      connection.tell('checkpoint', since.agreed);
+      connection.send('checkpoint', since.agreed);
       subscriber.sentLogIndex = since.agreed.logIndex;
       return;
     }
     for (const committed of since.committed) {
-      connection.tell('change', committed);
+      connection.send('change', committed);
       subscriber.sentLogIndex = committed.logIndex;
     }
   };
@@ -136,7 +136,7 @@
    */
   readonly handleLongPrompts = (connection: PeerConnection, report: LoadReport): void => {
     this.recordReport(connection, report);
-    for (const other of this.subscribers.keys()) if (other !== connection) other.tell('loads', this.loadsFor(other));
+    for (const other of this.subscribers.keys()) if (other !== connection) other.send('loads', this.loadsFor(other));
   };
 
   /**
@@ -157,18 +157,18 @@
 
   /** Sends changed replica records to all gateways. */
   readonly sendReplicas = (records: readonly ReplicaRecord[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('replicas', records);
+    for (const connection of this.subscribers.keys()) connection.send('replicas', records);
   };
 
   /** Sends prefix index snapshots of replicas to all gateways. */
   readonly sendSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): void => {
     for (const connection of this.subscribers.keys())
-      for (const snapshot of snapshots) connection.tell('indexSnapshot', snapshot);
+      for (const snapshot of snapshots) connection.send('indexSnapshot', snapshot);
   };
 
   /** Sends cache events to all gateways. */
   readonly sendCacheEvents = (events: readonly KvCacheEvent[]): void => {
-    for (const connection of this.subscribers.keys()) connection.tell('kv', events);
+    for (const connection of this.subscribers.keys()) connection.send('kv', events);
   };
 
   /** Closes the connections of gateways that have sent no ping for 6 s; the gateways reconnect. */
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -113,11 +113,11 @@
     const subscriber = this.subscribers.get(connection);
     const state = this.acceptor.committedState();
     if (subscriber === undefined || state === null || state.logIndex <= subscriber.logIndex) return;
-    if (state.logIndex > subscriber.announcedLogIndex) connection.tell('stateAnnounced', state.logIndex);
+    if (state.logIndex > subscriber.announcedLogIndex) connection.send('stateAnnounced', state.logIndex);
     subscriber.announcedLogIndex = state.logIndex;
     if (!subscriber.wantsContent || subscriber.inFlight !== null) return;
     subscriber.inFlight = { logIndex: state.logIndex, sentAt: this.clock.now() };
-    connection.tell('state', this.message(state, subscriber));
+    connection.send('state', this.message(state, subscriber));
   };
 
   /** Returns the current state as a message for an edge at the given position; null if nothing is committed yet. */
@@ -161,18 +161,18 @@
 
   /** Sends a message to all subscribed edges. */
   readonly sendToAll = (topic: string, body: unknown): void => {
-    for (const connection of this.subscribers.keys()) connection.tell(topic, body);
+    for (const connection of this.subscribers.keys()) connection.send(topic, body);
   };
 
   /** Sends a message to the edges that use this node as their content source. */
   readonly sendToContentEdges = (topic: string, body: unknown): void => {
-    for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.tell(topic, body);
+    for (const [connection, { wantsContent }] of this.subscribers) if (wantsContent) connection.send(topic, body);
   };
 
   /** Sends a message to the edges that use this node as their content source, except the one that it came from. */
   readonly sendToOtherContentEdges = (sender: PeerConnection, topic: string, body: unknown): void => {
     for (const [connection, { wantsContent }] of this.subscribers)
-      if (wantsContent && connection !== sender) connection.tell(topic, body);
+      if (wantsContent && connection !== sender) connection.send(topic, body);
   };
 
   /** Closes the connections of edges that have sent nothing for 4 s; the edges reconnect. */
--- a/packages/control-plane/src/consensus/compression.ts
+++ b/packages/control-plane/src/consensus/compression.ts
@@ -44,5 +44,5 @@
 
   /** Decodes a state; throws on bytes that `encode` did not produce. */
   decode: (bytes: Uint8Array): CommittedState =>
-    stateMachine.filled(legacyRecords.upgradeState(decompress(bytes) as CommittedState)),
+    stateMachine.withDefaults(legacyRecords.upgradeState(decompress(bytes) as CommittedState)),
 };
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -2,7 +2,7 @@
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import { PeerPool } from '@martenworks/cluster-membership';
 import type { LeaseManager } from '@martenworks/cluster-membership';
-import type { Handlers, Hello, PeerConnection } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello, PeerConnection } from '@martenworks/peer-transport';
 import { ClusterBootstrap } from '../membership/clusterBootstrap.js';
 import { Membership } from '../membership/membership.js';
 import type { Acceptor } from './acceptor.js';
@@ -105,7 +105,7 @@
     const { timing } = this;
     const jittered = (meanMs: number) => (): number => meanMs * (0.5 + random.fraction());
     this.leases.start();
-    this.acceptor.watch(() => this.peerPool.align());
+    this.acceptor.watch(() => this.peerPool.reconcile());
     this.timers.push(
       new RepeatingTimer(clock, jittered(timing.bootstrapIntervalMs), this.stepBootstrap),
       new RepeatingTimer(clock, jittered(timing.membershipIntervalMs), this.checkMembership),
@@ -192,20 +192,20 @@
   };
 
   /** Handlers for every connection of the node; topics that are not those of the consensus group go to the hooks. */
-  readonly handlers = (): Handlers => ({
-    joined: (connection) => {
+  readonly handlers = (): PeerHandlers => ({
+    onOpen: (connection) => {
       this.handleJoined(connection);
-      this.hooks.joined(connection);
+      this.hooks.onOpen(connection);
     },
-    left: (connection) => this.hooks.left(connection),
-    told: (connection, topic, body) => {
+    onClose: (connection) => this.hooks.onClose(connection),
+    onMessage: (connection, topic, body) => {
       if (topic === 'committed') this.handleCommitted(connection, body);
       else if (topic === 'leaseRelease') this.leases.handleRelease(body);
       else if (topic === 'leaving') this.handleLeaving(connection);
-      else this.hooks.told(connection, topic, body);
+      else this.hooks.onMessage(connection, topic, body);
     },
-    asked: (connection, topic, body) => {
-      if (connection.peer !== null) this.dependencies.memberList.heard(connection.peer);
+    onCall: (connection, topic, body) => {
+      if (connection.peer !== null) this.dependencies.memberList.recordContact(connection.peer);
       return this.requests.handleRequest(connection, topic, body);
     },
   });
@@ -215,11 +215,11 @@
 
   private readonly handleJoined = (connection: PeerConnection): void => {
     if (connection.peer === null) return;
-    this.dependencies.memberList.heard(connection.peer);
+    this.dependencies.memberList.recordContact(connection.peer);
     if (connection.peer.role !== 'control') return;
     this.membership.markReturned(connection.peer.incarnation);
-    if (this.isLeaving()) connection.tell('leaving', null);
-    if (this.acceptor.committedState() !== null && this.isNonMember(connection.peer)) this.peerPool.align();
+    if (this.isLeaving()) connection.send('leaving', null);
+    if (this.acceptor.committedState() !== null && this.isNonMember(connection.peer)) this.peerPool.reconcile();
   };
 
   private readonly handleLeaving = (connection: PeerConnection): void => {
--- a/packages/control-plane/src/consensus/consensusOptions.ts
+++ b/packages/control-plane/src/consensus/consensusOptions.ts
@@ -1,7 +1,7 @@
 /** The constructor arguments of a consensus member: dependencies, timing, and the hooks of the kind of node. */
-import type { DialPace, LeaseTerms, MemberEntry, MemberList } from '@martenworks/cluster-membership';
+import type { DialOptions, LeaseTerms, MemberEntry, MemberList } from '@martenworks/cluster-membership';
 import type { Ports } from '@martenworks/core-types';
-import type { Handlers, Hello } from '@martenworks/peer-transport';
+import type { PeerHandlers, Hello } from '@martenworks/peer-transport';
 import type { Acceptor } from './acceptor.js';
 import type { PersistedLeases } from './leaseLog.js';
 
@@ -18,7 +18,7 @@
   readonly keepaliveTimeoutMs: number;
   readonly leaseIntervalMs: number;
   readonly leaseTimeoutMs: number;
-  readonly dialPace?: DialPace;
+  readonly dialPace?: DialOptions;
   /** How long a member must be unreachable before a node of another name may replace it. */
   readonly replacementDelayMs?: number;
 }
@@ -26,7 +26,7 @@
 /**
  * What each kind of control node adds. The inherited handlers receive all topics that are not the consensus group's.
  */
-export interface ConsensusHooks extends Handlers {
+export interface ConsensusHooks extends PeerHandlers {
   /** Addresses to stay connected to, in addition to those of the members. */
   readonly extraAddresses: () => readonly string[];
   /** Whether an unreachable member of this name is known to be down. */
--- a/packages/control-plane/src/consensus/consensusRequests.ts
+++ b/packages/control-plane/src/consensus/consensusRequests.ts
@@ -46,7 +46,7 @@
       case catchUpTopics.behind:
         return this.catchUp.handleRequest(connection, topic, body);
       default:
-        return this.hooks.asked(connection, topic, body);
+        return this.hooks.onCall(connection, topic, body);
     }
   };
 
--- a/packages/control-plane/src/consensus/linearizableRead.ts
+++ b/packages/control-plane/src/consensus/linearizableRead.ts
@@ -2,7 +2,7 @@
  * Linearizable reads without a log entry: a majority confirms that the local state is the newest
  * (docs/control/operators.md).
  */
-import { stateMachine, pause } from '@martenworks/core-types';
+import { stateMachine, timing } from '@martenworks/core-types';
 import type { CommittedState, Clock, Member, Random } from '@martenworks/core-types';
 import type { Acceptor } from './acceptor.js';
 import type { LogSuffix } from './ballots.js';
@@ -57,7 +57,7 @@
       if (check.kind === 'no majority') return null;
       if (check.kind === 'ahead') await this.catchUpFrom(check.member, state.logIndex);
       else if (++pendingChecks < checksBeforeBallot)
-        await pause.for(this.clock, pendingRetryMs * (0.5 + this.random.fraction()));
+        await timing.sleep(this.clock, pendingRetryMs * (0.5 + this.random.fraction()));
       else if (this.acceptor.committedState()?.logIndex === state.logIndex) await commitPending(state);
     } while (this.clock.now() < deadline);
     return null;
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { CommandQueue, stateMachine, pause } from '@martenworks/core-types';
+import { CommandQueue, stateMachine, timing } from '@martenworks/core-types';
 import type { CommittedState, Change, Clock, Log, Member, Random } from '@martenworks/core-types';
 import { proposalErrors } from '../errors.js';
 import type { ProposalError } from '../errors.js';
@@ -105,7 +105,7 @@
     const attempt = new Attempt(changeId, digest, this.clock.now() + timeoutMs);
     if (this.queue.depth() >= maxQueuedChanges) return Promise.resolve(attempt.fail('too many changes are waiting'));
     const work = this.queue.run(() => this.runAttempt(buildChange, attempt));
-    return pause.within(this.clock, timeoutMs, work, () => attempt.fail(timeoutDetail));
+    return timing.withTimeout(this.clock, timeoutMs, work, () => attempt.fail(timeoutDetail));
   };
 
   /** Commits a change that was accepted here and whose proposer may have failed. */
@@ -122,7 +122,7 @@
     const commitPending = (state: CommittedState): Promise<unknown> =>
       this.queue.run(() => this.timedBallot(state, null, null));
     const work = this.read.newest(this.clock.now() + timeoutMs, commitPending);
-    return pause.within(this.clock, timeoutMs, work, () => null);
+    return timing.withTimeout(this.clock, timeoutMs, work, () => null);
   };
 
   /** Number of proposals running or waiting. */
@@ -179,7 +179,7 @@
    */
   private readonly backOff = (attemptNumber: number): Promise<void> => {
     const base = Math.min(Math.max(minBackoffMs, this.lastBallotMs), maxBackoffMs);
-    return pause.for(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor));
+    return timing.sleep(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor));
   };
 
   /** Applies what another member has committed after this node's log index. */
@@ -264,7 +264,7 @@
       logIndex: slot,
       changeId: change.id,
       kind: change.body.kind,
-      isVoid: stateMachine.isVoid(state, change),
+      isVoid: stateMachine.isNoOp(state, change),
       isKept: isStored,
     });
     return { kind: 'committed', committed };
--- a/packages/control-plane/src/membership/clusterBootstrap.ts
+++ b/packages/control-plane/src/membership/clusterBootstrap.ts
@@ -34,7 +34,7 @@
   private readonly controlNodes = (): Map<string, PeerConnection> =>
     new Map(
       this.peerPool()
-        .open()
+        .openConnections()
         .flatMap((connection) =>
           connection.peer?.role === 'control' ? [[connection.peer.incarnation, connection] as const] : [],
         ),
@@ -46,7 +46,7 @@
     const connections = this.controlNodes();
     const statuses: MemberStatus[] = [];
     for (const connection of connections.values()) {
-      const reply = await connection.ask('memberStatus', null, timeoutMs);
+      const reply = await connection.call('memberStatus', null, timeoutMs);
       if (reply.isErr() || !consensusMessages.isMemberStatus(reply.value)) return;
       if (reply.value.logIndex >= 0) return this.catchUpFrom(connection);
       statuses.push(reply.value);
@@ -94,14 +94,14 @@
     if (!ownVote.isGranted) return;
     for (const [incarnation, connection] of connections) {
       if (!members.some((member) => member.incarnation === incarnation)) continue;
-      const reply = await connection.ask('foundingVote', members, timeoutMs);
+      const reply = await connection.call('foundingVote', members, timeoutMs);
       if (reply.isErr() || !consensusMessages.isBootstrapVoteReply(reply.value) || !reply.value.isGranted) return;
     }
     await this.adoptInitialState(members);
   };
 
   private readonly adoptInitialState = async (members: readonly Member[]): Promise<void> => {
-    const isAdopted = await this.acceptor.adopt(stateMachine.founded(members));
+    const isAdopted = await this.acceptor.adopt(stateMachine.initialState(members));
     if (isAdopted) this.log.info('cluster founded', { members: members.map((member) => member.name) });
   };
 }
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { CommittedState, Change, Clock, Log, Member } from '@martenworks/core-types';
-import { stateMachine, digests, pause } from '@martenworks/core-types';
+import { stateMachine, digests, timing } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 import type { PeerPool } from '@martenworks/cluster-membership';
 import type { Acceptor } from '../consensus/acceptor.js';
@@ -32,7 +32,7 @@
 const pollUntil = async (clock: Clock, untilMs: number, isDone: () => Promise<boolean>): Promise<boolean> => {
   while (!(await isDone())) {
     if (clock.now() + retryMs > untilMs) return false;
-    await pause.for(clock, retryMs);
+    await timing.sleep(clock, retryMs);
   }
   return true;
 };
@@ -68,7 +68,10 @@
   private readonly trackLostMembers = (members: readonly Member[]): void => {
     const now = this.clock.now();
     for (const member of members) {
-      if (member.incarnation === this.acceptor.incarnation || this.peerPool().to(member.incarnation) !== undefined)
+      if (
+        member.incarnation === this.acceptor.incarnation ||
+        this.peerPool().connectionTo(member.incarnation) !== undefined
+      )
         this.lostAt.delete(member.incarnation);
       else if (!this.lostAt.has(member.incarnation)) this.lostAt.set(member.incarnation, now);
     }
@@ -79,8 +82,8 @@
   /** Drops leaving nodes that are disconnected and not members. */
   private readonly forgetDepartedNodes = (state: CommittedState): void => {
     for (const incarnation of this.leaving) {
-      const isKnown = incarnation === this.acceptor.incarnation || stateMachine.holdsSeat(state, incarnation);
-      if (!isKnown && this.peerPool().to(incarnation) === undefined) this.leaving.delete(incarnation);
+      const isKnown = incarnation === this.acceptor.incarnation || stateMachine.isVoter(state, incarnation);
+      if (!isKnown && this.peerPool().connectionTo(incarnation) === undefined) this.leaving.delete(incarnation);
     }
   };
 
@@ -106,17 +109,17 @@
   /** Connected control nodes that are not members and are not leaving. */
   private readonly joiningNodes = (state: CommittedState): { connection: PeerConnection; member: Member }[] =>
     this.peerPool()
-      .open()
+      .openConnections()
       .flatMap((connection) => {
         const { peer } = connection;
         if (peer === null || peer.role !== 'control') return [];
         const { name, address, incarnation } = peer;
-        if (stateMachine.holdsSeat(state, incarnation) || this.leaving.has(incarnation)) return [];
+        if (stateMachine.isVoter(state, incarnation) || this.leaving.has(incarnation)) return [];
         return [{ connection, member: { name, address, incarnation } }];
       });
 
   private readonly memberStatusOf = async (connection: PeerConnection): Promise<MemberStatus | null> => {
-    const reply = await connection.ask('memberStatus', null, timeoutMs);
+    const reply = await connection.call('memberStatus', null, timeoutMs);
     return reply.isOk() && consensusMessages.isMemberStatus(reply.value) ? reply.value : null;
   };
 
@@ -154,7 +157,7 @@
     if (before === null || !this.acceptor.isVoter()) return;
     const untilMs = this.clock.now() + budgetMs;
     const handover = pollUntil(this.clock, untilMs, () => this.tryHandOver(before));
-    const isInTime = await Promise.race([handover, pause.for(this.clock, budgetMs).then(() => false)]);
+    const isInTime = await Promise.race([handover, timing.sleep(this.clock, budgetMs).then(() => false)]);
     this.log.info('draining: this node is leaving the cluster', { hasSeat: this.acceptor.isVoter(), isInTime });
   };
 
@@ -178,7 +181,7 @@
     incoming: Member,
     memberStatus: MemberStatus,
   ): string | null => {
-    if (!stateMachine.maySwap(state, outgoing.incarnation, incoming)) return 'the members have changed';
+    if (!stateMachine.canSwap(state, outgoing.incarnation, incoming)) return 'the members have changed';
     return this.isCaughtUp(memberStatus, state, outgoing) ? null : 'the joining node has not reported the newest state';
   };
 
@@ -212,13 +215,13 @@
   private readonly isStoredByNewMajority = async (before: CommittedState, state: CommittedState): Promise<boolean> => {
     const hasState = await Promise.all(state.members.map((member) => this.hasStored(member, state)));
     const holders = state.members.filter((_, at) => hasState[at]);
-    const newMembers = state.members.filter((member) => !stateMachine.holdsSeat(before, member.incarnation));
+    const newMembers = state.members.filter((member) => !stateMachine.isVoter(before, member.incarnation));
     return holders.length >= majorityOf(state.members) && newMembers.every((member) => holders.includes(member));
   };
 
   private readonly hasStored = async (member: Member, state: CommittedState): Promise<boolean> => {
     if (member.incarnation === this.acceptor.incarnation) return true;
-    const connection = this.peerPool().to(member.incarnation);
+    const connection = this.peerPool().connectionTo(member.incarnation);
     if (connection === undefined) return false;
     const memberStatus = await this.memberStatusOf(connection);
     if (memberStatus === null) return false;
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -41,7 +41,7 @@
 
 const consensusPace: ConsensusTiming = {
   ...controlNodeSettings.consensusPace,
-  dialPace: { timeoutMs: 700, longestWaitMs: 400 },
+  dialPace: { timeoutMs: 700, maxBackoffMs: 400 },
 };
 
 /** Connects the components of a control node, and dispatches messages from edges and other control nodes. */
@@ -152,7 +152,7 @@
       log,
       this.endpointList.all,
       this.weightTargets,
-      () => this.leaseManager.fenceOf(weightsLease),
+      () => this.leaseManager.fencingTokenOf(weightsLease),
       () => this.settings.name,
       (update) => this.statePublisher.sendToAll('weights', update),
       this.endpointList.recordLoadedWeights,
@@ -164,8 +164,8 @@
    */
   private readonly sendContent = (connection: PeerConnection): void => {
     if (this.endpointList.ageMs() !== null)
-      connection.tell('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
-    connection.tell('prefixCaches', this.prefixCaches.snapshot());
+      connection.send('endpoints', { isWhole: true, put: this.endpointList.all(), gone: [] });
+    connection.send('prefixCaches', this.prefixCaches.snapshot());
   };
 
   /** Returns the handshake message that this node sends when a connection opens. */
@@ -248,14 +248,14 @@
     syncedFrom: () => [],
     beforeMembershipCheck: this.prepareUpkeep,
     sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
-    joined: (connection) => {
+    onOpen: (connection) => {
       if (connection.peer?.role !== 'control') return;
-      connection.tell('prefixCacheRelay', this.prefixCaches.followedSnapshot());
-      connection.tell('weightsAges', { weightsAges: this.targetWeightsAges.ages() } satisfies WeightsAgesMessage);
+      connection.send('prefixCacheRelay', this.prefixCaches.followedSnapshot());
+      connection.send('weightsAges', { weightsAges: this.targetWeightsAges.ages() } satisfies WeightsAgesMessage);
     },
-    left: (connection) => this.statePublisher.unsubscribe(connection),
-    told: this.handleMessage,
-    asked: this.handleRequest,
+    onClose: (connection) => this.statePublisher.unsubscribe(connection),
+    onMessage: this.handleMessage,
+    onCall: this.handleRequest,
   });
 
   /** Handles a message from an edge or another control node; malformed messages and unknown topics are ignored. */
--- a/packages/control-plane/src/nodes/controlNodeSettings.ts
+++ b/packages/control-plane/src/nodes/controlNodeSettings.ts
@@ -37,6 +37,6 @@
     leaseMs,
     marginMs: leaseMarginMs,
     gapMs: orderGapMs,
-    floor: () => (acceptor.committedState()?.logIndex ?? 0) * fencesPerLogIndex,
+    fenceFloor: () => (acceptor.committedState()?.logIndex ?? 0) * fencesPerLogIndex,
   }),
 };
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -127,7 +127,7 @@
       this.ports,
       (events) => this.gatewayPublisher.sendCacheEvents(events),
       (relayed) => this.consensus.broadcast('kvRelay', relayed),
-      (replica) => this.leaseManager.fenceOf(kvLease(replica)),
+      (replica) => this.leaseManager.fencingTokenOf(kvLease(replica)),
     );
 
   /** Returns the handshake message that this node sends when a connection opens. */
@@ -157,7 +157,7 @@
 
   private readonly catchUp = async (): Promise<void> => {
     if (this.acceptor.committedState() === null) return;
-    for (const connection of this.peerPool.open()) {
+    for (const connection of this.peerPool.openConnections()) {
       if (connection.peer?.role !== 'control') continue;
       const { incarnation } = connection.peer;
       if (!this.replicaRegistry.syncedFrom.has(incarnation)) {
@@ -172,7 +172,7 @@
   };
 
   private readonly fetchSnapshots = async (connection: PeerConnection, names: readonly string[]): Promise<void> => {
-    const reply = await connection.ask('prefixCaches', names, snapshotTimeoutMs);
+    const reply = await connection.call('prefixCaches', names, snapshotTimeoutMs);
     if (reply.isErr() || !gatewayMessages.isPrefixIndexSnapshots(reply.value)) return;
     this.gatewayPublisher.sendSnapshots(this.kvEventFollower.restoreSnapshots(reply.value));
   };
@@ -180,7 +180,7 @@
   private readonly repairIndex = async (): Promise<void> => {
     const names = this.kvEventFollower.replicasWithGaps();
     if (names.length === 0) return;
-    for (const connection of this.peerPool.open()) {
+    for (const connection of this.peerPool.openConnections()) {
       if (connection.peer?.role !== 'control') continue;
       await this.fetchSnapshots(connection, names);
     }
@@ -199,13 +199,13 @@
     syncedFrom: () => [...this.replicaRegistry.syncedFrom],
     beforeMembershipCheck: this.prepareUpkeep,
     sharedMembers: (entries) => entries,
-    joined: () => {},
-    left: (connection) => {
+    onOpen: () => {},
+    onClose: (connection) => {
       this.gatewayPublisher.unsubscribe(connection);
       if (connection.peer !== null) this.replicaRegistry.syncedFrom.delete(connection.peer.incarnation);
     },
-    told: this.handleMessage,
-    asked: this.handleRequest,
+    onMessage: this.handleMessage,
+    onCall: this.handleRequest,
   });
 
   /** Handles a message from a gateway or another control node; malformed messages and unknown topics are ignored. */
@@ -221,7 +221,7 @@
         if (gatewayMessages.isLoadReport(body)) this.gatewayPublisher.handleLongPrompts(connection, body);
         return;
       case 'heartbeat':
-        if (isText(body)) this.failureDetector.watch.heartbeatFrom(body);
+        if (isText(body)) this.failureDetector.heartbeatMonitor.recordHeartbeat(body);
         return;
       case 'suspects':
         if (isTexts(body)) this.failureVerdicts.report(connection.peer?.name ?? '', body);
@@ -236,7 +236,7 @@
   };
 
   private readonly sendSnapshots = (connection: PeerConnection, replicas: readonly string[]): void => {
-    for (const snapshot of this.kvEventFollower.snapshots(replicas)) connection.tell('indexSnapshot', snapshot);
+    for (const snapshot of this.kvEventFollower.snapshots(replicas)) connection.send('indexSnapshot', snapshot);
   };
 
   /** Returns the reply to a gateway or another control node; null if the request is malformed or its topic unknown. */
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -5,7 +5,7 @@
 import type { Follower } from '@martenworks/upstream';
 import { PrefixIndex } from '@martenworks/prefix-index';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
-import { FenceGate } from '@martenworks/cluster-membership';
+import { FencingTokenCheck } from '@martenworks/cluster-membership';
 
 const batchIntervalMs = 20;
 const maxAgeMs = 3_600_000;
@@ -25,7 +25,7 @@
 export class KvEventFollower {
   private readonly index = new PrefixIndex(maxAgeMs);
   private readonly followed = new Map<string, Followed>();
-  private readonly fenceGate = new FenceGate();
+  private readonly fenceGate = new FencingTokenCheck();
   private batch: KvCacheEvent[] = [];
   private readonly batchTimer: RepeatingTimer;
 
@@ -55,7 +55,7 @@
   readonly applyRelayed = ({ fences, events }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
     const admitted = events.filter(
-      ({ replica }) => fences[replica] !== undefined && this.fenceGate.admits(replica, fences[replica]),
+      ({ replica }) => fences[replica] !== undefined && this.fenceGate.accepts(replica, fences[replica]),
     );
     for (const event of admitted) this.index.take(event, now);
     if (admitted.length > 0) this.sendToGateways(admitted);
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -1,5 +1,5 @@
 /** Tracks the prefix cache contents of replicas and stores for edges. Each address is followed by one control node. */
-import { background, IncarnationMatcher, pause } from '@martenworks/core-types';
+import { background, IncarnationMatcher, timing } from '@martenworks/core-types';
 import type {
   BackendClient,
   Clock,
@@ -66,7 +66,7 @@
     if (contents === undefined) return;
     const hasNewId = contents.replicaIds.size > 0 && [...ids].some((id) => !contents.replicaIds.has(id));
     contents.replicaIds = ids;
-    if (!hasNewId || !contents.incarnations.isFirstById()) return;
+    if (!hasNewId || !contents.incarnations.recordNewId()) return;
     this.counts.lives += 1;
     this.clear(contents);
     this.scheduleBatch();
@@ -144,7 +144,7 @@
 
   private readonly follow = async (address: string, contents: CacheContents, isTakenOver: boolean): Promise<void> => {
     let isFirstAfterTakeover = isTakenOver;
-    await pause.for(this.clock, this.random.fraction() * pollIntervalMs);
+    await timing.sleep(this.clock, this.random.fraction() * pollIntervalMs);
     while (!contents.isStopped) {
       const requestedAt = this.clock.now();
       const page = await this.backendClient.prefixCacheEvents(address, contents.since, longPollMs);
@@ -152,7 +152,7 @@
       if (page.isErr()) {
         if (contents.isReachable && this.clock.now() - contents.lastReceivedAt > contactTimeoutMs)
           this.markUnreachable(address, contents);
-        await pause.for(this.clock, errorBackoffMs * (0.5 + this.random.fraction()));
+        await timing.sleep(this.clock, errorBackoffMs * (0.5 + this.random.fraction()));
         continue;
       }
       const { epoch, next, isLost, events } = page.value;
@@ -165,7 +165,7 @@
           isTakenOver: isFirstAfterTakeover,
         });
         isFirstAfterTakeover = false;
-        if (hasNewEpoch) contents.incarnations.isFirstByEpoch();
+        if (hasNewEpoch) contents.incarnations.recordNewEpoch();
         this.clear(contents);
       }
       if (hasNewEpoch && contents.since > 0) {
@@ -179,7 +179,7 @@
       if (hasRecovered || contents.isCleared || contents.unsent.length > 0) this.scheduleBatch();
       const elapsedMs = this.clock.now() - requestedAt;
       if (elapsedMs < pollIntervalMs)
-        await pause.for(this.clock, (pollIntervalMs - elapsedMs) * (0.9 + 0.2 * this.random.fraction()));
+        await timing.sleep(this.clock, (pollIntervalMs - elapsedMs) * (0.9 + 0.2 * this.random.fraction()));
     }
   };
 
--- a/packages/control-plane/src/weights/weightsRollout.ts
+++ b/packages/control-plane/src/weights/weightsRollout.ts
@@ -1,5 +1,5 @@
 /** Loads the target versions of models' weights onto replicas, under a lease held by one control node. */
-import { background, pause } from '@martenworks/core-types';
+import { background, timing } from '@martenworks/core-types';
 import type { BackendClient, Clock, Log, ReplicaEndpoint, WeightsUpdate } from '@martenworks/core-types';
 
 const noticeDelayMs = 70;
@@ -107,11 +107,16 @@
     const { endpoint, model, version } = load;
     const startedAt = this.clock.now();
     this.announcePause(load, pauseMs);
-    await pause.for(this.clock, noticeDelayMs);
+    await timing.sleep(this.clock, noticeDelayMs);
     const fence = this.fence();
     if (fence === null) return this.postpone(load, 0);
     this.orderCount += 1;
-    const reply = await this.backendClient.order(endpoint, { model, version, holder: this.holderName(), fence });
+    const reply = await this.backendClient.requestWeightsLoad(endpoint, {
+      model,
+      version,
+      holder: this.holderName(),
+      fence,
+    });
     this.log.info('weights load ordered', { replica: endpoint.id, model, version, fence, reply });
     if (reply === 'holds') return this.finish(load, startedAt);
     if (reply === 'outranked' || reply === 'refused' || reply === 'elsewhere') return this.postpone(load, retryDelayMs);
@@ -121,11 +126,11 @@
   private readonly awaitLoad = async (load: PendingLoad, startedAt: number): Promise<void> => {
     const { endpoint, model, version } = load;
     const until = this.clock.now() + loadTimeoutMs;
-    await pause.for(this.clock, firstPollDelayMs);
+    await timing.sleep(this.clock, firstPollDelayMs);
     let announcedAt = this.clock.now();
     while (this.clock.now() < until) {
       if (this.fence() === null) return;
-      const report = await this.backendClient.report(endpoint);
+      const report = await this.backendClient.readReport(endpoint);
       if (report.isOk() && (report.value.weights[model] ?? 0) >= version) return this.finish(load, startedAt);
       if (report.isOk() && !report.value.isBusy) return this.postpone(load, retryDelayMs);
       if (report.isErr() && !this.endpoints().some((known) => known.id === endpoint.id)) return;
@@ -133,7 +138,7 @@
         this.announcePause(load, pauseMs);
         announcedAt = this.clock.now();
       }
-      await pause.for(this.clock, pollIntervalMs);
+      await timing.sleep(this.clock, pollIntervalMs);
     }
     this.postpone(load, retryDelayMs);
   };
--- a/packages/control-plane/test/membership.test.ts
+++ b/packages/control-plane/test/membership.test.ts
@@ -25,12 +25,12 @@
 };
 
 describe('membership changes', () => {
-  const initialState = stateMachine.founded([member('a'), member('b'), member('x')]);
+  const initialState = stateMachine.initialState([member('a'), member('b'), member('x')]);
 
   it('given two swaps prepared for one joining node, when both are committed, then the second has no effect except that it takes a log index, and the node is a member only once', () => {
     const first = stateMachine.apply(initialState, swap('x', 'n'));
     expect(memberIncarnations(first)).to.deep.equal(['a', 'b', 'n']);
-    expect(stateMachine.isVoid(first, swap('a', 'n'))).to.equal(true);
+    expect(stateMachine.isNoOp(first, swap('a', 'n'))).to.equal(true);
     const second = stateMachine.apply(first, swap('a', 'n'));
     expect(memberIncarnations(second)).to.deep.equal(['a', 'b', 'n']);
     expect(second.logIndex).to.equal(2);
@@ -39,9 +39,9 @@
 
   it('given a swap whose outgoing node is not a member, when it is committed, then it has no effect', () => {
     const first = stateMachine.apply(initialState, swap('x', 'n'));
-    expect(stateMachine.isVoid(first, swap('x', 'm'))).to.equal(true);
+    expect(stateMachine.isNoOp(first, swap('x', 'm'))).to.equal(true);
     expect(memberIncarnations(stateMachine.apply(first, swap('x', 'm')))).to.deep.equal(['a', 'b', 'n']);
-    expect(stateMachine.isVoid(initialState, swap('x', 'n'))).to.equal(false);
+    expect(stateMachine.isNoOp(initialState, swap('x', 'n'))).to.equal(false);
   });
 
   it('given a state of an earlier release that lists one member in two of three places, when only that member votes, then it is not a majority', async () => {
@@ -68,7 +68,7 @@
     const { disk, clock, random, log } = world.machine('10.0.0.1').ports();
     const acceptor: Acceptor = (await finish(world, acceptors.open(disk, clock, random, log)))._unsafeUnwrap();
     const own = member(acceptor.incarnation);
-    const prepared = stateMachine.founded([own, member('b'), member('x')]);
+    const prepared = stateMachine.initialState([own, member('b'), member('x')]);
     await finish(world, acceptor.adopt(prepared));
     const checks: ((state: CommittedState) => { isErr: () => boolean })[] = [];
     const proposer = {
@@ -84,10 +84,10 @@
       foundingVote: null,
       syncedFrom: [own.incarnation, 'b'],
     };
-    const joiningNode = { peer: { ...member('n'), role: 'control' }, ask: async () => ok(memberStatus) };
+    const joiningNode = { peer: { ...member('n'), role: 'control' }, call: async () => ok(memberStatus) };
     const peerPool = {
-      to: (incarnation: string) => (incarnation === 'x' ? undefined : joiningNode),
-      open: () => [joiningNode],
+      connectionTo: (incarnation: string) => (incarnation === 'x' ? undefined : joiningNode),
+      openConnections: () => [joiningNode],
     };
     const membership = new Membership(
       acceptor,
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -79,7 +79,7 @@
     };
     proposers.set(host, new Proposer(acceptorsByHost.get(host) as Acceptor, voters, clock, random, log));
   }
-  const initialState = stateMachine.founded(members);
+  const initialState = stateMachine.initialState(members);
   for (const acceptor of acceptorsByHost.values()) await complete(world, acceptor.adopt(initialState));
   cluster.value = {
     world,
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -37,7 +37,7 @@
     const { call, metadata, view } = admission;
     this.relay = new ResponseRelay(call);
     this.arrivedAt = context.ports.clock.now();
-    this.deadlineAt = this.arrivedAt + Math.min(metadata.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
+    this.deadlineAt = this.arrivedAt + Math.min(metadata.remainingMs ?? view.route.timeoutMs, view.route.timeoutMs);
     call.onDisconnect(() => this.stop('caller left'));
   }
 
