--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -3,10 +3,10 @@
 import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { HttpReply } from '@martenworks/test-fleet';
 
-const small = { edges: 2, replicas: 3 };
+const smallFleet = { edges: 2, replicas: 3 };
 
-const raised = async (seed: number): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, ...small });
+const startedFleet = async (seed: number): Promise<SimFleet> => {
+  const fleet = new SimFleet({ seed, ...smallFleet });
   await fleet.up();
   return fleet;
 };
@@ -24,28 +24,32 @@
 const baseOf = async (fleet: SimFleet, at = 0): Promise<number> =>
   Number((await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/layout'))).body.generation);
 
-const allHold = (fleet: SimFleet, logIndex: number): boolean =>
+const allApplied = (fleet: SimFleet, logIndex: number): boolean =>
   fleet.gateways.every(
     (gateway) => gateway === null || (gateway.freshness.isFresh() && gateway.stateView.logIndex() >= logIndex),
   );
 
-describe('founding', () => {
-  it('given one seed address down, when the fleet starts, then gateways still find all control nodes', async () => {
-    const fleet = new SimFleet({ seed: 1, ...small });
+describe('cluster bootstrap', () => {
+  it('given one unreachable seed address, when a gateway starts, then it still finds all control nodes', async () => {
+    const fleet = new SimFleet({ seed: 1, ...smallFleet });
     fleet.controlNodeHosts.forEach((host) => {
       fleet.world.machine(host);
     });
     await Promise.all([0, 1, 2].map((at) => fleet.startControlNode(at)));
-    await fleet.world.until('the founding', () => fleet.controlNodes.every((one) => one?.isReady() === true));
+    await fleet.world.until('the bootstrap', () => fleet.controlNodes.every((one) => one?.isReady() === true));
     fleet.killControlNode(0);
     await fleet.startCounter(0);
     await fleet.world.until('fresh with one seed down', () => fleet.gateways[0]?.freshness.isFresh() === true, 5_000);
     await fleet.bootControlNode(0);
-    await fleet.world.until('three voices', () => fleet.gateways[0]?.freshness.freshNodeCount() === 3, 5_000);
+    await fleet.world.until(
+      'contact with three control nodes',
+      () => fleet.gateways[0]?.freshness.freshNodeCount() === 3,
+      5_000,
+    );
   });
 
-  it('given only two of three control nodes, when they wait, then they found nothing; and with the third they do', async () => {
-    const fleet = new SimFleet({ seed: 2, ...small });
+  it('given only two of three initial control nodes, when they wait, then no cluster is bootstrapped until the third one starts', async () => {
+    const fleet = new SimFleet({ seed: 2, ...smallFleet });
     fleet.controlNodeHosts.forEach((host) => {
       fleet.world.machine(host);
     });
@@ -53,17 +57,17 @@
     await fleet.startControlNode(1);
     await fleet.world.run(20_000);
     expect(fleet.controlNodes.map((one) => one?.acceptor.agreed() ?? null)).to.deep.equal([null, null, null]);
-    const told = await fleet.finish(
+    const response = await fleet.finish(
       fleet.onControlNode(0, 'PUT', '/operator/layout', sampleWorkload.config('weights-1'), { 'if-match': '"0"' }),
     );
-    expect([told.status, told.body.outcome, told.retryAfter]).to.deep.equal([503, 'not accepted', '1']);
+    expect([response.status, response.body.outcome, response.retryAfter]).to.deep.equal([503, 'not accepted', '1']);
     await fleet.startControlNode(2);
-    await fleet.world.until('the founding', () => fleet.controlNodes.every((one) => one?.isReady() === true), 5_000);
+    await fleet.world.until('the bootstrap', () => fleet.controlNodes.every((one) => one?.isReady() === true), 5_000);
   });
 
-  it('given a control node that loses its disk in the midst of founding, when it is back, then exactly one fleet is founded', async () => {
+  it('given a control node that loses its disk during the bootstrap, when it restarts, then exactly one cluster is bootstrapped', async () => {
     for (let seed = 10; seed < 22; seed += 1) {
-      const fleet = new SimFleet({ seed, ...small });
+      const fleet = new SimFleet({ seed, ...smallFleet });
       fleet.controlNodeHosts.forEach((host) => {
         fleet.world.machine(host);
       });
@@ -73,17 +77,17 @@
       await fleet.world.run(500);
       await fleet.bootControlNode(seed % 3);
       await fleet.world.until(
-        'one fleet of three voters',
+        'one cluster of three voters',
         () => fleet.controlNodes.every((one) => one?.acceptor.isVoter() === true),
         40_000,
       );
-      const lists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.agreed()?.members)));
-      expect(lists.size, `seed ${seed}`).to.equal(1);
+      const memberLists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.agreed()?.members)));
+      expect(memberLists.size, `seed ${seed}`).to.equal(1);
     }
   });
 
-  it('given two lost disks, when their machines are back empty, then no second fleet is founded, and only the explicit recovery takes changes again', async () => {
-    const fleet = await raised(4);
+  it('given two control nodes that lost their disks, when they restart empty, then no second cluster is bootstrapped, and changes are accepted only after the explicit recovery', async () => {
+    const fleet = await startedFleet(4);
     const base = await baseOf(fleet);
     fleet.killControlNode(1, true);
     fleet.killControlNode(2, true);
@@ -92,8 +96,8 @@
     await fleet.bootControlNode(2);
     await fleet.world.run(20_000);
     expect(fleet.controlNodes.map((one) => one?.acceptor.isVoter())).to.deep.equal([true, false, false]);
-    const told = await fleet.finish(patch(fleet, 0, tier(19_000), base, 'while-lost'));
-    expect(told.status).to.equal(503);
+    const response = await fleet.finish(patch(fleet, 0, tier(19_000), base, 'while-lost'));
+    expect(response.status).to.equal(503);
     expect(fleet.gateways[0]?.freshness.isFresh()).to.equal(false);
     const members = fleet.controlNodes.map((one) => ({
       name: one?.settings.name ?? '',
@@ -114,34 +118,36 @@
     );
     const after = await fleet.finish(patch(fleet, 1, tier(18_000), await baseOf(fleet, 1), 'after-recovery'));
     expect(after.status).to.equal(200);
-    await fleet.world.until('in force on every counter', () => allHold(fleet, Number(after.body.generation)), 2_000);
+    await fleet.world.until('in force on every counter', () => allApplied(fleet, Number(after.body.generation)), 2_000);
   });
 
-  it('given a control node lost for good, when an empty one of another name and address comes, then it is swapped in and no accepted change is lost', async () => {
-    const fleet = await raised(5);
+  it('given a control node lost for good, when an empty one with another name and address starts, then it replaces the lost member and no accepted change is lost', async () => {
+    const fleet = await startedFleet(5);
     const base = await baseOf(fleet);
-    const kept = await fleet.finish(patch(fleet, 2, tier(17_000), base, 'kept'));
-    expect(kept.status).to.equal(200);
+    const accepted = await fleet.finish(patch(fleet, 2, tier(17_000), base, 'kept'));
+    expect(accepted.status).to.equal(200);
     fleet.killControlNode(2, true);
     fleet.controlNodeHosts[2] = '10.0.0.9';
     fleet.controlNodeNames[2] = 'postmaster-9';
     await fleet.startControlNode(2);
-    await fleet.world.until('the swap', () => fleet.controlNodes[2]?.acceptor.isVoter() === true, 30_000);
-    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds.kept?.logIndex).to.equal(Number(kept.body.generation));
+    await fleet.world.until('the membership change', () => fleet.controlNodes[2]?.acceptor.isVoter() === true, 30_000);
+    expect(fleet.controlNodes[2]?.acceptor.agreed()?.changeIds.kept?.logIndex).to.equal(
+      Number(accepted.body.generation),
+    );
     fleet.killControlNode(0);
-    const more = await fleet.finish(patch(fleet, 2, tier(16_000), await baseOf(fleet, 2), 'by-the-new'));
-    expect(more.status).to.equal(200);
-    await fleet.world.until('in force on every counter', () => allHold(fleet, Number(more.body.generation)), 2_000);
+    const next = await fleet.finish(patch(fleet, 2, tier(16_000), await baseOf(fleet, 2), 'by-the-new'));
+    expect(next.status).to.equal(200);
+    await fleet.world.until('in force on every counter', () => allApplied(fleet, Number(next.body.generation)), 2_000);
   });
 });
 
-describe('operators', () => {
-  it('given faulty changes, when they are put, then each is rejected whole with its paths and nothing changes', async () => {
-    const fleet = await raised(6);
+describe('the operator API', () => {
+  it('given invalid changes, when they are sent, then each is rejected completely with the paths of its errors and nothing changes', async () => {
+    const fleet = await startedFleet(6);
     const base = await baseOf(fleet);
     const noBase = await fleet.finish(patch(fleet, 0, tier(1_000), null, 'no-base'));
     expect(noBase.status).to.equal(428);
-    const wrong = {
+    const invalid = {
       lanes: {
         good: { pool: 'main', repeat: 'freely' },
         bad: { pool: 'absent', repeat: 'freely' },
@@ -149,7 +155,7 @@
       },
       tiers: { steady: { rank: -1 } },
     };
-    const rejected = await fleet.finish(patch(fleet, 0, wrong, base, 'faulty'));
+    const rejected = await fleet.finish(patch(fleet, 0, invalid, base, 'faulty'));
     expect(rejected.status).to.equal(422);
     expect((rejected.body.complaints as { path: string }[]).map((one) => one.path)).to.include.members([
       '/lanes/odd/repeat',
@@ -173,14 +179,14 @@
       expect((await fleet.finish(fleet.onControlNode(1, 'GET', `/operator/changes/${id}`))).status).to.equal(404);
   });
 
-  it('given one change that touches tiers, 300 lanes and weights, when it is accepted, then every gateway has all of it within two seconds or none', async () => {
-    const fleet = await raised(7);
+  it('given one change to tiers, 300 lanes and weights, when it is accepted, then every gateway applies it within two seconds and never only a part of it', async () => {
+    const fleet = await startedFleet(7);
     const base = await baseOf(fleet);
     const lanes = Object.fromEntries(
       Array.from({ length: 300 }, (_, at) => [`lane-${at}`, { pool: 'main', repeat: 'freely' }]),
     );
     const seen = new Set<string>();
-    const told = fleet.finish(
+    const pending = fleet.finish(
       patch(
         fleet,
         1,
@@ -189,7 +195,7 @@
         'wide',
       ),
     );
-    const accepted = await told;
+    const accepted = await pending;
     expect(accepted.status).to.equal(200);
     const waited = await fleet.world.until('in force', () => {
       for (const gateway of fleet.gateways) {
@@ -198,14 +204,14 @@
           `${config?.tiers.prompt?.horizonMs} ${Object.keys(config?.lanes ?? {}).length} ${config?.pools.main?.weights}`,
         );
       }
-      return allHold(fleet, Number(accepted.body.generation));
+      return allApplied(fleet, Number(accepted.body.generation));
     });
     expect(waited).to.be.lessThan(2_000);
     expect([...seen].every((one) => ['10000 4 weights-1', '9999 304 weights-2'].includes(one))).to.equal(true);
   });
 
-  it('given a change id sent again, to another control node or with another body, when it was accepted, then it is not applied twice', async () => {
-    const fleet = await raised(8);
+  it('given an accepted change, when its id is sent again to another control node or with another body, then it is not applied twice', async () => {
+    const fleet = await startedFleet(8);
     const base = await baseOf(fleet);
     const first = await fleet.finish(patch(fleet, 0, tier(15_000), base, 'once'));
     const again = await fleet.finish(patch(fleet, 2, tier(15_000), base, 'once'));
@@ -219,47 +225,47 @@
     expect(other.status).to.equal(409);
   });
 
-  it('given a proposer cut off after its value reached one acceptor, when it answers, then it says unknown, and asking by id later gives the truth', async () => {
-    let unknowns = 0;
+  it('given a proposer partitioned while it proposes a change, when it responds, then an outcome it cannot know is unknown, and a later lookup by id gives the same outcome on every control node', async () => {
+    let unknownCount = 0;
     for (let seed = 30; seed < 42; seed += 1) {
-      const fleet = await raised(seed);
+      const fleet = await startedFleet(seed);
       const base = await baseOf(fleet);
       const call = patch(fleet, 0, tier(13_000), base, 'half');
       await fleet.world.run(2 + (seed - 30) * 0.35);
       for (const host of ['10.0.0.2', '10.0.0.3']) fleet.world.partition('10.0.0.1', host);
-      const told = await fleet.finish(call, 20_000);
-      if (told.status === 504) unknowns += 1;
-      expect([200, 503, 504]).to.include(told.status);
-      if (told.status === 504) expect(told.body.changeId).to.equal('half');
+      const response = await fleet.finish(call, 20_000);
+      if (response.status === 504) unknownCount += 1;
+      expect([200, 503, 504]).to.include(response.status);
+      if (response.status === 504) expect(response.body.changeId).to.equal('half');
       fleet.world.healAll();
       await fleet.world.run(3_000);
-      const truths = await Promise.all(
+      const lookups = await Promise.all(
         [0, 1, 2].map(
           async (at) => (await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/changes/half'))).status,
         ),
       );
-      expect(new Set(truths).size, `seed ${seed}: ${truths.join()}`).to.equal(1);
-      if (told.status === 200) expect(truths[0]).to.equal(200);
-      if (told.status === 503) expect(truths[0]).to.equal(404);
+      expect(new Set(lookups).size, `seed ${seed}: ${lookups.join()}`).to.equal(1);
+      if (response.status === 200) expect(lookups[0]).to.equal(200);
+      if (response.status === 503) expect(lookups[0]).to.equal(404);
     }
-    expect(unknowns).to.be.greaterThan(0);
+    expect(unknownCount).to.be.greaterThan(0);
   });
 
-  it('given a minority control node, when it is asked for a change, then it denies at once that it was accepted, with Retry-After', async () => {
-    const fleet = await raised(9);
+  it('given a control node in the minority, when a change is sent to it, then it responds that the change was not accepted, with Retry-After', async () => {
+    const fleet = await startedFleet(9);
     const base = await baseOf(fleet);
     fleet.world.isolate('10.0.0.1');
     fleet.world.unblockLink('10.0.0.1', '10.9.0.1');
     fleet.world.unblockLink('10.9.0.1', '10.0.0.1');
-    const told = await fleet.finish(patch(fleet, 0, tier(12_000), base, 'alone'), 20_000);
-    expect([told.status, told.retryAfter]).to.deep.equal([503, '1']);
+    const response = await fleet.finish(patch(fleet, 0, tier(12_000), base, 'alone'), 20_000);
+    expect([response.status, response.retryAfter]).to.deep.equal([503, '1']);
     fleet.world.healAll();
     await fleet.world.run(3_000);
     expect((await fleet.finish(fleet.onControlNode(1, 'GET', '/operator/changes/alone'))).status).to.equal(404);
   });
 
-  it('given the platform, when a client is granted and revoked, then its key works and stops within two seconds, for held streams too', async () => {
-    const fleet = await raised(11);
+  it('given a client that the platform adds and revokes, when it sends requests, then its key works until it is revoked, and its open streams are aborted within one second', async () => {
+    const fleet = await startedFleet(11);
     const checker = new InvariantChecker(fleet);
     const key = 'a-new-riders-key';
     const granted = await fleet.finish(
@@ -270,24 +276,24 @@
       }),
     );
     expect(granted.status).to.equal(200);
-    await fleet.world.until('in force', () => allHold(fleet, Number(granted.body.generation)), 2_000);
-    const ask = {
+    await fleet.world.until('in force', () => allApplied(fleet, Number(granted.body.generation)), 2_000);
+    const request = {
       ...sampleWorkload.request(fleet.world.random, 1),
       kind: 'query' as const,
       tenant: 'newcomer',
       key,
       maxTokens: 2_000,
     };
-    const held = checker.send(ask, 0);
+    const stream = checker.send(request, 0);
     await fleet.world.run(500);
-    expect([held.outcome, held.text.length > 0]).to.deep.equal(['open', true]);
+    expect([stream.outcome, stream.text.length > 0]).to.deep.equal(['open', true]);
     const revoked = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/keys/revoke', { key }));
     expect(revoked.status).to.equal(200);
-    const at = fleet.world.time;
+    const revokedAt = fleet.world.time;
     await fleet.world.run(2_000);
-    expect(held.outcome).to.equal('cut');
-    expect(held.endedAt - at).to.be.lessThan(1_000);
-    const late = checker.send(ask, 1);
+    expect(stream.outcome).to.equal('cut');
+    expect(stream.endedAt - revokedAt).to.be.lessThan(1_000);
+    const late = checker.send(request, 1);
     await fleet.world.run(500);
     expect([late.status, late.ran]).to.deep.equal([401, 'no']);
     expect(keyOf('north')).to.not.equal(key);
--- a/packages/control-plane/test/messageChecks.test.ts
+++ b/packages/control-plane/test/messageChecks.test.ts
@@ -27,7 +27,7 @@
   sides: ['tenant'],
 };
 
-/** Each message with a body that must pass; all fields given are required. */
+/** Each message type with a valid body, in which every field is required. */
 const objects: readonly (readonly [name: string, check: Check, body: Body])[] = [
   ['StatePosition', edgeMessages.isStatePosition, { logIndex: 1, configVersion: 2 }],
   ['Subscription', edgeMessages.isSubscription, { logIndex: -1, configVersion: 0, wantsContent: true }],
@@ -47,7 +47,7 @@
   ['ClaimPage', gatewayMessages.isClaimPage, { entries: [['k', claimState]], next: null }],
 ];
 
-/** Each message that is a list, with an element that must pass. */
+/** Each message type that is a list, with a valid element. */
 const lists: readonly (readonly [name: string, check: Check, element: Body])[] = [
   ['PrefixCacheUpdate[]', edgeMessages.isPrefixCacheUpdates, update],
   ['PrefillNotice[]', edgeMessages.isPrefillNotices, notice],
@@ -58,25 +58,25 @@
 
 const notObjects: readonly unknown[] = [null, undefined, 0, 'text', true, new Uint8Array(3), [[]]];
 
-/** Every body that lacks one field, or has a value of no valid type in its place. */
+/** Returns bodies in which one field is missing or has a value of an invalid type. */
 const malformedVariants = (body: Body): Body[] =>
   Object.keys(body).flatMap((field) => {
-    const { [field]: _, ...lacking } = body;
-    return [lacking, { ...body, [field]: Symbol('of no type') }];
+    const { [field]: _, ...incomplete } = body;
+    return [incomplete, { ...body, [field]: Symbol('of no type') }];
   });
 
 const throughCbor = (value: unknown): unknown => cbor.decode(Uint8Array.from(cbor.encode(value)));
 
 describe('checks of the messages between nodes', () => {
   for (const [name, check, body] of objects) {
-    it(`given a ${name}, when it is whole, then it passes, and when a field is missing or of another type, then not`, () => {
+    it(`given a ${name}, when it is complete, then it passes, and when a field is missing or has another type, then it fails`, () => {
       expect(check(throughCbor(body))).to.equal(true);
       for (const malformed of [...notObjects, ...malformedVariants(body)]) expect(check(malformed)).to.equal(false);
     });
   }
 
   for (const [name, check, element] of lists) {
-    it(`given a ${name}, when all elements are whole, then it passes, and when one is malformed, then not`, () => {
+    it(`given a ${name}, when all elements are complete, then it passes, and when one is malformed, then it fails`, () => {
       expect(check([])).to.equal(true);
       expect(check(throughCbor([element, element]))).to.equal(true);
       expect(check(element)).to.equal(false);
@@ -85,7 +85,7 @@
     });
   }
 
-  it('given values outside those that a field allows, when they are checked, then they are refused', () => {
+  it('given values that a field does not allow, when the messages are checked, then they fail', () => {
     expect(gatewayMessages.isReplicaRecords([{ ...record, kind: 'gateway' }])).to.equal(false);
     expect(gatewayMessages.isReplicaRecords([{ ...record, state: 'lost' }])).to.equal(false);
     expect(gatewayMessages.isRelayedKvEvents({ fences: {}, events: [{ ...kvEvent, kind: 'moved' }] })).to.equal(false);
@@ -94,7 +94,7 @@
     expect(edgeMessages.isPrefixCacheUpdates([{ ...update, epoch: 5 }])).to.equal(false);
   });
 
-  it('given fields that may be left out, when they are, then the message passes', () => {
+  it('given optional fields, when they are missing, then the message passes', () => {
     expect(edgeMessages.isPrefixCacheUpdates([{ ...update, epoch: 'e' }])).to.equal(true);
     const { tenant: _, ...withoutTenant } = kvEvent;
     expect(gatewayMessages.isRelayedKvEvents({ fences: {}, events: [withoutTenant] })).to.equal(true);
--- a/packages/control-plane/test/replicaApi.test.ts
+++ b/packages/control-plane/test/replicaApi.test.ts
@@ -1,55 +1,55 @@
 import { expect } from 'chai';
 import { SimFleet } from '@martenworks/test-fleet';
 
-interface Shown {
+interface ReplicaState {
   readonly state: string;
   readonly incarnation: number;
 }
 
-describe('the platform', () => {
-  it('given announcements without incarnations, when a replica leaves, is told again, comes back or moves, then only a return counts as new', async () => {
+describe('the platform API', () => {
+  it('given announcements without incarnations, when a replica leaves, is announced again, returns or moves, then only a return or a move counts as a new incarnation', async () => {
     const fleet = new SimFleet({ seed: 71, edges: 1, replicas: 1 });
     await fleet.up();
-    const tell = async (more: Record<string, unknown>, at = 0): Promise<Shown> => {
-      const told = await fleet.finish(
+    const announce = async (fields: Record<string, unknown>, at = 0): Promise<ReplicaState> => {
+      const response = await fleet.finish(
         fleet.onControlNode(at, 'POST', '/platform/replicas', {
           name: 'lone',
           address: '10.2.0.77:8000',
           pool: 'main',
-          ...more,
+          ...fields,
         }),
       );
-      expect(told.status).to.equal(200);
-      const { state, incarnation } = (told.body.replicas as Shown[])[0] as Shown;
+      expect(response.status).to.equal(200);
+      const { state, incarnation } = (response.body.replicas as ReplicaState[])[0] as ReplicaState;
       return { state, incarnation };
     };
-    expect(await tell({})).to.deep.equal({ state: 'ready', incarnation: 1 });
-    expect(await tell({}, 1)).to.deep.equal({ state: 'ready', incarnation: 1 });
+    expect(await announce({})).to.deep.equal({ state: 'ready', incarnation: 1 });
+    expect(await announce({}, 1)).to.deep.equal({ state: 'ready', incarnation: 1 });
     expect((await fleet.finish(fleet.onControlNode(2, 'POST', '/platform/replicas/lone/leaving'))).status).to.equal(
       200,
     );
-    expect(await tell({}, 1)).to.deep.equal({ state: 'leaving', incarnation: 1 });
-    expect(await tell({ state: 'ready' }, 0)).to.deep.equal({ state: 'ready', incarnation: 2 });
+    expect(await announce({}, 1)).to.deep.equal({ state: 'leaving', incarnation: 1 });
+    expect(await announce({ state: 'ready' }, 0)).to.deep.equal({ state: 'ready', incarnation: 2 });
     expect((await fleet.finish(fleet.onControlNode(1, 'DELETE', '/platform/replicas/lone'))).status).to.equal(200);
-    expect(await tell({}, 2)).to.deep.equal({ state: 'ready', incarnation: 3 });
-    expect(await tell({ address: '10.2.0.78:8000' })).to.deep.equal({ state: 'ready', incarnation: 4 });
-    expect(await tell({ incarnation: 2, state: 'gone' })).to.deep.equal({ state: 'ready', incarnation: 4 });
-    const faulty = await fleet.finish(
+    expect(await announce({}, 2)).to.deep.equal({ state: 'ready', incarnation: 3 });
+    expect(await announce({ address: '10.2.0.78:8000' })).to.deep.equal({ state: 'ready', incarnation: 4 });
+    expect(await announce({ incarnation: 2, state: 'gone' })).to.deep.equal({ state: 'ready', incarnation: 4 });
+    const invalid = await fleet.finish(
       fleet.onControlNode(0, 'POST', '/platform/replicas', [{ name: 'x y', address: 'nowhere' }]),
     );
-    expect(faulty.status).to.equal(422);
-    expect((faulty.body.complaints as { path: string }[]).map((one) => one.path)).to.deep.equal([
+    expect(invalid.status).to.equal(422);
+    expect((invalid.body.complaints as { path: string }[]).map((one) => one.path)).to.deep.equal([
       '/0/address',
       '/0/name',
     ]);
   });
 
-  it('given a leaving replica confirmed by one control node, when that one dies at once with its disk, then every gateway still stops sending to it within two seconds', async () => {
+  it('given a control node that acknowledged that a replica is leaving, when it crashes at once and loses its disk, then every gateway still learns of it within two seconds', async () => {
     for (let seed = 72; seed < 78; seed += 1) {
       const fleet = new SimFleet({ seed, edges: 3, replicas: 3 });
       await fleet.up();
-      const told = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/replicas/replica-1/leaving'));
-      expect(told.status).to.equal(200);
+      const response = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/replicas/replica-1/leaving'));
+      expect(response.status).to.equal(200);
       fleet.killControlNode(0, true);
       await fleet.world.run(2_000);
       for (const gateway of fleet.gateways)
@@ -59,7 +59,7 @@
     }
   });
 
-  it("given a control node that missed a replica's return, when it is told that the replica leaves, then the newest incarnation is the one that leaves", async () => {
+  it("given a control node that missed a replica's return, when it is notified that the replica is leaving, then the newest incarnation is marked as leaving", async () => {
     for (let seed = 80; seed < 86; seed += 1) {
       const fleet = new SimFleet({ seed, edges: 3, replicas: 3 });
       await fleet.up();
@@ -69,10 +69,10 @@
       expect((await fleet.finish(fleet.announce('replica-1', 0))).status).to.equal(200);
       expect(fleet.controlNodes[1]?.replicaTable.find('replica-1')?.incarnation).to.equal(1);
       fleet.world.healAll();
-      let told = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
-      for (let attempt = 0; attempt < 20 && told.status !== 200; attempt += 1)
-        told = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
-      expect(told.status).to.equal(200);
+      let response = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
+      for (let attempt = 0; attempt < 20 && response.status !== 200; attempt += 1)
+        response = await fleet.finish(fleet.onControlNode(1, 'POST', '/platform/replicas/replica-1/leaving'));
+      expect(response.status).to.equal(200);
       await fleet.world.run(2_000);
       for (const gateway of fleet.gateways) {
         const record = gateway?.stateView.record('replica-1');
--- a/packages/control-plane/test/routingTableHistory.test.ts
+++ b/packages/control-plane/test/routingTableHistory.test.ts
@@ -29,98 +29,98 @@
 
 const routes = (count = routeCount): Route[] => Array.from({ length: count }, (_, at) => route(at));
 
-const routingTable = (more: Partial<RoutingTable> = {}): RoutingTable => ({
+const routingTable = (overrides: Partial<RoutingTable> = {}): RoutingTable => ({
   routes: routes(),
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
   customers: Array.from({ length: 40 }, (_, at) => customer(at)),
   limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
-  ...more,
+  ...overrides,
 });
 
-const sorted = ({ routes: held, customers, ...rest }: RoutingTable): RoutingTable => {
+const sorted = ({ routes: unsorted, customers, ...rest }: RoutingTable): RoutingTable => {
   const byName = (a: { name: string }, b: { name: string }): number => (a.name < b.name ? -1 : 1);
   return {
     ...rest,
-    routes: [...held].sort(byName),
+    routes: [...unsorted].sort(byName),
     customers: customers === null ? null : [...customers].sort(byName),
   };
 };
 
-/** Configuration versions in a row, each a small change to the one before. */
-const configVersions = (count: number): RoutingTable[] => {
+/** Returns the tables of successive configuration versions, each a small change to the previous one. */
+const successiveTables = (count: number): RoutingTable[] => {
   const all = [routingTable()];
   for (let at = 1; at < count; at += 1) {
-    const before = all[at - 1] as RoutingTable;
-    const kept = before.routes.filter(({ name }) => name !== `way-${at}`);
-    const fresh = at % 3 === 0 ? [route(at - 1, 7_000 + at)] : [route(1_000 + at)];
-    const customers = (before.customers ?? []).map((one) =>
+    const previous = all[at - 1] as RoutingTable;
+    const unchanged = previous.routes.filter(({ name }) => name !== `way-${at}`);
+    const added = at % 3 === 0 ? [route(at - 1, 7_000 + at)] : [route(1_000 + at)];
+    const customers = (previous.customers ?? []).map((one) =>
       one.name === `customer-${at}` ? customer(at, `changed-${at}`) : one,
     );
-    all.push({ ...before, routes: [...kept, ...fresh], customers });
+    all.push({ ...previous, routes: [...unchanged, ...added], customers });
   }
   return all;
 };
 
-const history = (routingTables: readonly RoutingTable[]): RoutingTableHistory => {
-  const made = new RoutingTableHistory();
-  for (const [at, one] of routingTables.entries()) made.record({ configVersion: at + 1, table: one, source: '' });
-  return made;
+const historyOf = (routingTables: readonly RoutingTable[]): RoutingTableHistory => {
+  const history = new RoutingTableHistory();
+  for (const [at, one] of routingTables.entries()) history.record({ configVersion: at + 1, table: one, source: '' });
+  return history;
 };
 
-const opened = (message: PackedRoutingTable | null, configVersion: number, held: RoutingTable | null): RoutingTable =>
-  packedRoutingTables.open(message as PackedRoutingTable, { configVersion, routingTable: held })._unsafeUnwrap();
+const unpacked = (message: PackedRoutingTable | null, configVersion: number, base: RoutingTable | null): RoutingTable =>
+  packedRoutingTables.open(message as PackedRoutingTable, { configVersion, routingTable: base })._unsafeUnwrap();
 
-describe('the differences between configuration versions', () => {
-  it('given twelve small changes, when edges hold any of the configuration versions before, then each gets a small difference that makes the newest of what it holds', () => {
-    const routingTables = configVersions(13);
-    const made = history(routingTables);
+describe('the history of the routing table', () => {
+  it('given twelve small changes, when an edge has any earlier configuration version, then it gets a small patch from that version to the newest table', () => {
+    const routingTables = successiveTables(13);
+    const history = historyOf(routingTables);
     const newest = routingTables.at(-1) as RoutingTable;
-    const wholeBytes = packedRoutingTables.whole(newest).deflated.length;
-    for (const [at, held] of routingTables.slice(0, -1).entries()) {
-      const message = made.messageFrom(at + 1);
+    const fullBytes = packedRoutingTables.whole(newest).deflated.length;
+    for (const [at, base] of routingTables.slice(0, -1).entries()) {
+      const message = history.messageFrom(at + 1);
       expect(message?.from).to.equal(at + 1);
-      expect(message?.deflated.length ?? Infinity).to.be.below(wholeBytes / 2);
-      expect(sorted(opened(message, at + 1, held))).to.deep.equal(sorted(newest));
+      expect(message?.deflated.length ?? Infinity).to.be.below(fullBytes / 2);
+      expect(sorted(unpacked(message, at + 1, base))).to.deep.equal(sorted(newest));
     }
-    expect(made.messageFrom(13)).to.equal(null);
+    expect(history.messageFrom(13)).to.equal(null);
   });
 
-  it('given edges that hold the same configuration version, when each is told, then they are sent the same bytes, packed once', () => {
-    const made = history(configVersions(4));
-    expect(made.messageFrom(2)).to.equal(made.messageFrom(2));
-    expect(made.messageFrom(77)).to.equal(made.messageFrom(0));
+  it('given edges with the same configuration version, when each is updated, then they get the same message, encoded once', () => {
+    const history = historyOf(successiveTables(4));
+    expect(history.messageFrom(2)).to.equal(history.messageFrom(2));
+    expect(history.messageFrom(77)).to.equal(history.messageFrom(0));
   });
 
-  it('given an configuration version that was never told or came too long ago, when an edge holds it, then it gets the whole routing table', () => {
-    const routingTables = configVersions(150);
-    const made = history(routingTables);
+  it('given a configuration version that is unknown or too old, when an edge has it, then it gets the full routing table', () => {
+    const routingTables = successiveTables(150);
+    const history = historyOf(routingTables);
     for (const configVersion of [0, 1, 9_999]) {
-      const message = made.messageFrom(configVersion);
+      const message = history.messageFrom(configVersion);
       expect(message?.from).to.equal(null);
-      expect(sorted(opened(message, 0, null))).to.deep.equal(sorted(routingTables.at(-1) as RoutingTable));
+      expect(sorted(unpacked(message, 0, null))).to.deep.equal(sorted(routingTables.at(-1) as RoutingTable));
     }
-    expect(made.messageFrom(149)?.from).to.equal(149);
+    expect(history.messageFrom(149)?.from).to.equal(149);
   });
 
-  it('given keys that are asked for, then not, then of other customers, when an edge holds an older configuration version, then no customer of before is left to it', () => {
+  it('given API keys that are required, then not required, then required of other customers, when an edge has an older configuration version, then none of the earlier customers remain', () => {
     const routingTables = [
       routingTable(),
       routingTable({ customers: null }),
       routingTable({ customers: [customer(7, 'other')] }),
     ];
-    const made = history(routingTables);
-    for (const [at, held] of routingTables.slice(0, -1).entries())
-      expect(opened(made.messageFrom(at + 1), at + 1, held).customers).to.deep.equal([customer(7, 'other')]);
-    const unkeyed = history(routingTables.slice(0, 2));
-    expect(opened(unkeyed.messageFrom(1), 1, routingTables[0] as RoutingTable).customers).to.equal(null);
+    const history = historyOf(routingTables);
+    for (const [at, base] of routingTables.slice(0, -1).entries())
+      expect(unpacked(history.messageFrom(at + 1), at + 1, base).customers).to.deep.equal([customer(7, 'other')]);
+    const withoutKeys = historyOf(routingTables.slice(0, 2));
+    expect(unpacked(withoutKeys.messageFrom(1), 1, routingTables[0] as RoutingTable).customers).to.equal(null);
   });
 
-  it('given a difference to another configuration version, or bytes that are none, when it is opened, then it is refused and nothing is made of it', () => {
-    const routingTables = configVersions(3);
-    const message = history(routingTables).messageFrom(2) as PackedRoutingTable;
-    const codeOf = (packed: PackedRoutingTable, configVersion: number, held: RoutingTable | null): string | undefined =>
-      packedRoutingTables.open(packed, { configVersion, routingTable: held }).match(
+  it('given a patch of another configuration version, or invalid bytes, when it is unpacked, then it fails with a code', () => {
+    const routingTables = successiveTables(3);
+    const message = historyOf(routingTables).messageFrom(2) as PackedRoutingTable;
+    const codeOf = (packed: PackedRoutingTable, configVersion: number, base: RoutingTable | null): string | undefined =>
+      packedRoutingTables.open(packed, { configVersion, routingTable: base }).match(
         () => 'opened',
         ({ code }) => code,
       );
--- a/packages/control-plane/test/staleIndex.test.ts
+++ b/packages/control-plane/test/staleIndex.test.ts
@@ -5,12 +5,13 @@
 import { SimWorld } from '@martenworks/test-fleet';
 
 const address = '10.2.0.1:8080';
-const news = (part: string, tokens = 1_000): PrefixCacheEvent => ({ isKept: tokens > 0, salt: 's', part, tokens });
-const missed = (part: string) => ({ address, salt: 's', parts: [part], isDecided: true, quarantineMs: null });
+const event = (part: string, tokens = 1_000): PrefixCacheEvent => ({ isKept: tokens > 0, salt: 's', part, tokens });
+const missReport = (part: string) => ({ address, salt: 's', parts: [part], isDecided: true, quarantineMs: null });
 
-class Teller {
+/** A replica's log of prefix cache events. */
+class EventSource {
   epoch = 1;
-  isSilent = false;
+  isUnresponsive = false;
   events: PrefixCacheEvent[] = [];
 
   readonly page = (since: number): PrefixCacheEventPage => ({
@@ -21,84 +22,84 @@
   });
 }
 
-const office = async () => {
+const setUp = async () => {
   const world = new SimWorld(3);
   const { clock, random, log } = world.machine('10.0.0.1').ports();
-  const teller = new Teller();
-  const told: PrefixCacheUpdate[] = [];
+  const source = new EventSource();
+  const sent: PrefixCacheUpdate[] = [];
   const prefixCacheEvents: BackendClient['prefixCacheEvents'] = (_, since) =>
     new Promise(
       (resolve) =>
         void clock.after(200, () =>
-          resolve(teller.isSilent ? err({ kind: 'backend', code: 'ETIMEDOUT' }) : ok(teller.page(since))),
+          resolve(source.isUnresponsive ? err({ kind: 'backend', code: 'ETIMEDOUT' }) : ok(source.page(since))),
         ),
     );
-  const desk = new PrefixCacheFollower(
+  const follower = new PrefixCacheFollower(
     { prefixCacheEvents } as Partial<BackendClient> as BackendClient,
     clock,
     random,
     log,
-    (bundle) => void told.push(...bundle),
+    (batch) => void sent.push(...batch),
     () => {},
   );
-  desk.align(new Set([address]), () => true);
+  follower.align(new Set([address]), () => true);
   const parts = (): string[] =>
-    desk
+    follower
       .snapshot()
       .flatMap((stored) => stored.events.map(({ part }) => part))
       .sort();
   await world.run(1_000);
-  return { world, desk, teller, told, parts };
+  return { world, follower, source, sent, parts };
 };
 
-describe('what the core knows of kept parts', () => {
-  it('given a part that an edge found gone, when it is told, then it is dropped and told on once, and comes back by a fresh event only', async () => {
-    const { world, desk, teller, told, parts } = await office();
-    teller.events.push(news('a'), news('b'));
+describe('prefix cache contents on a control node', () => {
+  it('given a prompt part that an edge found missing, when it is reported twice, then its removal is sent once, and only a new event adds it again', async () => {
+    const { world, follower, source, sent, parts } = await setUp();
+    source.events.push(event('a'), event('b'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['a', 'b']);
-    told.length = 0;
-    desk.handleCacheMiss(missed('a'));
-    desk.handleCacheMiss(missed('a'));
+    sent.length = 0;
+    follower.handleCacheMiss(missReport('a'));
+    follower.handleCacheMiss(missReport('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['b']);
-    expect(told.flatMap((one) => one.events)).to.deep.equal([{ isKept: false, salt: 's', part: 'a', tokens: 0 }]);
-    teller.events.push(news('a'));
+    expect(sent.flatMap((one) => one.events)).to.deep.equal([{ isKept: false, salt: 's', part: 'a', tokens: 0 }]);
+    source.events.push(event('a'));
     await world.run(1_500);
     expect(parts()).to.deep.equal(['a', 'b']);
-    expect(desk.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 0 });
+    expect(follower.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 0 });
   });
 
-  it('given a part that an edge found gone, when its drop is told only then, then it counts as a false alarm', async () => {
-    const { world, desk, teller } = await office();
-    teller.events.push(news('a'));
+  it('given a prompt part that an edge found missing, when its removal event arrives only after the report, then it counts as a false alarm', async () => {
+    const { world, follower, source } = await setUp();
+    source.events.push(event('a'));
     await world.run(1_500);
-    desk.handleCacheMiss(missed('a'));
-    teller.events.push(news('a', 0));
+    follower.handleCacheMiss(missReport('a'));
+    source.events.push(event('a', 0));
     await world.run(1_500);
-    expect(desk.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 1 });
+    expect(follower.staleEntryCounts()).to.deep.include({ missed: 1, falseAlarms: 1 });
   });
 
-  it('given another replica at the address, when the list shows it before its events do, then what the former one kept is forgotten at once, and the epoch that follows forgets nothing more', async () => {
-    const { world, desk, teller, parts } = await office();
-    desk.updateReplicaIds(address, new Set(['i-1']));
-    teller.events.push(news('a'));
+  it('given a new replica at an address, when the endpoint list shows it before the cache events do, then the entries of the previous one are discarded at once, and the new epoch discards nothing more', async () => {
+    const { world, follower, source, parts } = await setUp();
+    follower.updateReplicaIds(address, new Set(['i-1']));
+    source.events.push(event('a'));
     await world.run(1_500);
-    teller.isSilent = true;
-    desk.updateReplicaIds(address, new Set(['i-1', 'i-2']));
+    source.isUnresponsive = true;
+    follower.updateReplicaIds(address, new Set(['i-1', 'i-2']));
     expect(parts()).to.deep.equal([]);
-    Object.assign(teller, { epoch: 2, events: [news('b')], isSilent: false });
+    Object.assign(source, { epoch: 2, events: [event('b')], isUnresponsive: false });
     await world.run(2_500);
-    desk.updateReplicaIds(address, new Set(['i-2']));
+    follower.updateReplicaIds(address, new Set(['i-2']));
     expect(parts()).to.deep.equal(['b']);
-    expect(desk.staleEntryCounts()).to.deep.include({ lives: 1 });
+    expect(follower.staleEntryCounts()).to.deep.include({ lives: 1 });
   });
 
-  it('given a new epoch with more events than were heard of the former, when it is told, then all its events are read from the first', async () => {
-    const { world, teller, parts } = await office();
-    teller.events.push(news('a'), news('b'));
+  it('given a new epoch with more events than were received of the previous one, when it is seen, then its events are read from the first one', async () => {
+    const { world, source, parts } = await setUp();
+    source.events.push(event('a'), event('b'));
     await world.run(1_500);
-    Object.assign(teller, { epoch: 2, events: [news('c'), news('d'), news('e')] });
+    Object.assign(source, { epoch: 2, events: [event('c'), event('d'), event('e')] });
     await world.run(2_500);
     expect(parts()).to.deep.equal(['c', 'd', 'e']);
   });
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Data folders and settings files of an earlier release: today's programs take them and lose nothing. */
+/** Tests that the current programs read data folders and settings files of an earlier release without any loss. */
 import { rmSync } from 'node:fs';
 import { expect } from 'chai';
 import { controlApi, boots } from '@martenworks/platform';
@@ -10,8 +10,8 @@
 import { finish, upgradedNodes } from './upgradedNodes.js';
 
 const { core, postmaster } = upgradeData.expected;
-const seatedCores = ['core-2', 'core-3', 'core-4'];
-const postmasterNames = Object.keys(postmaster.nodes);
+const voterNames = ['core-2', 'core-3', 'core-4'];
+const gatewayControlNames = Object.keys(postmaster.nodes);
 const readyMs = 10_000;
 const leaseMs = 30_000;
 
@@ -29,62 +29,62 @@
   pinned: false,
 });
 
-/** The order that made a version of the configuration, as it was sent to the earlier release. */
-const orderOf = (version: number): RequestInit => ({
+/** The request that created a version of the configuration, as it was sent to the earlier release. */
+const requestFor = (version: number): RequestInit => ({
   method: 'PATCH',
   headers: { 'if-match': `${version - 1}` },
   body: JSON.stringify({ version, add: { routes: [route(version)] } }),
 });
 
-const keptFences = async (copy: string): Promise<[string, number][]> => {
-  const kept = (await leaseTables.open(machine.disk(copy), machine.clock, logs.silent()))._unsafeUnwrap();
-  const fences = kept.table.fences();
-  await kept.close();
+const storedFences = async (copy: string): Promise<[string, number][]> => {
+  const leases = (await leaseTables.open(machine.disk(copy), machine.clock, logs.silent()))._unsafeUnwrap();
+  const fences = leases.table.fences();
+  await leases.close();
   return fences;
 };
 
-const withCopy = async (node: string, work: (copy: string) => Promise<void>): Promise<void> => {
+const withCopy = async (node: string, run: (copy: string) => Promise<void>): Promise<void> => {
   const copy = upgradeData.copyOf(node);
   try {
-    await work(copy);
+    await run(copy);
   } finally {
     rmSync(copy, { recursive: true });
   }
 };
 
 describe("data folders of an earlier release's platform control nodes", () => {
-  for (const [node, held] of Object.entries(core.nodes)) {
-    it(`given the folder of ${node}, when a node starts on a copy, then it holds the identity, state and fences it held`, () =>
+  for (const [node, saved] of Object.entries(core.nodes)) {
+    it(`given the folder of ${node}, when a node starts on a copy, then it has the saved identity, state and fencing tokens`, () =>
       withCopy(node, async (copy) => {
-        const started = await upgradedNodes.coreAlone(node, copy);
+        const started = await upgradedNodes.startControlNode(node, copy);
         const state = started.acceptor.agreed();
         const { incarnation, isFresh } = started.acceptor;
-        const hasSeat = started.acceptor.isVoter();
+        const isVoter = started.acceptor.isVoter();
         await started.stop();
-        expect([incarnation, isFresh, hasSeat]).to.deep.equal([held.incarnation, held.isFresh, held.hasSeat]);
-        expect([state?.logIndex, state?.routing?.configVersion]).to.deep.equal([held.generation, held.version]);
+        expect([incarnation, isFresh, isVoter]).to.deep.equal([saved.incarnation, saved.isFresh, saved.hasSeat]);
+        expect([state?.logIndex, state?.routing?.configVersion]).to.deep.equal([saved.generation, saved.version]);
         expect(state?.members).to.deep.equal(core.seats);
         expect(state?.targetWeights).to.deep.equal(core.namedVersions);
-        if (held.version === core.version) expect(state?.routing?.source).to.equal(upgradeData.configuration);
-        expect(await keptFences(copy)).to.deep.equal(held.fences);
+        if (saved.version === core.version) expect(state?.routing?.source).to.equal(upgradeData.configuration);
+        expect(await storedFences(copy)).to.deep.equal(saved.fences);
       }));
   }
 
-  it('given the folders of all that have seats, when they start together, then they serve the configuration, keep their seats and take orders', async () => {
+  it('given the folders of all voters, when they start together, then they serve the configuration, remain voters and accept changes', async () => {
     const world = new SimWorld(1);
-    const nodes = await upgradedNodes.cores(world, seatedCores);
+    const nodes = await upgradedNodes.startControlNodes(world, voterNames);
     await world.until('a majority', () => nodes.every((node) => node.isReady()), readyMs);
     for (const node of nodes) {
-      const answer = await finish(world, controlApi(node).request('/config'));
-      expect([answer.status, answer.headers.get('etag')]).to.deep.equal([200, `"${core.version}"`]);
-      expect(await answer.text()).to.equal(upgradeData.configuration);
+      const response = await finish(world, controlApi(node).request('/config'));
+      expect([response.status, response.headers.get('etag')]).to.deep.equal([200, `"${core.version}"`]);
+      expect(await response.text()).to.equal(upgradeData.configuration);
     }
     const [first] = nodes.map(controlApi);
-    const repeated = await finish(world, first?.request('/config', orderOf(core.version)));
-    expect(repeated?.status, 'the newest order, sent again').to.equal(200);
-    const next = await finish(world, first?.request('/config', orderOf(core.version + 1)));
-    expect(next?.status, 'an order on the newest version').to.equal(200);
-    await world.until('the same on all', () =>
+    const repeated = await finish(world, first?.request('/config', requestFor(core.version)));
+    expect(repeated?.status, 'the newest request, sent again').to.equal(200);
+    const next = await finish(world, first?.request('/config', requestFor(core.version + 1)));
+    expect(next?.status, 'a request based on the newest version').to.equal(200);
+    await world.until('the new version on all nodes', () =>
       nodes.every((node) => node.acceptor.agreed()?.routing?.configVersion === core.version + 1),
     );
     for (const node of nodes) {
@@ -93,9 +93,9 @@
     }
   });
 
-  it('given fences on disk, when the nodes grant the lease again, then its fence is above them', async () => {
+  it('given fencing tokens on disk, when the nodes grant the lease again, then its token is above them', async () => {
     const world = new SimWorld(2);
-    const nodes = await upgradedNodes.cores(world, seatedCores);
+    const nodes = await upgradedNodes.startControlNodes(world, voterNames);
     const granted = (): number[] => nodes.flatMap((node) => node.leaseManager.status().map(({ fence }) => fence));
     await world.until('a lease', () => granted().length > 0, leaseMs);
     const recorded = Object.values(core.nodes).flatMap(({ fences }) => fences.map(([, fence]) => fence));
@@ -103,55 +103,55 @@
   });
 });
 
-describe("data folders of an earlier release's postmasters", () => {
-  for (const [node, held] of Object.entries(postmaster.nodes)) {
-    it(`given the folder of ${node}, when a postmaster starts on a copy, then it holds what it held`, () =>
+describe("data folders of an earlier release's gateway control nodes", () => {
+  for (const [node, saved] of Object.entries(postmaster.nodes)) {
+    it(`given the folder of ${node}, when a node starts on a copy, then it has the saved identity, state, keys, claims, replicas and fencing tokens`, () =>
       withCopy(node, async (copy) => {
-        const started = await upgradedNodes.postmasterAlone(node, copy);
+        const started = await upgradedNodes.startGatewayControlNode(node, copy);
         const state = started.acceptor.agreed();
         const { incarnation, isFresh } = started.acceptor;
         const replicas = started.replicaTable.records();
         const claims = started.claimTable.size();
         await started.stop();
-        expect([incarnation, isFresh]).to.deep.equal([held.incarnation, held.isFresh]);
-        expect(state?.logIndex).to.equal(held.generation);
+        expect([incarnation, isFresh]).to.deep.equal([saved.incarnation, saved.isFresh]);
+        expect(state?.logIndex).to.equal(saved.generation);
         expect(state?.members).to.deep.equal(postmaster.seats);
         expect(state?.config).to.deep.equal(upgradeData.layoutPage.layout);
         expect(Object.keys(state?.keys ?? {})).to.have.lengthOf(postmaster.keys);
         expect(claims).to.equal(postmaster.claims);
-        const told = replicas.map((one) => {
-          const { name, address, pool, incarnation: run, state: standing } = one;
-          return { name, address, pool, incarnation: run, state: standing };
+        const restored = replicas.map((one) => {
+          const { name, address, pool, incarnation: replicaIncarnation, state: replicaState } = one;
+          return { name, address, pool, incarnation: replicaIncarnation, state: replicaState };
         });
-        expect(told).to.have.deep.members([...postmaster.replicas]);
-        expect(Object.fromEntries(await keptFences(copy))).to.deep.equal(postmaster.fences);
+        expect(restored).to.have.deep.members([...postmaster.replicas]);
+        expect(Object.fromEntries(await storedFences(copy))).to.deep.equal(postmaster.fences);
       }));
   }
 
-  it('given the folders of all, when they start together, then they serve the layout, know its change, and their fences rise', async () => {
+  it('given the folders of all nodes, when they start together, then they serve the configuration, know its change, and grant higher fencing tokens', async () => {
     const world = new SimWorld(3);
-    const nodes = await upgradedNodes.postmasters(world, postmasterNames);
+    const nodes = await upgradedNodes.startGatewayControlNodes(world, gatewayControlNames);
     await world.until('a majority', () => nodes.every((node) => node.isReady()), readyMs);
     for (const node of nodes) {
-      const wire = operatorApi(node);
-      const page = await finish(world, wire.request('/operator/layout'));
+      const api = operatorApi(node);
+      const page = await finish(world, api.request('/operator/layout'));
       expect([page.status, await page.json()]).to.deep.equal([200, upgradeData.layoutPage]);
-      const change = await finish(world, wire.request('/operator/changes/add-lane'));
+      const change = await finish(world, api.request('/operator/changes/add-lane'));
       expect(await change.json()).to.include({ outcome: 'accepted', generation: upgradeData.layoutPage.generation });
       expect(node.acceptor.agreed()?.members).to.deep.equal(postmaster.seats);
     }
     const leases = () => nodes.flatMap((node) => node.leaseManager.status());
-    const dutyCount = Object.keys(postmaster.fences).length;
-    await world.until('all leases', () => new Set(leases().map(({ duty }) => duty)).size === dutyCount, leaseMs);
+    const leaseCount = Object.keys(postmaster.fences).length;
+    await world.until('all leases', () => new Set(leases().map(({ duty }) => duty)).size === leaseCount, leaseMs);
     for (const { duty, fence } of leases()) expect(fence, duty).to.be.above(postmaster.fences[duty] as number);
   });
 });
 
 describe('settings files of an earlier release', () => {
-  it("given the core role's, when it is read, then every field means what it meant", () => {
-    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
+  it('given the file of a control node, when it is read, then every field has its previous meaning', () => {
+    const { settings, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
-    expect(env).to.deep.equal({
+    expect(settings).to.deep.equal({
       name: 'core-2',
       zone: 'z1',
       zones: { z0: 'r', z1: 'r', z2: 'r' },
@@ -179,10 +179,10 @@
     });
   });
 
-  it("given the edge role's, when it is read, then every field means what it meant", () => {
-    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
+  it('given the file of an edge, when it is read, then every field has its previous meaning', () => {
+    const { settings, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
-    expect(env).to.deep.equal({
+    expect(settings).to.deep.equal({
       name: 'edge-1',
       zone: 'z0',
       zones: { z0: 'r', z1: 'r', z2: 'r' },
@@ -223,7 +223,7 @@
     index: false,
   };
 
-  it("given the postmaster's, when it is checked, then every field means what it meant", () => {
+  it('given the file of a gateway control node, when it is checked, then every field has its previous meaning', () => {
     expect(
       gatewaySettings.check('gateway-control', upgradeData.settings('postmaster'), {})._unsafeUnwrap(),
     ).to.deep.equal({
@@ -238,7 +238,7 @@
     });
   });
 
-  it("given the counter's, when it is checked, then every field means what it meant", () => {
+  it('given the file of a gateway, when it is checked, then every field has its previous meaning', () => {
     expect(gatewaySettings.check('gateway', upgradeData.settings('counter'), {})._unsafeUnwrap()).to.deep.equal({
       ...common,
       role: 'gateway',
@@ -251,7 +251,7 @@
     });
   });
 
-  it("given the operator's layout, when it is checked, then it is taken", () => {
+  it("given the operator's configuration, when it is checked, then it is valid", () => {
     expect(gatewayConfigs.check(upgradeData.layoutPage.layout).isOk()).to.equal(true);
   });
 });
--- a/packages/control-plane/test/upgradeData.ts
+++ b/packages/control-plane/test/upgradeData.ts
@@ -1,4 +1,4 @@
-/** Data folders and settings files that an earlier release wrote; `data/upgrade/README.md` tells how they were made. */
+/** Data folders and settings files written by an earlier release; `data/upgrade/README.md` describes how. */
 import { cpSync, mkdtempSync, readFileSync, readdirSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -7,10 +7,10 @@
 
 const folder = fileURLToPath(new URL('../../../../../packages/control-plane/test/data/upgrade/', import.meta.url));
 
-/** What one platform control node held, by the earlier release's own reading of its folder. */
-interface CoreExpectation {
+/** State of one platform control node, as the earlier release read it from the folder. */
+interface ControlNodeExpectation {
   readonly incarnation: string;
-  /** Whether it may take part in founding a fleet. */
+  /** Whether the node may take part in a cluster bootstrap. */
   readonly isFresh: boolean;
   readonly generation: number;
   readonly version: number;
@@ -23,7 +23,7 @@
     readonly seats: readonly Member[];
     readonly namedVersions: Record<string, number>;
     readonly version: number;
-    readonly nodes: Record<string, CoreExpectation>;
+    readonly nodes: Record<string, ControlNodeExpectation>;
   };
   readonly postmaster: {
     readonly seats: readonly Member[];
@@ -49,7 +49,7 @@
   settings: (role: 'core' | 'edge' | 'postmaster' | 'counter'): Record<string, unknown> =>
     json(`settings/${role}.json`),
   settingsPath: (role: 'core' | 'edge'): string => join(folder, `settings/${role}.json`),
-  /** Copies a node's data folder to a new temporary one; the path of the copy. */
+  /** Copies a node's data folder to a new temporary folder, and returns the path of the copy. */
   copyOf: (node: string): string => {
     const copy = mkdtempSync(join(tmpdir(), `${node}-`));
     cpSync(join(folder, node), copy, { recursive: true });
--- a/packages/control-plane/test/upgradedNodes.ts
+++ b/packages/control-plane/test/upgradedNodes.ts
@@ -1,4 +1,4 @@
-/** Starts control nodes on data folders of an earlier release by their ordinary start, in a simulated world. */
+/** Starts control nodes on data folders of an earlier release in a simulated world, as in normal operation. */
 import { PlatformClient, boots } from '@martenworks/platform';
 import { controlNodes, gatewayControlNodes } from '@martenworks/control-plane';
 import type { ControlNode, GatewayControlNode } from '@martenworks/control-plane';
@@ -10,11 +10,11 @@
 
 const numberOf = (node: string): number => Number(node.split('-')[1]);
 
-const coreHost = (node: string): string => `127.77.1.${numberOf(node)}`;
-const postmasterHost = (node: string): string => `127.78.0.${numberOf(node)}`;
+const controlNodeHost = (node: string): string => `127.77.1.${numberOf(node)}`;
+const gatewayControlHost = (node: string): string => `127.78.0.${numberOf(node)}`;
 
-const startCore = async (node: string, ports: Ports, dataFolder: string): Promise<ControlNode> => {
-  const host = coreHost(node);
+const startOnPorts = async (node: string, ports: Ports, dataFolder: string): Promise<ControlNode> => {
+  const host = controlNodeHost(node);
   const settings = {
     ...upgradeData.settings('core'),
     nodeName: node,
@@ -22,13 +22,13 @@
     bindAddrs: { control: `${host}:8169` },
     dataFolder,
   };
-  const { settings: env, platformApi } = boots.check(settings)._unsafeUnwrap();
-  const backEnds = new PlatformClient(ports.httpClient, ports.clock, platformApi, env.listTimeoutMs);
-  return (await controlNodes.start(env, ports, backEnds, env.seeds))._unsafeUnwrap();
+  const { settings: nodeSettings, platformApi } = boots.check(settings)._unsafeUnwrap();
+  const backendClient = new PlatformClient(ports.httpClient, ports.clock, platformApi, nodeSettings.listTimeoutMs);
+  return (await controlNodes.start(nodeSettings, ports, backendClient, nodeSettings.seeds))._unsafeUnwrap();
 };
 
-const startPostmaster = async (node: string, ports: Ports, data: string): Promise<GatewayControlNode> => {
-  const host = postmasterHost(node);
+const startGatewayControlOnPorts = async (node: string, ports: Ports, data: string): Promise<GatewayControlNode> => {
+  const host = gatewayControlHost(node);
   const settings = {
     ...upgradeData.settings('postmaster'),
     name: node,
@@ -37,23 +37,23 @@
     http: `${host}:7101`,
     data,
   };
-  const env = gatewaySettings.check('gateway-control', settings, {})._unsafeUnwrap();
-  return (await gatewayControlNodes.start(env, ports))._unsafeUnwrap();
+  const gatewayControlSettings = gatewaySettings.check('gateway-control', settings, {})._unsafeUnwrap();
+  return (await gatewayControlNodes.start(gatewayControlSettings, ports))._unsafeUnwrap();
 };
 
-const onSimulatedDisk = async (world: SimWorld, node: string, host: string): Promise<Ports> => {
+const portsWithData = async (world: SimWorld, node: string, host: string): Promise<Ports> => {
   const ports = world.machine(host).ports();
   await upgradeData.load(node, ports.disk);
   return ports;
 };
 
-/** Waits in the world's time for work that needs it. */
+/** Runs the simulated world until the work is done, and returns its result. */
 export const finish = async <T>(world: SimWorld, work: T | Promise<T>): Promise<T> => {
   let isDone = false;
-  const note = (): void => {
+  const markDone = (): void => {
     isDone = true;
   };
-  void Promise.resolve(work).then(note, note);
+  void Promise.resolve(work).then(markDone, markDone);
   await world.until('the work', () => isDone);
   return work;
 };
@@ -61,29 +61,31 @@
 const seed = 1;
 
 export const upgradedNodes = {
-  /** One control node of the platform alone, on a copy of its folder on a real disk. */
-  coreAlone: (node: string, copy: string): Promise<ControlNode> => {
-    const ports = new SimWorld(seed).machine(coreHost(node)).ports();
-    return startCore(node, { ...ports, disk: machine.disk(copy) }, copy);
+  /** Starts a single platform control node on a copy of its folder on the real disk. */
+  startControlNode: (node: string, copy: string): Promise<ControlNode> => {
+    const ports = new SimWorld(seed).machine(controlNodeHost(node)).ports();
+    return startOnPorts(node, { ...ports, disk: machine.disk(copy) }, copy);
   },
-  /** One control node of the product's own wire alone, on a copy of its folder on a real disk. */
-  postmasterAlone: (node: string, copy: string): Promise<GatewayControlNode> => {
-    const ports = new SimWorld(seed).machine(postmasterHost(node)).ports();
-    return startPostmaster(node, { ...ports, disk: machine.disk(copy) }, copy);
+  /** Starts a single gateway control node on a copy of its folder on the real disk. */
+  startGatewayControlNode: (node: string, copy: string): Promise<GatewayControlNode> => {
+    const ports = new SimWorld(seed).machine(gatewayControlHost(node)).ports();
+    return startGatewayControlOnPorts(node, { ...ports, disk: machine.disk(copy) }, copy);
   },
-  cores: (world: SimWorld, nodes: readonly string[]): Promise<ControlNode[]> =>
+  /** Starts platform control nodes together, on simulated disks with the contents of their folders. */
+  startControlNodes: (world: SimWorld, nodes: readonly string[]): Promise<ControlNode[]> =>
     finish(
       world,
       Promise.all(
-        nodes.map(async (node) => startCore(node, await onSimulatedDisk(world, node, coreHost(node)), '/data')),
+        nodes.map(async (node) => startOnPorts(node, await portsWithData(world, node, controlNodeHost(node)), '/data')),
       ),
     ),
-  postmasters: (world: SimWorld, nodes: readonly string[]): Promise<GatewayControlNode[]> =>
+  /** Starts gateway control nodes together, on simulated disks with the contents of their folders. */
+  startGatewayControlNodes: (world: SimWorld, nodes: readonly string[]): Promise<GatewayControlNode[]> =>
     finish(
       world,
       Promise.all(
         nodes.map(async (node) =>
-          startPostmaster(node, await onSimulatedDisk(world, node, postmasterHost(node)), '/data'),
+          startGatewayControlOnPorts(node, await portsWithData(world, node, gatewayControlHost(node)), '/data'),
         ),
       ),
     ),
