--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -19,13 +19,13 @@
 import { SourceScorer } from './sourceScorer.js';
 import { StateReceiver } from './stateReceiver.js';
 
-const pingMs = 500;
-const sourcePingMs = 250;
+const pingIntervalMs = 500;
+const sourcePingIntervalMs = 250;
 const pingTimeoutMs = 900;
-const chooseMs = 150;
-const staleListFactor = 3;
-const edgeCountHoldFactor = 2;
-const dialPace = { timeoutMs: 700, longestWaitMs: 400 };
+const sourceSelectionIntervalMs = 150;
+const maxListAgeFactor = 3;
+const edgeCountWindows = 2;
+const dialOptions = { timeoutMs: 700, longestWaitMs: 400 };
 
 /**
  * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
@@ -52,7 +52,7 @@
   private readonly timers: RepeatingTimer[];
   private source: PeerConnection | null = null;
   /** An edge that has just started has heard of no majority yet. */
-  private lastHeardAt = Number.NEGATIVE_INFINITY;
+  private lastMajorityContactAt = Number.NEGATIVE_INFINITY;
   private edgeCountReport = { edges: 1, at: 0 };
 
   constructor(
@@ -63,7 +63,7 @@
     private readonly listeners: ControlListeners,
   ) {
     const { clock, random } = ports;
-    this.scorer = new SourceScorer(settings.zone, settings.listIntervalMs * staleListFactor + settings.listTimeoutMs);
+    this.scorer = new SourceScorer(settings.zone, settings.listIntervalMs * maxListAgeFactor + settings.listTimeoutMs);
     this.receiver = new StateReceiver({
       clock,
       scorer: this.scorer,
@@ -79,12 +79,12 @@
       this.memberList,
       () => (this.receiver.state()?.members ?? []).map((member) => member.address),
       this.handlers(),
-      dialPace,
+      dialOptions,
     );
     this.timers = [
-      new RepeatingTimer(clock, () => pingMs * (0.9 + 0.2 * random.fraction()), this.ping),
-      new RepeatingTimer(clock, () => sourcePingMs * (0.9 + 0.2 * random.fraction()), this.pingSource),
-      new RepeatingTimer(clock, () => chooseMs, this.step),
+      new RepeatingTimer(clock, () => pingIntervalMs * (0.9 + 0.2 * random.fraction()), this.ping),
+      new RepeatingTimer(clock, () => sourcePingIntervalMs * (0.9 + 0.2 * random.fraction()), this.pingSource),
+      new RepeatingTimer(clock, () => sourceSelectionIntervalMs, this.selectSourceAndFetch),
     ];
   }
 
@@ -106,13 +106,13 @@
       if (connection.peer?.role !== 'control') return;
       this.memberList.heard(connection.peer);
       connection.tell('subscribe', { ...this.statePosition(), wantsContent: false });
-      this.choose();
+      this.selectSource();
     },
     left: (connection) => {
       this.scorer.forget(connection);
       this.receiver.forget(connection);
       if (this.source === connection) this.source = null;
-      this.step();
+      this.selectSourceAndFetch();
     },
     told: this.receive,
     asked: async (connection, topic, body) => {
@@ -153,12 +153,12 @@
   private readonly controlNodes = (): PeerConnection[] =>
     this.peerPool.open().filter((connection) => connection.peer?.role === 'control');
 
-  private readonly step = (): void => {
-    this.choose();
+  private readonly selectSourceAndFetch = (): void => {
+    this.selectSource();
     this.receiver.fetchNewer();
   };
 
-  private readonly choose = (): void => {
+  private readonly selectSource = (): void => {
     const best = this.scorer.best(this.controlNodes());
     if (best === null || best === this.source) return;
     if (this.source?.isLive() === true && !this.scorer.isBetter(best, this.source)) return;
@@ -186,15 +186,16 @@
             if (reply.error.code === 'late' && connection.silentMs() >= pingTimeoutMs) connection.close();
             return;
           }
-          if (edgeMessages.isPong(reply.value)) this.takePong(connection, reply.value, askedAt);
+          if (edgeMessages.isPong(reply.value)) this.handlePong(connection, reply.value, askedAt);
         }),
     );
   };
 
-  private readonly takePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
-    if (pong.majorityHeardMs !== null) this.lastHeardAt = Math.max(this.lastHeardAt, askedAt - pong.majorityHeardMs);
+  private readonly handlePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
+    if (pong.majorityHeardMs !== null)
+      this.lastMajorityContactAt = Math.max(this.lastMajorityContactAt, askedAt - pong.majorityHeardMs);
     this.scorer.recordPong(connection, pong);
-    this.noteEdgeCount(pong.edgeCount);
+    this.recordEdgeCount(pong.edgeCount);
     this.receiver.handleAnnouncement(connection, pong.logIndex);
   };
 
@@ -213,9 +214,9 @@
   /** The newest state that this edge has received; null before the first. */
   readonly state = (): EdgeState | null => this.receiver.state();
 
-  private readonly noteEdgeCount = (edges: number): void => {
+  private readonly recordEdgeCount = (edges: number): void => {
     const now = this.ports.clock.now();
-    const isOver = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountHoldFactor;
+    const isOver = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountWindows;
     if (edges >= this.edgeCountReport.edges || isOver) this.edgeCountReport = { edges: Math.max(1, edges), at: now };
   };
 
@@ -229,7 +230,7 @@
    * Milliseconds since a majority of the members was alive for sure: by the latest pong, less the age of the majority's
    * messages that it states.
    */
-  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastHeardAt;
+  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastMajorityContactAt;
 
   /** The control connections for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -2,13 +2,13 @@
 import type { EdgePong } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
 
-const silenceLimitMs = 800;
+const contactTimeoutMs = 800;
 
 /**
  * A control node that hears a majority comes before one with a current endpoint list, and that before one in the edge's
  * zone.
  */
-const scores = { answering: 1, near: 1, currentList: 4, majority: 8 } as const;
+const scores = { responsive: 1, sameZone: 1, currentList: 4, majority: 8 } as const;
 
 /** Scores control nodes by their latest pongs. */
 export class SourceScorer {
@@ -30,12 +30,12 @@
   readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
 
   /** Whether the connection has brought nothing for so long that the node may be gone. */
-  readonly isUnresponsive = (connection: PeerConnection): boolean => connection.silentMs() > silenceLimitMs;
+  readonly isUnresponsive = (connection: PeerConnection): boolean => connection.silentMs() > contactTimeoutMs;
 
   /** The connection with the highest score, the first among equals; null where there is none. */
   readonly best = (connections: readonly PeerConnection[]): PeerConnection | null =>
     connections.reduce<PeerConnection | null>(
-      (found, connection) => (found === null || this.score(connection) > this.score(found) ? connection : found),
+      (best, connection) => (best === null || this.score(connection) > this.score(best) ? connection : best),
       null,
     );
 
@@ -53,10 +53,10 @@
     if (pong === undefined || this.isUnresponsive(connection)) return 0;
     const isCurrent = pong.listAgeMs !== null && pong.listAgeMs <= this.listAgeLimitMs;
     return (
-      scores.answering +
+      scores.responsive +
       (isCurrent ? scores.currentList : 0) +
       (pong.hasMajority ? scores.majority : 0) +
-      (connection.peer?.zone === this.zone ? scores.near : 0)
+      (connection.peer?.zone === this.zone ? scores.sameZone : 0)
     );
   };
 }
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -48,7 +48,7 @@
 
   /** Takes a state where it is newer, and acknowledges what the edge has afterwards. */
   readonly handleState = (connection: PeerConnection, message: EdgeStateMessage): void => {
-    if (this.latest === null || message.logIndex > this.latest.logIndex) this.takeNewer(connection, message);
+    if (this.latest === null || message.logIndex > this.latest.logIndex) this.applyNewer(connection, message);
     connection.tell('ack', this.position());
   };
 
@@ -68,14 +68,14 @@
    * arrives.
    */
   readonly fetchNewer = (): void => {
-    if (this.pendingFetch !== null || this.isStateArriving() || this.isSourceTrusted()) return;
+    if (this.pendingFetch !== null || this.isStateArriving() || this.isSourcePushPending()) return;
     const { scorer, source, controlNodes } = this.options;
     const ahead = controlNodes().filter((connection) => this.isAhead(connection) && !scorer.isUnresponsive(connection));
     const best = ahead.find((connection) => connection === source()) ?? scorer.best(ahead);
     if (best !== null) this.fetch(best, this.position().configVersion);
   };
 
-  private readonly takeNewer = (connection: PeerConnection, message: EdgeStateMessage): void => {
+  private readonly applyNewer = (connection: PeerConnection, message: EdgeStateMessage): void => {
     const { configVersion, packedTable } = message;
     const current = this.position().configVersion;
     if (packedTable === null) {
@@ -104,7 +104,7 @@
       .some((connection) => connection.isReceiving('state') && !this.options.scorer.isUnresponsive(connection));
 
   /** Whether the source has a newer state and may still be left to push it. */
-  private readonly isSourceTrusted = (): boolean => {
+  private readonly isSourcePushPending = (): boolean => {
     const source = this.options.source();
     if (source === null || !this.isAhead(source) || this.options.scorer.isUnresponsive(source)) return false;
     const sinceMs = Math.max(this.announced.get(source)?.at ?? 0, this.receivedAt);
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -43,6 +43,6 @@
   readonly place: (question: PlacementQuery) => Placement | null;
   readonly hasUntriedReplica: (pool: string, avoided: ReadonlySet<string>) => boolean;
   readonly nextPrefillId: () => string;
-  readonly checkExpectedHit: (timing: ResponseTiming, spentMs: number) => boolean;
+  readonly checkExpectedHit: (timing: ResponseTiming, elapsedMs: number) => boolean;
   readonly reject: (call: Call, status: number, message: string, comeBackMs: number | null) => void;
 }
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -32,8 +32,8 @@
 import { ReplicaSelector } from './routing/replicaSelector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
-const connectionShare = 0.8;
-const usualConnections = 64;
+const connectionLimitShare = 0.8;
+const defaultConnectionLimit = 64;
 const metricsIntervalMs = 10_000;
 
 /** An edge: takes callers' requests, places each, and relays what the replica answers. */
@@ -54,7 +54,7 @@
   private readonly metricsTimer: RepeatingTimer;
   private readonly tableIndexer = new RoutingTableIndexer();
   readonly weightsTargets: WeightsTargets;
-  private readonly eviction: StaleEntryEviction;
+  private readonly staleEntryEviction: StaleEntryEviction;
   private readonly admission: RequestAdmission;
   private view: RoutingTableView | null = null;
   private hasEndpoints = false;
@@ -77,8 +77,8 @@
       onEndpoints: this.applyEndpoints,
       onWeights: this.replicaTracker.applyWeights,
       onPrefixCaches: this.prefixCaches.apply,
-      onPrefillNotices: (bundle) => bundle.forEach(this.takeReading),
-      onCacheMiss: (report) => this.eviction.applyReport(report),
+      onPrefillNotices: (bundle) => bundle.forEach(this.applyPrefillNotice),
+      onCacheMiss: (report) => this.staleEntryEviction.applyReport(report),
       isReady: () => this.isReady(),
     });
     this.retryBudget = new RetryBudget(
@@ -87,7 +87,7 @@
       this.control.edgeCount,
     );
     this.weightsTargets = new WeightsTargets(clock, settings.versionMs);
-    this.eviction = new StaleEntryEviction({
+    this.staleEntryEviction = new StaleEntryEviction({
       isEnabled: settings.detectsStaleEntries,
       detector: this.staleEntryDetector,
       prefixCaches: this.prefixCaches,
@@ -95,7 +95,7 @@
       log: ports.log,
       report: this.control.reportCacheMiss,
     });
-    this.admission = new RequestAdmission(headerCodec, random, this.admittingView, () => this.view);
+    this.admission = new RequestAdmission(headerCodec, random, this.confirmedView, () => this.view);
     this.replicaSelector = new ReplicaSelector(this.replicaTracker, this.prefixCaches, clock, this.weightsTargets);
     this.metricsTimer = new RepeatingTimer(
       clock,
@@ -117,13 +117,14 @@
       this.prefixCaches.onIncarnationChange(address);
       this.staleEntryDetector.onIncarnationChange(address);
     }
-    for (const address of vacatedAddresses) if (!this.isStore(address)) this.prefixCaches.onAddressVacated(address);
+    for (const address of vacatedAddresses)
+      if (!this.isCacheStore(address)) this.prefixCaches.onAddressVacated(address);
   };
 
-  private readonly isStore = (address: string): boolean =>
+  private readonly isCacheStore = (address: string): boolean =>
     this.view?.routingTable.stores.some((store) => store.address === address) === true;
 
-  private readonly takeReading = (update: PrefillNotice): void => {
+  private readonly applyPrefillNotice = (update: PrefillNotice): void => {
     if (update.id.startsWith(this.prefillIdPrefix)) return;
     this.replicaTracker.applyPrefillNotice(update);
     const address = this.replicaTracker.addressOf(update.replica);
@@ -131,9 +132,9 @@
       this.prefixCaches.recordPrefill(address, update.salt, update.part);
   };
 
-  private readings = 0;
+  private prefillCount = 0;
 
-  readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
+  readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.prefillCount).toString(36)}`;
 
   /**
    * Takes the state in force as a control node tells it; a configuration version that it has already changes nothing.
@@ -154,24 +155,24 @@
    * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and has heard
    * of a majority within `controlLossTimeoutMs` where that is set.
    */
-  readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isUnheard();
+  readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isControlLost();
 
-  private readonly admittingView = (): RoutingTableView | null =>
-    this.hasEndpoints && !this.isUnheard() ? this.view : null;
+  private readonly confirmedView = (): RoutingTableView | null =>
+    this.hasEndpoints && !this.isControlLost() ? this.view : null;
 
-  private readonly isUnheard = (): boolean =>
+  private readonly isControlLost = (): boolean =>
     this.settings.controlLossTimeoutMs !== null &&
     this.control.sinceMajorityContactMs() > this.settings.controlLossTimeoutMs;
 
-  private readonly connections = (pool: string): number => {
+  private readonly connectionLimit = (pool: string): number => {
     const limit = this.view?.pool(pool)?.connectionLimit ?? null;
     return limit === null
-      ? usualConnections
-      : Math.max(1, Math.floor((limit * connectionShare) / this.control.edgeCount()));
+      ? defaultConnectionLimit
+      : Math.max(1, Math.floor((limit * connectionLimitShare) / this.control.edgeCount()));
   };
 
   readonly place = (question: PlacementQuery): Placement | null =>
-    this.view === null ? null : this.replicaSelector.place(question, this.view, this.connections(question.pool));
+    this.view === null ? null : this.replicaSelector.place(question, this.view, this.connectionLimit(question.pool));
 
   readonly hasUntriedReplica = (pool: string, avoided: ReadonlySet<string>): boolean =>
     this.replicaTracker
@@ -202,8 +203,8 @@
   };
 
   /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
-  readonly checkExpectedHit = (timing: ResponseTiming, spentMs: number): boolean =>
-    this.eviction.checkExpectedHit(timing, spentMs);
+  readonly checkExpectedHit = (timing: ResponseTiming, elapsedMs: number): boolean =>
+    this.staleEntryEviction.checkExpectedHit(timing, elapsedMs);
 
   /** Listens on the address of the settings; fails with the network error of the system, for instance `EADDRINUSE`. */
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
--- a/packages/edge-proxy/src/errors.ts
+++ b/packages/edge-proxy/src/errors.ts
@@ -29,9 +29,9 @@
   readonly code: 'CALLER_GONE';
 }
 
-const readyWaitMs = 250;
+const notReadyRetryAfterMs = 250;
 
-const rejected = (
+const rejection = (
   code: AdmissionErrorCode,
   status: number,
   message: string,
@@ -46,11 +46,13 @@
 
 /** The rejections with the statuses and messages that callers get. */
 export const admissionErrors = {
-  notReady: rejected('NOT_READY', 503, 'this front does not know yet what is in force', { retryAfterMs: readyWaitMs }),
-  routeNotFound: rejected('ROUTE_NOT_FOUND', 404, 'no way leads there'),
-  keyNotGranted: rejected('KEY_NOT_GRANTED', 401, 'the key is not granted'),
-  headersTooLarge: rejected('HEADERS_TOO_LARGE', 431, 'the headers are too large', { closesConnection: true }),
-  bodyTooLarge: rejected('BODY_TOO_LARGE', 413, 'the body is too large', { closesConnection: true }),
+  notReady: rejection('NOT_READY', 503, 'this front does not know yet what is in force', {
+    retryAfterMs: notReadyRetryAfterMs,
+  }),
+  routeNotFound: rejection('ROUTE_NOT_FOUND', 404, 'no way leads there'),
+  keyNotGranted: rejection('KEY_NOT_GRANTED', 401, 'the key is not granted'),
+  headersTooLarge: rejection('HEADERS_TOO_LARGE', 431, 'the headers are too large', { closesConnection: true }),
+  bodyTooLarge: rejection('BODY_TOO_LARGE', 413, 'the body is too large', { closesConnection: true }),
   /** `detail` tells which header is wrong. */
-  malformedHeaders: (detail: string): AdmissionError => rejected('MALFORMED_HEADERS', 400, detail),
+  malformedHeaders: (detail: string): AdmissionError => rejection('MALFORMED_HEADERS', 400, detail),
 };
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -10,9 +10,9 @@
 import type { AttemptOutcome, StopCause } from './retryPolicy.js';
 import type { Placement } from '../routing/placement.js';
 
-const fullRestMs = 150;
-const largestDrainedBytes = 65_536;
-const silenceRecheckMs = 100;
+const defaultFullBackoffMs = 150;
+const maxDrainedChunkBytes = 65_536;
+const abandonRecheckMs = 100;
 const notSent: AttemptOutcome = { kind: 'not run', wasDelivered: false, retryAfterMs: null };
 
 /** What a request has gone through so far; its attempts, which follow one another, keep it. */
@@ -43,15 +43,15 @@
 export class Attempt {
   private readonly abort = new AbortController();
   private readonly stopped: Promise<StopCause>;
-  private tellStopped: (cause: StopCause) => void = () => {};
+  private resolveStopped: (cause: StopCause) => void = () => {};
   private stopCause: StopCause | null = null;
   private readonly timing: PromptTiming;
   private readonly oldWeights: OldWeightsReport;
-  private readonly mayLeave: boolean;
+  private readonly mayAbandon: boolean;
   private readonly mightHaveRunBefore: boolean;
-  private readonly firstTimeoutMs: number;
-  private readonly gapTimeoutMs: number;
-  private silence: Timer;
+  private readonly firstChunkTimeoutMs: number;
+  private readonly streamIdleTimeoutMs: number;
+  private idleTimer: Timer;
   private isWritten = false;
   private startWithinMs = Infinity;
   private startTimer: Timer | null = null;
@@ -65,50 +65,50 @@
     const { admission, progress, relay } = request;
     const { route, mayRepeat } = admission.view;
     this.stopped = new Promise((resolve) => {
-      this.tellStopped = resolve;
+      this.resolveStopped = resolve;
     });
     this.timing = new PromptTiming(context, admission, placed, relay.resumeAfter() !== null);
     this.oldWeights = new OldWeightsReport(context, admission, placed);
-    this.mayLeave = mayRepeat && progress.attempts + 1 < route.maxAttempts;
+    this.mayAbandon = mayRepeat && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
     const typicalFirstChunkMs = replicaTracker.prefillRates.typicalFirstChunkMs(admission.pool);
-    this.firstTimeoutMs = retryPolicy.firstChunkTimeoutMs({
+    this.firstChunkTimeoutMs = retryPolicy.firstChunkTimeoutMs({
       targetMs: route.latencyTargetMs,
       costMs,
       typicalFirstChunkMs,
     });
-    this.gapTimeoutMs = retryPolicy.streamIdleTimeoutMs(route, request.remainingMs());
-    const timeoutMs = this.mayLeave ? this.firstTimeoutMs : this.firstTimeoutMs * 2;
-    this.silence = ports.clock.after(timeoutMs, this.firstIsLate);
+    this.streamIdleTimeoutMs = retryPolicy.streamIdleTimeoutMs(route, request.remainingMs());
+    const timeoutMs = this.mayAbandon ? this.firstChunkTimeoutMs : this.firstChunkTimeoutMs * 2;
+    this.idleTimer = ports.clock.after(timeoutMs, this.onFirstChunkLate);
   }
 
   /** Sends the request, passes its answer on, and tells how that ended. Runs once. */
   readonly run = async (): Promise<AttemptOutcome> => {
     const { tracked } = this.placed;
     const { cancelSignal } = this.request;
-    cancelSignal.addEventListener('abort', this.quitted, { once: true });
-    tracked.removalListeners.add(this.replicaGone);
+    cancelSignal.addEventListener('abort', this.onCancelled, { once: true });
+    tracked.removalListeners.add(this.onReplicaRemoved);
     this.begin();
     try {
-      const carried = this.carry();
-      const response = await Promise.race([carried, this.stopped]);
+      const sending = this.send();
+      const response = await Promise.race([sending, this.stopped]);
       if (this.isWritten) this.request.progress.deliveredAttempts += 1;
       if (typeof response === 'string') {
         background.run(
           'discard a late response',
-          carried.then((late) => late.map(this.discard)),
+          sending.then((late) => late.map(this.discard)),
         );
         return this.isWritten ? { kind: 'may have run', cause: `the replica was left: ${response}` } : notSent;
       }
-      return response.isErr() ? this.failed(response.error) : await this.answered(response.value);
+      return response.isErr() ? this.handleNetworkError(response.error) : await this.handleResponse(response.value);
     } finally {
-      this.silence.cancel();
+      this.idleTimer.cancel();
       this.startTimer?.cancel();
       this.timing.endPrefill();
       this.context.replicaTracker.recordEnd(tracked);
-      tracked.removalListeners.delete(this.replicaGone);
-      cancelSignal.removeEventListener('abort', this.quitted);
+      tracked.removalListeners.delete(this.onReplicaRemoved);
+      cancelSignal.removeEventListener('abort', this.onCancelled);
     }
   };
 
@@ -122,18 +122,18 @@
     replicaTracker.recordStart(this.placed.tracked, this.placed.prefillTokens);
   };
 
-  private readonly carry = () => {
+  private readonly send = () => {
     const { ports, headerCodec } = this.context;
     const { call, customer, view, body } = this.request.admission;
     const { tracked, salt, version, holder, store } = this.placed;
     const { endpoint } = tracked;
-    const leftMs = this.boundStart();
+    const remainingMs = this.boundStart();
     return ports.httpClient.send({
       method: call.method,
       url: `http://${endpoint.address}${call.target}`,
       headers: headerCodec.attemptHeaders(headerLists.endToEnd(call.headers), {
         replica: endpoint.id,
-        leftMs,
+        leftMs: remainingMs,
         tenant: customer?.name ?? null,
         urgency: customer?.rank ?? view.route.rank,
         salt,
@@ -155,12 +155,12 @@
    * A request that may run for longer than that is told all it has; the edge itself leaves it if it has not begun.
    */
   private readonly boundStart = (): number => {
-    const leftMs = Math.max(1, Math.floor(this.request.remainingMs()));
-    this.startWithinMs = Math.min(leftMs, this.startWindowMs());
-    if (leftMs <= this.context.settings.versionMs) return Math.max(1, Math.floor(this.startWithinMs));
-    if (this.startWithinMs < leftMs)
+    const remainingMs = Math.max(1, Math.floor(this.request.remainingMs()));
+    this.startWithinMs = Math.min(remainingMs, this.startWindowMs());
+    if (remainingMs <= this.context.settings.versionMs) return Math.max(1, Math.floor(this.startWithinMs));
+    if (this.startWithinMs < remainingMs)
       this.startTimer = this.context.ports.clock.after(this.startWithinMs, () => this.stop('old weights'));
-    return leftMs;
+    return remainingMs;
   };
 
   private readonly startWindowMs = (): number => {
@@ -205,53 +205,53 @@
     if (this.stopCause !== null) return;
     this.stopCause = cause;
     this.abort.abort();
-    this.tellStopped(cause);
+    this.resolveStopped(cause);
   };
 
-  private readonly quitted = (): void => this.stop(this.request.cancelCause());
+  private readonly onCancelled = (): void => this.stop(this.request.cancelCause());
 
-  private readonly replicaGone = (): void => this.stop('gone');
+  private readonly onReplicaRemoved = (): void => this.stop('gone');
 
-  private readonly mayStillLeave = (): boolean =>
-    this.mayLeave &&
+  private readonly canAbandonNow = (): boolean =>
+    this.mayAbandon &&
     !this.context.isClosing &&
     this.context.retryBudget.remaining(this.request.admission.pool) > 0 &&
     this.request.hasAnotherReplica(this.placed);
 
   /** Leaves a silent replica once another one can take over; until then it is waited for: it may yet go on. */
-  private readonly leaveSilent = (): void => {
-    if (this.mayStillLeave()) this.stop('silent');
-    else if (this.mayLeave) this.silence = this.context.ports.clock.after(silenceRecheckMs, this.leaveSilent);
+  private readonly abandonIfPossible = (): void => {
+    if (this.canAbandonNow()) this.stop('silent');
+    else if (this.mayAbandon) this.idleTimer = this.context.ports.clock.after(abandonRecheckMs, this.abandonIfPossible);
   };
 
-  private readonly firstIsLate = (): void => {
+  private readonly onFirstChunkLate = (): void => {
     const { replicaTracker } = this.context;
     replicaTracker.health.recordSlow(this.placed.tracked);
-    replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, this.firstTimeoutMs);
-    this.leaveSilent();
+    replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, this.firstChunkTimeoutMs);
+    this.abandonIfPossible();
   };
 
-  private readonly pieceIsLate = (): void => {
+  private readonly onChunkLate = (): void => {
     this.context.replicaTracker.health.recordSlow(this.placed.tracked);
-    if (this.request.admission.view.route.isResumable) this.leaveSilent();
+    if (this.request.admission.view.route.isResumable) this.abandonIfPossible();
   };
 
-  private readonly heardPiece = (): void => {
-    this.silence.cancel();
-    this.silence = this.context.ports.clock.after(this.gapTimeoutMs, this.pieceIsLate);
+  private readonly onChunk = (): void => {
+    this.idleTimer.cancel();
+    this.idleTimer = this.context.ports.clock.after(this.streamIdleTimeoutMs, this.onChunkLate);
   };
 
-  private readonly takeBack = (): void => {
+  private readonly markNotRun = (): void => {
     this.request.progress.mayHaveRun = this.mightHaveRunBefore;
   };
 
-  private readonly failed = ({ code, isUnsent }: NetworkError): AttemptOutcome => {
+  private readonly handleNetworkError = ({ code, isUnsent }: NetworkError): AttemptOutcome => {
     const { replicaTracker, metrics } = this.context;
     if (code === 'GATED') return notSent;
     replicaTracker.health.recordFailure(this.placed.tracked);
     metrics.add('shots_failed');
     if (this.isWritten && !isUnsent) return { kind: 'may have run', cause: `the replica broke off: ${code}` };
-    this.takeBack();
+    this.markNotRun();
     if (this.isWritten) this.request.progress.deliveredAttempts -= 1;
     return notSent;
   };
@@ -262,7 +262,7 @@
     return view.mayRepeat && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0;
   };
 
-  private readonly answered = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
+  private readonly handleResponse = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
     const { replicaTracker } = this.context;
     const { tracked } = this.placed;
     const { status } = response;
@@ -270,7 +270,7 @@
     const head = this.headOf(status, headers);
     const hasResponseStarted = this.request.relay.hasStarted();
     const verdict = retryPolicy.headVerdict(status, head, { hasResponseStarted, mayTryAnother: this.mayTryAnother() });
-    if (verdict.kind === 'connection rejected') return this.turnedAway(response, head);
+    if (verdict.kind === 'connection rejected') return this.handleRejection(response, head);
     if (verdict.kind === 'drop') {
       this.abort.abort();
       this.discard(response);
@@ -282,17 +282,17 @@
     const { isSuccess, isFailure } = verdict;
     const outcome = await this.request.relay.forward(
       { status, headers, body: response.body, isResumable: isSuccess && route.kind === 'stream' && route.isResumable },
-      { onFirstChunk: () => this.firstPiece(isSuccess, isFailure), onChunk: this.heardPiece, stopped: this.stopped },
+      { onFirstChunk: () => this.onFirstChunk(isSuccess, isFailure), onChunk: this.onChunk, stopped: this.stopped },
     );
     if (outcome.kind !== 'whole') this.abort.abort();
     if (outcome.kind === 'may have run') replicaTracker.health.recordFailure(tracked);
     return outcome;
   };
 
-  private readonly turnedAway = (response: HttpClientResponse, head: ResponseHead): AttemptOutcome => {
+  private readonly handleRejection = (response: HttpClientResponse, head: ResponseHead): AttemptOutcome => {
     const { replicaTracker, metrics, ports } = this.context;
     const { tracked } = this.placed;
-    this.takeBack();
+    this.markNotRun();
     metrics.add('shots_turned_away');
     ports.log.info('connection rejected', {
       replica: tracked.endpoint.id,
@@ -302,22 +302,22 @@
     });
     for (const [model, version] of Object.entries(head.versions)) replicaTracker.recordWeights(tracked, model, version);
     if (head.isElsewhere) replicaTracker.health.recordFailure(tracked);
-    else replicaTracker.health.recordFull(tracked, head.retryAfterMs ?? fullRestMs);
+    else replicaTracker.health.recordFull(tracked, head.retryAfterMs ?? defaultFullBackoffMs);
     background.run('drain a rejected response', this.drain(response));
     return { kind: 'not run', wasDelivered: true, retryAfterMs: head.retryAfterMs };
   };
 
-  private readonly firstPiece = (isSuccess: boolean, isFailure: boolean): void => {
+  private readonly onFirstChunk = (isSuccess: boolean, isFailure: boolean): void => {
     const { replicaTracker } = this.context;
     const { tracked } = this.placed;
     this.startTimer?.cancel();
     this.timing.endPrefill();
     if (isSuccess) this.oldWeights.recordStart();
-    const spentMs = this.timing.elapsedMs();
-    if (isSuccess) replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, spentMs);
+    const elapsedMs = this.timing.elapsedMs();
+    if (isSuccess) replicaTracker.prefillRates.recordFirstChunk(this.request.admission.pool, elapsedMs);
     if (isFailure) replicaTracker.health.recordFailure(tracked);
     else replicaTracker.health.recordSuccess(tracked);
-    if (isSuccess) this.timing.recordFirstChunk(spentMs);
+    if (isSuccess) this.timing.recordFirstChunk(elapsedMs);
   };
 
   private readonly discard = (response: HttpClientResponse): void => {
@@ -327,7 +327,7 @@
   /** Reads a refusal to its end, so that its connection can be kept. */
   private readonly drain = async (response: HttpClientResponse): Promise<void> => {
     try {
-      for await (const bytes of response.body) if (bytes.length > largestDrainedBytes) return;
+      for await (const bytes of response.body) if (bytes.length > maxDrainedChunkBytes) return;
     } catch {
       return;
     }
--- a/packages/edge-proxy/src/forwarding/eventSplitter.ts
+++ b/packages/edge-proxy/src/forwarding/eventSplitter.ts
@@ -4,7 +4,7 @@
  */
 
 /** ASCII code of the line feed that ends every line of an event, after a carriage return or not. */
-const newline = 10;
+const lineFeed = 10;
 const carriageReturn = 13;
 
 /** One event with its terminating empty line; `id` is its last `id` field's value, null where it has none. */
@@ -25,10 +25,10 @@
 
   private readonly endOf = (bytes: Uint8Array): number => {
     for (let at = 0; at < bytes.length; at += 1) {
-      if (bytes[at] !== newline) continue;
+      if (bytes[at] !== lineFeed) continue;
       let next = at + 1;
       if (bytes[next] === carriageReturn) next += 1;
-      if (bytes[next] === newline) return next + 1;
+      if (bytes[next] === lineFeed) return next + 1;
     }
     return -1;
   };
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -7,16 +7,16 @@
 import type { StopCause } from './retryPolicy.js';
 import type { Placement } from '../routing/placement.js';
 
-const waitShare = 0.2;
-const waitStepMs = 15;
-const leastLeftMs = 15;
+const placementWaitShare = 0.2;
+const placementPollMs = 15;
+const minRemainingMs = 15;
 /** Latency targets, and share of the weights' bound, for which a replica must be given a request at least. */
-const neededTargets = 2;
+const neededLatencyTargets = 2;
 const neededVersionShare = 0.25;
-const shortestComeBackMs = 80;
-const comeBackSpreadMs = 160;
+const minRetryAfterMs = 80;
+const retryAfterJitterMs = 160;
 
-const statuses = { badGateway: 502, unavailable: 503, lateGateway: 504 } as const;
+const statuses = { badGateway: 502, unavailable: 503, gatewayTimeout: 504 } as const;
 
 /** One caller's request: placed, attempted at one replica after another where it may be, and answered once. */
 export class ForwardedRequest {
@@ -25,10 +25,10 @@
   private readonly relay: ResponseRelay;
   private readonly progress: RequestProgress = { attempts: 0, deliveredAttempts: 0, mayHaveRun: false };
   private readonly avoided = new Set<string>();
-  private readonly quit = new AbortController();
-  private quitCause: StopCause = 'caller left';
+  private readonly cancellation = new AbortController();
+  private cancelCause: StopCause = 'caller left';
   private isEnded = false;
-  private comeBackMs: number | null = null;
+  private rejectionRetryAfterMs: number | null = null;
 
   constructor(
     private readonly context: EdgeContext,
@@ -38,35 +38,35 @@
     this.relay = new ResponseRelay(call);
     this.arrivedAt = context.ports.clock.now();
     this.deadlineAt = this.arrivedAt + Math.min(metadata.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
-    call.onDisconnect(() => this.stop('caller left'));
+    call.onDisconnect(() => this.cancel('caller left'));
   }
 
   /** Resolves once the request is answered or nobody waits for an answer. */
   readonly run = async (): Promise<void> => {
-    const deadline = this.context.ports.clock.after(Math.max(0, this.leftMs()), () => this.stop('horizon'));
+    const deadline = this.context.ports.clock.after(Math.max(0, this.leftMs()), () => this.cancel('horizon'));
     try {
-      await this.attemptOn();
+      await this.runAttempts();
     } finally {
       deadline.cancel();
       this.context.metrics.add('calls');
     }
   };
 
-  private readonly attemptOn = async (): Promise<void> => {
+  private readonly runAttempts = async (): Promise<void> => {
     for (;;) {
-      const refusal = this.refusal();
-      if (refusal !== null) return this.giveUp(refusal);
-      if (this.hasCallerLeft()) return this.leave();
+      const reason = this.failureReason();
+      if (reason !== null) return this.fail(reason);
+      if (this.hasCallerDisconnected()) return this.endCancelled();
       const placed = await this.place();
-      if (placed === null) return this.giveUp('no replica takes it now');
+      if (placed === null) return this.fail('no replica takes it now');
       if (this.progress.deliveredAttempts > 0 && !this.context.retryBudget.trySpend(this.admission.pool))
-        return this.giveUp('no further shot is left');
+        return this.fail('no further shot is left');
       if (await this.attempt(placed)) return;
     }
   };
 
-  private readonly refusal = (): string | null => {
-    if (this.quit.signal.aborted) return this.hasCallerLeft() ? null : 'the time is over';
+  private readonly failureReason = (): string | null => {
+    if (this.cancellation.signal.aborted) return this.hasCallerDisconnected() ? null : 'the time is over';
     if (this.progress.deliveredAttempts >= this.admission.view.route.maxAttempts)
       return 'no further replica may be asked';
     return this.context.isStillAdmitted(this.admission) ? null : 'the way or the key was taken back';
@@ -83,8 +83,8 @@
         relay,
         remainingMs,
         hasAnotherReplica,
-        cancelSignal: this.quit.signal,
-        cancelCause: () => this.quitCause,
+        cancelSignal: this.cancellation.signal,
+        cancelCause: () => this.cancelCause,
       },
       placed,
     );
@@ -95,45 +95,46 @@
         this.isEnded = true;
         return true;
       case 'over':
-        this.leave();
+        this.endCancelled();
         return true;
       case 'not run':
-        if (outcome.wasDelivered) this.comeBackMs = outcome.retryAfterMs;
+        if (outcome.wasDelivered) this.rejectionRetryAfterMs = outcome.retryAfterMs;
         return false;
       case 'may have run':
-        return !this.mayGoOn(outcome.cause);
+        return !this.continueOrFail(outcome.cause);
     }
   };
 
-  private readonly mayGoOn = (cause: string): boolean => {
+  private readonly continueOrFail = (cause: string): boolean => {
     if (retryPolicy.mayRetry(this.admission.view, this.relay.hasStarted(), this.relay.isResumable())) return true;
-    if (this.hasCallerLeft()) this.leave();
-    else this.giveUp(cause);
+    if (this.hasCallerDisconnected()) this.endCancelled();
+    else this.fail(cause);
     return false;
   };
 
-  private readonly stop = (cause: StopCause): void => {
-    if (this.isEnded || this.quit.signal.aborted) return;
-    this.quitCause = cause;
-    this.quit.abort();
+  private readonly cancel = (cause: StopCause): void => {
+    if (this.isEnded || this.cancellation.signal.aborted) return;
+    this.cancelCause = cause;
+    this.cancellation.abort();
   };
 
-  private readonly hasCallerLeft = (): boolean => this.quit.signal.aborted && this.quitCause === 'caller left';
+  private readonly hasCallerDisconnected = (): boolean =>
+    this.cancellation.signal.aborted && this.cancelCause === 'caller left';
 
   private readonly leftMs = (): number => this.deadlineAt - this.context.ports.clock.now();
 
-  private readonly leave = (): void => {
+  private readonly endCancelled = (): void => {
     this.isEnded = true;
     this.context.metrics.add('caller_left');
   };
 
   /** Ends a request that no attempt answered: 503 promises that it has not run, 502 and 504 promise nothing. */
-  private readonly giveUp = (message: string): void => {
+  private readonly fail = (message: string): void => {
     if (!this.progress.mayHaveRun) this.reject(statuses.unavailable, message, true);
-    else this.reject(this.leftMs() <= leastLeftMs ? statuses.lateGateway : statuses.badGateway, message, false);
+    else this.reject(this.leftMs() <= minRemainingMs ? statuses.gatewayTimeout : statuses.badGateway, message, false);
   };
 
-  private readonly reject = (status: number, message: string, comesBack: boolean): void => {
+  private readonly reject = (status: number, message: string, mayRetryLater: boolean): void => {
     if (this.isEnded) return;
     this.isEnded = true;
     const { metrics, ports } = this.context;
@@ -148,11 +149,11 @@
       ms: Math.round(ports.clock.now() - this.arrivedAt),
     });
     if (this.relay.hasStarted()) this.relay.abort();
-    else this.context.reject(call, status, message, comesBack ? this.comeBackAfterMs() : null);
+    else this.context.reject(call, status, message, mayRetryLater ? this.retryAfterMs() : null);
   };
 
-  private readonly comeBackAfterMs = (): number =>
-    this.comeBackMs ?? shortestComeBackMs + comeBackSpreadMs * this.context.ports.random.fraction();
+  private readonly retryAfterMs = (): number =>
+    this.rejectionRetryAfterMs ?? minRetryAfterMs + retryAfterJitterMs * this.context.ports.random.fraction();
 
   private readonly placeAvoiding = (avoided: ReadonlySet<string>): Placement | null => {
     const { pool, metadata, customer } = this.admission;
@@ -165,25 +166,25 @@
   private readonly place = async (): Promise<Placement | null> => {
     const { clock } = this.context.ports;
     const { pool } = this.admission;
-    const untilAt = this.waitUntilAt();
+    const untilAt = this.placementDeadlineAt();
     for (;;) {
       const placed = this.placeAvoiding(this.avoided);
-      if (placed !== null || this.quit.signal.aborted || clock.now() + waitStepMs > untilAt) return placed;
+      if (placed !== null || this.cancellation.signal.aborted || clock.now() + placementPollMs > untilAt) return placed;
       if (!this.context.hasUntriedReplica(pool, this.avoided)) return null;
-      await new Promise<void>((wake) => void clock.after(waitStepMs, wake));
+      await new Promise<void>((wake) => void clock.after(placementPollMs, wake));
     }
   };
 
   private readonly neededMs = (): number =>
     Math.min(
       this.leftMs(),
-      this.admission.view.route.latencyTargetMs * neededTargets,
+      this.admission.view.route.latencyTargetMs * neededLatencyTargets,
       this.context.settings.versionMs * neededVersionShare,
     );
 
-  private readonly waitUntilAt = (): number => {
-    const waitMs = this.admission.view.route.latencyTargetMs * waitShare;
-    const resumesUntilAt = this.relay.hasStarted() ? this.context.ports.clock.now() + waitMs : 0;
-    return Math.min(this.deadlineAt, Math.max(this.arrivedAt + waitMs, resumesUntilAt));
+  private readonly placementDeadlineAt = (): number => {
+    const waitMs = this.admission.view.route.latencyTargetMs * placementWaitShare;
+    const resumptionDeadlineAt = this.relay.hasStarted() ? this.context.ports.clock.now() + waitMs : 0;
+    return Math.min(this.deadlineAt, Math.max(this.arrivedAt + waitMs, resumptionDeadlineAt));
   };
 }
--- a/packages/edge-proxy/src/forwarding/responseRelay.ts
+++ b/packages/edge-proxy/src/forwarding/responseRelay.ts
@@ -26,46 +26,46 @@
  * The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut.
  */
 export class ResponseRelay {
-  private reply: ResponseWriter | null = null;
-  private lastId: string | null = null;
-  private hasEvents = false;
+  private writer: ResponseWriter | null = null;
+  private lastEventId: string | null = null;
+  private hasForwardedEvents = false;
 
   constructor(private readonly call: Call) {}
 
   /** Whether the response to the caller has begun: from then on no status can be sent any more. */
-  readonly hasStarted = (): boolean => this.reply !== null;
+  readonly hasStarted = (): boolean => this.writer !== null;
 
   /** The id of the last event that was passed on whole, after which a resumption goes on. */
-  readonly resumeAfter = (): string | null => this.lastId;
+  readonly resumeAfter = (): string | null => this.lastEventId;
 
   /** Whether a further replica can tell where to go on. */
-  readonly isResumable = (): boolean => this.lastId !== null || !this.hasEvents;
+  readonly isResumable = (): boolean => this.lastEventId !== null || !this.hasForwardedEvents;
 
   /** Ends a begun answer so that it can't look whole; does nothing where none was begun. */
-  readonly abort = (): void => this.reply?.abort();
+  readonly abort = (): void => this.writer?.abort();
 
   /** Passes on one answer until it ends, breaks or is stopped. */
   readonly forward = async (answer: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
-    const cutter = answer.isResumable ? new EventSplitter() : null;
-    const steps = answer.body[Symbol.asyncIterator]();
-    const begin = this.beginner(answer, events.onFirstChunk);
+    const splitter = answer.isResumable ? new EventSplitter() : null;
+    const iterator = answer.body[Symbol.asyncIterator]();
+    const start = this.starter(answer, events.onFirstChunk);
     for (;;) {
-      let step: IteratorResult<Uint8Array> | StopCause;
+      let result: IteratorResult<Uint8Array> | StopCause;
       try {
-        step = await Promise.race([steps.next(), events.stopped]);
+        result = await Promise.race([iterator.next(), events.stopped]);
       } catch (cause) {
         return { kind: 'may have run', cause: `the stream broke: ${(cause as { code?: string }).code ?? 'unknown'}` };
       }
-      if (step === 'caller left') return { kind: 'over' };
-      if (typeof step === 'string') return { kind: 'may have run', cause: `the stream was left: ${step}` };
-      if (step.done === true) return this.finish(begin(), cutter);
+      if (result === 'caller left') return { kind: 'over' };
+      if (typeof result === 'string') return { kind: 'may have run', cause: `the stream was left: ${result}` };
+      if (result.done === true) return this.finish(start(), splitter);
       events.onChunk();
-      if (cutter === null) await begin().write(step.value);
-      else await this.passEvents(cutter, step.value, begin);
+      if (splitter === null) await start().write(result.value);
+      else await this.forwardEvents(splitter, result.value, start);
     }
   };
 
-  private readonly beginner = (
+  private readonly starter = (
     { status, headers, isResumable }: RelayedResponse,
     onFirst: () => void,
   ): (() => ResponseWriter) => {
@@ -73,39 +73,39 @@
     return () => {
       if (isFirst) onFirst();
       isFirst = false;
-      this.reply ??= this.call.respond(status, this.headersOf(headers, isResumable), false);
-      return this.reply;
+      this.writer ??= this.call.respond(status, this.headersOf(headers, isResumable), false);
+      return this.writer;
     };
   };
 
   private readonly headersOf = (headers: readonly string[], isResumable: boolean): string[] => {
-    const kept = headerLists.endToEnd(headers);
-    return isResumable ? headerLists.without(kept, contentLength) : kept;
+    const endToEnd = headerLists.endToEnd(headers);
+    return isResumable ? headerLists.without(endToEnd, contentLength) : endToEnd;
   };
 
-  private readonly finish = async (reply: ResponseWriter, cutter: EventSplitter | null): Promise<AttemptOutcome> => {
-    const rest = cutter?.remainder();
-    if (rest !== undefined && rest.length > 0) await reply.write(rest);
-    reply.end();
+  private readonly finish = async (writer: ResponseWriter, splitter: EventSplitter | null): Promise<AttemptOutcome> => {
+    const rest = splitter?.remainder();
+    if (rest !== undefined && rest.length > 0) await writer.write(rest);
+    writer.end();
     return { kind: 'whole' };
   };
 
-  private readonly passEvents = async (
-    cutter: EventSplitter,
+  private readonly forwardEvents = async (
+    splitter: EventSplitter,
     bytes: Uint8Array,
-    begin: () => ResponseWriter,
+    start: () => ResponseWriter,
   ): Promise<void> => {
-    for (const event of cutter.push(bytes)) {
-      if (this.isRepeat(event.id)) continue;
-      await begin().write(event.bytes);
-      this.hasEvents = true;
-      if (event.id !== null) this.lastId = event.id;
+    for (const event of splitter.push(bytes)) {
+      if (this.isDuplicate(event.id)) continue;
+      await start().write(event.bytes);
+      this.hasForwardedEvents = true;
+      if (event.id !== null) this.lastEventId = event.id;
     }
   };
 
-  private readonly isRepeat = (id: string | null): boolean => {
-    if (id === null || this.lastId === null) return false;
-    const [current, last] = [Number(id), Number(this.lastId)];
-    return Number.isFinite(current) && Number.isFinite(last) ? current <= last : id === this.lastId;
+  private readonly isDuplicate = (id: string | null): boolean => {
+    if (id === null || this.lastEventId === null) return false;
+    const [current, last] = [Number(id), Number(this.lastEventId)];
+    return Number.isFinite(current) && Number.isFinite(last) ? current <= last : id === this.lastEventId;
   };
 }
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -11,13 +11,13 @@
   readonly slack: number;
 }
 
-const cautiousShare = 0.75;
+const safetyShare = 0.75;
 const bucketCount = 10;
 
 interface Bucket {
   at: number;
-  first: number;
-  extra: number;
+  firstAttempts: number;
+  retries: number;
 }
 
 /**
@@ -30,43 +30,43 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly terms: RetryBudgetLimits,
-    private readonly edges: () => number,
+    private readonly limits: RetryBudgetLimits,
+    private readonly edgeCount: () => number,
   ) {
     this.startedAt = clock.now();
   }
 
   private readonly bucket = (pool: string): Bucket => {
-    const at = Math.floor(this.clock.now() / (this.terms.windowMs / bucketCount));
+    const at = Math.floor(this.clock.now() / (this.limits.windowMs / bucketCount));
     const buckets = this.pools.get(pool) ?? [];
     this.pools.set(pool, buckets);
     while (buckets[0] !== undefined && buckets[0].at < at - bucketCount) buckets.shift();
     const last = buckets[buckets.length - 1];
     if (last?.at === at) return last;
-    const fresh: Bucket = { at, first: 0, extra: 0 };
-    buckets.push(fresh);
-    return fresh;
+    const created: Bucket = { at, firstAttempts: 0, retries: 0 };
+    buckets.push(created);
+    return created;
   };
 
   /** Counts a first attempt at the pool; it earns a part of a retry. */
   readonly recordFirstAttempt = (pool: string): void => {
-    this.bucket(pool).first += 1;
+    this.bucket(pool).firstAttempts += 1;
   };
 
   /** Retries that this edge may still make at the pool in the current window. */
   readonly remaining = (pool: string): number => {
     this.bucket(pool);
     const buckets = this.pools.get(pool) ?? [];
-    const sum = (of: 'first' | 'extra'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
-    const isYoung = this.clock.now() - this.startedAt < this.terms.windowMs;
-    const slack = (this.terms.slack * cautiousShare * (isYoung ? 0.5 : 1)) / Math.max(1, this.edges());
-    return Math.floor(sum('first') * this.terms.ratio * cautiousShare + slack) - sum('extra');
+    const sum = (of: 'firstAttempts' | 'retries'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
+    const isFirstWindow = this.clock.now() - this.startedAt < this.limits.windowMs;
+    const slack = (this.limits.slack * safetyShare * (isFirstWindow ? 0.5 : 1)) / Math.max(1, this.edgeCount());
+    return Math.floor(sum('firstAttempts') * this.limits.ratio * safetyShare + slack) - sum('retries');
   };
 
   /** Spends one retry at the pool; false where none is left, and then nothing is spent. */
   readonly trySpend = (pool: string): boolean => {
     if (this.remaining(pool) < 1) return false;
-    this.bucket(pool).extra += 1;
+    this.bucket(pool).retries += 1;
     return true;
   };
 }
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -2,19 +2,19 @@
 import type { ResponseHead, Route } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 
-const patienceShare = 0.7;
-const patienceFactor = 3;
-const patienceSlackMs = 60;
-const typicalFactor = 4;
-const silenceGaps = 5;
-const silenceShare = 0.6;
-const usualGapMs = 1_000;
+const latencyTargetShare = 0.7;
+const costFactor = 3;
+const costSlackMs = 60;
+const typicalFirstChunkFactor = 4;
+const idleTimeoutGaps = 5;
+const idleTimeoutShare = 0.6;
+const defaultEventGapMs = 1_000;
 
 /**
  * To a caller these promise that a request has not run and never will (RFC 9110 leaves it open; the callers' wire does
  * not).
  */
-const promises = new Set([408, 421, 429, 503]);
+const notRunStatuses = new Set([408, 421, 429, 503]);
 
 /** Why an attempt is stopped from this side. */
 export type StopCause = 'horizon' | 'silent' | 'gone' | 'caller left' | 'old weights';
@@ -52,7 +52,7 @@
   if (!head.isOwn || (isSuccess && !head.isSealed)) return drop("the answer is not this request's");
   if (isFailure && (hasResponseStarted || mayTryAnother)) return drop(`the replica answered ${status}`);
   if (!isSuccess && hasResponseStarted) return drop(`the replica answered ${status} to a resumption`, false);
-  if (promises.has(status)) return drop(`the replica answered ${status} and did not say that it had not run it`);
+  if (notRunStatuses.has(status)) return drop(`the replica answered ${status} and did not say that it had not run it`);
   return { kind: 'pass on', isSuccess, isFailure };
 };
 
@@ -75,13 +75,20 @@
 
   /** How long a first piece may take, in milliseconds, before its replica counts as silent. */
   firstChunkTimeoutMs: ({ targetMs, costMs, typicalFirstChunkMs }: FirstChunkEstimates): number =>
-    Math.max(targetMs * patienceShare, costMs * patienceFactor + patienceSlackMs, typicalFirstChunkMs * typicalFactor),
+    Math.max(
+      targetMs * latencyTargetShare,
+      costMs * costFactor + costSlackMs,
+      typicalFirstChunkMs * typicalFirstChunkFactor,
+    ),
 
   /** How long a pause within a stream may be, in milliseconds, before its replica counts as silent. */
-  streamIdleTimeoutMs: ({ maxEventGapMs: gapMs }: Route, leftMs: number): number =>
-    Math.min((gapMs ?? usualGapMs) * silenceGaps, Math.max(leftMs * silenceShare, gapMs ?? usualGapMs)),
+  streamIdleTimeoutMs: ({ maxEventGapMs: gapMs }: Route, remainingMs: number): number =>
+    Math.min(
+      (gapMs ?? defaultEventGapMs) * idleTimeoutGaps,
+      Math.max(remainingMs * idleTimeoutShare, gapMs ?? defaultEventGapMs),
+    ),
 
   /** Whether a request whose last attempt may have run may be sent again: a call that runs at most once never is. */
-  mayRetry: (view: RouteView, hasReply: boolean, isResumable: boolean): boolean =>
-    hasReply ? view.route.isResumable && isResumable : view.mayRepeat,
+  mayRetry: (view: RouteView, hasResponseStarted: boolean, isResumable: boolean): boolean =>
+    hasResponseStarted ? view.route.isResumable && isResumable : view.mayRepeat,
 };
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -5,7 +5,7 @@
 interface Exchange {
   readonly incoming: IncomingMessage;
   readonly response: ServerResponse;
-  readonly onGone: (() => void)[];
+  readonly disconnectListeners: (() => void)[];
 }
 
 /**
@@ -13,10 +13,10 @@
  * hands each over as it comes and gives the answers out in order, but tells only the first that the caller left.
  */
 export class CallerConnection {
-  private readonly open = new Set<Exchange>();
+  private readonly openExchanges = new Set<Exchange>();
 
   constructor(private readonly socket: Socket) {
-    socket.once('close', this.closed);
+    socket.once('close', this.closeAll);
   }
 
   /**
@@ -24,11 +24,11 @@
    * left.
    */
   readonly track = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
-    const exchange: Exchange = { incoming, response, onGone: [] };
-    this.open.add(exchange);
-    response.once('close', () => this.ended(exchange));
+    const exchange: Exchange = { incoming, response, disconnectListeners: [] };
+    this.openExchanges.add(exchange);
+    response.once('close', () => this.finish(exchange));
     return (listener) => {
-      if (this.open.has(exchange)) exchange.onGone.push(listener);
+      if (this.openExchanges.has(exchange)) exchange.disconnectListeners.push(listener);
       else if (!response.writableFinished) listener();
     };
   };
@@ -37,21 +37,21 @@
    * Ends the connection because its bytes form no request, or come too slowly. `answer` is written only if the caller
    * waits for nothing else: a request that was read whole may run, and any status in its place would speak of it.
    */
-  readonly closeWith = (answer: string): void => {
+  readonly closeWith = (response: string): void => {
     if (!this.socket.writable) this.socket.destroy();
-    else if (this.isOwed()) this.socket.resetAndDestroy();
-    else this.socket.end(answer);
+    else if (this.isResponsePending()) this.socket.resetAndDestroy();
+    else this.socket.end(response);
   };
 
-  private readonly isOwed = (): boolean =>
-    [...this.open].some(({ incoming, response }) => incoming.complete || response.headersSent);
+  private readonly isResponsePending = (): boolean =>
+    [...this.openExchanges].some(({ incoming, response }) => incoming.complete || response.headersSent);
 
-  private readonly closed = (): void => {
-    for (const exchange of [...this.open]) this.ended(exchange);
+  private readonly closeAll = (): void => {
+    for (const exchange of [...this.openExchanges]) this.finish(exchange);
   };
 
-  private readonly ended = (exchange: Exchange): void => {
-    if (!this.open.delete(exchange) || exchange.response.writableFinished) return;
-    for (const listener of exchange.onGone.splice(0)) listener();
+  private readonly finish = (exchange: Exchange): void => {
+    if (!this.openExchanges.delete(exchange) || exchange.response.writableFinished) return;
+    for (const listener of exchange.disconnectListeners.splice(0)) listener();
   };
 }
--- a/packages/edge-proxy/src/ingress/ingressDrain.ts
+++ b/packages/edge-proxy/src/ingress/ingressDrain.ts
@@ -2,9 +2,9 @@
 import type { Clock } from '@martenworks/core-types';
 import type { IngressServer } from './ingressServer.js';
 
-const openDrainMs = 2_600;
-const lastDrainMs = 700;
-const drainStepMs = 50;
+const acceptMs = 2_600;
+const reserveMs = 700;
+const pollIntervalMs = 50;
 
 /** The drain of an ingress server before its process ends. */
 export const ingressDrain = {
@@ -14,13 +14,13 @@
    */
   run: async (clock: Clock, ingress: IngressServer, drainMs: number, isIdle: () => boolean): Promise<void> => {
     const startedAt = clock.now();
-    const step = (): Promise<void> => new Promise((wake) => void clock.after(drainStepMs, wake));
-    while (clock.now() - startedAt < Math.min(openDrainMs, drainMs / 2)) await step();
+    const pause = (): Promise<void> => new Promise((wake) => void clock.after(pollIntervalMs, wake));
+    while (clock.now() - startedAt < Math.min(acceptMs, drainMs / 2)) await pause();
     ingress.stopAccepting();
-    while (clock.now() - startedAt < drainMs - lastDrainMs) {
+    while (clock.now() - startedAt < drainMs - reserveMs) {
       ingress.closeIdle();
       if (isIdle() && (await ingress.hasNoConnections())) return;
-      await step();
+      await pause();
     }
   },
 };
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -12,25 +12,25 @@
 import type { Call, ResponseWriter } from './call.js';
 import { CallerConnection } from './callerConnection.js';
 
-const largestHeaderBytes = 128 * 1024;
-const checkEveryMs = 1_000;
-const slowBodyMs = 30_000;
+const maxHeaderBytes = 128 * 1024;
+const timeoutCheckIntervalMs = 1_000;
+const requestTimeoutMs = 30_000;
 
 const bodyOf = (incoming: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, BodyError>> =>
   new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return resolve(err(bodyErrors.tooLarge));
-    incoming.on('data', (part: Buffer) => {
-      size += part.length;
+    incoming.on('data', (chunk: Buffer) => {
+      size += chunk.length;
       if (size > limitBytes) {
         incoming.removeAllListeners('data');
         incoming.resume();
         return resolve(err(bodyErrors.tooLarge));
       }
-      parts.push(part);
+      chunks.push(chunk);
     });
-    incoming.on('end', () => resolve(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
+    incoming.on('end', () => resolve(ok(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks))));
     incoming.on('error', () => resolve(err(bodyErrors.callerDisconnected)));
     incoming.on('close', () => resolve(err(bodyErrors.callerDisconnected)));
   });
@@ -41,7 +41,7 @@
  * `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset
  * cuts it.
  */
-const replyOver = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
+const responseWriter = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
   write: (bytes) =>
     new Promise((resolve) => {
       if (response.destroyed || response.write(bytes)) return resolve();
@@ -85,17 +85,17 @@
   constructor(private readonly options: IngressServerOptions) {
     this.server = createServer(
       {
-        maxHeaderSize: largestHeaderBytes,
-        connectionsCheckingInterval: checkEveryMs,
-        requestTimeout: slowBodyMs,
+        maxHeaderSize: maxHeaderBytes,
+        connectionsCheckingInterval: timeoutCheckIntervalMs,
+        requestTimeout: requestTimeoutMs,
         noDelay: true,
       },
       this.handleRequest,
     );
     this.server.on('connection', (socket) => this.connections.set(socket, new CallerConnection(socket)));
     this.server.on('clientError', (cause: Error & { code?: string }, socket) => {
-      const answer = `HTTP/1.1 ${statusLines.of(cause.code)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
-      this.connections.get(socket)?.closeWith(answer);
+      const response = `HTTP/1.1 ${statusLines.of(cause.code)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
+      this.connections.get(socket)?.closeWith(response);
     });
   }
 
@@ -121,7 +121,7 @@
         if (isLast || this.options.isClosing()) response.shouldKeepAlive = false;
         response.writeHead(status, [...headers]);
         const isChunked = incoming.httpVersion !== '1.0';
-        return replyOver(response, isChunked || headerLists.find(headers, 'content-length') !== null);
+        return responseWriter(response, isChunked || headerLists.find(headers, 'content-length') !== null);
       },
     });
   };
--- a/packages/edge-proxy/src/ingress/rejectionWriter.ts
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -12,16 +12,16 @@
 }
 
 const msPerSecond = 1_000;
-const retryAfterDigits = 2;
+const retryAfterDecimals = 2;
 
 /** Writes a rejection as a whole response with a JSON body; a response to HEAD has no body (RFC 9110, 9.3.2). */
 export const rejectionWriter = {
   write: (wire: HeaderCodec, call: Call, { status, message, retryAfterMs, closesConnection }: Rejection): void => {
     const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
     const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
-    if (retryAfterMs !== null) headers.push('Retry-After', (retryAfterMs / msPerSecond).toFixed(retryAfterDigits));
-    const reply = call.respond(status, headers, closesConnection);
-    if (call.method !== 'HEAD') background.run('write a response body', reply.write(bytes));
-    reply.end();
+    if (retryAfterMs !== null) headers.push('Retry-After', (retryAfterMs / msPerSecond).toFixed(retryAfterDecimals));
+    const writer = call.respond(status, headers, closesConnection);
+    if (call.method !== 'HEAD') background.run('write a response body', writer.write(bytes));
+    writer.end();
   },
 };
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -37,9 +37,9 @@
     if (view === null) return err(admissionErrors.notReady);
     const { limits } = view.routingTable;
     if (call.headerBytes > limits.headerBytes) return err(admissionErrors.headersTooLarge);
-    const order = this.headerCodec.order(call.headers);
-    if (order.isErr()) return err(admissionErrors.malformedHeaders(order.error));
-    const keyHash = order.value.key === null ? null : keys.hash(order.value.key);
+    const metadata = this.headerCodec.order(call.headers);
+    if (metadata.isErr()) return err(admissionErrors.malformedHeaders(metadata.error));
+    const keyHash = metadata.value.key === null ? null : keys.hash(metadata.value.key);
     const early = this.grant(call, keyHash);
     if (early.isErr()) return err(early.error);
     const body = await call.body(limits.bodyBytes);
@@ -47,7 +47,7 @@
     return this.grant(call, keyHash).map(
       (grant): Admission => ({
         call,
-        metadata: order.value,
+        metadata: metadata.value,
         keyHash,
         ...grant,
         pool: shares.draw(grant.view.route, this.random.fraction()),
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -7,9 +7,9 @@
 import type { BodyError } from '../errors.js';
 import type { Call, ResponseWriter } from './call.js';
 
-const bodiless = new Set([101, 103, 204, 205, 304]);
+const bodilessStatuses = new Set([101, 103, 204, 205, 304]);
 
-const flat = (headers: Headers): string[] => [...headers].flat();
+const headerList = (headers: Headers): string[] => [...headers].flat();
 
 const pairsOf = (list: readonly string[]): [string, string][] =>
   list.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, list[at + 1] ?? '']] : []));
@@ -34,32 +34,32 @@
   readonly headers: readonly string[];
   readonly headerBytes: number;
   readonly response: Promise<Response>;
-  private settle: (response: Response) => void = () => {};
-  private readonly goneListeners: (() => void)[] = [];
-  private isOver = false;
-  private wake: () => void = () => {};
+  private resolveResponse: (response: Response) => void = () => {};
+  private readonly disconnectListeners: (() => void)[] = [];
+  private isFinished = false;
+  private resumeWriter: () => void = () => {};
 
   constructor(private readonly request: Request) {
     const { pathname, search, host } = new URL(request.url);
     this.method = request.method;
     this.target = `${pathname}${search}`;
-    this.headers = flat(request.headers);
+    this.headers = headerList(request.headers);
     this.host = request.headers.get('host') ?? host;
     this.headerBytes = this.headers.reduce((sum, text) => sum + text.length + 2, 0) + this.target.length;
-    this.response = new Promise((resolve) => (this.settle = resolve));
+    this.response = new Promise((resolve) => (this.resolveResponse = resolve));
     request.signal.addEventListener('abort', this.callerGone, { once: true });
   }
 
   private readonly callerGone = (): void => {
-    if (this.isOver) return;
-    this.over();
-    for (const listener of this.goneListeners.splice(0)) listener();
+    if (this.isFinished) return;
+    this.finish();
+    for (const listener of this.disconnectListeners.splice(0)) listener();
   };
 
-  private readonly over = (): void => {
-    this.isOver = true;
+  private readonly finish = (): void => {
+    this.isFinished = true;
     this.request.signal.removeEventListener('abort', this.callerGone);
-    this.wake();
+    this.resumeWriter();
   };
 
   readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyError>> => bodyOf(this.request, limitBytes);
@@ -69,36 +69,37 @@
       listener();
       return;
     }
-    this.goneListeners.push(listener);
+    this.disconnectListeners.push(listener);
   };
 
   readonly respond = (status: number, headers: readonly string[], isLast: boolean): ResponseWriter => {
     const list = pairsOf(isLast ? [...headers, 'Connection', 'close'] : headers);
-    let pipe: ReadableStreamDefaultController<Uint8Array> | null = null;
+    let streamController: ReadableStreamDefaultController<Uint8Array> | null = null;
     const stream = new ReadableStream<Uint8Array>({
       start: (controller) => {
-        pipe = controller;
+        streamController = controller;
       },
-      pull: () => this.wake(),
+      pull: () => this.resumeWriter(),
       cancel: this.callerGone,
     });
-    const act = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
-      if (pipe !== null && !this.isOver) listener(pipe);
+    const withStream = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
+      if (streamController !== null && !this.isFinished) listener(streamController);
     };
-    this.settle(new Response(bodiless.has(status) ? null : stream, { status, headers: list }));
+    this.resolveResponse(new Response(bodilessStatuses.has(status) ? null : stream, { status, headers: list }));
     return {
       write: async (bytes) => {
-        act((open) => open.enqueue(bytes));
-        if (!this.isOver && (pipe?.desiredSize ?? 1) <= 0) await new Promise<void>((wake) => (this.wake = wake));
+        withStream((open) => open.enqueue(bytes));
+        if (!this.isFinished && (streamController?.desiredSize ?? 1) <= 0)
+          await new Promise<void>((wake) => (this.resumeWriter = wake));
       },
       end: () =>
-        act((open) => {
-          this.over();
+        withStream((open) => {
+          this.finish();
           open.close();
         }),
       abort: () =>
-        act((open) => {
-          this.over();
+        withStream((open) => {
+          this.finish();
           open.error(Object.assign(new Error('the answer was cut'), { code: 'ECONNRESET' }));
         }),
     };
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -4,66 +4,66 @@
 import { IncarnationMatcher } from '@martenworks/core-types';
 import type { Clock, PrefixCacheUpdate } from '@martenworks/core-types';
 
-const trustOwnMs = 3_000;
-const readingMs = 2_500;
-const wholeShare = 0.95;
-const trustUnheardMs = 8_000;
-
-interface StoredPrefixes {
-  isHeard: boolean;
-  unheardAt: number | null;
+const observedTtlMs = 3_000;
+const prefillTtlMs = 2_500;
+const minCachedShare = 0.95;
+const unfollowedTtlMs = 8_000;
+
+interface AddressEntries {
+  isFollowed: boolean;
+  unfollowedSince: number | null;
   epoch: string;
-  readonly pairs: IncarnationMatcher;
-  readonly kept: Map<string, number>;
-  readonly own: Map<string, number>;
-  readonly reading: Map<string, number>;
+  readonly incarnations: IncarnationMatcher;
+  readonly reported: Map<string, number>;
+  readonly observed: Map<string, number>;
+  readonly prefills: Map<string, number>;
   readonly quarantined: Map<string, number>;
 }
 
-const labelOf = (salt: string, part: string): string => `${salt}\n${part}`;
+const keyOf = (salt: string, part: string): string => `${salt}\n${part}`;
 
 /**
  * The edge's index: which address keeps how many tokens of which part under which salt, from what control nodes send
  * and, for a while, from what this edge saw itself.
  */
 export class PrefixCacheIndex {
-  private readonly prefixCaches = new Map<string, StoredPrefixes>();
+  private readonly prefixCaches = new Map<string, AddressEntries>();
 
   constructor(private readonly clock: Clock) {}
 
-  private readonly stored = (address: string): StoredPrefixes => {
+  private readonly entriesOf = (address: string): AddressEntries => {
     const known = this.prefixCaches.get(address);
     if (known !== undefined) return known;
-    const fresh: StoredPrefixes = {
-      isHeard: false,
-      unheardAt: null,
+    const created: AddressEntries = {
+      isFollowed: false,
+      unfollowedSince: null,
       epoch: '',
-      pairs: new IncarnationMatcher(this.clock),
-      kept: new Map(),
-      own: new Map(),
-      reading: new Map(),
+      incarnations: new IncarnationMatcher(this.clock),
+      reported: new Map(),
+      observed: new Map(),
+      prefills: new Map(),
       quarantined: new Map(),
     };
-    this.prefixCaches.set(address, fresh);
-    return fresh;
+    this.prefixCaches.set(address, created);
+    return created;
   };
 
   /** Takes updates from the control plane: whole lists or changes of one address's entries. */
   readonly apply = (bundle: readonly PrefixCacheUpdate[]): void => {
     for (const { address, isWhole, isHeard, epoch, events: update } of bundle) {
-      const stored = this.stored(address);
-      stored.unheardAt = isHeard ? null : (stored.unheardAt ?? this.clock.now());
-      stored.isHeard = isHeard;
+      const stored = this.entriesOf(address);
+      stored.unfollowedSince = isHeard ? null : (stored.unfollowedSince ?? this.clock.now());
+      stored.isFollowed = isHeard;
       if (epoch !== undefined && epoch !== '' && epoch !== stored.epoch) {
-        if (stored.epoch !== '') stored.pairs.isFirstByEpoch();
+        if (stored.epoch !== '') stored.incarnations.isFirstByEpoch();
         stored.epoch = epoch;
       }
-      if (isWhole) stored.kept.clear();
+      if (isWhole) stored.reported.clear();
       for (const { isKept, salt, part, tokens } of update) {
-        const label = labelOf(salt, part);
-        if (tokens > 0) stored.kept.set(label, tokens);
-        else stored.kept.delete(label);
-        if (!isKept) stored.own.delete(label);
+        const key = keyOf(salt, part);
+        if (tokens > 0) stored.reported.set(key, tokens);
+        else stored.reported.delete(key);
+        if (!isKept) stored.observed.delete(key);
       }
     }
   };
@@ -75,9 +75,9 @@
   readonly onIncarnationChange = (address: string): void => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return;
-    if (stored.pairs.isFirstById()) stored.kept.clear();
-    stored.own.clear();
-    stored.reading.clear();
+    if (stored.incarnations.isFirstById()) stored.reported.clear();
+    stored.observed.clear();
+    stored.prefills.clear();
     stored.quarantined.clear();
   };
 
@@ -86,69 +86,69 @@
 
   /** Ignores entries of the part at the address for `forMs` milliseconds, whatever events say. */
   readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
-    void this.stored(address).quarantined.set(labelOf(salt, part), this.clock.now() + forMs);
+    void this.entriesOf(address).quarantined.set(keyOf(salt, part), this.clock.now() + forMs);
 
   /** Whether entries of the part at the address are ignored for now, after they proved wrong. */
   readonly isQuarantined = (address: string, salt: string, part: string): boolean => {
     const quarantined = this.prefixCaches.get(address)?.quarantined;
-    const label = labelOf(salt, part);
-    const until = quarantined?.get(label);
+    const key = keyOf(salt, part);
+    const until = quarantined?.get(key);
     if (until === undefined) return false;
     if (until > this.clock.now()) return true;
-    quarantined?.delete(label);
+    quarantined?.delete(key);
     return false;
   };
 
   /** What this edge saw itself: `address` was given the part just now. */
   readonly recordObserved = (address: string, salt: string, part: string): void =>
-    void this.stored(address).own.set(labelOf(salt, part), this.clock.now());
+    void this.entriesOf(address).observed.set(keyOf(salt, part), this.clock.now());
 
   /** `address` is reading the part now: whoever comes there next finds it. */
   readonly recordPrefill = (address: string, salt: string, part: string): void =>
-    void this.stored(address).reading.set(labelOf(salt, part), this.clock.now());
+    void this.entriesOf(address).prefills.set(keyOf(salt, part), this.clock.now());
 
   /** Whether a prefill of the part is running at the address, by a notice of the last 2.5 s. */
   readonly isPrefilling = (address: string, salt: string, part: string): boolean => {
     const stored = this.prefixCaches.get(address);
-    const label = labelOf(salt, part);
-    const at = stored?.reading.get(label);
+    const key = keyOf(salt, part);
+    const at = stored?.prefills.get(key);
     if (stored === undefined || at === undefined || this.isQuarantined(address, salt, part)) return false;
-    if (this.clock.now() - at <= readingMs) return true;
-    stored.reading.delete(label);
+    if (this.clock.now() - at <= prefillTtlMs) return true;
+    stored.prefills.delete(key);
     return false;
   };
 
   /** The address was found without the part: its entry is wrong until another event brings it. */
   readonly remove = (address: string, salt: string, part: string): void => {
-    const stored = this.stored(address);
-    stored.own.delete(labelOf(salt, part));
-    stored.kept.delete(labelOf(salt, part));
+    const stored = this.entriesOf(address);
+    stored.observed.delete(keyOf(salt, part));
+    stored.reported.delete(keyOf(salt, part));
   };
 
   /** Memory goes by blocks, so a part is rarely kept to its last token: most of it counts as all. */
   readonly isCached = (address: string, salt: string, part: string, tokens: number): boolean => {
     const stored = this.prefixCaches.get(address);
     if (stored === undefined) return false;
-    const label = labelOf(salt, part);
+    const key = keyOf(salt, part);
     if (this.isQuarantined(address, salt, part)) return false;
-    const isTrusted = stored.unheardAt === null || this.clock.now() - stored.unheardAt <= trustUnheardMs;
-    if (isTrusted && (stored.kept.get(label) ?? 0) >= tokens * wholeShare) return true;
-    const sawAt = stored.own.get(label);
+    const isTrusted = stored.unfollowedSince === null || this.clock.now() - stored.unfollowedSince <= unfollowedTtlMs;
+    if (isTrusted && (stored.reported.get(key) ?? 0) >= tokens * minCachedShare) return true;
+    const sawAt = stored.observed.get(key);
     if (sawAt === undefined) return false;
-    if (this.clock.now() - sawAt <= trustOwnMs) return true;
-    stored.own.delete(label);
+    if (this.clock.now() - sawAt <= observedTtlMs) return true;
+    stored.observed.delete(key);
     return false;
   };
 
   /** Whether a control node follows the address's cache events at present. */
-  readonly isFollowed = (address: string): boolean => this.prefixCaches.get(address)?.isHeard === true;
+  readonly isFollowed = (address: string): boolean => this.prefixCaches.get(address)?.isFollowed === true;
 
   /** Entries per address, for the operators' pages. */
   readonly sizes = (): { address: string; parts: number; isHeard: boolean; quarantined: number }[] =>
-    [...this.prefixCaches].map(([address, { kept, isHeard, quarantined }]) => ({
+    [...this.prefixCaches].map(([address, { reported, isFollowed, quarantined }]) => ({
       address,
-      parts: kept.size,
-      isHeard,
+      parts: reported.size,
+      isHeard: isFollowed,
       quarantined: quarantined.size,
     }));
 }
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -29,10 +29,10 @@
 export class PromptTiming {
   private readonly sentAt: number;
   private readonly pendingBefore: number;
-  private readonly isIdle: boolean;
-  private readonly isAlone: boolean;
-  private reading: PrefillNotice | null = null;
-  private isReading = true;
+  private readonly wasIdle: boolean;
+  private readonly wasAlone: boolean;
+  private notice: PrefillNotice | null = null;
+  private isPrefillPending = true;
 
   constructor(
     private readonly context: EdgeContext,
@@ -43,9 +43,9 @@
     const { tracked, isBeingPrefilled } = placed;
     this.sentAt = context.ports.clock.now();
     this.pendingBefore = tracked.pendingTokens + tracked.otherEdgesTokens;
-    this.isIdle =
+    this.wasIdle =
       tracked.running < tracked.endpoint.slots && !isResumption && !context.replicaTracker.health.isSuspect(tracked);
-    this.isAlone = this.pendingBefore === 0 && !isBeingPrefilled;
+    this.wasAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
   /** Milliseconds since the attempt began. */
@@ -57,36 +57,36 @@
     if (prefillTokens < longPrefillTokens) return;
     const { endpoint } = tracked;
     const id = this.context.nextPrefillId();
-    this.reading = { id, replica: endpoint.id, tokens: prefillTokens, salt, part: affinityPart?.id ?? null };
-    this.context.control.reportPrefill(this.reading);
+    this.notice = { id, replica: endpoint.id, tokens: prefillTokens, salt, part: affinityPart?.id ?? null };
+    this.context.control.reportPrefill(this.notice);
     if (salt !== null && affinityPart !== null)
       this.context.prefixCaches.recordPrefill(endpoint.address, salt, affinityPart.id);
   };
 
   /** Records, once, that the prompt is prefilled or the attempt over. */
   readonly endPrefill = (): void => {
-    if (!this.isReading) return;
-    this.isReading = false;
+    if (!this.isPrefillPending) return;
+    this.isPrefillPending = false;
     this.context.replicaTracker.recordPrefilled(this.placed.tracked, this.placed.prefillTokens);
-    if (this.reading !== null) this.context.control.reportPrefill({ ...this.reading, tokens: 0 });
+    if (this.notice !== null) this.context.control.reportPrefill({ ...this.notice, tokens: 0 });
   };
 
   /**
    * Learns from the time to a first piece how fast the replica prefills, and whether it had cached what the index says.
    */
-  readonly recordFirstChunk = (spentMs: number): void => {
+  readonly recordFirstChunk = (elapsedMs: number): void => {
     const { replicaTracker, prefixCaches } = this.context;
     const { tracked, affinityPart, salt, prefillTokens, pullMs, isFullPrefill, expectedHit } = this.placed;
     if (affinityPart === null || salt === null) return;
     prefixCaches.recordObserved(tracked.endpoint.address, salt, affinityPart.id);
-    const isLate = this.isIdle && this.speaksAgainstIndex(spentMs);
-    if (this.isAlone && !isLate) replicaTracker.prefillRates.updateAverage(prefillTokens, spentMs - pullMs);
-    const hasReadAlone = this.aheadTokens() === 0 && (isFullPrefill || expectedHit?.pullMs === null);
-    if (!this.isIdle || isLate || !hasReadAlone) return;
+    const isLate = this.wasIdle && this.contradictsIndex(elapsedMs);
+    if (this.wasAlone && !isLate) replicaTracker.prefillRates.updateAverage(prefillTokens, elapsedMs - pullMs);
+    const isCleanSample = this.aheadTokens() === 0 && (isFullPrefill || expectedHit?.pullMs === null);
+    if (!this.wasIdle || isLate || !isCleanSample) return;
     replicaTracker.prefillRates.addSample(
       tracked,
       this.admission.metadata.tokensIn - (expectedHit?.tokens ?? 0),
-      spentMs,
+      elapsedMs,
     );
   };
 
@@ -98,16 +98,16 @@
     );
   };
 
-  private readonly speaksAgainstIndex = (spentMs: number): boolean => {
+  private readonly contradictsIndex = (elapsedMs: number): boolean => {
     const { expectedHit, secondExpectedHit } = this.placed;
     const [isFirstLate, isSecondLate] = [
-      this.isHitLate(expectedHit, spentMs),
-      this.isHitLate(secondExpectedHit, spentMs),
+      this.isHitLate(expectedHit, elapsedMs),
+      this.isHitLate(secondExpectedHit, elapsedMs),
     ];
     return isFirstLate || isSecondLate;
   };
 
-  private readonly isHitLate = (expectedHit: ExpectedHit | null, spentMs: number): boolean => {
+  private readonly isHitLate = (expectedHit: ExpectedHit | null, elapsedMs: number): boolean => {
     if (expectedHit === null) return false;
     const { replicaTracker, prefixCaches, checkExpectedHit } = this.context;
     const timing = {
@@ -118,6 +118,6 @@
       isFollowed: prefixCaches.isFollowed(expectedHit.address),
       sentAt: this.sentAt,
     };
-    return checkExpectedHit(timing, spentMs);
+    return checkExpectedHit(timing, elapsedMs);
   };
 }
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -4,21 +4,21 @@
  */
 import type { Clock, CacheMissReport } from '@martenworks/core-types';
 
-const missingShare = 0.6;
-const foundShare = 0.4;
+const minMissShare = 0.6;
+const maxHitShare = 0.4;
 const slackMs = 40;
-const leastReadMs = 100;
-const troubleFactor = 2.5;
-const troubleSlackMs = 300;
+const minPrefillMs = 100;
+const overloadFactor = 2.5;
+const overloadSlackMs = 300;
 const strikeWindowMs = 10_000;
-const strikesHeard = 2;
-const strikesUnheard = 1;
-const forgetMs = 60_000;
-const firstQuarantineMs = 15_000;
-const longestQuarantineMs = 120_000;
-const mostLabels = 2_000;
-const doubtMs = 30_000;
-const doubtedLabels = 2;
+const followedStrikes = 2;
+const unfollowedStrikes = 1;
+const suspicionTtlMs = 60_000;
+const initialQuarantineMs = 15_000;
+const maxQuarantineMs = 120_000;
+const maxSuspicions = 2_000;
+const evictionWindowMs = 30_000;
+const unreliableEvictions = 2;
 
 /**
  * What the index said as a prompt was placed: `address` keeps these parts. `pullMs` is the time to hand them over, null
@@ -59,25 +59,25 @@
 
 interface Suspicion {
   strikes: number;
-  notedAt: number;
-  drops: number;
+  lastStrikeAt: number;
+  evictions: number;
 }
 
-const labelOf = ({ address, salt, parts }: Pick<ExpectedHit, 'address' | 'salt' | 'parts'>): string =>
+const keyOf = ({ address, salt, parts }: Pick<ExpectedHit, 'address' | 'salt' | 'parts'>): string =>
   `${address}\n${salt}\n${parts.at(-1) ?? ''}`;
 
 /** Tells from the time to the first piece whether the parts that the index promised had to be read after all. */
 export const responseTimings = {
-  classify: ({ expectedHit, uncachedTokens, aheadTokens, tokensPerMs }: ResponseTiming, spentMs: number): Verdict => {
+  classify: ({ expectedHit, uncachedTokens, aheadTokens, tokensPerMs }: ResponseTiming, elapsedMs: number): Verdict => {
     if (tokensPerMs === null) return 'unclear';
     const partsMs = expectedHit.tokens / tokensPerMs;
     const restMs = uncachedTokens / tokensPerMs;
     const aheadMs = aheadTokens / tokensPerMs;
     const pullMs = expectedHit.pullMs ?? 0;
-    if (partsMs < leastReadMs || pullMs * 2 > partsMs * foundShare) return 'unclear';
-    if (spentMs < restMs + partsMs * foundShare) return 'found';
-    if (spentMs > (restMs + aheadMs + partsMs) * troubleFactor + troubleSlackMs) return 'unclear';
-    return spentMs >= restMs + aheadMs + pullMs + partsMs * missingShare + slackMs ? 'missing' : 'unclear';
+    if (partsMs < minPrefillMs || pullMs * 2 > partsMs * maxHitShare) return 'unclear';
+    if (elapsedMs < restMs + partsMs * maxHitShare) return 'found';
+    if (elapsedMs > (restMs + aheadMs + partsMs) * overloadFactor + overloadSlackMs) return 'unclear';
+    return elapsedMs >= restMs + aheadMs + pullMs + partsMs * minMissShare + slackMs ? 'missing' : 'unclear';
   },
 };
 
@@ -90,40 +90,40 @@
  */
 export class StaleEntryDetector {
   private readonly suspicions = new Map<string, Suspicion>();
-  private readonly fallen = new Map<string, Map<string, number>>();
+  private readonly recentEvictions = new Map<string, Map<string, number>>();
   private readonly counts = { strikes: 0, found: 0, drops: 0, bars: 0 };
 
   constructor(private readonly clock: Clock) {}
 
   /** Takes one answer's time to its first piece, in milliseconds, and decides about the entry that it relied on. */
-  readonly recordTiming = (timing: ResponseTiming, spentMs: number): Decision => {
-    const verdict = responseTimings.classify(timing, spentMs);
+  readonly recordTiming = (timing: ResponseTiming, elapsedMs: number): Decision => {
+    const verdict = responseTimings.classify(timing, elapsedMs);
     if (verdict === 'unclear') return { kind: 'none' };
     const now = this.clock.now();
-    const label = labelOf(timing.expectedHit);
+    const key = keyOf(timing.expectedHit);
     if (verdict === 'found') {
       this.counts.found += 1;
-      const known = this.suspicions.get(label);
+      const known = this.suspicions.get(key);
       if (known !== undefined) known.strikes = 0;
       return { kind: 'none' };
     }
-    const suspicion = this.suspicion(label, now);
-    if (timing.sentAt < suspicion.notedAt) return { kind: 'none' };
-    suspicion.strikes = (now - suspicion.notedAt <= strikeWindowMs ? suspicion.strikes : 0) + 1;
-    suspicion.notedAt = now;
+    const suspicion = this.suspicion(key, now);
+    if (timing.sentAt < suspicion.lastStrikeAt) return { kind: 'none' };
+    suspicion.strikes = (now - suspicion.lastStrikeAt <= strikeWindowMs ? suspicion.strikes : 0) + 1;
+    suspicion.lastStrikeAt = now;
     this.counts.strikes += 1;
-    const isDoubted = this.isDoubted(timing.expectedHit.address, label);
-    if (suspicion.strikes < (timing.isFollowed && !isDoubted ? strikesHeard : strikesUnheard))
+    const isDoubted = this.isAddressUnreliable(timing.expectedHit.address, key);
+    if (suspicion.strikes < (timing.isFollowed && !isDoubted ? followedStrikes : unfollowedStrikes))
       return { kind: 'strike' };
-    this.fell(timing.expectedHit.address, label);
-    suspicion.drops += isDoubted && suspicion.drops === 0 ? 2 : 1;
-    suspicion.strikes = strikesHeard - 1;
+    this.recordEviction(timing.expectedHit.address, key);
+    suspicion.evictions += isDoubted && suspicion.evictions === 0 ? 2 : 1;
+    suspicion.strikes = followedStrikes - 1;
     this.counts.drops += 1;
-    if (suspicion.drops === 1 || timing.expectedHit.pullMs !== null) return { kind: 'drop', quarantineMs: null };
+    if (suspicion.evictions === 1 || timing.expectedHit.pullMs !== null) return { kind: 'drop', quarantineMs: null };
     this.counts.bars += 1;
     return {
       kind: 'drop',
-      quarantineMs: Math.min(longestQuarantineMs, firstQuarantineMs * 2 ** (suspicion.drops - 2)),
+      quarantineMs: Math.min(maxQuarantineMs, initialQuarantineMs * 2 ** (suspicion.evictions - 2)),
     };
   };
 
@@ -132,49 +132,50 @@
    */
   readonly recordReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
-    const suspicion = this.suspicion(labelOf(update), now);
-    suspicion.strikes = strikesHeard - 1;
-    suspicion.notedAt = now;
+    const suspicion = this.suspicion(keyOf(update), now);
+    suspicion.strikes = followedStrikes - 1;
+    suspicion.lastStrikeAt = now;
     if (!update.isDecided) return;
-    suspicion.drops += 1;
-    this.fell(update.address, labelOf(update));
+    suspicion.evictions += 1;
+    this.recordEviction(update.address, keyOf(update));
   };
 
   /** Two other entries of the address were evicted a short while ago: the address as a whole loses entries. */
-  private readonly isDoubted = (address: string, label: string): boolean => {
+  private readonly isAddressUnreliable = (address: string, key: string): boolean => {
     const now = this.clock.now();
     return (
-      [...(this.fallen.get(address) ?? [])].filter(([other, at]) => other !== label && now - at <= doubtMs).length >=
-      doubtedLabels
+      [...(this.recentEvictions.get(address) ?? [])].filter(
+        ([other, at]) => other !== key && now - at <= evictionWindowMs,
+      ).length >= unreliableEvictions
     );
   };
 
-  private readonly fell = (address: string, label: string): void => {
+  private readonly recordEviction = (address: string, key: string): void => {
     const now = this.clock.now();
-    const known = this.fallen.get(address) ?? new Map<string, number>();
-    this.fallen.set(address, known.set(label, now));
-    for (const [other, at] of known) if (now - at > doubtMs) known.delete(other);
+    const known = this.recentEvictions.get(address) ?? new Map<string, number>();
+    this.recentEvictions.set(address, known.set(key, now));
+    for (const [other, at] of known) if (now - at > evictionWindowMs) known.delete(other);
   };
 
   /** Another replica has the address. */
   readonly onIncarnationChange = (address: string): void => {
-    this.fallen.delete(address);
-    for (const label of this.suspicions.keys()) if (label.startsWith(`${address}\n`)) this.suspicions.delete(label);
+    this.recentEvictions.delete(address);
+    for (const key of this.suspicions.keys()) if (key.startsWith(`${address}\n`)) this.suspicions.delete(key);
   };
 
-  private readonly suspicion = (label: string, now: number): Suspicion => {
-    const known = this.suspicions.get(label);
-    if (known !== undefined && now - known.notedAt <= forgetMs) return known;
-    this.forget(now);
-    const fresh: Suspicion = { strikes: 0, notedAt: -Infinity, drops: 0 };
-    this.suspicions.set(label, fresh);
-    return fresh;
+  private readonly suspicion = (key: string, now: number): Suspicion => {
+    const known = this.suspicions.get(key);
+    if (known !== undefined && now - known.lastStrikeAt <= suspicionTtlMs) return known;
+    this.evictSuspicions(now);
+    const created: Suspicion = { strikes: 0, lastStrikeAt: -Infinity, evictions: 0 };
+    this.suspicions.set(key, created);
+    return created;
   };
 
-  private readonly forget = (now: number): void => {
-    if (this.suspicions.size <= mostLabels) return;
-    for (const [label, { notedAt }] of this.suspicions)
-      if (now - notedAt > forgetMs || this.suspicions.size > mostLabels) this.suspicions.delete(label);
+  private readonly evictSuspicions = (now: number): void => {
+    if (this.suspicions.size <= maxSuspicions) return;
+    for (const [key, { lastStrikeAt }] of this.suspicions)
+      if (now - lastStrikeAt > suspicionTtlMs || this.suspicions.size > maxSuspicions) this.suspicions.delete(key);
   };
 
   /** Counts since the start, and the entries with a strike, for the operators' pages. */
--- a/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
@@ -26,17 +26,17 @@
   constructor(private readonly options: StaleEntryEvictionOptions) {}
 
   /** Takes the time to an answer's first piece, in milliseconds; true where it speaks against the index. */
-  readonly checkExpectedHit = (timing: ResponseTiming, spentMs: number): boolean => {
+  readonly checkExpectedHit = (timing: ResponseTiming, elapsedMs: number): boolean => {
     const { isEnabled, detector, metrics, report } = this.options;
     if (!isEnabled) return false;
-    const decision = detector.recordTiming(timing, spentMs);
+    const decision = detector.recordTiming(timing, elapsedMs);
     if (decision.kind === 'none') return false;
     metrics.add(timing.expectedHit.pullMs === null ? 'stale_strikes' : 'stale_pull_strikes');
     const update = reportOf(timing, decision);
     report(update);
     if (decision.kind === 'strike') return true;
     metrics.add(decision.quarantineMs === null ? 'stale_drops' : 'stale_bars');
-    this.logEviction(timing, update, spentMs);
+    this.logEviction(timing, update, elapsedMs);
     this.evict(update);
     return true;
   };
@@ -54,7 +54,7 @@
   private readonly logEviction = (
     { expectedHit: { address, salt, parts, tokens, pullMs } }: ResponseTiming,
     { quarantineMs }: CacheMissReport,
-    spentMs: number,
+    elapsedMs: number,
   ): void =>
     this.options.log.info('dropped stale prefix cache entries', {
       address,
@@ -62,7 +62,7 @@
       parts,
       tokens,
       isPull: pullMs !== null,
-      spentMs: Math.round(spentMs),
+      spentMs: Math.round(elapsedMs),
       quarantineMs,
     });
 
--- a/packages/edge-proxy/src/routing/candidateScorer.ts
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -6,14 +6,14 @@
 import type { TrackedReplica } from './trackedReplica.js';
 import type { WeightsEligibility } from './weightsEligibility.js';
 
-const runCostMs = 4;
+const runningRequestCostMs = 4;
 const affinityBonusMs = 60;
 const secondChoiceBonusMs = 20;
-const crowdingShare = 0.8;
-const oldWeightsMs = 15;
-const suspicionMs = 2_000;
-const readTwiceMs = 800;
-const errorPenaltyMs = 800;
+const queuedPrefillShare = 0.8;
+const oldWeightsCostMs = 15;
+const suspectCostMs = 2_000;
+const duplicatePrefillCostMs = 800;
+const errorRateCostMs = 800;
 const negligibleErrorRate = 0.05;
 
 /**
@@ -54,15 +54,15 @@
     const pullMs = availability === 'transferable' ? round.pullMs(affinity.prefixTokens) : 0;
     const transferMs =
       availability === 'transferable'
-        ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * crowdingShare + pullMs
+        ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * queuedPrefillShare + pullMs
         : 0;
     const costMs =
       this.replicaTracker.prefillRates.prefillMs(tracked.pendingTokens + tracked.otherEdgesTokens + prefillTokens) +
-      tracked.running * runCostMs +
+      tracked.running * runningRequestCostMs +
       transferMs +
-      (round.isPrefillRunning && isMissing ? readTwiceMs : 0) -
+      (round.isPrefillRunning && isMissing ? duplicatePrefillCostMs : 0) -
       this.bonusMs(round, rank, isMissing) +
-      (this.replicaTracker.health.isSuspect(tracked) ? suspicionMs : 0) +
+      (this.replicaTracker.health.isSuspect(tracked) ? suspectCostMs : 0) +
       this.errorPenaltyMs(tracked) +
       this.oldWeightsPenaltyMs(round, version);
     const [isCached, isBeingPrefilled] = [availability === 'cached', availability === 'being prefilled'];
@@ -101,15 +101,15 @@
     if (rank !== 0) return 0;
     return (
       affinityBonusMs +
-      (isMissing ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * crowdingShare : 0)
+      (isMissing ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * queuedPrefillShare : 0)
     );
   };
 
   private readonly errorPenaltyMs = (tracked: TrackedReplica): number => {
     const errorRate = this.replicaTracker.health.errorRate(tracked);
-    return errorRate < negligibleErrorRate ? 0 : errorRate * errorPenaltyMs;
+    return errorRate < negligibleErrorRate ? 0 : errorRate * errorRateCostMs;
   };
 
   private readonly oldWeightsPenaltyMs = ({ target }: PlacementContext, version: number | null): number =>
-    target !== null && version !== null && version < target.version ? oldWeightsMs : 0;
+    target !== null && version !== null && version < target.version ? oldWeightsCostMs : 0;
 }
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -10,13 +10,13 @@
 
 /** Cache stores for one prompt: the one that has it, and the one that should. */
 interface StoreChoice {
-  readonly caching: CacheStore | null;
+  readonly cachingStore: CacheStore | null;
   readonly preferredStore: CacheStore | null;
 }
 
 /** Addresses that may have the prefix: `known` by the index, and `holder`, which may be a guess. */
 interface HolderChoice {
-  readonly known: string | null;
+  readonly indexed: string | null;
   readonly holder: string | null;
 }
 
@@ -34,11 +34,11 @@
     const { salt } = chosen;
     if (affinity.trackedPart === null || salt === null) return this.withoutPrefix(round, chosen);
     const stores = this.storesFor(affinity.trackedPart, salt, round.stores);
-    const { known, holder } = this.holderFor(round, chosen, salt, stores);
-    const { caching, preferredStore } = stores;
-    const expectedHit = this.expectedHit(round, chosen, salt, known);
-    const isStored = chosen.isCached && caching !== null && holder === caching.address;
-    const isStorable = caching === null && promptAffinity.isWorthStoring(query.metadata.parts, affinity);
+    const { indexed, holder } = this.holderFor(round, chosen, salt, stores);
+    const { cachingStore, preferredStore } = stores;
+    const expectedHit = this.expectedHit(round, chosen, salt, indexed);
+    const isStored = chosen.isCached && cachingStore !== null && holder === cachingStore.address;
+    const isStorable = cachingStore === null && promptAffinity.isWorthStoring(query.metadata.parts, affinity);
     const mayFindNothing = holder === null || holder === preferredStore?.address;
     return {
       ...chosen,
@@ -46,7 +46,7 @@
       store: isStorable ? (preferredStore?.address ?? null) : null,
       affinityPart: affinity.part,
       expectedHit,
-      secondExpectedHit: isStored ? round.lookup.expectedHit(caching.address, salt, round.pullMs) : null,
+      secondExpectedHit: isStored ? round.lookup.expectedHit(cachingStore.address, salt, round.pullMs) : null,
       isFullPrefill: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
     };
   };
@@ -62,22 +62,22 @@
   });
 
   private readonly storesFor = (part: PromptPart, salt: string, stores: readonly CacheStore[]): StoreChoice => {
-    const heard = stores.filter((store) => this.prefixCaches.isFollowed(store.address));
-    const ranked = this.affinityHash.ranked(part.id, heard, (store) => store.name);
+    const followed = stores.filter((store) => this.prefixCaches.isFollowed(store.address));
+    const ranked = this.affinityHash.ranked(part.id, followed, (store) => store.name);
     const isCaching = (store: CacheStore): boolean =>
       this.prefixCaches.isCached(store.address, salt, part.id, part.tokens);
-    return { caching: ranked.find(isCaching) ?? null, preferredStore: ranked[0] ?? null };
+    return { cachingStore: ranked.find(isCaching) ?? null, preferredStore: ranked[0] ?? null };
   };
 
   private readonly holderFor = (
     round: PlacementContext,
     chosen: ScoredCandidate,
     salt: string,
-    { caching, preferredStore }: StoreChoice,
+    { cachingStore, preferredStore }: StoreChoice,
   ): HolderChoice => {
-    const known = this.nearestHolder(round, chosen, salt)?.endpoint.address ?? caching?.address ?? null;
-    if (known !== null || chosen.isCached) return { known, holder: known };
-    return { known, holder: preferredStore?.address ?? this.likelyHolder(round, chosen.tracked) };
+    const indexed = this.nearestHolder(round, chosen, salt)?.endpoint.address ?? cachingStore?.address ?? null;
+    if (indexed !== null || chosen.isCached) return { indexed, holder: indexed };
+    return { indexed, holder: preferredStore?.address ?? this.likelyHolder(round, chosen.tracked) };
   };
 
   /**
@@ -93,9 +93,9 @@
     const holders = replicas
       .filter((other) => other !== tracked && mayPullFrom(other) && lookup.isCachedOn(other, salt))
       .sort((a, b) => Number(isSuspect(a)) - Number(isSuspect(b)));
-    const isNear = (other: TrackedReplica): boolean =>
+    const isInSameZone = (other: TrackedReplica): boolean =>
       other.endpoint.zone === tracked.endpoint.zone && !isSuspect(other);
-    return holders.find(isNear) ?? holders[0];
+    return holders.find(isInSameZone) ?? holders[0];
   };
 
   /** Another edge may have placed the prefix already where rendezvous hashing ranks it first. */
--- a/packages/edge-proxy/src/routing/prefillRates.ts
+++ b/packages/edge-proxy/src/routing/prefillRates.ts
@@ -1,21 +1,21 @@
 /** Estimates of how fast replicas prefill, from the times to first pieces. */
 import type { TrackedReplica } from './trackedReplica.js';
 
-const typicalBlend = 0.05;
-const quickerBlend = 0.3;
-const slowerBlend = 0.01;
-const startTokensPerMs = 40;
-const slowestTokensPerMs = 10;
-const fastestTokensPerMs = 1_000;
+const firstChunkSmoothing = 0.05;
+const increaseSmoothing = 0.3;
+const decreaseSmoothing = 0.01;
+const initialTokensPerMs = 40;
+const minTokensPerMs = 10;
+const maxTokensPerMs = 1_000;
 /**
  * Tokens from which on a prefill is long: it is announced to the other edges, and its time is a sample of the prefill
  * rate.
  */
 export const longPrefillTokens = 1_000;
-const mostSamples = 9;
-const mostPoolSamples = 31;
-const leastSamples = 3;
-const quickShare = 0.75;
+const maxReplicaSamples = 9;
+const maxPoolSamples = 31;
+const minSamples = 3;
+const rateQuantile = 0.75;
 
 /**
  * Prefill rates in tokens per millisecond: one over all replicas for placement, and one of each replica for its late
@@ -23,46 +23,47 @@
  */
 export class PrefillRates {
   private readonly poolSamples = new Map<string, number[]>();
-  private tokensPerMs = startTokensPerMs;
+  private tokensPerMs = initialTokensPerMs;
 
   /**
    * The reading rate follows quick answers at once and slow ones hardly: what an edge does not see can only make an
    * answer slower, and in a crowded pool every answer is slow.
    */
-  readonly updateAverage = (tokens: number, spentMs: number): void => {
-    if (tokens < longPrefillTokens || spentMs <= 0) return;
-    const seen = Math.min(fastestTokensPerMs, Math.max(slowestTokensPerMs, tokens / spentMs));
-    this.tokensPerMs += (seen - this.tokensPerMs) * (seen > this.tokensPerMs ? quickerBlend : slowerBlend);
+  readonly updateAverage = (tokens: number, elapsedMs: number): void => {
+    if (tokens < longPrefillTokens || elapsedMs <= 0) return;
+    const observed = Math.min(maxTokensPerMs, Math.max(minTokensPerMs, tokens / elapsedMs));
+    this.tokensPerMs +=
+      (observed - this.tokensPerMs) * (observed > this.tokensPerMs ? increaseSmoothing : decreaseSmoothing);
   };
 
-  private readonly firsts = new Map<string, number>();
+  private readonly firstChunkMsByPool = new Map<string, number>();
 
   /**
    * Milliseconds until first events in this pool lately, long prompts and waits included: where all are slow, none is
    * to be left for its slowness.
    */
-  readonly recordFirstChunk = (pool: string, spentMs: number): void => {
-    const known = this.firsts.get(pool) ?? 0;
-    this.firsts.set(pool, known + (spentMs - known) * typicalBlend);
+  readonly recordFirstChunk = (pool: string, elapsedMs: number): void => {
+    const known = this.firstChunkMsByPool.get(pool) ?? 0;
+    this.firstChunkMsByPool.set(pool, known + (elapsedMs - known) * firstChunkSmoothing);
   };
 
   /** The moving average of `firstSeen`, in milliseconds; 0 before the first sample. */
-  readonly typicalFirstChunkMs = (pool: string): number => this.firsts.get(pool) ?? 0;
+  readonly typicalFirstChunkMs = (pool: string): number => this.firstChunkMsByPool.get(pool) ?? 0;
 
   /**
    * Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against.
    */
-  readonly addSample = (tracked: TrackedReplica, tokens: number, spentMs: number): void => {
-    if (tokens < longPrefillTokens || spentMs <= 0) return;
+  readonly addSample = (tracked: TrackedReplica, tokens: number, elapsedMs: number): void => {
+    if (tokens < longPrefillTokens || elapsedMs <= 0) return;
     const { pool } = tracked.endpoint;
     const known = this.poolSamples.get(pool) ?? [];
     this.poolSamples.set(pool, known);
-    for (const [samples, most] of [
-      [tracked.prefillRates, mostSamples],
-      [known, mostPoolSamples],
+    for (const [samples, max] of [
+      [tracked.prefillRates, maxReplicaSamples],
+      [known, maxPoolSamples],
     ] as const) {
-      samples.push(tokens / spentMs);
-      if (samples.length > most) samples.shift();
+      samples.push(tokens / elapsedMs);
+      if (samples.length > max) samples.shift();
     }
   };
 
@@ -73,12 +74,12 @@
    */
   readonly replicaRate = (tracked: TrackedReplica): number | null => {
     const samples =
-      tracked.prefillRates.length >= leastSamples
+      tracked.prefillRates.length >= minSamples
         ? tracked.prefillRates
         : (this.poolSamples.get(tracked.endpoint.pool) ?? []);
-    return samples.length < leastSamples
+    return samples.length < minSamples
       ? null
-      : ([...samples].sort((a, b) => a - b)[Math.floor(samples.length * quickShare)] as number);
+      : ([...samples].sort((a, b) => a - b)[Math.floor(samples.length * rateQuantile)] as number);
   };
 
   /** Estimated milliseconds for a replica to prefill so many tokens. */
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -22,11 +22,11 @@
 
   /** Whether the replica has any tracked part of the prefix cached. */
   readonly isCachedOn = (tracked: TrackedReplica, salt: string): boolean => {
-    const label = `${tracked.endpoint.id} ${salt}`;
-    const known = this.cachedByReplica.get(label);
+    const key = `${tracked.endpoint.id} ${salt}`;
+    const known = this.cachedByReplica.get(key);
     if (known !== undefined) return known;
     const isCached = promptAffinity.totalTokens(this.cachedParts(tracked.endpoint.address, salt)) > 0;
-    this.cachedByReplica.set(label, isCached);
+    this.cachedByReplica.set(key, isCached);
     return isCached;
   };
 
--- a/packages/edge-proxy/src/routing/promptAffinity.ts
+++ b/packages/edge-proxy/src/routing/promptAffinity.ts
@@ -3,7 +3,7 @@
 
 /** Tokens from which on the prefix index follows a part. */
 export const minTrackedTokens = 256;
-const uploadShare = 0.35;
+const maxUnsharedShare = 0.35;
 
 /** The affinity part of a prompt and the prefix that ends with it. */
 export interface PromptAffinity {
@@ -39,5 +39,5 @@
    * no other prompt shares.
    */
   isWorthStoring: (parts: readonly PromptPart[], { index }: PromptAffinity): boolean =>
-    sum(parts.slice(index + 1)) <= sum(parts.slice(0, index + 1)) * uploadShare,
+    sum(parts.slice(index + 1)) <= sum(parts.slice(0, index + 1)) * maxUnsharedShare,
 };
--- a/packages/edge-proxy/src/routing/replicaHealth.ts
+++ b/packages/edge-proxy/src/routing/replicaHealth.ts
@@ -3,7 +3,7 @@
 import { initialSuspicionMs } from './trackedReplica.js';
 import type { TrackedReplica } from './trackedReplica.js';
 
-const longestSuspicionMs = 4_000;
+const maxSuspicionMs = 4_000;
 const errorRateHalfLifeMs = 4_000;
 const failureWeight = 0.3;
 const successWeight = 0.1;
@@ -26,9 +26,9 @@
   readonly errorRate = (tracked: TrackedReplica): number =>
     tracked.errorRate * 0.5 ** ((this.clock.now() - tracked.errorRateAt) / errorRateHalfLifeMs);
 
-  private readonly recordOutcome = (tracked: TrackedReplica, share: number, isFailure: boolean): void => {
+  private readonly recordOutcome = (tracked: TrackedReplica, weight: number, isFailure: boolean): void => {
     const known = this.errorRate(tracked);
-    tracked.errorRate = known + ((isFailure ? 1 : 0) - known) * share;
+    tracked.errorRate = known + ((isFailure ? 1 : 0) - known) * weight;
     tracked.errorRateAt = this.clock.now();
   };
 
@@ -61,7 +61,7 @@
     const now = this.clock.now();
     if (tracked.suspectUntil > now) return;
     tracked.suspectUntil = now + tracked.suspicionMs;
-    tracked.suspicionMs = Math.min(longestSuspicionMs, tracked.suspicionMs * 2);
+    tracked.suspicionMs = Math.min(maxSuspicionMs, tracked.suspicionMs * 2);
   };
 
   /** The replica rejected an attempt because it is full: it rests for so many milliseconds. */
--- a/packages/edge-proxy/src/routing/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -33,7 +33,7 @@
 export class ReplicaSelector {
   private readonly weights: WeightsEligibility;
   private readonly scorer: CandidateScorer;
-  private readonly holders: HolderSelector;
+  private readonly holderSelector: HolderSelector;
 
   constructor(
     private readonly replicaTracker: ReplicaTracker,
@@ -43,7 +43,7 @@
   ) {
     this.weights = new WeightsEligibility(weightsTargets);
     this.scorer = new CandidateScorer(replicaTracker, prefixCaches, this.weights);
-    this.holders = new HolderSelector(replicaTracker, prefixCaches, affinityHash);
+    this.holderSelector = new HolderSelector(replicaTracker, prefixCaches, affinityHash);
   }
 
   /**
@@ -57,7 +57,7 @@
     const round = this.round(query, view, replicas);
     const offset = Math.floor(this.clock.now()) % candidates.length;
     const cheapest = this.scorer.cheapest(round, candidates, offset);
-    return cheapest === null ? null : this.holders.complete(round, cheapest);
+    return cheapest === null ? null : this.holderSelector.complete(round, cheapest);
   };
 
   private readonly isCandidate = (
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -9,12 +9,12 @@
 import { replicaEndpoints } from '@martenworks/core-types';
 import type { EndpointListUpdate, Clock, PrefillNotice, WeightsUpdate } from '@martenworks/core-types';
 
-const readingForgetMs = 2_500;
-const doubtMs = 4_000;
+const prefillNoticeTtlMs = 2_500;
+const missingGraceMs = 4_000;
 
-const mostNotes = 64;
-const notesMs = 10_000;
-const noteTravelMs = 150;
+const maxTokenArrivals = 64;
+const tokenArrivalWindowMs = 10_000;
+const maxNoticeDelayMs = 150;
 
 /** Addresses at which another incarnation of a replica came, and those that have none any more. */
 export interface EndpointChanges {
@@ -26,7 +26,7 @@
 export class ReplicaTracker {
   private readonly replicas = new Map<string, TrackedReplica>();
   private readonly byPool = new Map<string, TrackedReplica[]>();
-  private readonly readings = new Map<string, { readonly replica: string; readonly tokens: number }>();
+  private readonly announcedPrefills = new Map<string, { readonly replica: string; readonly tokens: number }>();
 
   /** Health of the tracked replicas, by the outcomes of this edge's attempts. */
   readonly health: ReplicaHealth;
@@ -48,19 +48,19 @@
     }
     for (const id of gone) this.remove(id);
     if (isWhole)
-      for (const tracked of this.replicas.values()) if (!received.has(tracked.endpoint.id)) this.doubt(tracked);
-    this.group();
+      for (const tracked of this.replicas.values()) if (!received.has(tracked.endpoint.id)) this.markMissing(tracked);
+    this.groupByPool();
     const after = this.incarnationsByAddress();
-    const former = [...before];
+    const previous = [...before];
     const hasNewIncarnation = ([address, ids]: [string, ReadonlySet<string>]): boolean =>
       [...(after.get(address) ?? [])].some((id) => !ids.has(id));
     return {
-      changedAddresses: former.filter(hasNewIncarnation).map(([address]) => address),
-      vacatedAddresses: former.flatMap(([address]) => (after.has(address) ? [] : [address])),
+      changedAddresses: previous.filter(hasNewIncarnation).map(([address]) => address),
+      vacatedAddresses: previous.flatMap(([address]) => (after.has(address) ? [] : [address])),
     };
   };
 
-  private readonly group = (): void => {
+  private readonly groupByPool = (): void => {
     this.byPool.clear();
     for (const tracked of this.replicas.values())
       this.byPool.set(tracked.endpoint.pool, [...(this.byPool.get(tracked.endpoint.pool) ?? []), tracked]);
@@ -77,14 +77,14 @@
    * A whole list may be older than the one before, since it may come from another control node: what it lacks is
    * removed only if no update names it for four seconds.
    */
-  private readonly doubt = (tracked: TrackedReplica): void => {
+  private readonly markMissing = (tracked: TrackedReplica): void => {
     if (tracked.missingSince !== null) return;
     const at = this.clock.now();
     tracked.missingSince = at;
-    this.clock.after(doubtMs, () => {
+    this.clock.after(missingGraceMs, () => {
       if (tracked.missingSince !== at || tracked.isRemoved) return;
       this.remove(tracked.endpoint.id);
-      this.group();
+      this.groupByPool();
     });
   };
 
@@ -106,26 +106,27 @@
 
   /** What other edges have replicas read; a note whose end never comes is forgotten. */
   readonly applyPrefillNotice = ({ id, replica, tokens }: PrefillNotice): void => {
-    const known = this.readings.get(id);
+    const known = this.announcedPrefills.get(id);
     if (known !== undefined) {
-      this.readings.delete(id);
+      this.announcedPrefills.delete(id);
       const tracked = this.replicas.get(known.replica);
       if (tracked !== undefined) tracked.otherEdgesTokens = Math.max(0, tracked.otherEdgesTokens - known.tokens);
     }
     const tracked = this.replicas.get(replica);
     if (tokens <= 0 || tracked === undefined) return;
-    this.readings.set(id, { replica, tokens });
+    this.announcedPrefills.set(id, { replica, tokens });
     tracked.otherEdgesTokens += tokens;
-    this.note(tracked, tokens);
-    this.clock.after(readingForgetMs, () => {
-      if (this.readings.has(id)) this.applyPrefillNotice({ id, replica, tokens: 0, salt: null, part: null });
+    this.recordTokens(tracked, tokens);
+    this.clock.after(prefillNoticeTtlMs, () => {
+      if (this.announcedPrefills.has(id)) this.applyPrefillNotice({ id, replica, tokens: 0, salt: null, part: null });
     });
   };
 
-  private readonly note = ({ tokenArrivals }: TrackedReplica, tokens: number): void => {
+  private readonly recordTokens = ({ tokenArrivals }: TrackedReplica, tokens: number): void => {
     const at = this.clock.now();
     tokenArrivals.push({ at, tokens });
-    while (tokenArrivals.length > mostNotes || at - (tokenArrivals[0]?.at ?? at) > notesMs) tokenArrivals.shift();
+    while (tokenArrivals.length > maxTokenArrivals || at - (tokenArrivals[0]?.at ?? at) > tokenArrivalWindowMs)
+      tokenArrivals.shift();
   };
 
   /**
@@ -134,7 +135,7 @@
    */
   readonly tokensArrivedAfter = ({ tokenArrivals }: TrackedReplica, sentAt: number): number =>
     tokenArrivals.reduce(
-      (sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum),
+      (sum, { at, tokens }) => (at >= sentAt && at <= sentAt + maxNoticeDelayMs ? sum + tokens : sum),
       0,
     );
 
@@ -160,7 +161,7 @@
   readonly recordStart = (tracked: TrackedReplica, tokens: number): void => {
     tracked.running += 1;
     tracked.pendingTokens += tokens;
-    this.note(tracked, tokens);
+    this.recordTokens(tracked, tokens);
   };
 
   /** The replica has prefilled the prompt, or won't: the tokens aren't pending any more. */
--- a/packages/edge-proxy/src/routing/weightsTargets.ts
+++ b/packages/edge-proxy/src/routing/weightsTargets.ts
@@ -2,11 +2,11 @@
 import type { Clock, EdgeState } from '@martenworks/core-types';
 import type { WeightsTarget } from './placement.js';
 
-const versionsKept = 8;
+const maxVersions = 8;
 /** Share of the bound within which a request that is sent to old weights must begin; the rest is for being late. */
-const startShare = 0.9;
+const startWindowShare = 0.9;
 /** Share of the bound beyond which a request is not written any more, whatever held it up since it was placed. */
-const latestStartShare = 0.95;
+const sendWindowShare = 0.95;
 
 interface AnnouncedVersion {
   readonly version: number;
@@ -40,13 +40,16 @@
     for (const [model, ages] of Object.entries(weightsAges)) {
       const known = this.announced.get(model) ?? [];
       const unknown = ages.filter(({ version }) => !known.some((one) => one.version === version));
-      const fresh = unknown.map(({ version, msAgo }) => ({ version, at: now - msAgo }));
+      const newlyAnnounced = unknown.map(({ version, msAgo }) => ({ version, at: now - msAgo }));
       added.push(...unknown.map((age) => ({ model, ...age })));
       const earliest = known.map((one) => {
         const msAgo = ages.find(({ version }) => version === one.version)?.msAgo ?? 0;
         return { version: one.version, at: Math.min(one.at, now - msAgo) };
       });
-      this.announced.set(model, [...earliest, ...fresh].sort((a, b) => a.version - b.version).slice(-versionsKept));
+      this.announced.set(
+        model,
+        [...earliest, ...newlyAnnounced].sort((a, b) => a.version - b.version).slice(-maxVersions),
+      );
     }
     return added;
   };
@@ -63,13 +66,13 @@
   /** Within how many milliseconds a request must begin on this version of the model; Infinity on the newest target. */
   readonly startWindowMs = (model: string, version: number): number => {
     const supersededForMs = this.supersededForMs(model, version);
-    return supersededForMs === null ? Infinity : Math.max(0, this.versionMs * startShare - supersededForMs);
+    return supersededForMs === null ? Infinity : Math.max(0, this.versionMs * startWindowShare - supersededForMs);
   };
 
   /** Whether a request that is written now and begins within `startMs` still begins in time on this version. */
   readonly mayStartWithin = (model: string, version: number, startMs: number): boolean => {
     const supersededForMs = this.supersededForMs(model, version);
-    return supersededForMs === null || supersededForMs + startMs <= this.versionMs * latestStartShare;
+    return supersededForMs === null || supersededForMs + startMs <= this.versionMs * sendWindowShare;
   };
 
   /** The highest target of a model with the ones before it; null where none was announced. */
