--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -1,4 +1,4 @@
-/** An edge's connections to the control nodes: which of them is its source, and how it learns what is in force. */
+/** An edge's connections to the control nodes, and the choice of the one that is its source of updates. */
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type {
   EndpointListUpdate,
@@ -27,9 +27,7 @@
 const edgeCountWindows = 2;
 const dialOptions = { timeoutMs: 700, longestWaitMs: 400 };
 
-/**
- * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
- */
+/** Listeners for updates from control nodes, called synchronously in the order of arrival on each connection. */
 export interface ControlListeners {
   readonly onState: (update: EdgeState) => void;
   readonly onEndpoints: (update: EndpointListUpdate) => void;
@@ -41,8 +39,8 @@
 }
 
 /**
- * Holds a connection to every control node. One of them, the source, pushes all updates; the others announce only their
- * log index, and are asked for the state if this edge doesn't have it yet.
+ * Maintains a connection to every control node. One of them, the source, pushes all updates. The others announce only
+ * their log index, and the state is fetched from them if this edge doesn't have it yet.
  */
 export class ControlConnection {
   private readonly memberList: MemberList;
@@ -51,7 +49,7 @@
   private readonly receiver: StateReceiver;
   private readonly timers: RepeatingTimer[];
   private source: PeerConnection | null = null;
-  /** An edge that has just started has heard of no majority yet. */
+  /** -Infinity until the first contact, so that an edge that has just started is not ready. */
   private lastMajorityContactAt = Number.NEGATIVE_INFINITY;
   private edgeCountReport = { edges: 1, at: 0 };
 
@@ -147,7 +145,7 @@
     this.peerPool.align();
   };
 
-  /** Log index and configuration version of the state that this edge has; -1 and 0 before the first. */
+  /** Log index and configuration version of this edge's state; -1 and 0 before the first state. */
   readonly statePosition = (): StatePosition => this.receiver.position();
 
   private readonly controlNodes = (): PeerConnection[] =>
@@ -200,14 +198,14 @@
   };
 
   /**
-   * Sends a report of missing cache entries to the source; lost where there is none, since each edge decides by its own
-   * strikes too.
+   * Sends a report of missing cache entries to the source. It is dropped where there is no source: each edge detects stale
+   * entries by itself too.
    */
   readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.tell('cacheMiss', update);
 
   /**
-   * Tells the source that a long prefill begins or ends; lost where there is none, and forgotten by the receivers after
-   * a while.
+   * Sends the source a notice that a long prefill starts or ends. It is dropped where there is no source; the notices
+   * expire at the receivers.
    */
   readonly reportPrefill = (update: PrefillNotice): void => void this.source?.tell('prefill', update);
 
@@ -221,14 +219,14 @@
   };
 
   /**
-   * How many edges there are, by the highest count reported within two windows of the retry budget: an edge without
-   * connections, or with control nodes that have just started, mustn't take itself for the only one.
+   * Number of edges: the highest count reported within two windows of the retry budget. Without that memory, an edge that
+   * lost its connections, or whose control nodes have just started, would take itself for the only edge.
    */
   readonly edgeCount = (): number => this.edgeCountReport.edges;
 
   /**
-   * Milliseconds since a majority of the members was alive for sure: by the latest pong, less the age of the majority's
-   * messages that it states.
+   * Milliseconds since a majority of the members was known to be alive: the time of the ping less the age of the
+   * majority's messages that the pong states.
    */
   readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastMajorityContactAt;
 
--- a/packages/edge-proxy/src/control/edgeMessages.ts
+++ b/packages/edge-proxy/src/control/edgeMessages.ts
@@ -1,4 +1,4 @@
-/** Shapes of the messages that control nodes send an edge, checked as they arrive; a malformed one is ignored. */
+/** Validates the messages that control nodes send to an edge; malformed ones are ignored. */
 import type {
   CacheMissReport,
   EdgePong,
@@ -128,7 +128,7 @@
   isText(value.hello.address) &&
   isText(value.hello.incarnation);
 
-/** True where a value that came from another node is the message of that name. */
+/** Type guards: true if a value received from another node has the shape of that message. */
 export const edgeMessages = {
   isState,
   isLogIndex: isNumber,
--- a/packages/edge-proxy/src/control/sourceScorer.ts
+++ b/packages/edge-proxy/src/control/sourceScorer.ts
@@ -5,7 +5,7 @@
 const contactTimeoutMs = 800;
 
 /**
- * A control node that hears a majority comes before one with a current endpoint list, and that before one in the edge's
+ * A control node in contact with a majority outranks one with a current endpoint list, which outranks one in the edge's
  * zone.
  */
 const scores = { responsive: 1, sameZone: 1, currentList: 4, majority: 8 } as const;
@@ -14,25 +14,25 @@
 export class SourceScorer {
   private readonly pongs = new Map<PeerConnection, EdgePong>();
 
-  /** `listAgeLimitMs` is the age from which on an endpoint list counts as outdated. */
+  /** An endpoint list older than `listAgeLimitMs` counts as outdated. */
   constructor(
     private readonly zone: string,
     private readonly listAgeLimitMs: number,
   ) {}
 
-  /** Takes the latest pong of a control node in place of the one before. */
+  /** Records the latest pong of a control node. */
   readonly recordPong = (connection: PeerConnection, pong: EdgePong): void => void this.pongs.set(connection, pong);
 
-  /** Drops what is known of a connection that closed; it scores 0 from then on. */
+  /** Removes the record of a closed connection, which then scores 0. */
   readonly forget = (connection: PeerConnection): void => void this.pongs.delete(connection);
 
   /** The latest pong of a control node, for the operators' pages. */
   readonly pongOf = (connection: PeerConnection): EdgePong | undefined => this.pongs.get(connection);
 
-  /** Whether the connection has brought nothing for so long that the node may be gone. */
+  /** Whether nothing was received on the connection for so long that the node may be down. */
   readonly isUnresponsive = (connection: PeerConnection): boolean => connection.silentMs() > contactTimeoutMs;
 
-  /** The connection with the highest score, the first among equals; null where there is none. */
+  /** The connection with the highest score, the first one among equals; null where there is none. */
   readonly best = (connections: readonly PeerConnection[]): PeerConnection | null =>
     connections.reduce<PeerConnection | null>(
       (best, connection) => (best === null || this.score(connection) > this.score(best) ? connection : best),
@@ -40,12 +40,13 @@
     );
 
   /**
-   * Whether another node should replace the source; one that hears a majority isn't left while a state arrives from it.
+   * Whether the candidate should replace the source. A source in contact with a majority is kept while a state is
+   * arriving from it.
    */
   readonly isBetter = (candidate: PeerConnection, source: PeerConnection): boolean => {
     if (this.score(candidate) <= this.score(source)) return false;
-    const hearsMajority = this.pongs.get(source)?.hasMajority === true;
-    return !(hearsMajority && source.isReceiving('state') && !this.isUnresponsive(source));
+    const hasMajority = this.pongs.get(source)?.hasMajority === true;
+    return !(hasMajority && source.isReceiving('state') && !this.isUnresponsive(source));
   };
 
   private readonly score = (connection: PeerConnection): number => {
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -1,4 +1,4 @@
-/** How an edge gets the committed state: pushed by its source, and fetched from whichever control node is ahead. */
+/** Receives the committed state: pushed by the source, or fetched from another control node that is ahead. */
 import { background } from '@martenworks/core-types';
 import type { Clock, EdgeState, EdgeStateMessage, StatePosition } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
@@ -10,13 +10,13 @@
 const sourceGraceMs = 120;
 const sourceTimeoutMs = 1_000;
 
-/** The log index a control node has announced, and since when it has been ahead of this edge. */
+/** The log index that a control node has announced, and since when the node has been ahead of this edge. */
 interface AnnouncedPosition {
   readonly logIndex: number;
   readonly at: number;
 }
 
-/** What the receiver needs of the connections; `onState` is called with each newer state. */
+/** Access to the connections; `onState` is called with each newer state. */
 export interface StateReceiverOptions {
   readonly clock: Clock;
   readonly scorer: SourceScorer;
@@ -25,7 +25,7 @@
   readonly onState: (state: EdgeState) => void;
 }
 
-/** Holds the newest state an edge has received; it never goes back to an older one. */
+/** Holds the newest state that the edge has received; never returns to an older one. */
 export class StateReceiver {
   private readonly announced = new Map<PeerConnection, AnnouncedPosition>();
   private pendingFetch: PeerConnection | null = null;
@@ -37,22 +37,22 @@
   /** The newest state; null before the first. */
   readonly state = (): EdgeState | null => this.latest;
 
-  /** The position that is sent to control nodes: log index -1 and version 0 before the first state. */
+  /** The position sent to control nodes: log index -1 and version 0 before the first state. */
   readonly position = (): StatePosition => ({
     logIndex: this.latest?.logIndex ?? -1,
     configVersion: this.latest?.configVersion ?? 0,
   });
 
-  /** Drops the announced position of a connection that closed, so that it doesn't count as ahead. */
+  /** Removes the announced position of a closed connection, so that it doesn't count as ahead. */
   readonly forget = (connection: PeerConnection): void => void this.announced.delete(connection);
 
-  /** Takes a state where it is newer, and acknowledges what the edge has afterwards. */
+  /** Applies a state if it is newer, and acknowledges the position that the edge has afterwards. */
   readonly handleState = (connection: PeerConnection, message: EdgeStateMessage): void => {
     if (this.latest === null || message.logIndex > this.latest.logIndex) this.applyNewer(connection, message);
     connection.tell('ack', this.position());
   };
 
-  /** Takes the log index that a control node has; a newer state is fetched unless the source sends it soon. */
+  /** Records the log index of a control node; a newer state is fetched unless the source pushes it soon. */
   readonly handleAnnouncement = (connection: PeerConnection, logIndex: number): void => {
     const previous = this.announced.get(connection);
     if (logIndex <= (previous?.logIndex ?? -1)) return;
@@ -63,10 +63,7 @@
     clock.after(source() === null ? 0 : sourceGraceMs, this.fetchNewer);
   };
 
-  /**
-   * Fetches a state that some control node has and this edge doesn't, from one node at a time and never while one
-   * arrives.
-   */
+  /** Fetches a newer state from a control node that has one; from one node at a time, and not while one is arriving. */
   readonly fetchNewer = (): void => {
     if (this.pendingFetch !== null || this.isStateArriving() || this.isSourcePushPending()) return;
     const { scorer, source, controlNodes } = this.options;
@@ -103,7 +100,7 @@
       .controlNodes()
       .some((connection) => connection.isReceiving('state') && !this.options.scorer.isUnresponsive(connection));
 
-  /** Whether the source has a newer state and may still be left to push it. */
+  /** Whether the source has a newer state and still has time to push it. */
   private readonly isSourcePushPending = (): boolean => {
     const source = this.options.source();
     if (source === null || !this.isAhead(source) || this.options.scorer.isUnresponsive(source)) return false;
@@ -111,7 +108,7 @@
     return this.options.clock.now() - sinceMs < sourceTimeoutMs;
   };
 
-  /** `configVersion` is the version that a patch may build on, 0 for a whole table. */
+  /** `configVersion` is the version that a patch may build on; 0 requests a complete table. */
   private readonly fetch = (connection: PeerConnection, configVersion: number): void => {
     if (this.pendingFetch !== null || !connection.isLive()) return;
     this.pendingFetch = connection;
--- a/packages/edge-proxy/src/edgeContext.ts
+++ b/packages/edge-proxy/src/edgeContext.ts
@@ -1,4 +1,4 @@
-/** What the modules of an edge share while a request is being forwarded. */
+/** Types shared by the modules that forward a request. */
 import type { RequestMetadata, Customer, Ports, HeaderCodec, MetricCounters } from '@martenworks/core-types';
 import type { NodeSettings } from '@martenworks/settings';
 import type { RouteView } from '@martenworks/route-table';
@@ -12,8 +12,8 @@
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
 /**
- * A caller's request as it was let in: by which route, for which customer, under which key (its hash, kept so that it
- * is hashed once).
+ * An admitted request: its route, customer, pool and body. `keyHash` is the hash of its API key, stored so that the key is
+ * hashed only once.
  */
 export interface Admission {
   readonly call: Call;
@@ -25,7 +25,7 @@
   readonly body: Uint8Array;
 }
 
-/** What the forwarding of a request needs of its edge. Times are in milliseconds. */
+/** What forwarding a request needs from its edge. Times are in milliseconds. */
 export interface EdgeContext {
   readonly ports: Ports;
   readonly headerCodec: HeaderCodec;
@@ -35,14 +35,14 @@
   readonly control: ControlConnection;
   readonly metrics: MetricCounters;
   readonly isClosing: boolean;
-  /** Of the settings: `versionMs`, how long after the naming of newer weights a request may begin on older ones. */
+  /** `versionMs`: milliseconds after newer weights became the target during which a request may start on older ones. */
   readonly settings: Pick<NodeSettings, 'versionMs'>;
-  /** The weights that models are being moved to, and how long requests may begin on older ones. */
+  /** The weights that models are being moved to, and how long requests may still start on older ones. */
   readonly weightsTargets: WeightsTargets;
   readonly isStillAdmitted: (admission: Admission) => boolean;
-  readonly place: (question: PlacementQuery) => Placement | null;
+  readonly place: (query: PlacementQuery) => Placement | null;
   readonly hasUntriedReplica: (pool: string, avoided: ReadonlySet<string>) => boolean;
   readonly nextPrefillId: () => string;
   readonly checkExpectedHit: (timing: ResponseTiming, elapsedMs: number) => boolean;
-  readonly reject: (call: Call, status: number, message: string, comeBackMs: number | null) => void;
+  readonly reject: (call: Call, status: number, message: string, retryAfterMs: number | null) => void;
 }
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,6 +1,4 @@
-/**
- * The edge process without its entry point: wiring of ingress, replica selection, forwarding and control connection.
- */
+/** Wires the parts of an edge: ingress, replica selection, forwarding and control connection. */
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, RepeatingTimer } from '@martenworks/core-types';
 import type {
@@ -36,18 +34,18 @@
 const defaultConnectionLimit = 64;
 const metricsIntervalMs = 10_000;
 
-/** An edge: takes callers' requests, places each, and relays what the replica answers. */
+/** An edge: accepts callers' requests, places each one and relays the replica's response. */
 export class EdgeProxy implements EdgeContext {
   readonly replicaTracker: ReplicaTracker;
   readonly prefixCaches: PrefixCacheIndex;
-  /** Decides when answers have spoken often enough against an entry of the prefix index. */
+  /** Decides when response times have contradicted an entry of the prefix index often enough to evict it. */
   readonly staleEntryDetector: StaleEntryDetector;
   readonly retryBudget: RetryBudget;
   readonly control: ControlConnection;
-  /** The server that callers connect to; unused where an HTTP server port hands requests to `receive`. */
+  /** The server that callers connect to; unused where another HTTP server passes requests to `serve`. */
   readonly ingress: IngressServer;
   readonly metrics = new MetricCounters();
-  /** Requests that are admitted and not yet answered. */
+  /** Requests that are admitted and not yet finished. */
   readonly inFlightRequests = new Set<ForwardedRequest>();
   private readonly replicaSelector: ReplicaSelector;
   private readonly prefillIdPrefix: string;
@@ -61,7 +59,7 @@
   isClosing = false;
 
   constructor(
-    /** Settings of this node as checked at its start; they don't change while it runs. */
+    /** Settings of this node, validated at its start; they don't change while it runs. */
     readonly settings: NodeSettings,
     readonly ports: Ports,
     readonly headerCodec: HeaderCodec,
@@ -77,7 +75,7 @@
       onEndpoints: this.applyEndpoints,
       onWeights: this.replicaTracker.applyWeights,
       onPrefixCaches: this.prefixCaches.apply,
-      onPrefillNotices: (bundle) => bundle.forEach(this.applyPrefillNotice),
+      onPrefillNotices: (notices) => notices.forEach(this.applyPrefillNotice),
       onCacheMiss: (report) => this.staleEntryEviction.applyReport(report),
       isReady: () => this.isReady(),
     });
@@ -108,7 +106,7 @@
     });
   }
 
-  /** Takes what changed in the list of replicas, or the whole list. */
+  /** Applies changes of the endpoint list, or a complete list. */
   readonly applyEndpoints = (update: EndpointListUpdate): void => {
     this.hasEndpoints = true;
     const { changedAddresses, vacatedAddresses } = this.replicaTracker.applyEndpoints(update);
@@ -137,7 +135,8 @@
   readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.prefillCount).toString(36)}`;
 
   /**
-   * Takes the state in force as a control node tells it; a configuration version that it has already changes nothing.
+   * Applies a committed state received from a control node; the routing table of a configuration version already applied
+   * is ignored.
    */
   readonly applyState = (update: EdgeState): void => {
     for (const target of this.weightsTargets.apply(update.weightsAges))
@@ -152,8 +151,8 @@
   };
 
   /**
-   * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and has heard
-   * of a majority within `controlLossTimeoutMs` where that is set.
+   * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and a majority of
+   * control nodes was confirmed alive within `controlLossTimeoutMs` where that is set.
    */
   readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isControlLost();
 
@@ -171,21 +170,21 @@
       : Math.max(1, Math.floor((limit * connectionLimitShare) / this.control.edgeCount()));
   };
 
-  readonly place = (question: PlacementQuery): Placement | null =>
-    this.view === null ? null : this.replicaSelector.place(question, this.view, this.connectionLimit(question.pool));
+  readonly place = (query: PlacementQuery): Placement | null =>
+    this.view === null ? null : this.replicaSelector.place(query, this.view, this.connectionLimit(query.pool));
 
   readonly hasUntriedReplica = (pool: string, avoided: ReadonlySet<string>): boolean =>
     this.replicaTracker
       .inPool(pool)
       .some((tracked) => !tracked.endpoint.isLeaving && !avoided.has(tracked.endpoint.id));
 
-  /** Whether what a request was admitted by still holds. */
+  /** Whether the admission of a request is still valid. */
   readonly isStillAdmitted = (admission: Admission): boolean => this.admission.isStillAdmitted(admission);
 
   readonly reject = (call: Call, status: number, message: string, retryAfterMs: number | null): void =>
     rejectionWriter.write(this.headerCodec, call, { status, message, retryAfterMs, closesConnection: false });
 
-  /** Answers one call; the ingress server hands it over, or whoever stands in for it. */
+  /** Serves one call, from the ingress server or another HTTP server. */
   readonly serve = async (call: Call): Promise<void> => {
     const admitted = await this.admission.admit(call);
     if (admitted.isOk()) await this.forward(admitted.value);
@@ -202,14 +201,14 @@
     }
   };
 
-  /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
+  /** Checks the time to a response's first chunk against the prefix index; returns true if it contradicts the index. */
   readonly checkExpectedHit = (timing: ResponseTiming, elapsedMs: number): boolean =>
     this.staleEntryEviction.checkExpectedHit(timing, elapsedMs);
 
-  /** Listens on the address of the settings; fails with the network error of the system, for instance `EADDRINUSE`. */
+  /** Listens on the configured address; fails with the system's network error, for example `EADDRINUSE`. */
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
 
-  /** Takes no new connections after a while, finishes what runs, within `drainMs`. */
+  /** Stops accepting connections after a while and lets running requests finish, within `drainMs` milliseconds. */
   readonly drain = (): Promise<void> => {
     this.isClosing = true;
     return ingressDrain.run(
@@ -242,8 +241,8 @@
   });
 
   /**
-   * Ends at once: timers, connections to control nodes and connections of callers. `drain` comes before it where
-   * requests should end first.
+   * Stops immediately: timers, connections to control nodes and connections of callers. To let requests finish first,
+   * call `drain` before.
    */
   readonly stop = (): void => {
     this.metricsTimer.stop();
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one replica: timeouts, outcome and what it teaches of the replica. */
+/** One attempt of a request at one replica: timeouts, outcome, and what it shows about the replica. */
 import { background } from '@martenworks/core-types';
 import type { AnswerHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
 import type { ResponseRelay } from './responseRelay.js';
@@ -15,16 +15,17 @@
 const abandonRecheckMs = 100;
 const notSent: AttemptOutcome = { kind: 'not run', wasDelivered: false, retryAfterMs: null };
 
-/** What a request has gone through so far; its attempts, which follow one another, keep it. */
+/** Progress of a request across its attempts, which run one after another and update it. */
 export interface RequestProgress {
-  /** Attempts made, and those of them that may have reached a replica. */
+  /** Attempts made. */
   attempts: number;
+  /** Attempts that may have reached a replica. */
   deliveredAttempts: number;
-  /** True from the first byte that is written on; an attempt that did not run sets it back to what it was before. */
+  /** True once a byte was written to a replica; an attempt that certainly did not run restores the previous value. */
   mayHaveRun: boolean;
 }
 
-/** What an attempt needs of its request. `quit` aborts when the caller leaves or the time is over. */
+/** What an attempt needs of its request. `cancelSignal` aborts when the caller disconnects or the deadline passes. */
 export interface AttemptRequest {
   readonly admission: Admission;
   readonly progress: RequestProgress;
@@ -32,14 +33,11 @@
   readonly cancelSignal: AbortSignal;
   readonly cancelCause: () => StopCause;
   readonly remainingMs: () => number;
-  /** Whether another replica could take the request now, so that a silent one may be left for it. */
+  /** Whether another replica could run the request now, so that an unresponsive one may be abandoned. */
   readonly hasAnotherReplica: (placed: Placement) => boolean;
 }
 
-/**
- * One sending of a request to one replica: from the gate to the end of the answer, or to the moment when the replica is
- * left.
- */
+/** One attempt at one replica, from sending the request to the end of the response or to abandoning the replica. */
 export class Attempt {
   private readonly abort = new AbortController();
   private readonly stopped: Promise<StopCause>;
@@ -83,13 +81,13 @@
     this.idleTimer = ports.clock.after(timeoutMs, this.onFirstChunkLate);
   }
 
-  /** Sends the request, passes its answer on, and tells how that ended. Runs once. */
+  /** Sends the request, forwards the response and returns the outcome. Must be called once only. */
   readonly run = async (): Promise<AttemptOutcome> => {
     const { tracked } = this.placed;
     const { cancelSignal } = this.request;
     cancelSignal.addEventListener('abort', this.onCancelled, { once: true });
     tracked.removalListeners.add(this.onReplicaRemoved);
-    this.begin();
+    this.recordStart();
     try {
       const sending = this.send();
       const response = await Promise.race([sending, this.stopped]);
@@ -99,7 +97,7 @@
           'discard a late response',
           sending.then((late) => late.map(this.discard)),
         );
-        return this.isWritten ? { kind: 'may have run', cause: `the replica was left: ${response}` } : notSent;
+        return this.isWritten ? { kind: 'may have run', cause: `attempt abandoned: ${response}` } : notSent;
       }
       return response.isErr() ? this.handleNetworkError(response.error) : await this.handleResponse(response.value);
     } finally {
@@ -112,7 +110,7 @@
     }
   };
 
-  private readonly begin = (): void => {
+  private readonly recordStart = (): void => {
     const { replicaTracker, metrics, retryBudget } = this.context;
     const { progress, admission } = this.request;
     this.timing.announcePrefill();
@@ -127,7 +125,7 @@
     const { call, customer, view, body } = this.request.admission;
     const { tracked, salt, version, holder, store } = this.placed;
     const { endpoint } = tracked;
-    const remainingMs = this.boundStart();
+    const remainingMs = this.limitStart();
     return ports.httpClient.send({
       method: call.method,
       url: `http://${endpoint.address}${call.target}`,
@@ -150,16 +148,18 @@
   };
 
   /**
-   * Bounds when the request may begin on old weights, and returns the time that the replica is told. That is what the
-   * request has left, and no longer than it may still begin: the replica drops it then, and says so if it has not begun.
-   * A request that may run for longer than that is told all it has; the edge itself leaves it if it has not begun.
+   * Limits the time within which the request may start on superseded weights, and returns the remaining time, in
+   * milliseconds, to send to the replica. That is the shorter of the time to the deadline and the start window. When it
+   * has passed, the replica drops the request and, unless it has started it, reports that it did not run. A request whose
+   * deadline is more than `versionMs` away is sent its full remaining time; the edge itself abandons it if it has not
+   * started within the window.
    */
-  private readonly boundStart = (): number => {
+  private readonly limitStart = (): number => {
     const remainingMs = Math.max(1, Math.floor(this.request.remainingMs()));
     this.startWithinMs = Math.min(remainingMs, this.startWindowMs());
     if (remainingMs <= this.context.settings.versionMs) return Math.max(1, Math.floor(this.startWithinMs));
     if (this.startWithinMs < remainingMs)
-      this.startTimer = this.context.ports.clock.after(this.startWithinMs, () => this.stop('old weights'));
+      this.startTimer = this.context.ports.clock.after(this.startWithinMs, () => this.stop('weights superseded'));
     return remainingMs;
   };
 
@@ -169,21 +169,19 @@
     return model === null || version === null ? Infinity : this.context.weightsTargets.startWindowMs(model, version);
   };
 
-  private readonly mayStillBegin = (): boolean => {
+  private readonly mayStillStart = (): boolean => {
     const { model } = this.request.admission.metadata;
     const { version } = this.placed;
     if (model === null || version === null) return true;
     return this.context.weightsTargets.mayStartWithin(model, version, this.startWithinMs);
   };
 
-  /**
-   * Asked as the first byte is about to be written: whatever the request was admitted by and placed on must still hold.
-   */
+  /** Called just before the first byte is written: checks that the admission and the placement still hold. */
   private readonly gate = (): boolean => {
     const { tracked } = this.placed;
     const isReplicaOpen =
       !tracked.endpoint.isLeaving && !tracked.isRemoved && !this.context.replicaTracker.health.isUnavailable(tracked);
-    if (this.stopCause !== null || !isReplicaOpen || !this.mayStillBegin()) return false;
+    if (this.stopCause !== null || !isReplicaOpen || !this.mayStillStart()) return false;
     if (!this.context.isStillAdmitted(this.request.admission)) return false;
     this.isWritten = true;
     this.request.progress.mayHaveRun = true;
@@ -195,7 +193,7 @@
     return this.context.headerCodec.responseHead(status, headers, metadata.id, metadata.model);
   };
 
-  /** Whether a head belongs to this request, and its answer's end can be told from a broken connection. */
+  /** Whether the head belongs to this request, and the end of its body is distinguishable from a broken connection. */
   private readonly isAcceptable = ({ status, headers, isDelimited }: AnswerHead): boolean => {
     if (!isDelimited) this.context.metrics.add('answers_undelimited');
     return isDelimited && this.headOf(status, headers).isOwn;
@@ -210,7 +208,7 @@
 
   private readonly onCancelled = (): void => this.stop(this.request.cancelCause());
 
-  private readonly onReplicaRemoved = (): void => this.stop('gone');
+  private readonly onReplicaRemoved = (): void => this.stop('replica removed');
 
   private readonly canAbandonNow = (): boolean =>
     this.mayAbandon &&
@@ -218,9 +216,9 @@
     this.context.retryBudget.remaining(this.request.admission.pool) > 0 &&
     this.request.hasAnotherReplica(this.placed);
 
-  /** Leaves a silent replica once another one can take over; until then it is waited for: it may yet go on. */
+  /** Abandons an unresponsive replica once another one can take over; until then keeps waiting and checks again. */
   private readonly abandonIfPossible = (): void => {
-    if (this.canAbandonNow()) this.stop('silent');
+    if (this.canAbandonNow()) this.stop('idle timeout');
     else if (this.mayAbandon) this.idleTimer = this.context.ports.clock.after(abandonRecheckMs, this.abandonIfPossible);
   };
 
@@ -250,7 +248,8 @@
     if (code === 'GATED') return notSent;
     replicaTracker.health.recordFailure(this.placed.tracked);
     metrics.add('shots_failed');
-    if (this.isWritten && !isUnsent) return { kind: 'may have run', cause: `the replica broke off: ${code}` };
+    if (this.isWritten && !isUnsent)
+      return { kind: 'may have run', cause: `connection to the replica failed: ${code}` };
     this.markNotRun();
     if (this.isWritten) this.request.progress.deliveredAttempts -= 1;
     return notSent;
@@ -270,8 +269,8 @@
     const head = this.headOf(status, headers);
     const hasResponseStarted = this.request.relay.hasStarted();
     const verdict = retryPolicy.headVerdict(status, head, { hasResponseStarted, mayTryAnother: this.mayTryAnother() });
-    if (verdict.kind === 'connection rejected') return this.handleRejection(response, head);
-    if (verdict.kind === 'drop') {
+    if (verdict.kind === 'rejected') return this.handleRejection(response, head);
+    if (verdict.kind === 'discard') {
       this.abort.abort();
       this.discard(response);
       if (verdict.isReplicaFailure) replicaTracker.health.recordFailure(tracked);
@@ -284,7 +283,7 @@
       { status, headers, body: response.body, isResumable: isSuccess && route.kind === 'stream' && route.isResumable },
       { onFirstChunk: () => this.onFirstChunk(isSuccess, isFailure), onChunk: this.onChunk, stopped: this.stopped },
     );
-    if (outcome.kind !== 'whole') this.abort.abort();
+    if (outcome.kind !== 'complete') this.abort.abort();
     if (outcome.kind === 'may have run') replicaTracker.health.recordFailure(tracked);
     return outcome;
   };
@@ -324,7 +323,7 @@
     void response.body[Symbol.asyncIterator]().return?.();
   };
 
-  /** Reads a refusal to its end, so that its connection can be kept. */
+  /** Reads a rejection to its end so that the connection can be reused. */
   private readonly drain = async (response: HttpClientResponse): Promise<void> => {
     try {
       for await (const bytes of response.body) if (bytes.length > maxDrainedChunkBytes) return;
--- a/packages/edge-proxy/src/forwarding/eventSplitter.ts
+++ b/packages/edge-proxy/src/forwarding/eventSplitter.ts
@@ -1,13 +1,13 @@
 /**
- * Server-sent events (WHATWG HTML, "Server-sent events") without change to their bytes, so that a stream can be cut and
- * resumed between two.
+ * Splits a stream of server-sent events (WHATWG HTML, "Server-sent events") without changing any byte, so that the
+ * stream can be resumed after any event.
  */
 
-/** ASCII code of the line feed that ends every line of an event, after a carriage return or not. */
+/** ASCII code of the line feed that ends each line, whether or not a carriage return precedes it. */
 const lineFeed = 10;
 const carriageReturn = 13;
 
-/** One event with its terminating empty line; `id` is its last `id` field's value, null where it has none. */
+/** One event including its terminating empty line; `id` is the value of its `id` field, null where it has none. */
 export interface ServerSentEvent {
   readonly bytes: Uint8Array;
   readonly id: string | null;
@@ -19,7 +19,7 @@
   return found?.[1] ?? null;
 };
 
-/** Cuts a stream of server-sent events into whole ones, byte for byte (an event ends with an empty line). */
+/** Splits a byte stream into complete server-sent events; an event ends with an empty line. */
 export class EventSplitter {
   private pending: Uint8Array = new Uint8Array();
 
@@ -33,7 +33,7 @@
     return -1;
   };
 
-  /** The events that are whole with these bytes; the rest is kept for the next call. */
+  /** Adds bytes and returns the events they complete; the remainder is buffered for the next call. */
   readonly push = (bytes: Uint8Array): ServerSentEvent[] => {
     let rest = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
     const events: ServerSentEvent[] = [];
@@ -46,6 +46,6 @@
     return events;
   };
 
-  /** Bytes after the last whole event; of a stream that ended in order they are passed on too. */
+  /** Bytes after the last complete event; they are forwarded too when the stream ends normally. */
   readonly remainder = (): Uint8Array => this.pending;
 }
--- a/packages/edge-proxy/src/forwarding/forwardedRequest.ts
+++ b/packages/edge-proxy/src/forwarding/forwardedRequest.ts
@@ -1,4 +1,4 @@
-/** The life of an admitted request: placement, attempts one after another, and one response or rejection. */
+/** Lifecycle of an admitted request: placement, successive attempts, and one response or rejection. */
 import { ResponseRelay } from './responseRelay.js';
 import { Attempt } from './attempt.js';
 import type { RequestProgress } from './attempt.js';
@@ -10,7 +10,10 @@
 const placementWaitShare = 0.2;
 const placementPollMs = 15;
 const minRemainingMs = 15;
-/** Latency targets, and share of the weights' bound, for which a replica must be given a request at least. */
+/**
+ * A replica on superseded weights is eligible only while its start window is at least this many latency targets, or this
+ * share of `versionMs` if that is less.
+ */
 const neededLatencyTargets = 2;
 const neededVersionShare = 0.25;
 const minRetryAfterMs = 80;
@@ -18,7 +21,7 @@
 
 const statuses = { badGateway: 502, unavailable: 503, gatewayTimeout: 504 } as const;
 
-/** One caller's request: placed, attempted at one replica after another where it may be, and answered once. */
+/** One caller's request: placed, attempted at one or more replicas in turn, and answered once. */
 export class ForwardedRequest {
   private readonly arrivedAt: number;
   private readonly deadlineAt: number;
@@ -26,7 +29,7 @@
   private readonly progress: RequestProgress = { attempts: 0, deliveredAttempts: 0, mayHaveRun: false };
   private readonly avoided = new Set<string>();
   private readonly cancellation = new AbortController();
-  private cancelCause: StopCause = 'caller left';
+  private cancelCause: StopCause = 'caller disconnected';
   private isEnded = false;
   private rejectionRetryAfterMs: number | null = null;
 
@@ -38,12 +41,14 @@
     this.relay = new ResponseRelay(call);
     this.arrivedAt = context.ports.clock.now();
     this.deadlineAt = this.arrivedAt + Math.min(metadata.leftMs ?? view.route.timeoutMs, view.route.timeoutMs);
-    call.onDisconnect(() => this.cancel('caller left'));
+    call.onDisconnect(() => this.cancel('caller disconnected'));
   }
 
-  /** Resolves once the request is answered or nobody waits for an answer. */
+  /** Runs the request; resolves once it is answered or its caller has disconnected. */
   readonly run = async (): Promise<void> => {
-    const deadline = this.context.ports.clock.after(Math.max(0, this.leftMs()), () => this.cancel('horizon'));
+    const deadline = this.context.ports.clock.after(Math.max(0, this.remainingMs()), () =>
+      this.cancel('deadline exceeded'),
+    );
     try {
       await this.runAttempts();
     } finally {
@@ -58,23 +63,23 @@
       if (reason !== null) return this.fail(reason);
       if (this.hasCallerDisconnected()) return this.endCancelled();
       const placed = await this.place();
-      if (placed === null) return this.fail('no replica takes it now');
+      if (placed === null) return this.fail('no replica is available');
       if (this.progress.deliveredAttempts > 0 && !this.context.retryBudget.trySpend(this.admission.pool))
-        return this.fail('no further shot is left');
+        return this.fail('retry budget exhausted');
       if (await this.attempt(placed)) return;
     }
   };
 
   private readonly failureReason = (): string | null => {
-    if (this.cancellation.signal.aborted) return this.hasCallerDisconnected() ? null : 'the time is over';
+    if (this.cancellation.signal.aborted) return this.hasCallerDisconnected() ? null : 'deadline exceeded';
     if (this.progress.deliveredAttempts >= this.admission.view.route.maxAttempts)
-      return 'no further replica may be asked';
-    return this.context.isStillAdmitted(this.admission) ? null : 'the way or the key was taken back';
+      return 'maximum number of attempts reached';
+    return this.context.isStillAdmitted(this.admission) ? null : 'route or API key no longer valid';
   };
 
-  /** One attempt; true if the request is over with it. */
+  /** Makes one attempt; returns true if the request ended with it. */
   private readonly attempt = async (placed: Placement): Promise<boolean> => {
-    const { admission, progress, relay, leftMs: remainingMs, hasAnotherReplica } = this;
+    const { admission, progress, relay, remainingMs, hasAnotherReplica } = this;
     const attempt = new Attempt(
       this.context,
       {
@@ -91,10 +96,10 @@
     const outcome = await attempt.run();
     this.avoided.add(placed.tracked.endpoint.id);
     switch (outcome.kind) {
-      case 'whole':
+      case 'complete':
         this.isEnded = true;
         return true;
-      case 'over':
+      case 'cancelled':
         this.endCancelled();
         return true;
       case 'not run':
@@ -119,19 +124,20 @@
   };
 
   private readonly hasCallerDisconnected = (): boolean =>
-    this.cancellation.signal.aborted && this.cancelCause === 'caller left';
+    this.cancellation.signal.aborted && this.cancelCause === 'caller disconnected';
 
-  private readonly leftMs = (): number => this.deadlineAt - this.context.ports.clock.now();
+  private readonly remainingMs = (): number => this.deadlineAt - this.context.ports.clock.now();
 
   private readonly endCancelled = (): void => {
     this.isEnded = true;
     this.context.metrics.add('caller_left');
   };
 
-  /** Ends a request that no attempt answered: 503 promises that it has not run, 502 and 504 promise nothing. */
+  /** Ends a request that no attempt answered: 503 guarantees that it has not run, 502 and 504 leave that open. */
   private readonly fail = (message: string): void => {
     if (!this.progress.mayHaveRun) this.reject(statuses.unavailable, message, true);
-    else this.reject(this.leftMs() <= minRemainingMs ? statuses.gatewayTimeout : statuses.badGateway, message, false);
+    else
+      this.reject(this.remainingMs() <= minRemainingMs ? statuses.gatewayTimeout : statuses.badGateway, message, false);
   };
 
   private readonly reject = (status: number, message: string, mayRetryLater: boolean): void => {
@@ -177,7 +183,7 @@
 
   private readonly neededMs = (): number =>
     Math.min(
-      this.leftMs(),
+      this.remainingMs(),
       this.admission.view.route.latencyTargetMs * neededLatencyTargets,
       this.context.settings.versionMs * neededVersionShare,
     );
--- a/packages/edge-proxy/src/forwarding/oldWeightsReport.ts
+++ b/packages/edge-proxy/src/forwarding/oldWeightsReport.ts
@@ -1,8 +1,8 @@
-/** Reports attempts at replicas whose weights are older than the target: when each was sent, and when it began. */
+/** Reports attempts at replicas whose weights are older than the target: when each was sent and when it started. */
 import type { Admission, EdgeContext } from '../edgeContext.js';
 import type { Placement } from '../routing/placement.js';
 
-/** Follows one attempt from its sending to its first piece; says nothing of attempts on the newest weights. */
+/** Tracks one attempt from sending to its first response chunk; ignores attempts on the newest weights. */
 export class OldWeightsReport {
   private readonly sentAfterMs: number | null;
 
@@ -21,7 +21,7 @@
     return model === null || version === null ? null : this.context.weightsTargets.supersededForMs(model, version);
   };
 
-  /** The first piece has come: the request began shortly before, on the version it was sent for. */
+  /** Records that the first chunk arrived: the request started shortly before, on the version it was sent for. */
   readonly recordStart = (): void => {
     const beganAfterMs = this.supersededForMs();
     if (beganAfterMs === null || beganAfterMs <= this.context.settings.versionMs) return;
--- a/packages/edge-proxy/src/forwarding/responseRelay.ts
+++ b/packages/edge-proxy/src/forwarding/responseRelay.ts
@@ -1,4 +1,4 @@
-/** Relays the responses of one request's attempts to its caller as one response. */
+/** Relays the responses of one request's attempts to its caller as a single response. */
 import { headerLists } from '../ingress/headerLists.js';
 import type { Call, ResponseWriter } from '../ingress/call.js';
 import { EventSplitter } from './eventSplitter.js';
@@ -6,16 +6,16 @@
 
 const contentLength: ReadonlySet<string> = new Set(['content-length']);
 
-/** One replica's answer as it is passed on. */
+/** One replica's response, as forwarded to the caller. */
 export interface RelayedResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: AsyncIterable<Uint8Array>;
-  /** Whether its events are passed on one by one, so that another replica may go on after the last one. */
+  /** Whether the body is forwarded event by event, so that another replica can resume after the last one. */
   readonly isResumable: boolean;
 }
 
-/** What the relay tells the attempt whose answer it passes on. */
+/** Callbacks to the attempt whose response is being forwarded, and the signal that stops it. */
 export interface RelayEvents {
   readonly onFirstChunk: () => void;
   readonly onChunk: () => void;
@@ -23,7 +23,8 @@
 }
 
 /**
- * The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut.
+ * The response to one caller. It starts with the first replica response that is forwarded, and ends once, complete or
+ * truncated.
  */
 export class ResponseRelay {
   private writer: ResponseWriter | null = null;
@@ -32,32 +33,35 @@
 
   constructor(private readonly call: Call) {}
 
-  /** Whether the response to the caller has begun: from then on no status can be sent any more. */
+  /** Whether the response to the caller has started, after which its status can no longer be chosen. */
   readonly hasStarted = (): boolean => this.writer !== null;
 
-  /** The id of the last event that was passed on whole, after which a resumption goes on. */
+  /** Id of the last event forwarded in full, after which a resumption continues; null where there is none. */
   readonly resumeAfter = (): string | null => this.lastEventId;
 
-  /** Whether a further replica can tell where to go on. */
+  /** Whether another replica can tell where to resume: an event with an id was forwarded, or no event at all. */
   readonly isResumable = (): boolean => this.lastEventId !== null || !this.hasForwardedEvents;
 
-  /** Ends a begun answer so that it can't look whole; does nothing where none was begun. */
+  /** Truncates a started response so that the caller can't take it for complete; does nothing before the start. */
   readonly abort = (): void => this.writer?.abort();
 
-  /** Passes on one answer until it ends, breaks or is stopped. */
-  readonly forward = async (answer: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
-    const splitter = answer.isResumable ? new EventSplitter() : null;
-    const iterator = answer.body[Symbol.asyncIterator]();
-    const start = this.starter(answer, events.onFirstChunk);
+  /** Forwards one response until it ends, fails or is stopped. */
+  readonly forward = async (response: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
+    const splitter = response.isResumable ? new EventSplitter() : null;
+    const iterator = response.body[Symbol.asyncIterator]();
+    const start = this.starter(response, events.onFirstChunk);
     for (;;) {
       let result: IteratorResult<Uint8Array> | StopCause;
       try {
         result = await Promise.race([iterator.next(), events.stopped]);
       } catch (cause) {
-        return { kind: 'may have run', cause: `the stream broke: ${(cause as { code?: string }).code ?? 'unknown'}` };
+        return {
+          kind: 'may have run',
+          cause: `response stream failed: ${(cause as { code?: string }).code ?? 'unknown'}`,
+        };
       }
-      if (result === 'caller left') return { kind: 'over' };
-      if (typeof result === 'string') return { kind: 'may have run', cause: `the stream was left: ${result}` };
+      if (result === 'caller disconnected') return { kind: 'cancelled' };
+      if (typeof result === 'string') return { kind: 'may have run', cause: `response stream abandoned: ${result}` };
       if (result.done === true) return this.finish(start(), splitter);
       events.onChunk();
       if (splitter === null) await start().write(result.value);
@@ -87,7 +91,7 @@
     const rest = splitter?.remainder();
     if (rest !== undefined && rest.length > 0) await writer.write(rest);
     writer.end();
-    return { kind: 'whole' };
+    return { kind: 'complete' };
   };
 
   private readonly forwardEvents = async (
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -1,9 +1,9 @@
-/** The retry budget: a bound on retries relative to first attempts, so that retries can't multiply an overload. */
+/** The retry budget: limits retries relative to first attempts, so that retries can't amplify an overload. */
 import type { Clock } from '@martenworks/core-types';
 
 /**
- * The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over
- * all edges together.
+ * The fleet-wide limit: in any window of `windowMs`, all edges together make at most `ratio` times the first attempts at
+ * a pool, plus `slack`, as retries.
  */
 export interface RetryBudgetLimits {
   readonly ratio: number;
@@ -21,8 +21,8 @@
 }
 
 /**
- * This edge's part: what its own requests earn, and an equal part of the slack. Sums over edges keep the fleet's bound,
- * since each keeps its part in each window.
+ * This edge's share of the budget: what its own first attempts earn, plus an equal share of the slack. The fleet-wide
+ * limit holds because each edge stays within its share in each window.
  */
 export class RetryBudget {
   private readonly pools = new Map<string, Bucket[]>();
@@ -48,12 +48,12 @@
     return created;
   };
 
-  /** Counts a first attempt at the pool; it earns a part of a retry. */
+  /** Counts a first attempt at the pool, which earns a fraction of a retry. */
   readonly recordFirstAttempt = (pool: string): void => {
     this.bucket(pool).firstAttempts += 1;
   };
 
-  /** Retries that this edge may still make at the pool in the current window. */
+  /** Number of retries that this edge may still make at the pool in the current window. */
   readonly remaining = (pool: string): number => {
     this.bucket(pool);
     const buckets = this.pools.get(pool) ?? [];
@@ -63,7 +63,7 @@
     return Math.floor(sum('firstAttempts') * this.limits.ratio * safetyShare + slack) - sum('retries');
   };
 
-  /** Spends one retry at the pool; false where none is left, and then nothing is spent. */
+  /** Spends one retry at the pool; returns false, and spends nothing, where none is left. */
   readonly trySpend = (pool: string): boolean => {
     if (this.remaining(pool) < 1) return false;
     this.bucket(pool).retries += 1;
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -1,4 +1,4 @@
-/** When an attempt is given up and what may follow it, as rules without state. */
+/** Stateless rules for when an attempt is abandoned and whether the request may be sent again. */
 import type { ResponseHead, Route } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 
@@ -11,29 +11,34 @@
 const defaultEventGapMs = 1_000;
 
 /**
- * To a caller these promise that a request has not run and never will (RFC 9110 leaves it open; the callers' wire does
- * not).
+ * Statuses that guarantee to the caller that a request has not run and never will. RFC 9110 leaves that open; the
+ * caller-facing API does not.
  */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 
-/** Why an attempt is stopped from this side. */
-export type StopCause = 'horizon' | 'silent' | 'gone' | 'caller left' | 'old weights';
+/** Why the edge stops an attempt. */
+export type StopCause =
+  | 'deadline exceeded'
+  | 'idle timeout'
+  | 'replica removed'
+  | 'caller disconnected'
+  | 'weights superseded';
 
 /**
- * How an attempt ended. `not run` only if no byte was sent or the replica said so itself; `isArrival` tells that it
- * counts among the replicas that one request may go to. `over`: nobody waits for an answer any more.
+ * How an attempt ended. `not run` only if no byte was sent or the replica itself reported it; `wasDelivered` is true in
+ * the latter case. `cancelled`: the caller has disconnected.
  */
 export type AttemptOutcome =
-  | { readonly kind: 'whole' }
-  | { readonly kind: 'over' }
+  | { readonly kind: 'complete' }
+  | { readonly kind: 'cancelled' }
   | { readonly kind: 'not run'; readonly wasDelivered: boolean; readonly retryAfterMs: number | null }
   | { readonly kind: 'may have run'; readonly cause: string };
 
-/** What an answer's head leads to; with `holdsAgainst` it counts as a failure of the replica. */
+/** What to do with a response, by its head; with `isReplicaFailure` it counts as a failure of the replica. */
 type HeadVerdict =
-  | { readonly kind: 'connection rejected' }
-  | { readonly kind: 'pass on'; readonly isSuccess: boolean; readonly isFailure: boolean }
-  | { readonly kind: 'drop'; readonly cause: string; readonly isReplicaFailure: boolean };
+  | { readonly kind: 'rejected' }
+  | { readonly kind: 'forward'; readonly isSuccess: boolean; readonly isFailure: boolean }
+  | { readonly kind: 'discard'; readonly cause: string; readonly isReplicaFailure: boolean };
 
 interface HeadCircumstances {
   readonly hasResponseStarted: boolean;
@@ -45,20 +50,26 @@
   head: ResponseHead,
   { hasResponseStarted, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
-  if (head.isOwn && head.isNotRun) return { kind: 'connection rejected' };
+  if (head.isOwn && head.isNotRun) return { kind: 'rejected' };
   const isSuccess = status >= 200 && status < 300;
   const isFailure = status >= 500;
-  const drop = (cause: string, isReplicaFailure = true): HeadVerdict => ({ kind: 'drop', cause, isReplicaFailure });
-  if (!head.isOwn || (isSuccess && !head.isSealed)) return drop("the answer is not this request's");
-  if (isFailure && (hasResponseStarted || mayTryAnother)) return drop(`the replica answered ${status}`);
-  if (!isSuccess && hasResponseStarted) return drop(`the replica answered ${status} to a resumption`, false);
-  if (notRunStatuses.has(status)) return drop(`the replica answered ${status} and did not say that it had not run it`);
-  return { kind: 'pass on', isSuccess, isFailure };
+  const discard = (cause: string, isReplicaFailure = true): HeadVerdict => ({
+    kind: 'discard',
+    cause,
+    isReplicaFailure,
+  });
+  if (!head.isOwn || (isSuccess && !head.isSealed)) return discard('the response does not belong to this request');
+  if (isFailure && (hasResponseStarted || mayTryAnother)) return discard(`the replica responded with status ${status}`);
+  if (!isSuccess && hasResponseStarted)
+    return discard(`the replica responded to the resumption with status ${status}`, false);
+  if (notRunStatuses.has(status))
+    return discard(`the replica responded with status ${status} without stating that the request was not run`);
+  return { kind: 'forward', isSuccess, isFailure };
 };
 
 /**
- * What the time allowed for a first piece depends on, all in milliseconds: the route's latency target, the placement's
- * estimated cost, and the pool's typical time to a first piece.
+ * Inputs of the timeout for the first chunk, in milliseconds: the route's latency target, the placement's estimated cost,
+ * and the pool's typical time to the first chunk.
  */
 export interface FirstChunkEstimates {
   readonly targetMs: number;
@@ -67,13 +78,13 @@
 }
 
 /**
- * The rules of retries. A request may be sent again only where no replica ran it or its route allows repetition (RFC
- * 9110, 9.2.2, for methods; here by route).
+ * Retry rules. A request may be sent again only if no replica ran it or its route allows repetition (RFC 9110, section
+ * 9.2.2, decides by method; here the route does).
  */
 export const retryPolicy = {
   headVerdict,
 
-  /** How long a first piece may take, in milliseconds, before its replica counts as silent. */
+  /** Milliseconds until the first chunk is due; after that the replica counts as unresponsive. */
   firstChunkTimeoutMs: ({ targetMs, costMs, typicalFirstChunkMs }: FirstChunkEstimates): number =>
     Math.max(
       targetMs * latencyTargetShare,
@@ -81,14 +92,14 @@
       typicalFirstChunkMs * typicalFirstChunkFactor,
     ),
 
-  /** How long a pause within a stream may be, in milliseconds, before its replica counts as silent. */
+  /** Milliseconds that a stream may pause before its replica counts as unresponsive. */
   streamIdleTimeoutMs: ({ maxEventGapMs: gapMs }: Route, remainingMs: number): number =>
     Math.min(
       (gapMs ?? defaultEventGapMs) * idleTimeoutGaps,
       Math.max(remainingMs * idleTimeoutShare, gapMs ?? defaultEventGapMs),
     ),
 
-  /** Whether a request whose last attempt may have run may be sent again: a call that runs at most once never is. */
+  /** Whether a request whose last attempt may have run may be sent again; never for one that must run at most once. */
   mayRetry: (view: RouteView, hasResponseStarted: boolean, isResumable: boolean): boolean =>
     hasResponseStarted ? view.route.isResumable && isResumable : view.mayRepeat,
 };
--- a/packages/edge-proxy/src/index.ts
+++ b/packages/edge-proxy/src/index.ts
@@ -1,4 +1,4 @@
-/** The edge proxy: it takes callers' requests, selects a replica for each and relays the response. */
+/** The edge proxy: accepts callers' requests, selects a replica for each and relays the response. */
 export * from './ingress/call.js';
 export * from './ingress/headerLists.js';
 export * from './ingress/ingressServer.js';
--- a/packages/edge-proxy/src/ingress/call.ts
+++ b/packages/edge-proxy/src/ingress/call.ts
@@ -1,8 +1,8 @@
-/** A caller's request and the answer to it, apart from the server that they came by. */
+/** A caller's request and the response to it, independent of the server that received it. */
 import type { Result } from 'neverthrow';
 import type { BodyError } from '../errors.js';
 
-/** One caller's request as it came: header lists alternate names and values, bodies are bytes. */
+/** One caller's request as received. Header lists alternate names and values; bodies are bytes. */
 export interface Call {
   readonly method: string;
   readonly target: string;
@@ -14,7 +14,7 @@
   readonly respond: (status: number, headers: readonly string[], isLast: boolean) => ResponseWriter;
 }
 
-/** `cut` ends the answer so that it can't look whole. */
+/** Writes the response body. `abort` ends it so that the caller can't take it for complete. */
 export interface ResponseWriter {
   readonly write: (bytes: Uint8Array) => Promise<void>;
   readonly end: () => void;
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -1,4 +1,4 @@
-/** The open exchanges of one caller's connection, pipelined ones included (RFC 9112, 9.3.2). */
+/** Tracks the open exchanges of one caller's connection, pipelined ones included (RFC 9112, section 9.3.2). */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
@@ -9,8 +9,9 @@
 }
 
 /**
- * The requests of one caller's connection that are not answered whole yet. Callers may send several at once; node
- * hands each over as it comes and gives the answers out in order, but tells only the first that the caller left.
+ * The requests of one caller's connection whose response is not complete yet. With pipelining there may be several: Node
+ * emits each request as it arrives and sends the responses in order, but notifies only the first one when the caller
+ * disconnects.
  */
 export class CallerConnection {
   private readonly openExchanges = new Set<Exchange>();
@@ -20,8 +21,8 @@
   }
 
   /**
-   * Keeps one request until its answer is whole; the function that it returns registers whom to tell that the caller
-   * left.
+   * Tracks one request until its response is complete. Returns a function that registers listeners for the caller's
+   * disconnection.
    */
   readonly track = (incoming: IncomingMessage, response: ServerResponse): ((listener: () => void) => void) => {
     const exchange: Exchange = { incoming, response, disconnectListeners: [] };
@@ -34,8 +35,9 @@
   };
 
   /**
-   * Ends the connection because its bytes form no request, or come too slowly. `answer` is written only if the caller
-   * waits for nothing else: a request that was read whole may run, and any status in its place would speak of it.
+   * Closes the connection because its bytes form no request or arrive too slowly. `response` is written only if no other
+   * response is pending: a request that was received in full may be running, and the caller would take the status as
+   * the answer to it.
    */
   readonly closeWith = (response: string): void => {
     if (!this.socket.writable) this.socket.destroy();
--- a/packages/edge-proxy/src/ingress/headerLists.ts
+++ b/packages/edge-proxy/src/ingress/headerLists.ts
@@ -1,6 +1,6 @@
-/** Operations on lists of headers, in which names and values alternate as they came (`rawHeaders` of Node). */
+/** Operations on header lists, in which names and values alternate in the order received (`rawHeaders` in Node). */
 
-/** Headers of one connection (RFC 9110, 7.6.1), and `Expect`, which the ingress server answers itself. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and `Expect`, which the ingress server answers itself. */
 const hopByHop = new Set([
   'connection',
   'keep-alive',
@@ -21,26 +21,25 @@
 };
 
 /**
- * Lookup and removal of headers; names are compared without regard to case (RFC 9110, 5.1), order and spelling stay.
+ * Lookup and removal of headers. Names are compared case-insensitively (RFC 9110, section 5.1); order and spelling are
+ * preserved.
  */
 export const headerLists = {
   find,
-  /**
-   * Without the headers that concern one connection only (RFC 9110, 7.6.1), those that `Connection` names among them.
-   */
+  /** The list without hop-by-hop headers (RFC 9110, section 7.6.1), including those that `Connection` names. */
   endToEnd: (headers: readonly string[]): string[] => {
     const named = new Set((find(headers, 'connection') ?? '').split(',').map((name) => name.trim().toLowerCase()));
-    const kept: string[] = [];
+    const remaining: string[] = [];
     for (let at = 0; at < headers.length; at += 2) {
       const name = (headers[at] ?? '').toLowerCase();
-      if (!hopByHop.has(name) && !named.has(name)) kept.push(headers[at] ?? '', headers[at + 1] ?? '');
+      if (!hopByHop.has(name) && !named.has(name)) remaining.push(headers[at] ?? '', headers[at + 1] ?? '');
     }
-    return kept;
+    return remaining;
   },
   without: (headers: readonly string[], unwanted: ReadonlySet<string>): string[] => {
-    const kept: string[] = [];
+    const remaining: string[] = [];
     for (let at = 0; at < headers.length; at += 2)
-      if (!unwanted.has((headers[at] ?? '').toLowerCase())) kept.push(headers[at] ?? '', headers[at + 1] ?? '');
-    return kept;
+      if (!unwanted.has((headers[at] ?? '').toLowerCase())) remaining.push(headers[at] ?? '', headers[at + 1] ?? '');
+    return remaining;
   },
 };
--- a/packages/edge-proxy/src/ingress/ingressDrain.ts
+++ b/packages/edge-proxy/src/ingress/ingressDrain.ts
@@ -1,4 +1,4 @@
-/** Orderly end of an edge's ingress server. */
+/** Graceful shutdown of an edge's ingress server. */
 import type { Clock } from '@martenworks/core-types';
 import type { IngressServer } from './ingressServer.js';
 
@@ -6,11 +6,11 @@
 const reserveMs = 700;
 const pollIntervalMs = 50;
 
-/** The drain of an ingress server before its process ends. */
+/** Drains an ingress server before its process exits. */
 export const ingressDrain = {
   /**
-   * Keeps accepting connections for a while, so that load balancers notice that the edge isn't ready any more; then
-   * waits until nothing runs, at most until shortly before `drainMs` are over.
+   * Keeps accepting connections for a while, so that load balancers notice that the edge is no longer ready. Then waits
+   * until no request is running, at most until shortly before `drainMs` milliseconds have passed.
    */
   run: async (clock: Clock, ingress: IngressServer, drainMs: number, isIdle: () => boolean): Promise<void> => {
     const startedAt = clock.now();
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -38,8 +38,8 @@
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
 
 /**
- * `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset
- * cuts it.
+ * Wraps a server response. `isDelimited` is true if the caller can tell the end of the body from a closed connection;
+ * otherwise only a reset shows that the body is truncated.
  */
 const responseWriter = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
   write: (bytes) =>
@@ -70,14 +70,15 @@
 };
 
 /**
- * Who is handed each call, and whether connections should be closed after the response because the edge is draining.
+ * `onCall` receives each call; `isClosing` is true once connections should be closed after the response because the edge
+ * is draining.
  */
 export interface IngressServerOptions {
   readonly onCall: (call: Call) => void;
   readonly isClosing: () => boolean;
 }
 
-/** A caller-side HTTP/1.1 server that keeps targets, headers and bodies as they came. */
+/** A caller-facing HTTP/1.1 server that passes targets, headers and bodies on unchanged. */
 export class IngressServer {
   private readonly server: Server;
   private readonly connections = new WeakMap<object, CallerConnection>();
@@ -126,15 +127,13 @@
     });
   };
 
-  /**
-   * Takes the idle and header timeouts, in milliseconds, of the routing table in force.
-   */
+  /** Applies the idle and header timeouts, in milliseconds, of the current routing table. */
   readonly applyLimits = (limits: CallerLimits): void => {
     this.server.keepAliveTimeout = limits.idleMs;
     this.server.headersTimeout = limits.headerMs;
   };
 
-  /** Listens on `host:port`; fails with the network error of the system, for instance `EADDRINUSE`. */
+  /** Listens on `host:port`; fails with the system's network error, for example `EADDRINUSE`. */
   readonly open = (address: string): Promise<Result<void, NetworkError>> =>
     new Promise((resolve) => {
       const { host, port } = addresses.split(address);
@@ -144,19 +143,19 @@
       this.server.listen(port, host, 1_024, () => resolve(ok(undefined)));
     });
 
-  /** Stops accepting connections and closes the idle ones; running requests go on. */
+  /** Stops accepting connections and closes idle ones; running requests continue. */
   readonly stopAccepting = (): void => {
     this.server.close();
     this.server.closeIdleConnections();
   };
 
-  /** Whether no connection is open; true also where the system can't tell. */
+  /** Whether no connection is open; true also where the count can't be determined. */
   readonly hasNoConnections = (): Promise<boolean> =>
     new Promise((resolve) => this.server.getConnections((cause, count) => resolve(cause !== null || count === 0)));
 
   /** Closes the connections on which no request is running. */
   readonly closeIdle = (): void => this.server.closeIdleConnections();
 
-  /** Closes every connection at once, whatever runs on it. */
+  /** Closes every connection immediately, including those with running requests. */
   readonly destroy = (): void => this.server.closeAllConnections();
 }
--- a/packages/edge-proxy/src/ingress/rejectionWriter.ts
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -1,9 +1,9 @@
-/** Writes the rejections that come from the edge itself. */
+/** Writes the rejections that the edge itself issues. */
 import { background } from '@martenworks/core-types';
 import type { HeaderCodec } from '@martenworks/core-types';
 import type { Call } from './call.js';
 
-/** A rejection as its caller gets it; `retryAfterMs` becomes a `Retry-After` header in seconds. */
+/** A rejection as sent to the caller; `retryAfterMs` becomes a `Retry-After` header in seconds. */
 export interface Rejection {
   readonly status: number;
   readonly message: string;
@@ -14,7 +14,7 @@
 const msPerSecond = 1_000;
 const retryAfterDecimals = 2;
 
-/** Writes a rejection as a whole response with a JSON body; a response to HEAD has no body (RFC 9110, 9.3.2). */
+/** Writes a rejection as a complete response with a JSON body, which HEAD omits (RFC 9110, section 9.3.2). */
 export const rejectionWriter = {
   write: (wire: HeaderCodec, call: Call, { status, message, retryAfterMs, closesConnection }: Rejection): void => {
     const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -1,4 +1,4 @@
-/** Admission of callers' requests: by route, key and size limits of the routing table in force. */
+/** Admission of callers' requests by the routes, keys and size limits of the current routing table. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { keys } from '@martenworks/core-types';
@@ -10,7 +10,7 @@
 import type { AdmissionError, CallerDisconnected } from '../errors.js';
 import type { Call } from './call.js';
 
-/** What a request is admitted by: its route, and the customer whom its key belongs to (null for a public route). */
+/** The route that admits a request, and the customer that its key belongs to (null without a known key). */
 interface Grant {
   readonly view: RouteView;
   readonly customer: Customer | null;
@@ -21,17 +21,17 @@
   return end < 0 ? target : target.slice(0, end);
 };
 
-/** Admits requests, and tells later whether an admission still holds. */
+/** Admits requests, and checks later whether an admission is still valid. */
 export class RequestAdmission {
   constructor(
     private readonly headerCodec: HeaderCodec,
     private readonly random: Random,
-    /** The routing table in force; null as long as the edge doesn't know it for sure. */
+    /** The current routing table; null while the edge can't be sure that it is current. */
     private readonly confirmedView: () => RoutingTableView | null,
     private readonly view: () => RoutingTableView | null,
   ) {}
 
-  /** Reads one request and admits it, or tells why not. */
+  /** Reads one request and admits it; fails with the rejection, or because the caller disconnected. */
   readonly admit = async (call: Call): Promise<Result<Admission, AdmissionError | CallerDisconnected>> => {
     const view = this.confirmedView();
     if (view === null) return err(admissionErrors.notReady);
@@ -57,7 +57,8 @@
   };
 
   /**
-   * Whether what a request was admitted by still holds: its route, its key, the key's customer and what that may share.
+   * Whether an admission is still valid: same route and customer, same cache isolation, and no retry or resumption that
+   * the route no longer allows.
    */
   readonly isStillAdmitted = ({ call, view, customer, keyHash }: Admission): boolean => {
     const current = this.grant(call, keyHash);
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -1,4 +1,4 @@
-/** Calls that come as `Request` of the Fetch standard, for an edge behind an HTTP server that isn't its own. */
+/** Calls received as Fetch API `Request` objects, for an edge behind an HTTP server other than its own. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
@@ -25,7 +25,7 @@
 };
 
 /**
- * One call that came as a `Request`. What `answer` is told becomes the `Response`; a cut answer is a body that breaks.
+ * One call received as a `Request`. `respond` resolves the `Response`; aborting makes its body stream fail.
  */
 class WebCall implements Call {
   readonly method: string;
@@ -47,10 +47,10 @@
     this.host = request.headers.get('host') ?? host;
     this.headerBytes = this.headers.reduce((sum, text) => sum + text.length + 2, 0) + this.target.length;
     this.response = new Promise((resolve) => (this.resolveResponse = resolve));
-    request.signal.addEventListener('abort', this.callerGone, { once: true });
+    request.signal.addEventListener('abort', this.handleDisconnect, { once: true });
   }
 
-  private readonly callerGone = (): void => {
+  private readonly handleDisconnect = (): void => {
     if (this.isFinished) return;
     this.finish();
     for (const listener of this.disconnectListeners.splice(0)) listener();
@@ -58,7 +58,7 @@
 
   private readonly finish = (): void => {
     this.isFinished = true;
-    this.request.signal.removeEventListener('abort', this.callerGone);
+    this.request.signal.removeEventListener('abort', this.handleDisconnect);
     this.resumeWriter();
   };
 
@@ -80,42 +80,42 @@
         streamController = controller;
       },
       pull: () => this.resumeWriter(),
-      cancel: this.callerGone,
+      cancel: this.handleDisconnect,
     });
-    const withStream = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
-      if (streamController !== null && !this.isFinished) listener(streamController);
+    const withStream = (action: (controller: ReadableStreamDefaultController<Uint8Array>) => void): void => {
+      if (streamController !== null && !this.isFinished) action(streamController);
     };
     this.resolveResponse(new Response(bodilessStatuses.has(status) ? null : stream, { status, headers: list }));
     return {
       write: async (bytes) => {
-        withStream((open) => open.enqueue(bytes));
+        withStream((controller) => controller.enqueue(bytes));
         if (!this.isFinished && (streamController?.desiredSize ?? 1) <= 0)
-          await new Promise<void>((wake) => (this.resumeWriter = wake));
+          await new Promise<void>((resume) => (this.resumeWriter = resume));
       },
       end: () =>
-        withStream((open) => {
+        withStream((controller) => {
           this.finish();
-          open.close();
+          controller.close();
         }),
       abort: () =>
-        withStream((open) => {
+        withStream((controller) => {
           this.finish();
-          open.error(Object.assign(new Error('the answer was cut'), { code: 'ECONNRESET' }));
+          controller.error(Object.assign(new Error('response truncated'), { code: 'ECONNRESET' }));
         }),
     };
   };
 }
 
-/** Adapts an edge to the handler of an HTTP server port. */
+/** Adapts an edge to the handler of an HTTP server. */
 export const webCalls = {
-  /** Answers a `Request` by whoever receives calls: an edge without its own server. */
+  /** Returns a handler that passes each `Request` to `serve` as a call. */
   handler:
-    (receive: (call: Call) => Promise<void>): WebHandler =>
+    (serve: (call: Call) => Promise<void>): WebHandler =>
     (request) => {
       const call = new WebCall(request);
       return new Promise((resolve, fail) => {
         background.run('deliver a response', call.response.then(resolve));
-        receive(call).catch(fail);
+        serve(call).catch(fail);
       });
     },
 };
--- a/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
+++ b/packages/edge-proxy/src/prefixcache/prefixCacheIndex.ts
@@ -1,5 +1,6 @@
 /**
- * The edge's prefix index: which address has which prompt part cached, as far as events, own answers and reports tell.
+ * The edge's prefix index: which address has which prompt parts cached, according to cache events, this edge's own
+ * responses and reports of other edges.
  */
 import { IncarnationMatcher } from '@martenworks/core-types';
 import type { Clock, PrefixCacheUpdate } from '@martenworks/core-types';
@@ -23,8 +24,8 @@
 const keyOf = (salt: string, part: string): string => `${salt}\n${part}`;
 
 /**
- * The edge's index: which address keeps how many tokens of which part under which salt, from what control nodes send
- * and, for a while, from what this edge saw itself.
+ * Index of cached prompt parts by address and salt. Entries come from control nodes and, for a limited time, from this
+ * edge's own responses.
  */
 export class PrefixCacheIndex {
   private readonly prefixCaches = new Map<string, AddressEntries>();
@@ -48,47 +49,47 @@
     return created;
   };
 
-  /** Takes updates from the control plane: whole lists or changes of one address's entries. */
-  readonly apply = (bundle: readonly PrefixCacheUpdate[]): void => {
-    for (const { address, isWhole, isHeard, epoch, events: update } of bundle) {
-      const stored = this.entriesOf(address);
-      stored.unfollowedSince = isHeard ? null : (stored.unfollowedSince ?? this.clock.now());
-      stored.isFollowed = isHeard;
-      if (epoch !== undefined && epoch !== '' && epoch !== stored.epoch) {
-        if (stored.epoch !== '') stored.incarnations.isFirstByEpoch();
-        stored.epoch = epoch;
+  /** Applies updates from the control plane: complete lists or changes of the entries of an address. */
+  readonly apply = (updates: readonly PrefixCacheUpdate[]): void => {
+    for (const { address, isWhole, isHeard, epoch, events } of updates) {
+      const entries = this.entriesOf(address);
+      entries.unfollowedSince = isHeard ? null : (entries.unfollowedSince ?? this.clock.now());
+      entries.isFollowed = isHeard;
+      if (epoch !== undefined && epoch !== '' && epoch !== entries.epoch) {
+        if (entries.epoch !== '') entries.incarnations.isFirstByEpoch();
+        entries.epoch = epoch;
       }
-      if (isWhole) stored.reported.clear();
-      for (const { isKept, salt, part, tokens } of update) {
+      if (isWhole) entries.reported.clear();
+      for (const { isKept, salt, part, tokens } of events) {
         const key = keyOf(salt, part);
-        if (tokens > 0) stored.reported.set(key, tokens);
-        else stored.reported.delete(key);
-        if (!isKept) stored.observed.delete(key);
+        if (tokens > 0) entries.reported.set(key, tokens);
+        else entries.reported.delete(key);
+        if (!isKept) entries.observed.delete(key);
       }
     }
   };
 
   /**
-   * Another replica has the address: nothing that the one before cached is there, unless the entries already come from
-   * the new one's events.
+   * Records that a new replica has the address: the previous one's entries are removed, unless the entries already come
+   * from the new one's events.
    */
   readonly onIncarnationChange = (address: string): void => {
-    const stored = this.prefixCaches.get(address);
-    if (stored === undefined) return;
-    if (stored.incarnations.isFirstById()) stored.reported.clear();
-    stored.observed.clear();
-    stored.prefills.clear();
-    stored.quarantined.clear();
+    const entries = this.prefixCaches.get(address);
+    if (entries === undefined) return;
+    if (entries.incarnations.isFirstById()) entries.reported.clear();
+    entries.observed.clear();
+    entries.prefills.clear();
+    entries.quarantined.clear();
   };
 
-  /** No replica has the address any more: everything known of it is dropped. */
+  /** Records that no replica has the address any more: all its entries are removed. */
   readonly onAddressVacated = (address: string): void => void this.prefixCaches.delete(address);
 
-  /** Ignores entries of the part at the address for `forMs` milliseconds, whatever events say. */
+  /** Ignores entries of the part at the address for `forMs` milliseconds, even if events report it. */
   readonly quarantine = (address: string, salt: string, part: string, forMs: number): void =>
     void this.entriesOf(address).quarantined.set(keyOf(salt, part), this.clock.now() + forMs);
 
-  /** Whether entries of the part at the address are ignored for now, after they proved wrong. */
+  /** Whether entries of the part at the address are currently ignored because they proved wrong. */
   readonly isQuarantined = (address: string, salt: string, part: string): boolean => {
     const quarantined = this.prefixCaches.get(address)?.quarantined;
     const key = keyOf(salt, part);
@@ -99,48 +100,51 @@
     return false;
   };
 
-  /** What this edge saw itself: `address` was given the part just now. */
+  /** Records this edge's own observation that the address has just processed the part. */
   readonly recordObserved = (address: string, salt: string, part: string): void =>
     void this.entriesOf(address).observed.set(keyOf(salt, part), this.clock.now());
 
-  /** `address` is reading the part now: whoever comes there next finds it. */
+  /** Records that a prefill of the part is running at the address: the next request there finds it cached. */
   readonly recordPrefill = (address: string, salt: string, part: string): void =>
     void this.entriesOf(address).prefills.set(keyOf(salt, part), this.clock.now());
 
-  /** Whether a prefill of the part is running at the address, by a notice of the last 2.5 s. */
+  /** Whether a prefill of the part is running at the address, according to a notice of the last 2.5 s. */
   readonly isPrefilling = (address: string, salt: string, part: string): boolean => {
-    const stored = this.prefixCaches.get(address);
+    const entries = this.prefixCaches.get(address);
     const key = keyOf(salt, part);
-    const at = stored?.prefills.get(key);
-    if (stored === undefined || at === undefined || this.isQuarantined(address, salt, part)) return false;
+    const at = entries?.prefills.get(key);
+    if (entries === undefined || at === undefined || this.isQuarantined(address, salt, part)) return false;
     if (this.clock.now() - at <= prefillTtlMs) return true;
-    stored.prefills.delete(key);
+    entries.prefills.delete(key);
     return false;
   };
 
-  /** The address was found without the part: its entry is wrong until another event brings it. */
+  /** Removes the entry of a part that the address turned out not to have; a later event may add it again. */
   readonly remove = (address: string, salt: string, part: string): void => {
-    const stored = this.entriesOf(address);
-    stored.observed.delete(keyOf(salt, part));
-    stored.reported.delete(keyOf(salt, part));
+    const entries = this.entriesOf(address);
+    entries.observed.delete(keyOf(salt, part));
+    entries.reported.delete(keyOf(salt, part));
   };
 
-  /** Memory goes by blocks, so a part is rarely kept to its last token: most of it counts as all. */
+  /**
+   * Whether the part is cached at the address. Cache memory is allocated in blocks, so that the last tokens of a part are
+   * rarely cached: a share of `minCachedShare` of the part is enough.
+   */
   readonly isCached = (address: string, salt: string, part: string, tokens: number): boolean => {
-    const stored = this.prefixCaches.get(address);
-    if (stored === undefined) return false;
+    const entries = this.prefixCaches.get(address);
+    if (entries === undefined) return false;
     const key = keyOf(salt, part);
     if (this.isQuarantined(address, salt, part)) return false;
-    const isTrusted = stored.unfollowedSince === null || this.clock.now() - stored.unfollowedSince <= unfollowedTtlMs;
-    if (isTrusted && (stored.reported.get(key) ?? 0) >= tokens * minCachedShare) return true;
-    const sawAt = stored.observed.get(key);
-    if (sawAt === undefined) return false;
-    if (this.clock.now() - sawAt <= observedTtlMs) return true;
-    stored.observed.delete(key);
+    const isTrusted = entries.unfollowedSince === null || this.clock.now() - entries.unfollowedSince <= unfollowedTtlMs;
+    if (isTrusted && (entries.reported.get(key) ?? 0) >= tokens * minCachedShare) return true;
+    const observedAt = entries.observed.get(key);
+    if (observedAt === undefined) return false;
+    if (this.clock.now() - observedAt <= observedTtlMs) return true;
+    entries.observed.delete(key);
     return false;
   };
 
-  /** Whether a control node follows the address's cache events at present. */
+  /** Whether a control node currently follows the cache events of the address. */
   readonly isFollowed = (address: string): boolean => this.prefixCaches.get(address)?.isFollowed === true;
 
   /** Entries per address, for the operators' pages. */
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -1,6 +1,6 @@
 /**
- * What the time to an attempt's first piece tells: the prefill rate of the replica, and whether the prefix was cached
- * as the index says.
+ * Evaluates the time to an attempt's first chunk: it shows the replica's prefill rate, and whether the prefix was cached
+ * as the index states.
  */
 import type { PrefillNotice } from '@martenworks/core-types';
 import type { Admission, EdgeContext } from '../edgeContext.js';
@@ -11,8 +11,8 @@
 /** Names of the metrics that count placements by prompt length and source of the prefix. */
 export const placementMetrics = {
   /**
-   * The counter that a placement adds to: how long its prompt is, where the replica gets its prefix from, and whether
-   * rendezvous hashing ranks the replica first.
+   * The counter of a placement, by the length of its prompt, the source of its prefix, and whether rendezvous hashing
+   * ranks the replica first.
    */
   of: ({ affinityPart, isCached, isBeingPrefilled, isPreferred, holder }: Placement): string => {
     if (affinityPart === null || affinityPart.tokens < longPrefillTokens)
@@ -23,8 +23,8 @@
 };
 
 /**
- * Measures how long one attempt's prompt takes to prefill, and what that says of the replica and of the prefix index.
- * Created as the attempt begins.
+ * Measures how long one attempt's prompt takes to prefill, and evaluates that for the replica and the prefix index.
+ * Created when the attempt starts.
  */
 export class PromptTiming {
   private readonly sentAt: number;
@@ -48,10 +48,10 @@
     this.wasAlone = this.pendingBefore === 0 && !isBeingPrefilled;
   }
 
-  /** Milliseconds since the attempt began. */
+  /** Milliseconds since the attempt started. */
   readonly elapsedMs = (): number => this.context.ports.clock.now() - this.sentAt;
 
-  /** Announces a long prompt that is about to be prefilled to the other edges. */
+  /** Announces the prefill of a long prompt to the other edges. */
   readonly announcePrefill = (): void => {
     const { tracked, prefillTokens, salt, affinityPart } = this.placed;
     if (prefillTokens < longPrefillTokens) return;
@@ -63,7 +63,7 @@
       this.context.prefixCaches.recordPrefill(endpoint.address, salt, affinityPart.id);
   };
 
-  /** Records, once, that the prompt is prefilled or the attempt over. */
+  /** Records the end of the prefill or of the attempt, whichever comes first; later calls do nothing. */
   readonly endPrefill = (): void => {
     if (!this.isPrefillPending) return;
     this.isPrefillPending = false;
@@ -72,7 +72,7 @@
   };
 
   /**
-   * Learns from the time to a first piece how fast the replica prefills, and whether it had cached what the index says.
+   * Evaluates the time to the first chunk: how fast the replica prefills, and whether it had cached what the index states.
    */
   readonly recordFirstChunk = (elapsedMs: number): void => {
     const { replicaTracker, prefixCaches } = this.context;
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -1,6 +1,5 @@
 /**
- * Finds entries of the prefix index that don't hold any more, by answers that come as late as if the prefix had been
- * prefilled.
+ * Detects stale entries of the prefix index by responses that are as late as if the prefix had not been cached.
  */
 import type { Clock, CacheMissReport } from '@martenworks/core-types';
 
@@ -21,8 +20,8 @@
 const unreliableEvictions = 2;
 
 /**
- * What the index said as a prompt was placed: `address` keeps these parts. `pullMs` is the time to hand them over, null
- * where the replica itself keeps them.
+ * The index entry that a placement relied on: `address` has these parts cached. `pullMs` is the estimated transfer time,
+ * null where the replica itself has them.
  */
 export interface ExpectedHit {
   readonly address: string;
@@ -33,8 +32,8 @@
 }
 
 /**
- * What an answer's first piece is measured against; `aheadTokens` were pending at the replica as the prompt was sent or
- * came there with it.
+ * What the time to a response's first chunk is compared with. `aheadTokens` are the prefill tokens that were pending at
+ * the replica when the prompt was sent or arrived there together with it.
  */
 export interface ResponseTiming {
   readonly expectedHit: ExpectedHit;
@@ -45,17 +44,17 @@
   readonly sentAt: number;
 }
 
-/** What one answer's timing says of the promised parts; `unclear` where noise could explain either. */
+/** What a response's timing shows about the expected parts; `unclear` where noise could explain either outcome. */
 export type Verdict = 'missing' | 'found' | 'unclear';
 
 /**
- * What follows from an answer: nothing, a strike to be reported, or the eviction of the entry, with a quarantine in
- * milliseconds where it was evicted before.
+ * Consequence of a response: nothing, a strike to report, or the eviction of the entry, with a quarantine in milliseconds
+ * where it was evicted before.
  */
 export type Decision =
   | { readonly kind: 'none' }
   | { readonly kind: 'strike' }
-  | { readonly kind: 'drop'; readonly quarantineMs: number | null };
+  | { readonly kind: 'evict'; readonly quarantineMs: number | null };
 
 interface Suspicion {
   strikes: number;
@@ -66,27 +65,29 @@
 const keyOf = ({ address, salt, parts }: Pick<ExpectedHit, 'address' | 'salt' | 'parts'>): string =>
   `${address}\n${salt}\n${parts.at(-1) ?? ''}`;
 
-/** Tells from the time to the first piece whether the parts that the index promised had to be read after all. */
+/** Decides from the time to the first chunk whether the parts that the index listed had to be prefilled after all. */
 export const responseTimings = {
   classify: ({ expectedHit, uncachedTokens, aheadTokens, tokensPerMs }: ResponseTiming, elapsedMs: number): Verdict => {
     if (tokensPerMs === null) return 'unclear';
     const partsMs = expectedHit.tokens / tokensPerMs;
-    const restMs = uncachedTokens / tokensPerMs;
+    const uncachedMs = uncachedTokens / tokensPerMs;
     const aheadMs = aheadTokens / tokensPerMs;
     const pullMs = expectedHit.pullMs ?? 0;
     if (partsMs < minPrefillMs || pullMs * 2 > partsMs * maxHitShare) return 'unclear';
-    if (elapsedMs < restMs + partsMs * maxHitShare) return 'found';
-    if (elapsedMs > (restMs + aheadMs + partsMs) * overloadFactor + overloadSlackMs) return 'unclear';
-    return elapsedMs >= restMs + aheadMs + pullMs + partsMs * minMissShare + slackMs ? 'missing' : 'unclear';
+    if (elapsedMs < uncachedMs + partsMs * maxHitShare) return 'found';
+    if (elapsedMs > (uncachedMs + aheadMs + partsMs) * overloadFactor + overloadSlackMs) return 'unclear';
+    return elapsedMs >= uncachedMs + aheadMs + pullMs + partsMs * minMissShare + slackMs ? 'missing' : 'unclear';
   },
 };
 
 /**
- * Counts strikes against entries of the index. Queueing explains a single late answer, so an entry is evicted at the
- * second strike within ten seconds, each by a request sent after the one before was answered; an answer in time clears
- * them. Where nobody follows the address's events, one strike is enough. An entry that is evicted again within a minute
- * is quarantined, longer each time, where the replica was to use it itself (a source of transfers may be filled anew).
- * Once two entries of an address were evicted within half a minute, one strike evicts and quarantines the next.
+ * Counts strikes against entries of the index. Queueing can explain a single late response, so an entry is evicted at the
+ * second strike within ten seconds; a strike counts only if its request was sent after the previous strike. A response in
+ * time clears the strikes. Where no control node follows the address's events, one strike is enough.
+ *
+ * An entry that is evicted again within a minute is quarantined, for twice as long each time, if the replica itself was to
+ * use it; an address that prefixes are pulled from is not quarantined, since it may cache them again. Once two entries of
+ * an address were evicted within half a minute, a single strike evicts and quarantines the next one.
  */
 export class StaleEntryDetector {
   private readonly suspicions = new Map<string, Suspicion>();
@@ -95,7 +96,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes one answer's time to its first piece, in milliseconds, and decides about the entry that it relied on. */
+  /** Evaluates the time to a response's first chunk, in milliseconds, and decides about the entry it relied on. */
   readonly recordTiming = (timing: ResponseTiming, elapsedMs: number): Decision => {
     const verdict = responseTimings.classify(timing, elapsedMs);
     if (verdict === 'unclear') return { kind: 'none' };
@@ -112,23 +113,24 @@
     suspicion.strikes = (now - suspicion.lastStrikeAt <= strikeWindowMs ? suspicion.strikes : 0) + 1;
     suspicion.lastStrikeAt = now;
     this.counts.strikes += 1;
-    const isDoubted = this.isAddressUnreliable(timing.expectedHit.address, key);
-    if (suspicion.strikes < (timing.isFollowed && !isDoubted ? followedStrikes : unfollowedStrikes))
+    const isUnreliable = this.isAddressUnreliable(timing.expectedHit.address, key);
+    if (suspicion.strikes < (timing.isFollowed && !isUnreliable ? followedStrikes : unfollowedStrikes))
       return { kind: 'strike' };
     this.recordEviction(timing.expectedHit.address, key);
-    suspicion.evictions += isDoubted && suspicion.evictions === 0 ? 2 : 1;
+    suspicion.evictions += isUnreliable && suspicion.evictions === 0 ? 2 : 1;
     suspicion.strikes = followedStrikes - 1;
     this.counts.drops += 1;
-    if (suspicion.evictions === 1 || timing.expectedHit.pullMs !== null) return { kind: 'drop', quarantineMs: null };
+    if (suspicion.evictions === 1 || timing.expectedHit.pullMs !== null) return { kind: 'evict', quarantineMs: null };
     this.counts.bars += 1;
     return {
-      kind: 'drop',
+      kind: 'evict',
       quarantineMs: Math.min(maxQuarantineMs, initialQuarantineMs * 2 ** (suspicion.evictions - 2)),
     };
   };
 
   /**
-   * What another edge saw: its strike makes one's own the second, which alone decides; what it decided is done already.
+   * Records the report of another edge. Its strike counts as a first one, so that the next strike of this edge decides; an
+   * eviction that it decided is only recorded here.
    */
   readonly recordReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
@@ -140,7 +142,7 @@
     this.recordEviction(update.address, keyOf(update));
   };
 
-  /** Two other entries of the address were evicted a short while ago: the address as a whole loses entries. */
+  /** Whether two other entries of the address were evicted recently, so that all its entries are in doubt. */
   private readonly isAddressUnreliable = (address: string, key: string): boolean => {
     const now = this.clock.now();
     return (
@@ -157,7 +159,7 @@
     for (const [other, at] of known) if (now - at > evictionWindowMs) known.delete(other);
   };
 
-  /** Another replica has the address. */
+  /** Records that a new replica has the address: all suspicions against it are dropped. */
   readonly onIncarnationChange = (address: string): void => {
     this.recentEvictions.delete(address);
     for (const key of this.suspicions.keys()) if (key.startsWith(`${address}\n`)) this.suspicions.delete(key);
--- a/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryEviction.ts
@@ -1,9 +1,9 @@
-/** Evicts entries of the prefix index that answers speak against, here and at the other edges. */
+/** Evicts entries of the prefix index that response times contradict, here and at the other edges. */
 import type { CacheMissReport, Log, MetricCounters } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from './prefixCacheIndex.js';
 import type { ResponseTiming, Decision, StaleEntryDetector } from './staleEntryDetector.js';
 
-/** What eviction works on; `report` sends a report to the control plane, which passes it on to the other edges. */
+/** Dependencies of the eviction. `report` sends a report to the control plane, which relays it to the other edges. */
 export interface StaleEntryEvictionOptions {
   readonly isEnabled: boolean;
   readonly detector: StaleEntryDetector;
@@ -17,15 +17,15 @@
   address,
   salt,
   parts,
-  isDecided: decision.kind === 'drop',
-  quarantineMs: decision.kind === 'drop' ? decision.quarantineMs : null,
+  isDecided: decision.kind === 'evict',
+  quarantineMs: decision.kind === 'evict' ? decision.quarantineMs : null,
 });
 
-/** Applies the decisions of the stale entry detector. Does nothing where it is switched off. */
+/** Applies the decisions of the stale entry detector; does nothing if it is disabled. */
 export class StaleEntryEviction {
   constructor(private readonly options: StaleEntryEvictionOptions) {}
 
-  /** Takes the time to an answer's first piece, in milliseconds; true where it speaks against the index. */
+  /** Checks the time to a response's first chunk, in milliseconds; returns true if it contradicts the index. */
   readonly checkExpectedHit = (timing: ResponseTiming, elapsedMs: number): boolean => {
     const { isEnabled, detector, metrics, report } = this.options;
     if (!isEnabled) return false;
@@ -41,7 +41,7 @@
     return true;
   };
 
-  /** Takes what another edge reports. */
+  /** Applies the report of another edge. */
   readonly applyReport = (report: CacheMissReport): void => {
     const { isEnabled, detector, metrics } = this.options;
     if (!isEnabled) return;
--- a/packages/edge-proxy/src/routing/candidateScorer.ts
+++ b/packages/edge-proxy/src/routing/candidateScorer.ts
@@ -1,4 +1,4 @@
-/** Estimates what a request costs on each replica that may run it. */
+/** Estimates the cost of running a request on each eligible replica. */
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ScoredCandidate } from './placement.js';
 import type { PlacementContext } from './placementContext.js';
@@ -17,12 +17,12 @@
 const negligibleErrorRate = 0.05;
 
 /**
- * How a candidate can get at the tracked prefix: from its own cache, from a prefill that runs there, from another
- * replica, or not.
+ * Where a candidate can get the tracked prefix from: its own cache, a prefill already running there, another replica, or
+ * nowhere.
  */
 type PrefixAvailability = 'cached' | 'being prefilled' | 'transferable' | 'missing';
 
-/** Scores the candidates of one placement by estimated milliseconds; the lowest cost wins. */
+/** Scores the candidates of one placement by estimated cost in milliseconds; the lowest cost wins. */
 export class CandidateScorer {
   constructor(
     private readonly replicaTracker: ReplicaTracker,
@@ -30,28 +30,28 @@
     private readonly weights: WeightsEligibility,
   ) {}
 
-  /** The cheapest candidate; among equals the first from `offset` on. Null where there is none. */
+  /** Returns the cheapest candidate, the first from `offset` on among equals; null where there is none. */
   readonly cheapest = (
-    round: PlacementContext,
+    context: PlacementContext,
     candidates: readonly TrackedReplica[],
     offset: number,
   ): ScoredCandidate | null => {
     let cheapest: ScoredCandidate | null = null;
     for (let step = 0; step < candidates.length; step += 1) {
-      const candidate = this.score(round, candidates[(step + offset) % candidates.length] as TrackedReplica);
+      const candidate = this.score(context, candidates[(step + offset) % candidates.length] as TrackedReplica);
       if (cheapest === null || candidate.costMs < cheapest.costMs) cheapest = candidate;
     }
     return cheapest;
   };
 
-  private readonly score = (round: PlacementContext, tracked: TrackedReplica): ScoredCandidate => {
-    const { query, affinity, preferred } = round;
+  private readonly score = (context: PlacementContext, tracked: TrackedReplica): ScoredCandidate => {
+    const { query, affinity, preferred } = context;
     const { version, salt } = this.weights.servedBy(tracked, query);
     const rank = preferred.indexOf(tracked);
-    const availability = this.availability(round, tracked, salt);
+    const availability = this.availability(context, tracked, salt);
     const isMissing = availability === 'missing';
     const prefillTokens = Math.max(0, query.metadata.tokensIn - (isMissing ? 0 : affinity.prefixTokens));
-    const pullMs = availability === 'transferable' ? round.pullMs(affinity.prefixTokens) : 0;
+    const pullMs = availability === 'transferable' ? context.pullMs(affinity.prefixTokens) : 0;
     const transferMs =
       availability === 'transferable'
         ? this.replicaTracker.prefillRates.prefillMs(affinity.prefixTokens) * queuedPrefillShare + pullMs
@@ -60,11 +60,11 @@
       this.replicaTracker.prefillRates.prefillMs(tracked.pendingTokens + tracked.otherEdgesTokens + prefillTokens) +
       tracked.running * runningRequestCostMs +
       transferMs +
-      (round.isPrefillRunning && isMissing ? duplicatePrefillCostMs : 0) -
-      this.bonusMs(round, rank, isMissing) +
+      (context.isPrefillRunning && isMissing ? duplicatePrefillCostMs : 0) -
+      this.bonusMs(context, rank, isMissing) +
       (this.replicaTracker.health.isSuspect(tracked) ? suspectCostMs : 0) +
       this.errorPenaltyMs(tracked) +
-      this.oldWeightsPenaltyMs(round, version);
+      this.oldWeightsPenaltyMs(context, version);
     const [isCached, isBeingPrefilled] = [availability === 'cached', availability === 'being prefilled'];
     return {
       tracked,
@@ -93,8 +93,8 @@
   };
 
   /**
-   * What a preferred replica may cost more before another one is taken; more where the prefix has to be prefilled
-   * anyway, so that it is cached at its preferred replica.
+   * Milliseconds by which a preferred replica may exceed the cost of others and still be chosen. Larger where the prefix
+   * has to be prefilled anyway, so that it ends up cached on its preferred replica.
    */
   private readonly bonusMs = ({ affinity }: PlacementContext, rank: number, isMissing: boolean): number => {
     if (rank === 1) return secondChoiceBonusMs;
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -1,4 +1,4 @@
-/** Chooses where a placed request's replica pulls the cached prefix from, and which cache store takes its prompt. */
+/** Chooses where a replica pulls the cached prefix of a request from, and which cache store its prompt is uploaded to. */
 import type { CacheStore, PromptPart, RendezvousHash } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
@@ -8,19 +8,19 @@
 import type { ReplicaTracker } from './replicaTracker.js';
 import type { TrackedReplica } from './trackedReplica.js';
 
-/** Cache stores for one prompt: the one that has it, and the one that should. */
+/** Cache stores for one prompt: the one that has it cached, and the one that rendezvous hashing ranks first. */
 interface StoreChoice {
   readonly cachingStore: CacheStore | null;
   readonly preferredStore: CacheStore | null;
 }
 
-/** Addresses that may have the prefix: `known` by the index, and `holder`, which may be a guess. */
+/** Addresses that may have the prefix: `indexed` according to the index, and `holder`, which may be a guess. */
 interface HolderChoice {
   readonly indexed: string | null;
   readonly holder: string | null;
 }
 
-/** Completes a scored candidate to a placement. */
+/** Turns a scored candidate into a placement. */
 export class HolderSelector {
   constructor(
     private readonly replicaTracker: ReplicaTracker,
@@ -28,15 +28,15 @@
     private readonly affinityHash: RendezvousHash,
   ) {}
 
-  /** The placement of a request on the chosen candidate. */
-  readonly complete = (round: PlacementContext, chosen: ScoredCandidate): Placement => {
-    const { affinity, query } = round;
+  /** Returns the placement of a request on the chosen candidate. */
+  readonly complete = (context: PlacementContext, chosen: ScoredCandidate): Placement => {
+    const { affinity, query } = context;
     const { salt } = chosen;
-    if (affinity.trackedPart === null || salt === null) return this.withoutPrefix(round, chosen);
-    const stores = this.storesFor(affinity.trackedPart, salt, round.stores);
-    const { indexed, holder } = this.holderFor(round, chosen, salt, stores);
+    if (affinity.trackedPart === null || salt === null) return this.withoutPrefix(context, chosen);
+    const stores = this.storesFor(affinity.trackedPart, salt, context.stores);
+    const { indexed, holder } = this.holderFor(context, chosen, salt, stores);
     const { cachingStore, preferredStore } = stores;
-    const expectedHit = this.expectedHit(round, chosen, salt, indexed);
+    const expectedHit = this.expectedHit(context, chosen, salt, indexed);
     const isStored = chosen.isCached && cachingStore !== null && holder === cachingStore.address;
     const isStorable = cachingStore === null && promptAffinity.isWorthStoring(query.metadata.parts, affinity);
     const mayFindNothing = holder === null || holder === preferredStore?.address;
@@ -46,7 +46,7 @@
       store: isStorable ? (preferredStore?.address ?? null) : null,
       affinityPart: affinity.part,
       expectedHit,
-      secondExpectedHit: isStored ? round.lookup.expectedHit(cachingStore.address, salt, round.pullMs) : null,
+      secondExpectedHit: isStored ? context.lookup.expectedHit(cachingStore.address, salt, context.pullMs) : null,
       isFullPrefill: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
     };
   };
@@ -70,18 +70,19 @@
   };
 
   private readonly holderFor = (
-    round: PlacementContext,
+    context: PlacementContext,
     chosen: ScoredCandidate,
     salt: string,
     { cachingStore, preferredStore }: StoreChoice,
   ): HolderChoice => {
-    const indexed = this.nearestHolder(round, chosen, salt)?.endpoint.address ?? cachingStore?.address ?? null;
+    const indexed = this.nearestHolder(context, chosen, salt)?.endpoint.address ?? cachingStore?.address ?? null;
     if (indexed !== null || chosen.isCached) return { indexed, holder: indexed };
-    return { indexed, holder: preferredStore?.address ?? this.likelyHolder(round, chosen.tracked) };
+    return { indexed, holder: preferredStore?.address ?? this.likelyHolder(context, chosen.tracked) };
   };
 
   /**
-   * A replica that has the prefix by the index: a healthy one in the candidate's zone, else a healthy one, else any.
+   * A replica that has the prefix cached according to the index; healthy ones in the candidate's zone come first, then
+   * other healthy ones.
    */
   private readonly nearestHolder = (
     { replicas, lookup }: PlacementContext,
@@ -98,7 +99,7 @@
     return holders.find(isInSameZone) ?? holders[0];
   };
 
-  /** Another edge may have placed the prefix already where rendezvous hashing ranks it first. */
+  /** Another edge may already have placed the prefix on the replica that rendezvous hashing ranks first. */
   private readonly likelyHolder = ({ preferred }: PlacementContext, tracked: TrackedReplica): string | null => {
     if (preferred[0] === tracked) return null;
     const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.health.isSuspect(other));
@@ -109,9 +110,9 @@
     { lookup, pullMs }: PlacementContext,
     { tracked, isCached, isBeingPrefilled }: ScoredCandidate,
     salt: string,
-    known: string | null,
+    indexed: string | null,
   ): ExpectedHit | null => {
     if (isCached) return lookup.expectedHit(tracked.endpoint.address, salt, null);
-    return isBeingPrefilled || known === null ? null : lookup.expectedHit(known, salt, pullMs);
+    return isBeingPrefilled || indexed === null ? null : lookup.expectedHit(indexed, salt, pullMs);
   };
 }
--- a/packages/edge-proxy/src/routing/prefillRates.ts
+++ b/packages/edge-proxy/src/routing/prefillRates.ts
@@ -1,4 +1,4 @@
-/** Estimates of how fast replicas prefill, from the times to first pieces. */
+/** Estimates how fast replicas prefill, from the times to the first response chunk. */
 import type { TrackedReplica } from './trackedReplica.js';
 
 const firstChunkSmoothing = 0.05;
@@ -8,8 +8,8 @@
 const minTokensPerMs = 10;
 const maxTokensPerMs = 1_000;
 /**
- * Tokens from which on a prefill is long: it is announced to the other edges, and its time is a sample of the prefill
- * rate.
+ * Minimum length of a long prefill, in tokens: it is announced to the other edges, and its duration is a sample of the
+ * prefill rate.
  */
 export const longPrefillTokens = 1_000;
 const maxReplicaSamples = 9;
@@ -18,16 +18,16 @@
 const rateQuantile = 0.75;
 
 /**
- * Prefill rates in tokens per millisecond: one over all replicas for placement, and one of each replica for its late
- * answers.
+ * Prefill rates in tokens per millisecond: one average over all replicas, used for placement, and one rate per replica,
+ * used to recognise late responses.
  */
 export class PrefillRates {
   private readonly poolSamples = new Map<string, number[]>();
   private tokensPerMs = initialTokensPerMs;
 
   /**
-   * The reading rate follows quick answers at once and slow ones hardly: what an edge does not see can only make an
-   * answer slower, and in a crowded pool every answer is slow.
+   * Updates the average rate from one prefill. It follows fast responses quickly and slow ones hardly at all: load that
+   * the edge does not see can only slow a response down, and in a busy pool every response is slow.
    */
   readonly updateAverage = (tokens: number, elapsedMs: number): void => {
     if (tokens < longPrefillTokens || elapsedMs <= 0) return;
@@ -39,19 +39,20 @@
   private readonly firstChunkMsByPool = new Map<string, number>();
 
   /**
-   * Milliseconds until first events in this pool lately, long prompts and waits included: where all are slow, none is
-   * to be left for its slowness.
+   * Records the time to the first chunk of an attempt in this pool, long prompts and queueing included. Where the whole
+   * pool is slow, no replica should be abandoned for being slow.
    */
   readonly recordFirstChunk = (pool: string, elapsedMs: number): void => {
     const known = this.firstChunkMsByPool.get(pool) ?? 0;
     this.firstChunkMsByPool.set(pool, known + (elapsedMs - known) * firstChunkSmoothing);
   };
 
-  /** The moving average of `firstSeen`, in milliseconds; 0 before the first sample. */
+  /** Moving average of the times to the first chunk, in milliseconds; 0 before the first sample. */
   readonly typicalFirstChunkMs = (pool: string): number => this.firstChunkMsByPool.get(pool) ?? 0;
 
   /**
-   * Like `measured`, but of a prompt that met an idle replica and was read whole: what late answers are known against.
+   * Records a rate sample of one replica: the prefill of a whole prompt on an idle replica. Late responses are recognised
+   * by comparison with these samples.
    */
   readonly addSample = (tracked: TrackedReplica, tokens: number, elapsedMs: number): void => {
     if (tokens < longPrefillTokens || elapsedMs <= 0) return;
@@ -68,9 +69,9 @@
   };
 
   /**
-   * Tokens that the replica reads in a millisecond: by the quicker of its own samples, else of its pool's, since what
-   * this edge doesn't see (a wait, a part that was not kept) only slows them, and too slow a rate speaks against
-   * nobody; null while too few are there.
+   * Tokens per millisecond that the replica prefills, from an upper quantile of its own samples, else of its pool's; null
+   * while there are too few. Effects that this edge does not see (queueing, a part that was not cached) can only lower a
+   * sample, and underestimating the rate makes no response look late.
    */
   readonly replicaRate = (tracked: TrackedReplica): number | null => {
     const samples =
@@ -82,6 +83,6 @@
       : ([...samples].sort((a, b) => a - b)[Math.floor(samples.length * rateQuantile)] as number);
   };
 
-  /** Estimated milliseconds for a replica to prefill so many tokens. */
+  /** Estimated milliseconds for a replica to prefill `tokens` tokens. */
   readonly prefillMs = (tokens: number): number => tokens / this.tokensPerMs;
 }
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -1,4 +1,4 @@
-/** What the prefix index has of one prompt, asked once per replica and salt. */
+/** Looks up one prompt in the prefix index, at most once per replica and salt. */
 import type { PromptPart } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
@@ -31,8 +31,8 @@
   };
 
   /**
-   * The entry of the index that a request relies on which is sent to or pulls from the address; null where there is
-   * none. `pullMs` estimates a transfer, null where the replica itself has the parts.
+   * Returns the index entry that a request relies on when it runs at the address or pulls from it; null where there is
+   * none. `pullMs` estimates the transfer time, and is null where the replica itself has the parts.
    */
   readonly expectedHit = (
     address: string,
--- a/packages/edge-proxy/src/routing/replicaHealth.ts
+++ b/packages/edge-proxy/src/routing/replicaHealth.ts
@@ -1,4 +1,4 @@
-/** How far a replica is trusted, by the outcomes of the attempts that went there. */
+/** Tracks the health of replicas by the outcomes of this edge's attempts. */
 import type { Clock } from '@martenworks/core-types';
 import { initialSuspicionMs } from './trackedReplica.js';
 import type { TrackedReplica } from './trackedReplica.js';
@@ -8,20 +8,20 @@
 const failureWeight = 0.3;
 const successWeight = 0.1;
 
-/** Health of tracked replicas: suspicion after failures and silence, rest after rejections, and the rate of errors. */
+/** Health of tracked replicas: suspicion after failures and timeouts, backoff after rejections, and error rates. */
 export class ReplicaHealth {
   constructor(private readonly clock: Clock) {}
 
-  /** Whether the replica failed or was silent lately; others are preferred until its suspicion ends. */
+  /** Whether the replica recently failed or did not respond in time; others are preferred until the suspicion ends. */
   readonly isSuspect = (tracked: TrackedReplica): boolean => tracked.suspectUntil > this.clock.now();
 
-  /** Whether the replica takes no requests now: it changes weights, or rejected one because it is full. */
+  /** Whether the replica accepts no requests now: it is loading weights, or rejected one because it is full. */
   readonly isUnavailable = (tracked: TrackedReplica): boolean =>
     Math.max(tracked.loadingUntil, tracked.fullUntil) > this.clock.now();
 
   /**
-   * How much of what was sent there lately failed, 0 to 1, forgotten by half every four seconds: a replica may look
-   * well and fail a part of its requests.
+   * Rate of failed attempts, 0 to 1, with a half-life of four seconds. It detects replicas that fail only some of their
+   * requests.
    */
   readonly errorRate = (tracked: TrackedReplica): number =>
     tracked.errorRate * 0.5 ** ((this.clock.now() - tracked.errorRateAt) / errorRateHalfLifeMs);
@@ -32,7 +32,7 @@
     tracked.errorRateAt = this.clock.now();
   };
 
-  /** An attempt got its answer: the suspicion ends, and its duration starts from the shortest again. */
+  /** Records a response: the suspicion ends, and its next duration is the initial one again. */
   readonly recordSuccess = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, successWeight, false);
     tracked.lastAttemptFailed = false;
@@ -40,10 +40,10 @@
     tracked.suspicionMs = initialSuspicionMs;
   };
 
-  /** It was silent for longer than it should be: suspect for a while, but not counted as broken. */
+  /** Records that the replica did not respond in time: it becomes suspect, but that does not count as a failure. */
   readonly recordSlow = (tracked: TrackedReplica): void => this.suspect(tracked);
 
-  /** An attempt failed by the replica's fault: it counts as broken and becomes suspect, longer each time in a row. */
+  /** Records a failure of the replica: it becomes suspect, for twice as long after each failure in a row. */
   readonly recordFailure = (tracked: TrackedReplica): void => {
     this.recordOutcome(tracked, failureWeight, true);
     tracked.lastAttemptFailed = true;
@@ -51,8 +51,8 @@
   };
 
   /**
-   * Whether it may hand over what it keeps: one that is only slow may, one whose last word was a failure costs its
-   * receiver some hundred milliseconds if it is dead.
+   * Whether other replicas may pull cached prefixes from this one. A merely slow one qualifies; one whose last attempt
+   * failed may be dead, which would cost the pulling replica some hundred milliseconds.
    */
   readonly mayPullFrom = (tracked: TrackedReplica): boolean =>
     !tracked.isRemoved && !(tracked.lastAttemptFailed && this.isSuspect(tracked));
@@ -64,7 +64,7 @@
     tracked.suspicionMs = Math.min(maxSuspicionMs, tracked.suspicionMs * 2);
   };
 
-  /** The replica rejected an attempt because it is full: it rests for so many milliseconds. */
+  /** Records a rejection because the replica is full: it gets no requests for `forMs` milliseconds. */
   readonly recordFull = (tracked: TrackedReplica, forMs: number): void => {
     tracked.fullUntil = Math.max(tracked.fullUntil, this.clock.now() + forMs);
   };
--- a/packages/edge-proxy/src/routing/replicaSelector.ts
+++ b/packages/edge-proxy/src/routing/replicaSelector.ts
@@ -1,4 +1,4 @@
-/** Replica selection: which replica runs a request, and where it gets the prompt's cached prefix from. */
+/** Replica selection: which replica runs a request, and where that replica gets the prompt's cached prefix from. */
 import { RendezvousHash } from '@martenworks/core-types';
 import type { Clock, RoutingTable } from '@martenworks/core-types';
 import type { RoutingTableView } from '@martenworks/route-table';
@@ -26,9 +26,10 @@
     : (tokens * engine.tokenBytes * bitsPerByte) / (engine.linkMbps * bitsPerMsAndMbps);
 
 /**
- * Chooses the replica that runs a prompt and the address that hands over what it lacks. Preferred replicas come by
- * rendezvous hashing over the affinity part (Thaler and Ravishankar), so that edges which never talk choose alike; a
- * busy one is left for a replica that pulls from it ("A System for Microserving of LLMs").
+ * Chooses the replica that runs a request and the address that the replica pulls a missing prefix from. Preferred
+ * replicas follow from rendezvous hashing of the affinity part (Thaler and Ravishankar), so that edges choose alike
+ * without coordination. If the preferred replica is busy, another one runs the request and pulls the prefix from it ("A
+ * System for Microserving of LLMs").
  */
 export class ReplicaSelector {
   private readonly weights: WeightsEligibility;
@@ -47,17 +48,17 @@
   }
 
   /**
-   * Places a request; null where no replica of its pool may take it now. `connections` is how many requests this edge
-   * may have running at one replica.
+   * Places a request; returns null where no replica of its pool is available. `connections` limits the requests that
+   * this edge may have running on one replica.
    */
   readonly place = (query: PlacementQuery, view: RoutingTableView, connections: number): Placement | null => {
     const replicas = this.replicaTracker.inPool(query.pool);
     const candidates = replicas.filter((tracked) => this.isCandidate(tracked, query, view, connections));
     if (candidates.length === 0) return null;
-    const round = this.round(query, view, replicas);
+    const context = this.placementContext(query, view, replicas);
     const offset = Math.floor(this.clock.now()) % candidates.length;
-    const cheapest = this.scorer.cheapest(round, candidates, offset);
-    return cheapest === null ? null : this.holderSelector.complete(round, cheapest);
+    const cheapest = this.scorer.cheapest(context, candidates, offset);
+    return cheapest === null ? null : this.holderSelector.complete(context, cheapest);
   };
 
   private readonly isCandidate = (
@@ -72,7 +73,7 @@
     !query.avoided.has(tracked.endpoint.id) &&
     tracked.running < connections;
 
-  private readonly round = (
+  private readonly placementContext = (
     query: PlacementQuery,
     view: RoutingTableView,
     replicas: readonly TrackedReplica[],
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -1,6 +1,5 @@
 /**
- * The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own
- * attempts.
+ * Tracks the replicas of all pools by the endpoint list, by other edges' prefill notices and by this edge's own attempts.
  */
 import { PrefillRates } from './prefillRates.js';
 import { ReplicaHealth } from './replicaHealth.js';
@@ -16,35 +15,35 @@
 const tokenArrivalWindowMs = 10_000;
 const maxNoticeDelayMs = 150;
 
-/** Addresses at which another incarnation of a replica came, and those that have none any more. */
+/** Addresses where a new replica incarnation appeared, and addresses that no longer have any replica. */
 export interface EndpointChanges {
   readonly changedAddresses: readonly string[];
   readonly vacatedAddresses: readonly string[];
 }
 
-/** What this edge knows of each replica: its endpoint and what runs there; `health` tells how far it is trusted. */
+/** Tracks each replica's endpoint, load, health and prefill rate. */
 export class ReplicaTracker {
   private readonly replicas = new Map<string, TrackedReplica>();
   private readonly byPool = new Map<string, TrackedReplica[]>();
   private readonly announcedPrefills = new Map<string, { readonly replica: string; readonly tokens: number }>();
 
-  /** Health of the tracked replicas, by the outcomes of this edge's attempts. */
+  /** Health of the tracked replicas. */
   readonly health: ReplicaHealth;
-  /** Prefill rates, by the times to first pieces that this edge saw. */
+  /** Prefill rates of the tracked replicas. */
   readonly prefillRates = new PrefillRates();
 
   constructor(private readonly clock: Clock) {
     this.health = new ReplicaHealth(clock);
   }
 
-  /** Takes changes of the endpoint list, or the whole list; tells what they change at addresses known before. */
+  /** Applies changes of the endpoint list, or a complete list; returns the changes at addresses known before. */
   readonly applyEndpoints = ({ isWhole, put, gone }: EndpointListUpdate): EndpointChanges => {
     const before = this.incarnationsByAddress();
     const received = new Set(put.map((endpoint) => endpoint.id));
     for (const endpoint of put) {
       const known = this.replicas.get(endpoint.id);
       if (known === undefined) this.replicas.set(endpoint.id, trackedReplicas.of(endpoint));
-      else Object.assign(known, { endpoint: replicaEndpoints.merge(endpoint, known.endpoint), doubtedAt: null });
+      else Object.assign(known, { endpoint: replicaEndpoints.merge(endpoint, known.endpoint), missingSince: null });
     }
     for (const id of gone) this.remove(id);
     if (isWhole)
@@ -74,8 +73,8 @@
   };
 
   /**
-   * A whole list may be older than the one before, since it may come from another control node: what it lacks is
-   * removed only if no update names it for four seconds.
+   * A complete list may be older than the previous one, since it may come from another control node. A replica missing
+   * from it is removed only if no update names it for four seconds.
    */
   private readonly markMissing = (tracked: TrackedReplica): void => {
     if (tracked.missingSince !== null) return;
@@ -96,7 +95,7 @@
     for (const listener of [...tracked.removalListeners]) listener();
   };
 
-  /** A replica begins to change its weights and rests for `forMs` milliseconds, or has its new version. */
+  /** Applies a weights update: the replica loads weights for `forMs` milliseconds, or has loaded the given version. */
   readonly applyWeights = ({ id, model, version, forMs }: WeightsUpdate): void => {
     const tracked = this.replicas.get(id);
     if (tracked === undefined) return;
@@ -104,7 +103,7 @@
     if (version !== null) this.recordWeights(tracked, model, version);
   };
 
-  /** What other edges have replicas read; a note whose end never comes is forgotten. */
+  /** Applies another edge's prefill notice; one whose end is never reported expires. */
   readonly applyPrefillNotice = ({ id, replica, tokens }: PrefillNotice): void => {
     const known = this.announcedPrefills.get(id);
     if (known !== undefined) {
@@ -130,8 +129,8 @@
   };
 
   /**
-   * Tokens that came to the replica just after `sentAt`; other fronts' notes travel for a while, so some of them were
-   * there before.
+   * Tokens recorded for the replica shortly after `sentAt`. Notices of other edges arrive with a delay, so that some of
+   * these prefills were queued there earlier.
    */
   readonly tokensArrivedAfter = ({ tokenArrivals }: TrackedReplica, sentAt: number): number =>
     tokenArrivals.reduce(
@@ -139,11 +138,11 @@
       0,
     );
 
-  /** The address of the replica with the id; null where it isn't tracked. */
+  /** The address of the replica with this id; null where it isn't tracked. */
   readonly addressOf = (id: string): string | null => this.replicas.get(id)?.endpoint.address ?? null;
 
   /**
-   * An answer or update shows that the replica runs at least this version of the model's weights; a lower one changes
+   * Records that the replica runs at least this version of the model's weights; a version below the known one changes
    * nothing.
    */
   readonly recordWeights = (tracked: TrackedReplica, model: string, version: number): void => {
@@ -157,19 +156,19 @@
   /** The tracked replicas of all pools. */
   readonly all = (): TrackedReplica[] => [...this.replicas.values()];
 
-  /** An attempt began at the replica, with so many tokens to prefill. */
+  /** Records the start of an attempt at the replica, with `tokens` tokens to prefill. */
   readonly recordStart = (tracked: TrackedReplica, tokens: number): void => {
     tracked.running += 1;
     tracked.pendingTokens += tokens;
     this.recordTokens(tracked, tokens);
   };
 
-  /** The replica has prefilled the prompt, or won't: the tokens aren't pending any more. */
+  /** Records that the prompt is prefilled, or won't be: its tokens are no longer pending. */
   readonly recordPrefilled = (tracked: TrackedReplica, tokens: number): void => {
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
   };
 
-  /** An attempt at the replica is over, however it ended. */
+  /** Records the end of an attempt at the replica, whatever its outcome. */
   readonly recordEnd = (tracked: TrackedReplica): void => {
     tracked.running = Math.max(0, tracked.running - 1);
   };
--- a/packages/edge-proxy/src/routing/trackedReplica.ts
+++ b/packages/edge-proxy/src/routing/trackedReplica.ts
@@ -1,12 +1,12 @@
-/** One replica as an edge follows it: its endpoint, its load and its health. Times are the clock's milliseconds. */
+/** An edge's record of one replica: endpoint, load and health. Times are in milliseconds of the clock. */
 import type { ReplicaEndpoint } from '@martenworks/core-types';
 
-/** Milliseconds for which a replica is suspect after its first failure; doubled with each further one. */
+/** Milliseconds for which a replica is suspect after a first failure; doubled after each further one. */
 export const initialSuspicionMs = 400;
 
 /**
- * A replica's mutable record. `running` and `pendingTokens` count this edge's attempts, `othersTokens` what other edges
- * announced; `...Until` and `...At` are points in time in milliseconds.
+ * A replica's mutable record. `running` and `pendingTokens` count this edge's attempts and `otherEdgesTokens` the prefills
+ * that other edges announced. `...Until`, `...At` and `missingSince` are points in time in milliseconds.
  */
 export interface TrackedReplica {
   endpoint: ReplicaEndpoint;
@@ -29,7 +29,7 @@
 
 /** Creates the record of a replica that appears in the endpoint list. */
 export const trackedReplicas = {
-  /** A replica that nothing is known of but its endpoint. */
+  /** Creates the record of a replica of which only the endpoint is known. */
   of: (endpoint: ReplicaEndpoint): TrackedReplica => ({
     endpoint,
     running: 0,
--- a/packages/edge-proxy/src/routing/weightsEligibility.ts
+++ b/packages/edge-proxy/src/routing/weightsEligibility.ts
@@ -1,4 +1,4 @@
-/** Which weights a replica has for a request, and whether it may still run it with them. */
+/** Which weights version a replica has for a request, and whether it may still run the request with it. */
 import { salts } from '@martenworks/route-table';
 import type { RoutingTableView } from '@martenworks/route-table';
 import type { PlacementQuery, WeightsTarget, WeightsTargetSource } from './placement.js';
@@ -11,8 +11,8 @@
 }
 
 /**
- * Admits replicas to a request by their weights versions: old ones only while the request has time to begin there before
- * they may not be used any more.
+ * Decides by weights version whether a replica is eligible for a request: one with superseded weights only while enough
+ * time remains for the request to start before those may no longer be used.
  */
 export class WeightsEligibility {
   constructor(private readonly targets: WeightsTargetSource) {}
@@ -33,7 +33,7 @@
     return windowMs > 0 && windowMs >= neededMs;
   };
 
-  /** The version of the request's model that the replica runs, and the salt that its cache entries have. */
+  /** The version of the request's model that the replica runs, and the salt of its cache entries. */
   readonly servedBy = ({ endpoint }: TrackedReplica, { metadata, customer }: PlacementQuery): ServedWeights => {
     const version = metadata.model === null ? undefined : endpoint.weights[metadata.model];
     if (metadata.model === null || version === undefined) return { version: null, salt: null };
--- a/packages/edge-proxy/src/routing/weightsTargets.ts
+++ b/packages/edge-proxy/src/routing/weightsTargets.ts
@@ -1,11 +1,11 @@
-/** The weights versions that models are being moved to, as control nodes announce them. */
+/** Tracks the weights versions that models are being moved to, as announced by control nodes. */
 import type { Clock, EdgeState } from '@martenworks/core-types';
 import type { WeightsTarget } from './placement.js';
 
 const maxVersions = 8;
-/** Share of the bound within which a request that is sent to old weights must begin; the rest is for being late. */
+/** Share of `versionMs` within which a request sent to superseded weights must start; the rest is a safety margin. */
 const startWindowShare = 0.9;
-/** Share of the bound beyond which a request is not written any more, whatever held it up since it was placed. */
+/** Share of `versionMs` by which a delayed request must be due to start; otherwise it is not sent any more. */
 const sendWindowShare = 0.95;
 
 interface AnnouncedVersion {
@@ -13,25 +13,25 @@
   readonly at: number;
 }
 
-/** A target as it was announced, and how long ago in milliseconds it was named. */
+/** A newly announced target, and how many milliseconds ago it was set. */
 interface NewTarget {
   readonly model: string;
   readonly version: number;
   readonly msAgo: number;
 }
 
-/** Remembers the latest targets of each model, and since when each is known. */
+/** The latest targets of each model, and since when each has been the target. */
 export class WeightsTargets {
   private readonly announced = new Map<string, readonly AnnouncedVersion[]>();
 
   constructor(
     private readonly clock: Clock,
-    /** Milliseconds after the naming of newer weights within which a request may begin on older ones. */
+    /** Milliseconds after a newer target was set within which a request may start on older weights. */
     private readonly versionMs: number,
   ) {}
 
   /**
-   * Takes the ages of targets from a state; of a version that is known already the longer age counts.
+   * Applies the target ages of a state; for a version that is already known, the longer age counts.
    * @returns the targets that were not known before
    */
   readonly apply = (weightsAges: EdgeState['weightsAges']): NewTarget[] => {
@@ -55,27 +55,26 @@
   };
 
   /**
-   * For how many milliseconds a newer target than this version has been known, the one known longest counting; null
-   * where none is newer.
+   * Milliseconds since this version was first superseded by a newer target; null where there is no newer one.
    */
   readonly supersededForMs = (model: string, version: number): number | null => {
     const newer = (this.announced.get(model) ?? []).filter((one) => one.version > version);
     return newer.length === 0 ? null : this.clock.now() - Math.min(...newer.map(({ at }) => at));
   };
 
-  /** Within how many milliseconds a request must begin on this version of the model; Infinity on the newest target. */
+  /** Within how many milliseconds a request must start on this version of the model; Infinity on the newest target. */
   readonly startWindowMs = (model: string, version: number): number => {
     const supersededForMs = this.supersededForMs(model, version);
     return supersededForMs === null ? Infinity : Math.max(0, this.versionMs * startWindowShare - supersededForMs);
   };
 
-  /** Whether a request that is written now and begins within `startMs` still begins in time on this version. */
+  /** Whether a request sent now that starts within `startMs` milliseconds still starts in time on this version. */
   readonly mayStartWithin = (model: string, version: number, startMs: number): boolean => {
     const supersededForMs = this.supersededForMs(model, version);
     return supersededForMs === null || supersededForMs + startMs <= this.versionMs * sendWindowShare;
   };
 
-  /** The highest target of a model with the ones before it; null where none was announced. */
+  /** The newest target of a model with the previous ones; null where none was announced. */
   readonly of = (model: string): WeightsTarget | null => {
     const now = this.clock.now();
     const [newest, ...earlier] = (this.announced.get(model) ?? [])
--- a/packages/edge-proxy/test/staleIndex.test.ts
+++ b/packages/edge-proxy/test/staleIndex.test.ts
@@ -78,9 +78,9 @@
   it('given two late answers in a row, when the second was sent after the first, then the entry falls, and the next one bars it', async () => {
     const { late } = office();
     expect(await late()).to.deep.equal({ kind: 'strike' });
-    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: null });
-    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: 15_000 });
-    expect(await late()).to.deep.equal({ kind: 'drop', quarantineMs: 30_000 });
+    expect(await late()).to.deep.equal({ kind: 'evict', quarantineMs: null });
+    expect(await late()).to.deep.equal({ kind: 'evict', quarantineMs: 15_000 });
+    expect(await late()).to.deep.equal({ kind: 'evict', quarantineMs: 30_000 });
   });
 
   it('given two late answers of one burst, when both were sent before the first came, then they count as one', async () => {
@@ -103,14 +103,14 @@
 
   it('given an address whose events are not heard, when one answer is late, then its entry falls', async () => {
     const { late } = office();
-    expect((await late({ isFollowed: false })).kind).to.equal('drop');
+    expect((await late({ isFollowed: false })).kind).to.equal('evict');
   });
 
   it('given an address of which two entries fell, when a third is late once, then it is barred, and no more once another replica has the address', async () => {
     const { watch, late, world } = office();
     const of = (name: string) => late({ expectedHit: { address, salt, parts: [name], tokens, pullMs: null } });
     for (const name of ['a', 'a', 'b', 'b']) await of(name);
-    expect(await of('c')).to.deep.equal({ kind: 'drop', quarantineMs: 15_000 });
+    expect(await of('c')).to.deep.equal({ kind: 'evict', quarantineMs: 15_000 });
     await world.run(31_000);
     expect((await of('d')).kind).to.equal('strike');
     for (const name of ['a', 'a', 'b', 'b']) await of(name);
@@ -124,7 +124,7 @@
     watch.recordReport(news);
     watch.recordReport(news);
     expect((await late({}, 240)).kind).to.equal('none');
-    expect((await late()).kind).to.equal('drop');
+    expect((await late()).kind).to.equal('evict');
   });
 });
 
