--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -1,4 +1,4 @@
-/** An edge's connections to the control nodes: which of them is its source, and how it learns what is in force. */
+/** An edge's connections to the control nodes, and the choice of the one that is its source of updates. */
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type {
   EndpointListUpdate,
@@ -19,17 +19,15 @@
 import { SourceScorer } from './sourceScorer.js';
 import { StateReceiver } from './stateReceiver.js';
 
-const pingMs = 500;
-const sourcePingMs = 250;
+const pingIntervalMs = 500;
+const sourcePingIntervalMs = 250;
 const pingTimeoutMs = 900;
-const chooseMs = 150;
-const staleListFactor = 3;
-const edgeCountHoldFactor = 2;
-const dialPace = { timeoutMs: 700, maxBackoffMs: 400 };
+const sourceSelectionIntervalMs = 150;
+const maxListAgeFactor = 3;
+const edgeCountWindows = 2;
+const dialOptions = { timeoutMs: 700, maxBackoffMs: 400 };
 
-/**
- * Listeners to what control nodes send. Each listener is called synchronously, in the order of arrival on a connection.
- */
+/** Listeners for updates from control nodes, called synchronously in the order of arrival on each connection. */
 export interface ControlListeners {
   readonly onState: (update: EdgeState) => void;
   readonly onEndpoints: (update: EndpointListUpdate) => void;
@@ -41,8 +39,8 @@
 }
 
 /**
- * Holds a connection to every control node. One of them, the source, pushes all updates; the others announce only their
- * log index, and are asked for the state if this edge doesn't have it yet.
+ * Maintains a connection to every control node. One of them, the source, pushes all updates. The others announce only
+ * their log index, and the state is fetched from them if this edge doesn't have it yet.
  */
 export class ControlConnection {
   private readonly memberList: MemberList;
@@ -51,8 +49,8 @@
   private readonly receiver: StateReceiver;
   private readonly timers: RepeatingTimer[];
   private source: PeerConnection | null = null;
-  /** An edge that has just started has heard of no majority yet. */
-  private lastHeardAt = Number.NEGATIVE_INFINITY;
+  /** -Infinity until the first contact, so that an edge that has just started is not ready. */
+  private lastMajorityContactAt = Number.NEGATIVE_INFINITY;
   private edgeCountReport = { edges: 1, at: 0 };
 
   constructor(
@@ -63,7 +61,7 @@
     private readonly listeners: ControlListeners,
   ) {
     const { clock, random } = ports;
-    this.scorer = new SourceScorer(settings.zone, settings.listIntervalMs * staleListFactor + settings.listTimeoutMs);
+    this.scorer = new SourceScorer(settings.zone, settings.listIntervalMs * maxListAgeFactor + settings.listTimeoutMs);
     this.receiver = new StateReceiver({
       clock,
       scorer: this.scorer,
@@ -79,12 +77,12 @@
       this.memberList,
       () => (this.receiver.state()?.members ?? []).map((member) => member.address),
       this.handlers(),
-      dialPace,
+      dialOptions,
     );
     this.timers = [
-      new RepeatingTimer(clock, () => pingMs * (0.9 + 0.2 * random.fraction()), this.ping),
-      new RepeatingTimer(clock, () => sourcePingMs * (0.9 + 0.2 * random.fraction()), this.pingSource),
-      new RepeatingTimer(clock, () => chooseMs, this.step),
+      new RepeatingTimer(clock, () => pingIntervalMs * (0.9 + 0.2 * random.fraction()), this.ping),
+      new RepeatingTimer(clock, () => sourcePingIntervalMs * (0.9 + 0.2 * random.fraction()), this.pingSource),
+      new RepeatingTimer(clock, () => sourceSelectionIntervalMs, this.selectSourceAndFetch),
     ];
   }
 
@@ -106,13 +104,13 @@
       if (connection.peer?.role !== 'control') return;
       this.memberList.recordContact(connection.peer);
       connection.send('subscribe', { ...this.statePosition(), wantsContent: false });
-      this.choose();
+      this.selectSource();
     },
     onClose: (connection) => {
       this.scorer.forget(connection);
       this.receiver.forget(connection);
       if (this.source === connection) this.source = null;
-      this.step();
+      this.selectSourceAndFetch();
     },
     onMessage: this.receive,
     onCall: async (connection, topic, body) => {
@@ -147,18 +145,18 @@
     this.peerPool.reconcile();
   };
 
-  /** Log index and configuration version of the state that this edge has; -1 and 0 before the first. */
+  /** Log index and configuration version of this edge's state; -1 and 0 before the first state. */
   readonly statePosition = (): StatePosition => this.receiver.position();
 
   private readonly controlNodes = (): PeerConnection[] =>
     this.peerPool.openConnections().filter((connection) => connection.peer?.role === 'control');
 
-  private readonly step = (): void => {
-    this.choose();
+  private readonly selectSourceAndFetch = (): void => {
+    this.selectSource();
     this.receiver.fetchNewer();
   };
 
-  private readonly choose = (): void => {
+  private readonly selectSource = (): void => {
     const best = this.scorer.best(this.controlNodes());
     if (best === null || best === this.source) return;
     if (this.source?.isLive() === true && !this.scorer.isBetter(best, this.source)) return;
@@ -186,50 +184,51 @@
             if (reply.error.code === 'timeout' && connection.idleMs() >= pingTimeoutMs) connection.close();
             return;
           }
-          if (edgeMessages.isPong(reply.value)) this.takePong(connection, reply.value, askedAt);
+          if (edgeMessages.isPong(reply.value)) this.handlePong(connection, reply.value, askedAt);
         }),
     );
   };
 
-  private readonly takePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
-    if (pong.majorityHeardMs !== null) this.lastHeardAt = Math.max(this.lastHeardAt, askedAt - pong.majorityHeardMs);
+  private readonly handlePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
+    if (pong.majorityHeardMs !== null)
+      this.lastMajorityContactAt = Math.max(this.lastMajorityContactAt, askedAt - pong.majorityHeardMs);
     this.scorer.recordPong(connection, pong);
-    this.noteEdgeCount(pong.edgeCount);
+    this.recordEdgeCount(pong.edgeCount);
     this.receiver.handleAnnouncement(connection, pong.logIndex);
   };
 
   /**
-   * Sends a report of missing cache entries to the source; lost where there is none, since each edge decides by its own
-   * strikes too.
+   * Sends a report of missing cache entries to the source. It is dropped where there is no source: each edge detects stale
+   * entries by itself too.
    */
   readonly reportCacheMiss = (update: CacheMissReport): void => void this.source?.send('cacheMiss', update);
 
   /**
-   * Tells the source that a long prefill begins or ends; lost where there is none, and forgotten by the receivers after
-   * a while.
+   * Sends the source a notice that a long prefill starts or ends. It is dropped where there is no source; the notices
+   * expire at the receivers.
    */
   readonly reportPrefill = (update: PrefillNotice): void => void this.source?.send('prefill', update);
 
   /** The newest state that this edge has received; null before the first. */
   readonly state = (): EdgeState | null => this.receiver.state();
 
-  private readonly noteEdgeCount = (edges: number): void => {
+  private readonly recordEdgeCount = (edges: number): void => {
     const now = this.ports.clock.now();
-    const isOver = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountHoldFactor;
+    const isOver = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountWindows;
     if (edges >= this.edgeCountReport.edges || isOver) this.edgeCountReport = { edges: Math.max(1, edges), at: now };
   };
 
   /**
-   * How many edges there are, by the highest count reported within two windows of the retry budget: an edge without
-   * connections, or with control nodes that have just started, mustn't take itself for the only one.
+   * Number of edges: the highest count reported within two windows of the retry budget. Without that memory, an edge that
+   * lost its connections, or whose control nodes have just started, would take itself for the only edge.
    */
   readonly edgeCount = (): number => this.edgeCountReport.edges;
 
   /**
-   * Milliseconds since a majority of the members was alive for sure: by the latest pong, less the age of the majority's
-   * messages that it states.
+   * Milliseconds since a majority of the members was known to be alive: the time of the ping less the age of the
+   * majority's messages that the pong states.
    */
-  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastHeardAt;
+  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastMajorityContactAt;
 
   /** The control connections for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -1,6 +1,4 @@
-/**
- * The edge process without its entry point: wiring of ingress, replica selection, forwarding and control connection.
- */
+/** Wires the parts of an edge: ingress, replica selection, forwarding and control connection. */
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, RepeatingTimer } from '@martenworks/core-types';
 import type {
@@ -32,36 +30,36 @@
 import { ReplicaSelector } from './routing/replicaSelector.js';
 import type { Placement, PlacementQuery } from './routing/placement.js';
 
-const connectionShare = 0.8;
-const usualConnections = 64;
+const connectionLimitShare = 0.8;
+const defaultConnectionLimit = 64;
 const metricsIntervalMs = 10_000;
 
-/** An edge: takes callers' requests, places each, and relays what the replica answers. */
+/** An edge: accepts callers' requests, places each one and relays the replica's response. */
 export class EdgeProxy implements EdgeContext {
   readonly replicaTracker: ReplicaTracker;
   readonly prefixCaches: PrefixCacheIndex;
-  /** Decides when answers have spoken often enough against an entry of the prefix index. */
+  /** Decides when response times have contradicted an entry of the prefix index often enough to evict it. */
   readonly staleEntryDetector: StaleEntryDetector;
   readonly retryBudget: RetryBudget;
   readonly control: ControlConnection;
-  /** The server that callers connect to; unused where an HTTP server port hands requests to `receive`. */
+  /** The server that callers connect to; unused where another HTTP server passes requests to `serve`. */
   readonly ingress: IngressServer;
   readonly metrics = new MetricCounters();
-  /** Requests that are admitted and not yet answered. */
+  /** Requests that are admitted and not yet finished. */
   readonly inFlightRequests = new Set<ForwardedRequest>();
   private readonly replicaSelector: ReplicaSelector;
   private readonly prefillIdPrefix: string;
   private readonly metricsTimer: RepeatingTimer;
   private readonly tableIndexer = new RoutingTableIndexer();
   readonly weightsTargets: WeightsTargets;
-  private readonly eviction: StaleEntryEviction;
+  private readonly staleEntryEviction: StaleEntryEviction;
   private readonly admission: RequestAdmission;
   private view: RoutingTableView | null = null;
   private hasEndpoints = false;
   isClosing = false;
 
   constructor(
-    /** Settings of this node as checked at its start; they don't change while it runs. */
+    /** Settings of this node, validated at its start; they don't change while it runs. */
     readonly settings: NodeSettings,
     readonly ports: Ports,
     readonly headerCodec: HeaderCodec,
@@ -77,8 +75,8 @@
       onEndpoints: this.applyEndpoints,
       onWeights: this.replicaTracker.applyWeights,
       onPrefixCaches: this.prefixCaches.apply,
-      onPrefillNotices: (bundle) => bundle.forEach(this.takeReading),
-      onCacheMiss: (report) => this.eviction.applyReport(report),
+      onPrefillNotices: (notices) => notices.forEach(this.applyPrefillNotice),
+      onCacheMiss: (report) => this.staleEntryEviction.applyReport(report),
       isReady: () => this.isReady(),
     });
     this.retryBudget = new RetryBudget(
@@ -87,7 +85,7 @@
       this.control.edgeCount,
     );
     this.weightsTargets = new WeightsTargets(clock, settings.versionMs);
-    this.eviction = new StaleEntryEviction({
+    this.staleEntryEviction = new StaleEntryEviction({
       isEnabled: settings.detectsStaleEntries,
       detector: this.staleEntryDetector,
       prefixCaches: this.prefixCaches,
@@ -95,7 +93,7 @@
       log: ports.log,
       report: this.control.reportCacheMiss,
     });
-    this.admission = new RequestAdmission(headerCodec, random, this.admittingView, () => this.view);
+    this.admission = new RequestAdmission(headerCodec, random, this.confirmedView, () => this.view);
     this.replicaSelector = new ReplicaSelector(this.replicaTracker, this.prefixCaches, clock, this.weightsTargets);
     this.metricsTimer = new RepeatingTimer(
       clock,
@@ -108,7 +106,7 @@
     });
   }
 
-  /** Takes what changed in the list of replicas, or the whole list. */
+  /** Applies changes of the endpoint list, or a complete list. */
   readonly applyEndpoints = (update: EndpointListUpdate): void => {
     this.hasEndpoints = true;
     const { changedAddresses, vacatedAddresses } = this.replicaTracker.applyEndpoints(update);
@@ -117,13 +115,14 @@
       this.prefixCaches.onIncarnationChange(address);
       this.staleEntryDetector.onIncarnationChange(address);
     }
-    for (const address of vacatedAddresses) if (!this.isStore(address)) this.prefixCaches.onAddressVacated(address);
+    for (const address of vacatedAddresses)
+      if (!this.isCacheStore(address)) this.prefixCaches.onAddressVacated(address);
   };
 
-  private readonly isStore = (address: string): boolean =>
+  private readonly isCacheStore = (address: string): boolean =>
     this.view?.routingTable.stores.some((store) => store.address === address) === true;
 
-  private readonly takeReading = (update: PrefillNotice): void => {
+  private readonly applyPrefillNotice = (update: PrefillNotice): void => {
     if (update.id.startsWith(this.prefillIdPrefix)) return;
     this.replicaTracker.applyPrefillNotice(update);
     const address = this.replicaTracker.addressOf(update.replica);
@@ -131,12 +130,13 @@
       this.prefixCaches.recordPrefill(address, update.salt, update.part);
   };
 
-  private readings = 0;
+  private prefillCount = 0;
 
-  readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.readings).toString(36)}`;
+  readonly nextPrefillId = (): string => `${this.prefillIdPrefix}${(++this.prefillCount).toString(36)}`;
 
   /**
-   * Takes the state in force as a control node tells it; a configuration version that it has already changes nothing.
+   * Applies a committed state received from a control node; the routing table of a configuration version already applied
+   * is ignored.
    */
   readonly applyState = (update: EdgeState): void => {
     for (const target of this.weightsTargets.apply(update.weightsAges))
@@ -151,40 +151,40 @@
   };
 
   /**
-   * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and has heard
-   * of a majority within `controlLossTimeoutMs` where that is set.
+   * Whether the edge may be sent requests: it has a routing table and an endpoint list, isn't draining, and a majority of
+   * control nodes was confirmed alive within `controlLossTimeoutMs` where that is set.
    */
-  readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isUnheard();
+  readonly isReady = (): boolean => !this.isClosing && this.view !== null && this.hasEndpoints && !this.isControlLost();
 
-  private readonly admittingView = (): RoutingTableView | null =>
-    this.hasEndpoints && !this.isUnheard() ? this.view : null;
+  private readonly confirmedView = (): RoutingTableView | null =>
+    this.hasEndpoints && !this.isControlLost() ? this.view : null;
 
-  private readonly isUnheard = (): boolean =>
+  private readonly isControlLost = (): boolean =>
     this.settings.controlLossTimeoutMs !== null &&
     this.control.sinceMajorityContactMs() > this.settings.controlLossTimeoutMs;
 
-  private readonly connections = (pool: string): number => {
+  private readonly connectionLimit = (pool: string): number => {
     const limit = this.view?.pool(pool)?.connectionLimit ?? null;
     return limit === null
-      ? usualConnections
-      : Math.max(1, Math.floor((limit * connectionShare) / this.control.edgeCount()));
+      ? defaultConnectionLimit
+      : Math.max(1, Math.floor((limit * connectionLimitShare) / this.control.edgeCount()));
   };
 
-  readonly place = (question: PlacementQuery): Placement | null =>
-    this.view === null ? null : this.replicaSelector.place(question, this.view, this.connections(question.pool));
+  readonly place = (query: PlacementQuery): Placement | null =>
+    this.view === null ? null : this.replicaSelector.place(query, this.view, this.connectionLimit(query.pool));
 
   readonly hasUntriedReplica = (pool: string, avoided: ReadonlySet<string>): boolean =>
     this.replicaTracker
       .inPool(pool)
       .some((tracked) => !tracked.endpoint.isLeaving && !avoided.has(tracked.endpoint.id));
 
-  /** Whether what a request was admitted by still holds. */
+  /** Whether the admission of a request is still valid. */
   readonly isStillAdmitted = (admission: Admission): boolean => this.admission.isStillAdmitted(admission);
 
   readonly reject = (call: Call, status: number, message: string, retryAfterMs: number | null): void =>
     rejectionWriter.write(this.headerCodec, call, { status, message, retryAfterMs, closesConnection: false });
 
-  /** Answers one call; the ingress server hands it over, or whoever stands in for it. */
+  /** Serves one call, from the ingress server or another HTTP server. */
   readonly serve = async (call: Call): Promise<void> => {
     const admitted = await this.admission.admit(call);
     if (admitted.isOk()) await this.forward(admitted.value);
@@ -201,14 +201,14 @@
     }
   };
 
-  /** An answer's first piece against what the index said of the prompt; true where it speaks against it. */
-  readonly checkExpectedHit = (timing: ResponseTiming, spentMs: number): boolean =>
-    this.eviction.checkExpectedHit(timing, spentMs);
+  /** Checks the time to a response's first chunk against the prefix index; returns true if it contradicts the index. */
+  readonly checkExpectedHit = (timing: ResponseTiming, elapsedMs: number): boolean =>
+    this.staleEntryEviction.checkExpectedHit(timing, elapsedMs);
 
-  /** Listens on the address of the settings; fails with the network error of the system, for instance `EADDRINUSE`. */
+  /** Listens on the configured address; fails with the system's network error, for example `EADDRINUSE`. */
   readonly open = (): Promise<Result<void, NetworkError>> => this.ingress.open(this.settings.http);
 
-  /** Takes no new connections after a while, finishes what runs, within `drainMs`. */
+  /** Stops accepting connections after a while and lets running requests finish, within `drainMs` milliseconds. */
   readonly drain = (): Promise<void> => {
     this.isClosing = true;
     return ingressDrain.run(
@@ -241,8 +241,8 @@
   });
 
   /**
-   * Ends at once: timers, connections to control nodes and connections of callers. `drain` comes before it where
-   * requests should end first.
+   * Stops immediately: timers, connections to control nodes and connections of callers. To let requests finish first,
+   * call `drain` before.
    */
   readonly stop = (): void => {
     this.metricsTimer.stop();
--- a/packages/edge-proxy/src/forwarding/responseRelay.ts
+++ b/packages/edge-proxy/src/forwarding/responseRelay.ts
@@ -1,4 +1,4 @@
-/** Relays the responses of one request's attempts to its caller as one response. */
+/** Relays the responses of one request's attempts to its caller as a single response. */
 import { headerLists } from '../ingress/headerLists.js';
 import type { Call, ResponseWriter } from '../ingress/call.js';
 import { EventSplitter } from './eventSplitter.js';
@@ -6,16 +6,16 @@
 
 const contentLength: ReadonlySet<string> = new Set(['content-length']);
 
-/** One replica's answer as it is passed on. */
+/** One replica's response, as forwarded to the caller. */
 export interface RelayedResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: AsyncIterable<Uint8Array>;
-  /** Whether its events are passed on one by one, so that another replica may go on after the last one. */
+  /** Whether the body is forwarded event by event, so that another replica can resume after the last one. */
   readonly isResumable: boolean;
 }
 
-/** What the relay tells the attempt whose answer it passes on. */
+/** Callbacks to the attempt whose response is being forwarded, and the signal that stops it. */
 export interface RelayEvents {
   readonly onFirstChunk: () => void;
   readonly onChunk: () => void;
@@ -23,49 +23,53 @@
 }
 
 /**
- * The answer to one caller: begun once, by the first replica whose answer is passed on, and ended once, whole or cut.
+ * The response to one caller. It starts with the first replica response that is forwarded, and ends once, complete or
+ * truncated.
  */
 export class ResponseRelay {
-  private reply: ResponseWriter | null = null;
-  private lastId: string | null = null;
-  private hasEvents = false;
+  private writer: ResponseWriter | null = null;
+  private lastEventId: string | null = null;
+  private hasForwardedEvents = false;
 
   constructor(private readonly call: Call) {}
 
-  /** Whether the response to the caller has begun: from then on no status can be sent any more. */
-  readonly hasStarted = (): boolean => this.reply !== null;
+  /** Whether the response to the caller has started, after which its status can no longer be chosen. */
+  readonly hasStarted = (): boolean => this.writer !== null;
 
-  /** The id of the last event that was passed on whole, after which a resumption goes on. */
-  readonly resumeAfter = (): string | null => this.lastId;
+  /** Id of the last event forwarded in full, after which a resumption continues; null where there is none. */
+  readonly resumeAfter = (): string | null => this.lastEventId;
 
-  /** Whether a further replica can tell where to go on. */
-  readonly isResumable = (): boolean => this.lastId !== null || !this.hasEvents;
+  /** Whether another replica can tell where to resume: an event with an id was forwarded, or no event at all. */
+  readonly isResumable = (): boolean => this.lastEventId !== null || !this.hasForwardedEvents;
 
-  /** Ends a begun answer so that it can't look whole; does nothing where none was begun. */
-  readonly abort = (): void => this.reply?.abort();
+  /** Truncates a started response so that the caller can't take it for complete; does nothing before the start. */
+  readonly abort = (): void => this.writer?.abort();
 
-  /** Passes on one answer until it ends, breaks or is stopped. */
-  readonly forward = async (answer: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
-    const cutter = answer.isResumable ? new EventSplitter() : null;
-    const steps = answer.body[Symbol.asyncIterator]();
-    const begin = this.beginner(answer, events.onFirstChunk);
+  /** Forwards one response until it ends, fails or is stopped. */
+  readonly forward = async (response: RelayedResponse, events: RelayEvents): Promise<AttemptOutcome> => {
+    const splitter = response.isResumable ? new EventSplitter() : null;
+    const iterator = response.body[Symbol.asyncIterator]();
+    const start = this.starter(response, events.onFirstChunk);
     for (;;) {
-      let step: IteratorResult<Uint8Array> | StopCause;
+      let result: IteratorResult<Uint8Array> | StopCause;
       try {
-        step = await Promise.race([steps.next(), events.stopped]);
+        result = await Promise.race([iterator.next(), events.stopped]);
       } catch (cause) {
-        return { kind: 'may have run', cause: `the stream broke: ${(cause as { code?: string }).code ?? 'unknown'}` };
+        return {
+          kind: 'may have run',
+          cause: `response stream failed: ${(cause as { code?: string }).code ?? 'unknown'}`,
+        };
       }
-      if (step === 'caller left') return { kind: 'over' };
-      if (typeof step === 'string') return { kind: 'may have run', cause: `the stream was left: ${step}` };
-      if (step.done === true) return this.finish(begin(), cutter);
+      if (result === 'caller disconnected') return { kind: 'cancelled' };
+      if (typeof result === 'string') return { kind: 'may have run', cause: `response stream abandoned: ${result}` };
+      if (result.done === true) return this.finish(start(), splitter);
       events.onChunk();
-      if (cutter === null) await begin().write(step.value);
-      else await this.passEvents(cutter, step.value, begin);
+      if (splitter === null) await start().write(result.value);
+      else await this.forwardEvents(splitter, result.value, start);
     }
   };
 
-  private readonly beginner = (
+  private readonly starter = (
     { status, headers, isResumable }: RelayedResponse,
     onFirst: () => void,
   ): (() => ResponseWriter) => {
@@ -73,39 +77,39 @@
     return () => {
       if (isFirst) onFirst();
       isFirst = false;
-      this.reply ??= this.call.respond(status, this.headersOf(headers, isResumable), false);
-      return this.reply;
+      this.writer ??= this.call.respond(status, this.headersOf(headers, isResumable), false);
+      return this.writer;
     };
   };
 
   private readonly headersOf = (headers: readonly string[], isResumable: boolean): string[] => {
-    const kept = headerLists.endToEnd(headers);
-    return isResumable ? headerLists.without(kept, contentLength) : kept;
+    const endToEnd = headerLists.endToEnd(headers);
+    return isResumable ? headerLists.without(endToEnd, contentLength) : endToEnd;
   };
 
-  private readonly finish = async (reply: ResponseWriter, cutter: EventSplitter | null): Promise<AttemptOutcome> => {
-    const rest = cutter?.remainder();
-    if (rest !== undefined && rest.length > 0) await reply.write(rest);
-    reply.end();
-    return { kind: 'whole' };
+  private readonly finish = async (writer: ResponseWriter, splitter: EventSplitter | null): Promise<AttemptOutcome> => {
+    const rest = splitter?.remainder();
+    if (rest !== undefined && rest.length > 0) await writer.write(rest);
+    writer.end();
+    return { kind: 'complete' };
   };
 
-  private readonly passEvents = async (
-    cutter: EventSplitter,
+  private readonly forwardEvents = async (
+    splitter: EventSplitter,
     bytes: Uint8Array,
-    begin: () => ResponseWriter,
+    start: () => ResponseWriter,
   ): Promise<void> => {
-    for (const event of cutter.push(bytes)) {
-      if (this.isRepeat(event.id)) continue;
-      await begin().write(event.bytes);
-      this.hasEvents = true;
-      if (event.id !== null) this.lastId = event.id;
+    for (const event of splitter.push(bytes)) {
+      if (this.isDuplicate(event.id)) continue;
+      await start().write(event.bytes);
+      this.hasForwardedEvents = true;
+      if (event.id !== null) this.lastEventId = event.id;
     }
   };
 
-  private readonly isRepeat = (id: string | null): boolean => {
-    if (id === null || this.lastId === null) return false;
-    const [current, last] = [Number(id), Number(this.lastId)];
-    return Number.isFinite(current) && Number.isFinite(last) ? current <= last : id === this.lastId;
+  private readonly isDuplicate = (id: string | null): boolean => {
+    if (id === null || this.lastEventId === null) return false;
+    const [current, last] = [Number(id), Number(this.lastEventId)];
+    return Number.isFinite(current) && Number.isFinite(last) ? current <= last : id === this.lastEventId;
   };
 }
--- a/packages/edge-proxy/src/forwarding/retryBudget.ts
+++ b/packages/edge-proxy/src/forwarding/retryBudget.ts
@@ -1,9 +1,9 @@
-/** The retry budget: a bound on retries relative to first attempts, so that retries can't multiply an overload. */
+/** The retry budget: limits retries relative to first attempts, so that retries can't amplify an overload. */
 import type { Clock } from '@martenworks/core-types';
 
 /**
- * The fleet's bound: in any window, further attempts at a pool are at most `ratio` of its requests plus `slack`, over
- * all edges together.
+ * The fleet-wide limit: in any window of `windowMs`, all edges together make at most `ratio` times the first attempts at
+ * a pool, plus `slack`, as retries.
  */
 export interface RetryBudgetLimits {
   readonly ratio: number;
@@ -11,18 +11,18 @@
   readonly slack: number;
 }
 
-const cautiousShare = 0.75;
+const safetyShare = 0.75;
 const bucketCount = 10;
 
 interface Bucket {
   at: number;
-  first: number;
-  extra: number;
+  firstAttempts: number;
+  retries: number;
 }
 
 /**
- * This edge's part: what its own requests earn, and an equal part of the slack. Sums over edges keep the fleet's bound,
- * since each keeps its part in each window.
+ * This edge's share of the budget: what its own first attempts earn, plus an equal share of the slack. The fleet-wide
+ * limit holds because each edge stays within its share in each window.
  */
 export class RetryBudget {
   private readonly pools = new Map<string, Bucket[]>();
@@ -30,43 +30,43 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly terms: RetryBudgetLimits,
-    private readonly edges: () => number,
+    private readonly limits: RetryBudgetLimits,
+    private readonly edgeCount: () => number,
   ) {
     this.startedAt = clock.now();
   }
 
   private readonly bucket = (pool: string): Bucket => {
-    const at = Math.floor(this.clock.now() / (this.terms.windowMs / bucketCount));
+    const at = Math.floor(this.clock.now() / (this.limits.windowMs / bucketCount));
     const buckets = this.pools.get(pool) ?? [];
     this.pools.set(pool, buckets);
     while (buckets[0] !== undefined && buckets[0].at < at - bucketCount) buckets.shift();
     const last = buckets[buckets.length - 1];
     if (last?.at === at) return last;
-    const fresh: Bucket = { at, first: 0, extra: 0 };
-    buckets.push(fresh);
-    return fresh;
+    const created: Bucket = { at, firstAttempts: 0, retries: 0 };
+    buckets.push(created);
+    return created;
   };
 
-  /** Counts a first attempt at the pool; it earns a part of a retry. */
+  /** Counts a first attempt at the pool, which earns a fraction of a retry. */
   readonly recordFirstAttempt = (pool: string): void => {
-    this.bucket(pool).first += 1;
+    this.bucket(pool).firstAttempts += 1;
   };
 
-  /** Retries that this edge may still make at the pool in the current window. */
+  /** Number of retries that this edge may still make at the pool in the current window. */
   readonly remaining = (pool: string): number => {
     this.bucket(pool);
     const buckets = this.pools.get(pool) ?? [];
-    const sum = (of: 'first' | 'extra'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
-    const isYoung = this.clock.now() - this.startedAt < this.terms.windowMs;
-    const slack = (this.terms.slack * cautiousShare * (isYoung ? 0.5 : 1)) / Math.max(1, this.edges());
-    return Math.floor(sum('first') * this.terms.ratio * cautiousShare + slack) - sum('extra');
+    const sum = (of: 'firstAttempts' | 'retries'): number => buckets.reduce((total, bucket) => total + bucket[of], 0);
+    const isFirstWindow = this.clock.now() - this.startedAt < this.limits.windowMs;
+    const slack = (this.limits.slack * safetyShare * (isFirstWindow ? 0.5 : 1)) / Math.max(1, this.edgeCount());
+    return Math.floor(sum('firstAttempts') * this.limits.ratio * safetyShare + slack) - sum('retries');
   };
 
-  /** Spends one retry at the pool; false where none is left, and then nothing is spent. */
+  /** Spends one retry at the pool; returns false, and spends nothing, where none is left. */
   readonly trySpend = (pool: string): boolean => {
     if (this.remaining(pool) < 1) return false;
-    this.bucket(pool).extra += 1;
+    this.bucket(pool).retries += 1;
     return true;
   };
 }
--- a/packages/edge-proxy/src/ingress/ingressServer.ts
+++ b/packages/edge-proxy/src/ingress/ingressServer.ts
@@ -12,25 +12,25 @@
 import type { Call, ResponseWriter } from './call.js';
 import { CallerConnection } from './callerConnection.js';
 
-const largestHeaderBytes = 128 * 1024;
-const checkEveryMs = 1_000;
-const slowBodyMs = 30_000;
+const maxHeaderBytes = 128 * 1024;
+const timeoutCheckIntervalMs = 1_000;
+const requestTimeoutMs = 30_000;
 
 const bodyOf = (incoming: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, BodyError>> =>
   new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     if (Number(incoming.headers['content-length'] ?? 0) > limitBytes) return resolve(err(bodyErrors.tooLarge));
-    incoming.on('data', (part: Buffer) => {
-      size += part.length;
+    incoming.on('data', (chunk: Buffer) => {
+      size += chunk.length;
       if (size > limitBytes) {
         incoming.removeAllListeners('data');
         incoming.resume();
         return resolve(err(bodyErrors.tooLarge));
       }
-      parts.push(part);
+      chunks.push(chunk);
     });
-    incoming.on('end', () => resolve(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts))));
+    incoming.on('end', () => resolve(ok(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks))));
     incoming.on('error', () => resolve(err(bodyErrors.callerDisconnected)));
     incoming.on('close', () => resolve(err(bodyErrors.callerDisconnected)));
   });
@@ -38,10 +38,10 @@
 const sizeOf = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
 
 /**
- * `isDelimited` tells that the end of this answer can be told from a closed connection; where it can't, only a reset
- * cuts it.
+ * Wraps a server response. `isDelimited` is true if the caller can tell the end of the body from a closed connection;
+ * otherwise only a reset shows that the body is truncated.
  */
-const replyOver = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
+const responseWriter = (response: ServerResponse, isDelimited: boolean): ResponseWriter => ({
   write: (bytes) =>
     new Promise((resolve) => {
       if (response.destroyed || response.write(bytes)) return resolve();
@@ -70,14 +70,15 @@
 };
 
 /**
- * Who is handed each call, and whether connections should be closed after the response because the edge is draining.
+ * `onCall` receives each call; `isClosing` is true once connections should be closed after the response because the edge
+ * is draining.
  */
 export interface IngressServerOptions {
   readonly onCall: (call: Call) => void;
   readonly isClosing: () => boolean;
 }
 
-/** A caller-side HTTP/1.1 server that keeps targets, headers and bodies as they came. */
+/** A caller-facing HTTP/1.1 server that passes targets, headers and bodies on unchanged. */
 export class IngressServer {
   private readonly server: Server;
   private readonly connections = new WeakMap<object, CallerConnection>();
@@ -85,17 +86,17 @@
   constructor(private readonly options: IngressServerOptions) {
     this.server = createServer(
       {
-        maxHeaderSize: largestHeaderBytes,
-        connectionsCheckingInterval: checkEveryMs,
-        requestTimeout: slowBodyMs,
+        maxHeaderSize: maxHeaderBytes,
+        connectionsCheckingInterval: timeoutCheckIntervalMs,
+        requestTimeout: requestTimeoutMs,
         noDelay: true,
       },
       this.handleRequest,
     );
     this.server.on('connection', (socket) => this.connections.set(socket, new CallerConnection(socket)));
     this.server.on('clientError', (cause: Error & { code?: string }, socket) => {
-      const answer = `HTTP/1.1 ${statusLines.of(cause.code)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
-      this.connections.get(socket)?.closeWith(answer);
+      const response = `HTTP/1.1 ${statusLines.of(cause.code)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
+      this.connections.get(socket)?.closeWith(response);
     });
   }
 
@@ -121,20 +122,18 @@
         if (isLast || this.options.isClosing()) response.shouldKeepAlive = false;
         response.writeHead(status, [...headers]);
         const isChunked = incoming.httpVersion !== '1.0';
-        return replyOver(response, isChunked || headerLists.find(headers, 'content-length') !== null);
+        return responseWriter(response, isChunked || headerLists.find(headers, 'content-length') !== null);
       },
     });
   };
 
-  /**
-   * Takes the idle and header timeouts, in milliseconds, of the routing table in force.
-   */
+  /** Applies the idle and header timeouts, in milliseconds, of the current routing table. */
   readonly applyLimits = (limits: CallerLimits): void => {
     this.server.keepAliveTimeout = limits.idleMs;
     this.server.headersTimeout = limits.headerMs;
   };
 
-  /** Listens on `host:port`; fails with the network error of the system, for instance `EADDRINUSE`. */
+  /** Listens on `host:port`; fails with the system's network error, for example `EADDRINUSE`. */
   readonly open = (address: string): Promise<Result<void, NetworkError>> =>
     new Promise((resolve) => {
       const { host, port } = addresses.split(address);
@@ -144,19 +143,19 @@
       this.server.listen(port, host, 1_024, () => resolve(ok(undefined)));
     });
 
-  /** Stops accepting connections and closes the idle ones; running requests go on. */
+  /** Stops accepting connections and closes idle ones; running requests continue. */
   readonly stopAccepting = (): void => {
     this.server.close();
     this.server.closeIdleConnections();
   };
 
-  /** Whether no connection is open; true also where the system can't tell. */
+  /** Whether no connection is open; true also where the count can't be determined. */
   readonly hasNoConnections = (): Promise<boolean> =>
     new Promise((resolve) => this.server.getConnections((cause, count) => resolve(cause !== null || count === 0)));
 
   /** Closes the connections on which no request is running. */
   readonly closeIdle = (): void => this.server.closeIdleConnections();
 
-  /** Closes every connection at once, whatever runs on it. */
+  /** Closes every connection immediately, including those with running requests. */
   readonly destroy = (): void => this.server.closeAllConnections();
 }
--- a/packages/edge-proxy/src/ingress/webCall.ts
+++ b/packages/edge-proxy/src/ingress/webCall.ts
@@ -1,4 +1,4 @@
-/** Calls that come as `Request` of the Fetch standard, for an edge behind an HTTP server that isn't its own. */
+/** Calls received as Fetch API `Request` objects, for an edge behind an HTTP server other than its own. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
@@ -7,9 +7,9 @@
 import type { BodyError } from '../errors.js';
 import type { Call, ResponseWriter } from './call.js';
 
-const bodiless = new Set([101, 103, 204, 205, 304]);
+const bodilessStatuses = new Set([101, 103, 204, 205, 304]);
 
-const flat = (headers: Headers): string[] => [...headers].flat();
+const headerList = (headers: Headers): string[] => [...headers].flat();
 
 const pairsOf = (list: readonly string[]): [string, string][] =>
   list.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, list[at + 1] ?? '']] : []));
@@ -25,7 +25,7 @@
 };
 
 /**
- * One call that came as a `Request`. What `answer` is told becomes the `Response`; a cut answer is a body that breaks.
+ * One call received as a `Request`. `respond` resolves the `Response`; aborting makes its body stream fail.
  */
 class WebCall implements Call {
   readonly method: string;
@@ -34,32 +34,32 @@
   readonly headers: readonly string[];
   readonly headerBytes: number;
   readonly response: Promise<Response>;
-  private settle: (response: Response) => void = () => {};
-  private readonly goneListeners: (() => void)[] = [];
-  private isOver = false;
-  private wake: () => void = () => {};
+  private resolveResponse: (response: Response) => void = () => {};
+  private readonly disconnectListeners: (() => void)[] = [];
+  private isFinished = false;
+  private resumeWriter: () => void = () => {};
 
   constructor(private readonly request: Request) {
     const { pathname, search, host } = new URL(request.url);
     this.method = request.method;
     this.target = `${pathname}${search}`;
-    this.headers = flat(request.headers);
+    this.headers = headerList(request.headers);
     this.host = request.headers.get('host') ?? host;
     this.headerBytes = this.headers.reduce((sum, text) => sum + text.length + 2, 0) + this.target.length;
-    this.response = new Promise((resolve) => (this.settle = resolve));
-    request.signal.addEventListener('abort', this.callerGone, { once: true });
+    this.response = new Promise((resolve) => (this.resolveResponse = resolve));
+    request.signal.addEventListener('abort', this.handleDisconnect, { once: true });
   }
 
-  private readonly callerGone = (): void => {
-    if (this.isOver) return;
-    this.over();
-    for (const listener of this.goneListeners.splice(0)) listener();
+  private readonly handleDisconnect = (): void => {
+    if (this.isFinished) return;
+    this.finish();
+    for (const listener of this.disconnectListeners.splice(0)) listener();
   };
 
-  private readonly over = (): void => {
-    this.isOver = true;
-    this.request.signal.removeEventListener('abort', this.callerGone);
-    this.wake();
+  private readonly finish = (): void => {
+    this.isFinished = true;
+    this.request.signal.removeEventListener('abort', this.handleDisconnect);
+    this.resumeWriter();
   };
 
   readonly body = (limitBytes: number): Promise<Result<Uint8Array, BodyError>> => bodyOf(this.request, limitBytes);
@@ -69,52 +69,53 @@
       listener();
       return;
     }
-    this.goneListeners.push(listener);
+    this.disconnectListeners.push(listener);
   };
 
   readonly respond = (status: number, headers: readonly string[], isLast: boolean): ResponseWriter => {
     const list = pairsOf(isLast ? [...headers, 'Connection', 'close'] : headers);
-    let pipe: ReadableStreamDefaultController<Uint8Array> | null = null;
+    let streamController: ReadableStreamDefaultController<Uint8Array> | null = null;
     const stream = new ReadableStream<Uint8Array>({
       start: (controller) => {
-        pipe = controller;
+        streamController = controller;
       },
-      pull: () => this.wake(),
-      cancel: this.callerGone,
+      pull: () => this.resumeWriter(),
+      cancel: this.handleDisconnect,
     });
-    const act = (listener: (open: ReadableStreamDefaultController<Uint8Array>) => void): void => {
-      if (pipe !== null && !this.isOver) listener(pipe);
+    const withStream = (action: (controller: ReadableStreamDefaultController<Uint8Array>) => void): void => {
+      if (streamController !== null && !this.isFinished) action(streamController);
     };
-    this.settle(new Response(bodiless.has(status) ? null : stream, { status, headers: list }));
+    this.resolveResponse(new Response(bodilessStatuses.has(status) ? null : stream, { status, headers: list }));
     return {
       write: async (bytes) => {
-        act((open) => open.enqueue(bytes));
-        if (!this.isOver && (pipe?.desiredSize ?? 1) <= 0) await new Promise<void>((wake) => (this.wake = wake));
+        withStream((controller) => controller.enqueue(bytes));
+        if (!this.isFinished && (streamController?.desiredSize ?? 1) <= 0)
+          await new Promise<void>((resume) => (this.resumeWriter = resume));
       },
       end: () =>
-        act((open) => {
-          this.over();
-          open.close();
+        withStream((controller) => {
+          this.finish();
+          controller.close();
         }),
       abort: () =>
-        act((open) => {
-          this.over();
-          open.error(Object.assign(new Error('the answer was cut'), { code: 'ECONNRESET' }));
+        withStream((controller) => {
+          this.finish();
+          controller.error(Object.assign(new Error('response truncated'), { code: 'ECONNRESET' }));
         }),
     };
   };
 }
 
-/** Adapts an edge to the handler of an HTTP server port. */
+/** Adapts an edge to the handler of an HTTP server. */
 export const webCalls = {
-  /** Answers a `Request` by whoever receives calls: an edge without its own server. */
+  /** Returns a handler that passes each `Request` to `serve` as a call. */
   handler:
-    (receive: (call: Call) => Promise<void>): WebHandler =>
+    (serve: (call: Call) => Promise<void>): WebHandler =>
     (request) => {
       const call = new WebCall(request);
       return new Promise((resolve, fail) => {
         background.run('deliver a response', call.response.then(resolve));
-        receive(call).catch(fail);
+        serve(call).catch(fail);
       });
     },
 };
--- a/packages/edge-proxy/src/routing/prefixLookup.ts
+++ b/packages/edge-proxy/src/routing/prefixLookup.ts
@@ -1,4 +1,4 @@
-/** What the prefix index has of one prompt, asked once per replica and salt. */
+/** Looks up one prompt in the prefix index, at most once per replica and salt. */
 import type { PromptPart } from '@martenworks/core-types';
 import type { PrefixCacheIndex } from '../prefixcache/prefixCacheIndex.js';
 import type { ExpectedHit } from '../prefixcache/staleEntryDetector.js';
@@ -22,17 +22,17 @@
 
   /** Whether the replica has any tracked part of the prefix cached. */
   readonly isCachedOn = (tracked: TrackedReplica, salt: string): boolean => {
-    const label = `${tracked.endpoint.id} ${salt}`;
-    const known = this.cachedByReplica.get(label);
+    const key = `${tracked.endpoint.id} ${salt}`;
+    const known = this.cachedByReplica.get(key);
     if (known !== undefined) return known;
     const isCached = promptAffinity.totalTokens(this.cachedParts(tracked.endpoint.address, salt)) > 0;
-    this.cachedByReplica.set(label, isCached);
+    this.cachedByReplica.set(key, isCached);
     return isCached;
   };
 
   /**
-   * The entry of the index that a request relies on which is sent to or pulls from the address; null where there is
-   * none. `pullMs` estimates a transfer, null where the replica itself has the parts.
+   * Returns the index entry that a request relies on when it runs at the address or pulls from it; null where there is
+   * none. `pullMs` estimates the transfer time, and is null where the replica itself has the parts.
    */
   readonly expectedHit = (
     address: string,
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -1,6 +1,5 @@
 /**
- * The replicas of all pools as this edge sees them, from the endpoint list, from other edges' notices and from its own
- * attempts.
+ * Tracks the replicas of all pools by the endpoint list, by other edges' prefill notices and by this edge's own attempts.
  */
 import { PrefillRates } from './prefillRates.js';
 import { ReplicaHealth } from './replicaHealth.js';
@@ -9,58 +8,58 @@
 import { replicaEndpoints } from '@martenworks/core-types';
 import type { EndpointListUpdate, Clock, PrefillNotice, WeightsUpdate } from '@martenworks/core-types';
 
-const readingForgetMs = 2_500;
-const doubtMs = 4_000;
+const prefillNoticeTtlMs = 2_500;
+const missingGraceMs = 4_000;
 
-const mostNotes = 64;
-const notesMs = 10_000;
-const noteTravelMs = 150;
+const maxTokenArrivals = 64;
+const tokenArrivalWindowMs = 10_000;
+const maxNoticeDelayMs = 150;
 
-/** Addresses at which another incarnation of a replica came, and those that have none any more. */
+/** Addresses where a new replica incarnation appeared, and addresses that no longer have any replica. */
 export interface EndpointChanges {
   readonly changedAddresses: readonly string[];
   readonly vacatedAddresses: readonly string[];
 }
 
-/** What this edge knows of each replica: its endpoint and what runs there; `health` tells how far it is trusted. */
+/** Tracks each replica's endpoint, load, health and prefill rate. */
 export class ReplicaTracker {
   private readonly replicas = new Map<string, TrackedReplica>();
   private readonly byPool = new Map<string, TrackedReplica[]>();
-  private readonly readings = new Map<string, { readonly replica: string; readonly tokens: number }>();
+  private readonly announcedPrefills = new Map<string, { readonly replica: string; readonly tokens: number }>();
 
-  /** Health of the tracked replicas, by the outcomes of this edge's attempts. */
+  /** Health of the tracked replicas. */
   readonly health: ReplicaHealth;
-  /** Prefill rates, by the times to first pieces that this edge saw. */
+  /** Prefill rates of the tracked replicas. */
   readonly prefillRates = new PrefillRates();
 
   constructor(private readonly clock: Clock) {
     this.health = new ReplicaHealth(clock);
   }
 
-  /** Takes changes of the endpoint list, or the whole list; tells what they change at addresses known before. */
+  /** Applies changes of the endpoint list, or a complete list; returns the changes at addresses known before. */
   readonly applyEndpoints = ({ isWhole, put, gone }: EndpointListUpdate): EndpointChanges => {
     const before = this.incarnationsByAddress();
     const received = new Set(put.map((endpoint) => endpoint.id));
     for (const endpoint of put) {
       const known = this.replicas.get(endpoint.id);
       if (known === undefined) this.replicas.set(endpoint.id, trackedReplicas.of(endpoint));
-      else Object.assign(known, { endpoint: replicaEndpoints.merge(endpoint, known.endpoint), doubtedAt: null });
+      else Object.assign(known, { endpoint: replicaEndpoints.merge(endpoint, known.endpoint), missingSince: null });
     }
     for (const id of gone) this.remove(id);
     if (isWhole)
-      for (const tracked of this.replicas.values()) if (!received.has(tracked.endpoint.id)) this.doubt(tracked);
-    this.group();
+      for (const tracked of this.replicas.values()) if (!received.has(tracked.endpoint.id)) this.markMissing(tracked);
+    this.groupByPool();
     const after = this.incarnationsByAddress();
-    const former = [...before];
+    const previous = [...before];
     const hasNewIncarnation = ([address, ids]: [string, ReadonlySet<string>]): boolean =>
       [...(after.get(address) ?? [])].some((id) => !ids.has(id));
     return {
-      changedAddresses: former.filter(hasNewIncarnation).map(([address]) => address),
-      vacatedAddresses: former.flatMap(([address]) => (after.has(address) ? [] : [address])),
+      changedAddresses: previous.filter(hasNewIncarnation).map(([address]) => address),
+      vacatedAddresses: previous.flatMap(([address]) => (after.has(address) ? [] : [address])),
     };
   };
 
-  private readonly group = (): void => {
+  private readonly groupByPool = (): void => {
     this.byPool.clear();
     for (const tracked of this.replicas.values())
       this.byPool.set(tracked.endpoint.pool, [...(this.byPool.get(tracked.endpoint.pool) ?? []), tracked]);
@@ -74,17 +73,17 @@
   };
 
   /**
-   * A whole list may be older than the one before, since it may come from another control node: what it lacks is
-   * removed only if no update names it for four seconds.
+   * A complete list may be older than the previous one, since it may come from another control node. A replica missing
+   * from it is removed only if no update names it for four seconds.
    */
-  private readonly doubt = (tracked: TrackedReplica): void => {
+  private readonly markMissing = (tracked: TrackedReplica): void => {
     if (tracked.missingSince !== null) return;
     const at = this.clock.now();
     tracked.missingSince = at;
-    this.clock.after(doubtMs, () => {
+    this.clock.after(missingGraceMs, () => {
       if (tracked.missingSince !== at || tracked.isRemoved) return;
       this.remove(tracked.endpoint.id);
-      this.group();
+      this.groupByPool();
     });
   };
 
@@ -96,7 +95,7 @@
     for (const listener of [...tracked.removalListeners]) listener();
   };
 
-  /** A replica begins to change its weights and rests for `forMs` milliseconds, or has its new version. */
+  /** Applies a weights update: the replica loads weights for `forMs` milliseconds, or has loaded the given version. */
   readonly applyWeights = ({ id, model, version, forMs }: WeightsUpdate): void => {
     const tracked = this.replicas.get(id);
     if (tracked === undefined) return;
@@ -104,45 +103,46 @@
     if (version !== null) this.recordWeights(tracked, model, version);
   };
 
-  /** What other edges have replicas read; a note whose end never comes is forgotten. */
+  /** Applies another edge's prefill notice; one whose end is never reported expires. */
   readonly applyPrefillNotice = ({ id, replica, tokens }: PrefillNotice): void => {
-    const known = this.readings.get(id);
+    const known = this.announcedPrefills.get(id);
     if (known !== undefined) {
-      this.readings.delete(id);
+      this.announcedPrefills.delete(id);
       const tracked = this.replicas.get(known.replica);
       if (tracked !== undefined) tracked.otherEdgesTokens = Math.max(0, tracked.otherEdgesTokens - known.tokens);
     }
     const tracked = this.replicas.get(replica);
     if (tokens <= 0 || tracked === undefined) return;
-    this.readings.set(id, { replica, tokens });
+    this.announcedPrefills.set(id, { replica, tokens });
     tracked.otherEdgesTokens += tokens;
-    this.note(tracked, tokens);
-    this.clock.after(readingForgetMs, () => {
-      if (this.readings.has(id)) this.applyPrefillNotice({ id, replica, tokens: 0, salt: null, part: null });
+    this.recordTokens(tracked, tokens);
+    this.clock.after(prefillNoticeTtlMs, () => {
+      if (this.announcedPrefills.has(id)) this.applyPrefillNotice({ id, replica, tokens: 0, salt: null, part: null });
     });
   };
 
-  private readonly note = ({ tokenArrivals }: TrackedReplica, tokens: number): void => {
+  private readonly recordTokens = ({ tokenArrivals }: TrackedReplica, tokens: number): void => {
     const at = this.clock.now();
     tokenArrivals.push({ at, tokens });
-    while (tokenArrivals.length > mostNotes || at - (tokenArrivals[0]?.at ?? at) > notesMs) tokenArrivals.shift();
+    while (tokenArrivals.length > maxTokenArrivals || at - (tokenArrivals[0]?.at ?? at) > tokenArrivalWindowMs)
+      tokenArrivals.shift();
   };
 
   /**
-   * Tokens that came to the replica just after `sentAt`; other fronts' notes travel for a while, so some of them were
-   * there before.
+   * Tokens recorded for the replica shortly after `sentAt`. Notices of other edges arrive with a delay, so that some of
+   * these prefills were queued there earlier.
    */
   readonly tokensArrivedAfter = ({ tokenArrivals }: TrackedReplica, sentAt: number): number =>
     tokenArrivals.reduce(
-      (sum, { at, tokens }) => (at >= sentAt && at <= sentAt + noteTravelMs ? sum + tokens : sum),
+      (sum, { at, tokens }) => (at >= sentAt && at <= sentAt + maxNoticeDelayMs ? sum + tokens : sum),
       0,
     );
 
-  /** The address of the replica with the id; null where it isn't tracked. */
+  /** The address of the replica with this id; null where it isn't tracked. */
   readonly addressOf = (id: string): string | null => this.replicas.get(id)?.endpoint.address ?? null;
 
   /**
-   * An answer or update shows that the replica runs at least this version of the model's weights; a lower one changes
+   * Records that the replica runs at least this version of the model's weights; a version below the known one changes
    * nothing.
    */
   readonly recordWeights = (tracked: TrackedReplica, model: string, version: number): void => {
@@ -156,19 +156,19 @@
   /** The tracked replicas of all pools. */
   readonly all = (): TrackedReplica[] => [...this.replicas.values()];
 
-  /** An attempt began at the replica, with so many tokens to prefill. */
+  /** Records the start of an attempt at the replica, with `tokens` tokens to prefill. */
   readonly recordStart = (tracked: TrackedReplica, tokens: number): void => {
     tracked.running += 1;
     tracked.pendingTokens += tokens;
-    this.note(tracked, tokens);
+    this.recordTokens(tracked, tokens);
   };
 
-  /** The replica has prefilled the prompt, or won't: the tokens aren't pending any more. */
+  /** Records that the prompt is prefilled, or won't be: its tokens are no longer pending. */
   readonly recordPrefilled = (tracked: TrackedReplica, tokens: number): void => {
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
   };
 
-  /** An attempt at the replica is over, however it ended. */
+  /** Records the end of an attempt at the replica, whatever its outcome. */
   readonly recordEnd = (tracked: TrackedReplica): void => {
     tracked.running = Math.max(0, tracked.running - 1);
   };
