--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -2,10 +2,10 @@
 import { parseArgs } from 'node:util';
 import { gatewayConfigs, gatewaySettings } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
-import { parsedArgs } from '../commandArgs.js';
+import { parseCommandArgs } from '../commandArgs.js';
 import { exitCodes } from '../exitCodes.js';
 import type { ExitCode } from '../exitCodes.js';
-import { currentName } from '../formerNames.js';
+import { currentName } from '../currentName.js';
 import { readJson } from '../jsonFile.js';
 import { checkUsage } from '../usage.js';
 import { printIssues } from '../validationOutput.js';
@@ -48,7 +48,7 @@
 
 /** Prints whether the file is valid, or what is wrong with it. */
 export const check = (args: string[]): ExitCode => {
-  const parsed = parsedArgs(() => readArgs(args));
+  const parsed = parseCommandArgs(() => readArgs(args));
   const path = parsed?.positionals[0];
   const kind = currentName(parsed?.values.as);
   if (path !== undefined && (kind === undefined || isKind(kind))) return checkFile(path, kind);
--- a/packages/cli/src/commands/recover.ts
+++ b/packages/cli/src/commands/recover.ts
@@ -3,7 +3,7 @@
 import { recovery } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
-import { parsedArgs } from '../commandArgs.js';
+import { parseCommandArgs } from '../commandArgs.js';
 import { exitCodes } from '../exitCodes.js';
 import type { ExitCode } from '../exitCodes.js';
 import { recoverUsage } from '../usage.js';
@@ -43,7 +43,7 @@
 
 /** Resolves with the exit code; prints the usage page when the members do not form a membership. */
 export const recover = async (args: string[]): Promise<ExitCode> => {
-  const values = parsedArgs(() => readArgs(args))?.values;
+  const values = parseCommandArgs(() => readArgs(args))?.values;
   if (values?.help === true) {
     process.stdout.write(recoverUsage);
     return exitCodes.success;
--- a/packages/cli/src/commands/runGateway.ts
+++ b/packages/cli/src/commands/runGateway.ts
@@ -8,7 +8,7 @@
 import { realHttpServer } from '../httpServer.js';
 import { portsFor } from '../ports.js';
 import { shutdownSignal } from '../shutdownSignal.js';
-import { watchVitals } from '../vitals.js';
+import { watchProcessMetrics } from '../processMetrics.js';
 
 interface Endpoint {
   readonly address: string;
@@ -19,7 +19,7 @@
   const { http, operators } = gateway.settings;
   const forCallers = { address: http, handler: callerApi(gateway).fetch };
   if (operators === null) return [forCallers];
-  return [forCallers, { address: operators, handler: operatorPages(gateway, watchVitals()).fetch }];
+  return [forCallers, { address: operators, handler: operatorPages(gateway, watchProcessMetrics()).fetch }];
 };
 
 /** Opens the endpoints in turn; null when one could not be opened. */
--- a/packages/cli/src/commands/runGatewayControl.ts
+++ b/packages/cli/src/commands/runGatewayControl.ts
@@ -7,7 +7,7 @@
 import { realHttpServer } from '../httpServer.js';
 import { portsFor } from '../ports.js';
 import { shutdownSignal } from '../shutdownSignal.js';
-import { watchVitals } from '../vitals.js';
+import { watchProcessMetrics } from '../processMetrics.js';
 
 /** Resolves with the exit code once the node has stopped, or has failed to start. */
 export const runGatewayControl = async (settings: GatewaySettings, log: Log): Promise<ExitCode> => {
@@ -18,7 +18,7 @@
     return exitCodes.failed;
   }
   const controlNode = started.value;
-  const app = operatorApi(controlNode, watchVitals()).route('/', replicaApi(controlNode));
+  const app = operatorApi(controlNode, watchProcessMetrics()).route('/', replicaApi(controlNode));
   const listener = await realHttpServer.open(settings.http, app.fetch);
   if (listener.isErr()) {
     log.error('HTTP listen failed', { address: settings.http, fault: listener.error });
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -4,7 +4,7 @@
 import { recover } from './commands/recover.js';
 import { runRole } from './commands/runRole.js';
 import { exitCodes } from './exitCodes.js';
-import { currentName } from './formerNames.js';
+import { currentName } from './currentName.js';
 import { mainUsage } from './usage.js';
 
 /** Runs one command with its arguments; resolves with the exit code. */
--- a/packages/cli/src/vitals.ts
+++ b/packages/cli/src/processMetrics.ts
@@ -6,7 +6,7 @@
 const samplingMs = 10;
 
 /** Starts to sample the event loop's delay; the returned function gives the present lines of the metrics page. */
-export const watchVitals = (): (() => string[]) => {
+export const watchProcessMetrics = (): (() => string[]) => {
   const delay = monitorEventLoopDelay({ resolution: samplingMs });
   delay.enable();
   return () => {
--- a/packages/control-plane/src/configuration/routingTableHistory.ts
+++ b/packages/control-plane/src/configuration/routingTableHistory.ts
@@ -28,7 +28,7 @@
     if (routes.configVersion < before.configVersion || !isKeyedAsBefore) this.steps = [];
     else
       this.append(
-        { patch: patches.between(before.configVersion, before.table, routes.table), to: routes.configVersion },
+        { patch: patches.diff(before.configVersion, before.table, routes.table), to: routes.configVersion },
         routes.table,
       );
   };
@@ -52,13 +52,13 @@
     if (held !== undefined) return held;
     const patch = this.patchFrom(configVersion);
     if (patch === null) return this.packWhole(this.current.table);
-    const packed = packedRoutingTables.patch(patch);
+    const packed = packedRoutingTables.packPatch(patch);
     this.packed.set(configVersion, packed);
     return packed;
   };
 
   private readonly packWhole = (routingTable: RoutingTable): PackedRoutingTable => {
-    this.whole ??= packedRoutingTables.whole(routingTable);
+    this.whole ??= packedRoutingTables.packTable(routingTable);
     return this.whole;
   };
 
@@ -68,6 +68,6 @@
     return this.steps
       .slice(first)
       .map(({ patch }) => patch)
-      .reduce((joined, next) => patches.joined(joined, next));
+      .reduce((joined, next) => patches.merge(joined, next));
   };
 }
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -1,8 +1,8 @@
 /** Follows the cache events of replicas for gateways: each replica by the control node that holds its lease. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { KvCacheEvent, Ports, ReplicaRecord } from '@martenworks/core-types';
-import { kvFollow } from '@martenworks/upstream';
-import type { Follower } from '@martenworks/upstream';
+import { kvEvents } from '@martenworks/upstream';
+import type { KvEventSubscription } from '@martenworks/upstream';
 import { PrefixIndex } from '@martenworks/prefix-index';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { FenceGate } from '@martenworks/cluster-membership';
@@ -18,7 +18,7 @@
 
 interface Followed {
   readonly incarnation: number;
-  readonly follower: Follower;
+  readonly follower: KvEventSubscription;
 }
 
 /** Keeps the prefix index, sends gateways its events in bundles, and relays them to the other control nodes. */
@@ -57,12 +57,12 @@
     const admitted = update.filter(
       ({ replica }) => fences[replica] !== undefined && this.gate.admits(replica, fences[replica]),
     );
-    for (const one of admitted) this.index.take(one, now);
+    for (const one of admitted) this.index.apply(one, now);
     if (admitted.length > 0) this.tell(admitted);
   };
 
   /** Replicas whose events have a gap, so that a whole index is needed. */
-  readonly broken = (): string[] => this.index.broken();
+  readonly broken = (): string[] => this.index.incompleteReplicas();
 
   /** Restores whole indexes and gives those that were newer than the own ones. */
   readonly takeSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
@@ -84,14 +84,14 @@
     for (const record of wanted.values()) {
       if (this.followed.has(record.name)) continue;
       const { httpClient, clock, random, log } = this.ports;
-      const follower = kvFollow.follow(
+      const follower = kvEvents.subscribe(
         httpClient,
         clock,
         random,
         log,
         record.name,
         record.address,
-        () => this.index.seqOf(record.name, record.incarnation),
+        () => this.index.lastSeqOf(record.name, record.incarnation),
         this.take,
       );
       this.followed.set(record.name, { incarnation: record.incarnation, follower });
@@ -100,7 +100,7 @@
 
   private readonly take = (update: KvCacheEvent): void => {
     if (this.fenceOf(update.replica) === null) return;
-    this.index.take(update, this.ports.clock.now());
+    this.index.apply(update, this.ports.clock.now());
     this.bundle.push(update);
   };
 
--- a/packages/control-plane/test/routingTableHistory.test.ts
+++ b/packages/control-plane/test/routingTableHistory.test.ts
@@ -69,14 +69,14 @@
 };
 
 const opened = (message: PackedRoutingTable | null, configVersion: number, held: RoutingTable | null): RoutingTable =>
-  packedRoutingTables.open(message as PackedRoutingTable, { configVersion, routingTable: held })._unsafeUnwrap();
+  packedRoutingTables.unpack(message as PackedRoutingTable, { configVersion, routingTable: held })._unsafeUnwrap();
 
 describe('the differences between configuration versions', () => {
   it('given twelve small changes, when edges hold any of the configuration versions before, then each gets a small difference that makes the newest of what it holds', () => {
     const routingTables = configVersions(13);
     const made = history(routingTables);
     const newest = routingTables.at(-1) as RoutingTable;
-    const wholeBytes = packedRoutingTables.whole(newest).deflated.length;
+    const wholeBytes = packedRoutingTables.packTable(newest).deflated.length;
     for (const [at, held] of routingTables.slice(0, -1).entries()) {
       const message = made.messageFrom(at + 1);
       expect(message?.from).to.equal(at + 1);
@@ -120,7 +120,7 @@
     const routingTables = configVersions(3);
     const message = history(routingTables).messageFrom(2) as PackedRoutingTable;
     const codeOf = (packed: PackedRoutingTable, configVersion: number, held: RoutingTable | null): string | undefined =>
-      packedRoutingTables.open(packed, { configVersion, routingTable: held }).match(
+      packedRoutingTables.unpack(packed, { configVersion, routingTable: held }).match(
         () => 'opened',
         ({ code }) => code,
       );
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -1,7 +1,7 @@
 /** Data folders and settings files of an earlier release: today's programs take them and lose nothing. */
 import { rmSync } from 'node:fs';
 import { expect } from 'chai';
-import { controlApi, boots } from '@martenworks/platform';
+import { controlApi, bootFile } from '@martenworks/platform';
 import { leaseTables, operatorApi } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import { gatewaySettings, gatewayConfigs } from '@martenworks/settings';
@@ -149,7 +149,7 @@
 
 describe('settings files of an earlier release', () => {
   it("given the core role's, when it is read, then every field means what it meant", () => {
-    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
+    const { settings: env, platformApi } = bootFile.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(env).to.deep.equal({
       name: 'core-2',
@@ -180,7 +180,7 @@
   });
 
   it("given the edge role's, when it is read, then every field means what it meant", () => {
-    const { settings: env, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
+    const { settings: env, platformApi } = bootFile.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(env).to.deep.equal({
       name: 'edge-1',
--- a/packages/control-plane/test/upgradedNodes.ts
+++ b/packages/control-plane/test/upgradedNodes.ts
@@ -1,5 +1,5 @@
 /** Starts control nodes on data folders of an earlier release by their ordinary start, in a simulated world. */
-import { PlatformClient, boots } from '@martenworks/platform';
+import { PlatformClient, bootFile } from '@martenworks/platform';
 import { controlNodes, gatewayControlNodes } from '@martenworks/control-plane';
 import type { ControlNode, GatewayControlNode } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
@@ -22,7 +22,7 @@
     bindAddrs: { control: `${host}:8169` },
     dataFolder,
   };
-  const { settings: env, platformApi } = boots.check(settings)._unsafeUnwrap();
+  const { settings: env, platformApi } = bootFile.check(settings)._unsafeUnwrap();
   const backEnds = new PlatformClient(ports.httpClient, ports.clock, platformApi, env.listTimeoutMs);
   return (await controlNodes.start(env, ports, backEnds, env.seeds))._unsafeUnwrap();
 };
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -84,7 +84,7 @@
       return;
     }
     const base = { configVersion: current, routingTable: this.latest?.table ?? null };
-    const opened = packedRoutingTables.open(packedTable, base);
+    const opened = packedRoutingTables.unpack(packedTable, base);
     if (opened.isOk()) this.apply({ ...message, table: opened.value });
     else this.fetch(connection, 0);
   };
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -63,13 +63,13 @@
   ) {
     const { replicaTracker, ports } = context;
     const { admission, progress, relay } = request;
-    const { route, mayRepeat } = admission.view;
+    const { route, isRetryable } = admission.view;
     this.stopped = new Promise((resolve) => {
       this.tellStopped = resolve;
     });
     this.timing = new PromptTiming(context, admission, placed, relay.resumeAfter() !== null);
     this.oldWeights = new OldWeightsReport(context, admission, placed);
-    this.mayLeave = mayRepeat && progress.attempts + 1 < route.maxAttempts;
+    this.mayLeave = isRetryable && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
     const typicalFirstMs = replicaTracker.readRates.typicalFirstMs(admission.pool);
@@ -255,7 +255,7 @@
   private readonly mayTryAnother = (): boolean => {
     const { view, pool } = this.request.admission;
     const { arrivals } = this.request.progress;
-    return view.mayRepeat && arrivals < view.route.maxAttempts && this.context.budget.left(pool) > 0;
+    return view.isRetryable && arrivals < view.route.maxAttempts && this.context.budget.left(pool) > 0;
   };
 
   private readonly answered = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -83,5 +83,5 @@
 
   /** Whether a request whose last attempt may have run may be sent again: a call that runs at most once never is. */
   mayGoOn: (view: RouteView, hasReply: boolean, isResumable: boolean): boolean =>
-    hasReply ? view.route.isResumable && isResumable : view.mayRepeat,
+    hasReply ? view.route.isResumable && isResumable : view.isRetryable,
 };
--- a/packages/edge-proxy/src/ingress/requestAdmission.ts
+++ b/packages/edge-proxy/src/ingress/requestAdmission.ts
@@ -65,15 +65,15 @@
     const { view: currentView, customer: currentCustomer } = current.value;
     if (currentView.route.name !== view.route.name) return false;
     if (currentCustomer?.name !== customer?.name || currentCustomer?.isIsolated !== customer?.isIsolated) return false;
-    return (currentView.mayRepeat || !view.mayRepeat) && (currentView.route.isResumable || !view.route.isResumable);
+    return (currentView.isRetryable || !view.isRetryable) && (currentView.route.isResumable || !view.route.isResumable);
   };
 
   private readonly grant = (call: Call, keyHash: string | null): Result<Grant, AdmissionError> => {
     const table = this.view();
     const view = table?.match(call.host, pathOf(call.target)) ?? null;
     if (table === null || view === null) return err(admissionErrors.routeNotFound);
-    const customer = keyHash === null ? null : table.holderOf(keyHash);
-    if (customer === null && table.isKeyed && !view.route.isPublic) return err(admissionErrors.keyNotGranted);
+    const customer = keyHash === null ? null : table.customerOf(keyHash);
+    if (customer === null && table.requiresApiKey && !view.route.isPublic) return err(admissionErrors.keyNotGranted);
     return ok({ view, customer });
   };
 }
--- a/packages/edge-proxy/test/controlNodeStub.ts
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -128,7 +128,7 @@
   private readonly message = (): EdgeStateMessage => ({
     logIndex: this.logIndex,
     configVersion: this.logIndex,
-    packedTable: packedRoutingTables.whole(routingTableOf(this.logIndex)),
+    packedTable: packedRoutingTables.packTable(routingTableOf(this.logIndex)),
     targetWeights: {},
     weightsAges: {},
     members: this.members,
--- a/packages/edge-proxy/test/edgeMessages.test.ts
+++ b/packages/edge-proxy/test/edgeMessages.test.ts
@@ -18,7 +18,7 @@
 const state: EdgeStateMessage = {
   logIndex: 3,
   configVersion: 2,
-  packedTable: packedRoutingTables.whole(routingTableOf(3)),
+  packedTable: packedRoutingTables.packTable(routingTableOf(3)),
   targetWeights: { m: 2 },
   weightsAges: { m: [{ version: 2, msAgo: 10.5 }] },
   members: [memberOf('10.0.0.1')],
--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -6,8 +6,8 @@
 import { bodyLimit } from 'hono/body-limit';
 import { rejections, pause } from '@martenworks/core-types';
 import type { Rejection } from '@martenworks/core-types';
-import { backWire } from '@martenworks/upstream';
-import type { CompletionPath, Piece } from '@martenworks/upstream';
+import { replicaProtocol } from '@martenworks/upstream';
+import type { CompletionPath, CompletionEvent } from '@martenworks/upstream';
 import type { Gateway } from '../gateway.js';
 import type { StreamResponse } from '../gatewayRequest.js';
 
@@ -42,8 +42,8 @@
         }
         const next = await response.pieces.next();
         if (next.done === true) return controller.error(new Error('the stream was cut'));
-        const piece: Piece = next.value;
-        if (piece.kind === 'piece') return controller.enqueue(encoder.encode(`data: ${piece.data}\n\n`));
+        const piece: CompletionEvent = next.value;
+        if (piece.kind === 'chunk') return controller.enqueue(encoder.encode(`data: ${piece.data}\n\n`));
         if (piece.kind === 'done') {
           await response.pieces.return(undefined);
           controller.enqueue(encoder.encode('data: [DONE]\n\n'));
@@ -68,8 +68,8 @@
   let size = 0;
   for await (const piece of response.pieces) {
     if (piece.kind === 'done')
-      return c.json(backWire.assemble(path, datas), 200, { 'x-request-id': response.requestId });
-    if (piece.kind !== 'piece')
+      return c.json(replicaProtocol.assembleResponse(path, datas), 200, { 'x-request-id': response.requestId });
+    if (piece.kind !== 'chunk')
       return rejectionReply(c, rejections.of('cut_stream', 'unknown', piece.cause), response.requestId);
     datas.push(piece.data);
     size += piece.data.length;
--- a/packages/gateway/src/gatewayRequest.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -1,6 +1,6 @@
 /** One caller's request on its way through the gateway, with its state machine. */
 import type { Rejection } from '@martenworks/core-types';
-import type { CompletionPath, Piece } from '@martenworks/upstream';
+import type { CompletionPath, CompletionEvent } from '@martenworks/upstream';
 import type { Claim } from './claims/claims.js';
 import { InvalidTransitionError } from './errors.js';
 import type { LaneView, TenantView } from './state/gatewayConfigView.js';
@@ -23,7 +23,7 @@
 export interface StreamResponse {
   readonly kind: 'stream';
   readonly requestId: string;
-  readonly pieces: AsyncGenerator<Piece>;
+  readonly pieces: AsyncGenerator<CompletionEvent>;
 }
 
 /** What a caller gets: a rejection or a stream. */
@@ -151,7 +151,7 @@
   };
 
   /** The caller gets these pieces. */
-  readonly startRelay = (pieces: AsyncGenerator<Piece>): void => {
+  readonly startRelay = (pieces: AsyncGenerator<CompletionEvent>): void => {
     this.moveTo('relaying');
     this.respond({ kind: 'stream', requestId: this.completion.requestId, pieces });
   };
--- a/packages/gateway/src/peers/controlReporter.ts
+++ b/packages/gateway/src/peers/controlReporter.ts
@@ -55,7 +55,7 @@
     freshness.heard(stamp, pong);
     replicaTracker.takeOtherLoads(pong.loads);
     stages.placementStage.takeContention(pong.contention);
-    const broken = stateView.index.broken();
+    const broken = stateView.index.incompleteReplicas();
     if (broken.length > 0) connection.tell('indexSnapshotRequest', broken);
     if (pong.logIndex > stateView.logIndex()) connection.tell('subscribe', stateView.logIndex());
     stages.placementStage.pumpAll();
--- a/packages/gateway/src/pipeline/lookupStage.ts
+++ b/packages/gateway/src/pipeline/lookupStage.ts
@@ -2,8 +2,8 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, digests, prompts } from '@martenworks/core-types';
-import { backWire } from '@martenworks/upstream';
-import type { Piece } from '@martenworks/upstream';
+import { replicaProtocol } from '@martenworks/upstream';
+import type { CompletionEvent } from '@martenworks/upstream';
 import type { Claim, ClaimOutcome } from '../claims/claims.js';
 import type { StoredResponseState } from '../claims/responseStore.js';
 import type { ClaimRejection, LookupError } from '../errors.js';
@@ -45,7 +45,7 @@
     private readonly context: StageContext,
     private readonly rejector: Rejector,
     private readonly next: (request: GatewayRequest) => void,
-    private readonly replay: (request: GatewayRequest, datas: readonly string[]) => AsyncGenerator<Piece>,
+    private readonly replay: (request: GatewayRequest, datas: readonly string[]) => AsyncGenerator<CompletionEvent>,
   ) {}
 
   /** Passes the request on, claimed first if it has an idempotency key, or rejects it. */
@@ -73,7 +73,7 @@
     if (lane === undefined) return err({ code: 'unknown_lane', detail: 'no such lane' });
     if (!tenant.lanes.has(lane.index))
       return err({ code: 'lane_not_granted', detail: "the key's holder may not use this lane" });
-    const prompt = backWire.promptOf(completion.path, completion.body);
+    const prompt = replicaProtocol.promptOf(completion.path, completion.body);
     if (prompt === null) return err({ code: 'bad_request', detail: 'the prompt must be text' });
     if (!this.isWithinRate(tenant)) return err({ code: 'over_share', detail: 'the tenant is over its rate' });
     return ok({ lane, tenant, prompt });
--- a/packages/gateway/src/pipeline/placementExplanation.ts
+++ b/packages/gateway/src/pipeline/placementExplanation.ts
@@ -1,8 +1,8 @@
 /** Explains to an operator how a request would be placed now. */
 import { prompts } from '@martenworks/core-types';
 import type { ReplicaRecord } from '@martenworks/core-types';
-import { weigh } from '@martenworks/prefix-index';
-import type { PlaceQuestion } from '@martenworks/prefix-index';
+import { estimatePlacements } from '@martenworks/prefix-index';
+import type { PlacementQuery } from '@martenworks/prefix-index';
 import { GatewayRequest, isolationScopes } from '../gatewayRequest.js';
 import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
 import type { PlacementQuestions } from './placementQuestions.js';
@@ -23,7 +23,7 @@
   readonly costMs: number | null;
 }
 
-type WeighedReplica = ReturnType<typeof weigh>[number];
+type WeighedReplica = ReturnType<typeof estimatePlacements>[number];
 
 const trialRequest = (lane: LaneView, tenant: TenantView, prompt: string, now: number): GatewayRequest => {
   const completion = {
@@ -64,7 +64,7 @@
     if (lane === undefined || tenant === undefined) return null;
     const request = trialRequest(lane, tenant, prompt, ports.clock.now());
     const question = this.questions.of(request);
-    const weighed = question === null ? [] : weigh(stateView.index, question);
+    const weighed = question === null ? [] : estimatePlacements(stateView.index, question);
     return stateView
       .records()
       .filter((record) => record.pool === lane.poolName)
@@ -75,20 +75,20 @@
   private readonly explained = (
     record: ReplicaRecord,
     request: GatewayRequest,
-    question: PlaceQuestion | null,
+    question: PlacementQuery | null,
     weighed: readonly WeighedReplica[],
   ): ExplainedReplica => {
     const { stateView, replicaTracker, ports } = this.context;
     const found = weighed.find((one) => one.record.name === record.name);
     const scope = isolationScopes.of(request);
-    const kept = stateView.index.kept(record.name, request.blocks, scope, ports.clock.now());
+    const kept = stateView.index.match(record.name, request.blocks, scope, ports.clock.now());
     const partition = stateView.tenantPartitions.roles().find(({ replica }) => replica === record.name);
     return {
       replica: record.name,
       state: record.state,
       tenantPartition: partition?.role ?? 'none',
       keptTokens: kept.blockCount * prompts.blockTokens,
-      mayBeNamed: question?.holders.some((holder) => holder.name === record.name) === true && kept.isNameable,
+      mayBeNamed: question?.holders.some((holder) => holder.name === record.name) === true && kept.canBeSource,
       running: replicaTracker.running(record.name),
       holder: found?.holder?.name ?? null,
       prefillTokens: found?.prefilledTokens ?? null,
--- a/packages/gateway/src/pipeline/placementQuestions.ts
+++ b/packages/gateway/src/pipeline/placementQuestions.ts
@@ -1,6 +1,6 @@
 /** Builds the question put to the placement algorithm: which replicas may run a request, and which hold its prefix. */
 import type { Contention, ReplicaRecord } from '@martenworks/core-types';
-import type { PlaceQuestion } from '@martenworks/prefix-index';
+import type { PlacementQuery } from '@martenworks/prefix-index';
 import { isolationScopes } from '../gatewayRequest.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 import { TransferTracker } from '../replicas/transferTracker.js';
@@ -25,7 +25,7 @@
   };
 
   /** The question of a request, or null when its pool is no longer configured. */
-  readonly of = (request: GatewayRequest): PlaceQuestion | null => {
+  readonly of = (request: GatewayRequest): PlacementQuery | null => {
     const { stateView, replicaTracker, settings, ports } = this.context;
     const view = stateView.view();
     const { lane, tenant } = request;
@@ -48,7 +48,7 @@
       })),
       holders: stateView
         .holdersIn(lane.poolName, pool.store)
-        .filter((record) => stateView.tenantPartitions.mayName(record, scope)),
+        .filter((record) => stateView.tenantPartitions.mayBeSource(record, scope)),
       now,
       zone: settings.zone,
       useIndex: settings.index,
--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -1,6 +1,6 @@
 /** Third stage: holds admitted requests in their pool's queue and picks a replica for each. */
 import type { PoolDemands } from '@martenworks/core-types';
-import { place } from '@martenworks/prefix-index';
+import { choosePlacement } from '@martenworks/prefix-index';
 import type { Placement } from '@martenworks/prefix-index';
 import type { GatewayRequest } from '../gatewayRequest.js';
 import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
@@ -123,7 +123,7 @@
   /** False when the request has to wait on. */
   private readonly placeOrReject = (queue: PoolQueue, request: GatewayRequest, poolName: string): boolean => {
     const question = this.questions.of(request);
-    const placed = question === null ? null : place(this.context.stateView.index, question);
+    const placed = question === null ? null : choosePlacement(this.context.stateView.index, question);
     if (placed !== null) {
       this.queues.grant(queue, request);
       this.send(request, placed);
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,19 +1,19 @@
 /** Last stage: relays a replica's pieces to the caller and notices when the stream is cut. */
 import { background, pause } from '@martenworks/core-types';
-import type { Piece } from '@martenworks/upstream';
+import type { CompletionEvent } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 
 /** Resolves with the piece that ends the relay, once the request ends or is cut. */
-const untilStopped = (request: GatewayRequest): Promise<Piece> =>
+const untilStopped = (request: GatewayRequest): Promise<CompletionEvent> =>
   new Promise((resolve) => {
-    const stop = (): void => resolve({ kind: 'cut', cause: request.cutCause ?? 'the request ended' });
+    const stop = (): void => resolve({ kind: 'truncated', cause: request.cutCause ?? 'the request ended' });
     request.abortController.signal.addEventListener('abort', stop, { once: true });
   });
 
 /** A response under an idempotency key may be asked for again. */
-const keepForReplay = (request: GatewayRequest, piece: Piece): void => {
-  if (request.claim !== null && piece.kind === 'piece') request.relayedDatas.push(piece.data);
+const keepForReplay = (request: GatewayRequest, piece: CompletionEvent): void => {
+  if (request.claim !== null && piece.kind === 'chunk') request.relayedDatas.push(piece.data);
 };
 
 /** Makes the generators from which the callers' responses are read. */
@@ -21,9 +21,12 @@
   constructor(private readonly context: StageContext) {}
 
   /** The stored pieces of a response that was given before under the same idempotency key. */
-  readonly replay = async function* (request: GatewayRequest, datas: readonly string[]): AsyncGenerator<Piece> {
+  readonly replay = async function* (
+    request: GatewayRequest,
+    datas: readonly string[],
+  ): AsyncGenerator<CompletionEvent> {
     try {
-      for (const data of datas) yield { kind: 'piece', data };
+      for (const data of datas) yield { kind: 'chunk', data };
       yield { kind: 'done' };
     } finally {
       request.end();
@@ -32,28 +35,28 @@
 
   private readonly nextPiece = (
     request: GatewayRequest,
-    rest: AsyncGenerator<Piece>,
-    stopped: Promise<Piece>,
-  ): Promise<Piece> => {
-    if (request.cutCause !== null) return Promise.resolve({ kind: 'cut', cause: request.cutCause });
+    rest: AsyncGenerator<CompletionEvent>,
+    stopped: Promise<CompletionEvent>,
+  ): Promise<CompletionEvent> => {
+    if (request.cutCause !== null) return Promise.resolve({ kind: 'truncated', cause: request.cutCause });
     const next = rest
       .next()
       .then(
-        (step): Piece =>
-          step.done === true ? { kind: 'cut', cause: 'the stream ended without its end marker' } : step.value,
+        (step): CompletionEvent =>
+          step.done === true ? { kind: 'truncated', cause: 'the stream ended without its end marker' } : step.value,
       );
-    return pause.within<Piece>(
+    return pause.within<CompletionEvent>(
       this.context.ports.clock,
       this.context.settings.stallMs,
       Promise.race([next, stopped]),
       () => ({
-        kind: 'cut',
+        kind: 'truncated',
         cause: 'the replica sent nothing for too long',
       }),
     );
   };
 
-  private readonly noteEnd = (request: GatewayRequest, replica: string, last: Piece): void => {
+  private readonly noteEnd = (request: GatewayRequest, replica: string, last: CompletionEvent): void => {
     const { metrics, replicaTracker } = this.context;
     if (last.kind === 'done') {
       metrics.add('finished');
@@ -69,10 +72,10 @@
     this: RelayStage,
     request: GatewayRequest,
     replica: string,
-    first: Piece,
-    rest: AsyncGenerator<Piece>,
+    first: CompletionEvent,
+    rest: AsyncGenerator<CompletionEvent>,
     release: () => void,
-  ): AsyncGenerator<Piece> {
+  ): AsyncGenerator<CompletionEvent> {
     const stopped = untilStopped(request);
     try {
       keepForReplay(request, first);
@@ -80,12 +83,12 @@
       for (;;) {
         const piece = await this.nextPiece(request, rest, stopped);
         keepForReplay(request, piece);
-        if (piece.kind === 'piece') {
+        if (piece.kind === 'chunk') {
           yield piece;
           continue;
         }
         this.noteEnd(request, replica, piece);
-        yield piece.kind === 'done' ? piece : { kind: 'cut', cause: piece.cause };
+        yield piece.kind === 'done' ? piece : { kind: 'truncated', cause: piece.cause };
         return;
       }
     } finally {
--- a/packages/gateway/src/pipeline/sendCheck.ts
+++ b/packages/gateway/src/pipeline/sendCheck.ts
@@ -23,7 +23,7 @@
   return (
     held !== undefined &&
     includes(stateView.holdersIn(poolName, store), holder) &&
-    stateView.tenantPartitions.mayName(held, isolationScopes.ofTenant(grant.tenant))
+    stateView.tenantPartitions.mayBeSource(held, isolationScopes.ofTenant(grant.tenant))
   );
 };
 
--- a/packages/gateway/src/pipeline/sendStage.ts
+++ b/packages/gateway/src/pipeline/sendStage.ts
@@ -1,8 +1,8 @@
 /** Fourth stage: sends placed requests to their replicas, and tries again where that is safe and paid for. */
 import type { RejectionCode } from '@martenworks/core-types';
 import type { Placement } from '@martenworks/prefix-index';
-import { backWire } from '@martenworks/upstream';
-import type { Piece } from '@martenworks/upstream';
+import { replicaProtocol } from '@martenworks/upstream';
+import type { CompletionEvent } from '@martenworks/upstream';
 import type { GatewayRequest } from '../gatewayRequest.js';
 import { RetryBudget } from '../limits/retryBudget.js';
 import type { PlacementStage } from './placementStage.js';
@@ -17,7 +17,7 @@
 const transferSlackMs = 100;
 const retryLimit = 2;
 
-type SendResult = Awaited<ReturnType<typeof backWire.send>>;
+type SendResult = Awaited<ReturnType<typeof replicaProtocol.send>>;
 
 /** Sends and retries the requests of all pools. */
 export class SendStage {
@@ -102,15 +102,15 @@
     if (!attempt.isActive) return;
     if (request.isEnded) attempt.release();
     else if (first.done === true) attempt.failed('cut_stream', 'the stream was empty');
-    else if (first.value.kind === 'piece')
-      this.startRelay(request, attempt, first.value, response.value as AsyncGenerator<Piece>);
+    else if (first.value.kind === 'chunk')
+      this.startRelay(request, attempt, first.value, response.value as AsyncGenerator<CompletionEvent>);
     else this.failedFirst(attempt, first.value);
   };
 
   private readonly sendBody = (request: GatewayRequest, attempt: ReplicaAttempt): Promise<SendResult> => {
     const { placed, grant, weights } = attempt.plan;
     const { requestId, path, body } = request.completion;
-    return backWire.send(this.context.ports.httpClient, {
+    return replicaProtocol.send(this.context.ports.httpClient, {
       requestId,
       replica: placed.record.address,
       path,
@@ -125,16 +125,19 @@
     });
   };
 
-  private readonly failedFirst = (attempt: ReplicaAttempt, piece: Exclude<Piece, { kind: 'piece' }>): void => {
+  private readonly failedFirst = (
+    attempt: ReplicaAttempt,
+    piece: Exclude<CompletionEvent, { kind: 'chunk' }>,
+  ): void => {
     const detail = piece.kind === 'done' ? 'the stream held no piece' : piece.cause;
-    attempt.failed(piece.kind === 'wrong' ? 'wrong_weights' : 'cut_stream', detail);
+    attempt.failed(piece.kind === 'wrongWeights' ? 'wrong_weights' : 'cut_stream', detail);
   };
 
   private readonly startRelay = (
     request: GatewayRequest,
     attempt: ReplicaAttempt,
-    first: Piece,
-    rest: AsyncGenerator<Piece>,
+    first: CompletionEvent,
+    rest: AsyncGenerator<CompletionEvent>,
   ): void => {
     const { placed, grant } = attempt.plan;
     attempt.takeFirstPiece();
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -88,7 +88,7 @@
   /** Takes events of the replicas' prefix caches. */
   readonly takeKv = (events: readonly KvCacheEvent[]): void => {
     const now = this.clock.now();
-    for (const event of events) this.index.take(event, now);
+    for (const event of events) this.index.apply(event, now);
   };
 
   /** The ready replicas of a pool. */
@@ -114,11 +114,11 @@
   };
 
   /** Isolated tenants to be admitted to replicas. */
-  readonly wantedIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.wanted(this.clock.now());
+  readonly wantedIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.pendingClaims(this.clock.now());
 
   /** Takes what the control nodes know of the replicas' isolated tenants. */
   readonly takeIsolationStatuses = (statuses: readonly IsolationStatus[]): void => {
     for (const status of statuses)
-      this.tenantPartitions.admitted(status, this.index.isUsed(status.replica), this.clock.now());
+      this.tenantPartitions.applyGrantedClaim(status, this.index.mayHaveEntries(status.replica), this.clock.now());
   };
 }
--- a/packages/prefix-index/src/placement.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -16,7 +16,7 @@
  * One prompt with the replicas that may run it. `tieBreak` is a random number from 0 to below 1; `pullExcessMs` is what
  * transfers between two replicas lately took beyond the estimate.
  */
-export interface PlaceQuestion {
+export interface PlacementQuery {
   readonly pool: Pool;
   readonly blocks: readonly string[];
   readonly promptTokens: number;
@@ -71,7 +71,7 @@
 }
 
 const bestPull = (
-  { pool, pullExcessMs }: PlaceQuestion,
+  { pool, pullExcessMs }: PlacementQuery,
   holders: readonly HolderKept[],
   receiver: string,
   local: number,
@@ -91,14 +91,14 @@
 };
 
 /** The placements on all candidates with their costs, in an order turned by `tieBreak` so that equal costs spread. */
-export const weigh = (index: PrefixIndex, question: PlaceQuestion): Placement[] => {
+export const estimatePlacements = (index: PrefixIndex, question: PlacementQuery): Placement[] => {
   const { pool, blocks, now, isolatedTenant } = question;
-  const keptBy = (record: ReplicaRecord) => index.kept(record.name, blocks, isolatedTenant, now);
+  const keptBy = (record: ReplicaRecord) => index.match(record.name, blocks, isolatedTenant, now);
   const holders: HolderKept[] = [];
   if (question.useIndex && blocks.length > 0) {
     for (const record of question.holders) {
       const kept = keptBy(record);
-      if (kept.isNameable) holders.push({ record, blockCount: kept.blockCount });
+      if (kept.canBeSource) holders.push({ record, blockCount: kept.blockCount });
     }
   }
   const home = question.useIndex && holders.length === 0 ? preferredReplicaOf(blocks, question.candidates) : null;
@@ -137,8 +137,8 @@
 };
 
 /** The placement with the lowest cost; null where there is no candidate. */
-export const place = (index: PrefixIndex, question: PlaceQuestion): Placement | null =>
-  weigh(index, question).reduce<Placement | null>(
+export const choosePlacement = (index: PrefixIndex, question: PlacementQuery): Placement | null =>
+  estimatePlacements(index, question).reduce<Placement | null>(
     (best, one) => (best === null || one.costMs < best.costMs ? one : best),
     null,
   );
--- a/packages/prefix-index/src/prefixIndex.ts
+++ b/packages/prefix-index/src/prefixIndex.ts
@@ -23,9 +23,9 @@
  * How many leading blocks of a prompt a replica has cached, and whether it may be named as a source of them to another
  * replica.
  */
-export interface Kept {
+export interface PrefixMatch {
   readonly blockCount: number;
-  readonly isNameable: boolean;
+  readonly canBeSource: boolean;
 }
 
 /** One replica's entries as they are handed to a gateway that starts; ages are in milliseconds. */
@@ -84,7 +84,7 @@
   };
 
   /** Takes one cache event at the time `now`; events of other incarnations and repeated ones are ignored. */
-  readonly take = (update: KvCacheEvent, now: number): void => {
+  readonly apply = (update: KvCacheEvent, now: number): void => {
     const stored = this.prefixCaches.get(update.replica);
     if (stored === undefined || update.incarnation !== stored.incarnation) return;
     if (update.kind === 'hello') {
@@ -127,9 +127,14 @@
    * The leading blocks that the replica has cached for the tenant (null: shared); blocks older than the age limit don't
    * count.
    */
-  readonly kept = (replica: string, blocks: readonly string[], isolatedTenant: string | null, now: number): Kept => {
+  readonly match = (
+    replica: string,
+    blocks: readonly string[],
+    isolatedTenant: string | null,
+    now: number,
+  ): PrefixMatch => {
     const stored = this.prefixCaches.get(replica);
-    if (stored === undefined) return { blockCount: 0, isNameable: false };
+    if (stored === undefined) return { blockCount: 0, canBeSource: false };
     const tenant = this.tenantIndex(isolatedTenant);
     let blockCount = 0;
     for (const block of blocks) {
@@ -142,7 +147,7 @@
       blockCount += 1;
     }
     const isUnmixed = stored.isWhole && [...stored.scopes].every((scope) => scope === tenant);
-    return { blockCount, isNameable: blockCount > 0 && isUnmixed };
+    return { blockCount, canBeSource: blockCount > 0 && isUnmixed };
   };
 
   /** The entries of all replicas, for a gateway that starts. */
@@ -196,17 +201,17 @@
     }));
 
   /** Names of the replicas whose events had a gap. */
-  readonly broken = (): string[] =>
+  readonly incompleteReplicas = (): string[] =>
     [...this.prefixCaches].filter(([, stored]) => !stored.isWhole).map(([name]) => name);
 
   /** Whether the replica may have anything cached. */
-  readonly isUsed = (replica: string): boolean => {
+  readonly mayHaveEntries = (replica: string): boolean => {
     const stored = this.prefixCaches.get(replica);
     return stored === undefined || !stored.isWhole || stored.seq > 0;
   };
 
   /** The last sequence number that was taken of the incarnation, after which its events are followed; 0 for none. */
-  readonly seqOf = (replica: string, incarnation: number): number => {
+  readonly lastSeqOf = (replica: string, incarnation: number): number => {
     const stored = this.prefixCaches.get(replica);
     return stored !== undefined && stored.incarnation === incarnation ? stored.seq : 0;
   };
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -80,7 +80,7 @@
   };
 
   /** Claims that this gateway has to make before it may send requests to replicas by their new assignments. */
-  readonly wanted = (now: number): IsolationClaim[] =>
+  readonly pendingClaims = (now: number): IsolationClaim[] =>
     [...this.seats].flatMap(([replica, { incarnation, role, roleSince, openAt }]) =>
       openAt.has(role) || (openAt.size > 0 && now - roleSince < steadyMs) ? [] : [{ replica, incarnation, side: role }],
     );
@@ -89,7 +89,7 @@
    * A claim was granted: the replica opens to its tenant at once where it served no other, else after the time that
    * earlier requests and cache entries may last.
    */
-  readonly admitted = (
+  readonly applyGrantedClaim = (
     { replica, incarnation, side, sides, ageMs }: IsolationStatus,
     isUsed: boolean,
     now: number,
@@ -109,7 +109,7 @@
   };
 
   /** Whether the replica may be named as a source of cache entries for the tenant. */
-  readonly mayName = (record: ReplicaRecord, isolatedTenant: string | null): boolean => {
+  readonly mayBeSource = (record: ReplicaRecord, isolatedTenant: string | null): boolean => {
     if (record.kind === 'store') return isolatedTenant === null;
     const side = isolatedTenant ?? shared;
     const seat = this.seats.get(record.name);
--- a/packages/prefix-index/test/holders.test.ts
+++ b/packages/prefix-index/test/cacheSources.test.ts
@@ -278,13 +278,13 @@
       () => 0,
     );
     const told = (seq: number, kind: 'stored' | 'cleared', blocks: string[]): void =>
-      index.take({ replica: 'r', incarnation: 1, seq, kind, tenant: null, blocks }, 0);
+      index.apply({ replica: 'r', incarnation: 1, seq, kind, tenant: null, blocks }, 0);
     told(1, 'stored', ['a']);
-    expect(index.kept('r', ['a'], null, 0)).to.deep.equal({ blockCount: 1, isNameable: true });
+    expect(index.match('r', ['a'], null, 0)).to.deep.equal({ blockCount: 1, canBeSource: true });
     told(3, 'stored', ['b']);
-    expect(index.kept('r', ['b'], null, 0).isNameable).to.equal(false);
+    expect(index.match('r', ['b'], null, 0).canBeSource).to.equal(false);
     told(4, 'cleared', []);
     told(5, 'stored', ['c']);
-    expect(index.kept('r', ['c'], null, 0)).to.deep.equal({ blockCount: 1, isNameable: true });
+    expect(index.match('r', ['c'], null, 0)).to.deep.equal({ blockCount: 1, canBeSource: true });
   });
 });
--- a/packages/route-table/src/packedRoutingTables.ts
+++ b/packages/route-table/src/packedRoutingTables.ts
@@ -21,13 +21,13 @@
 
 /** Packs tables and patches, and opens them again. */
 export const packedRoutingTables = {
-  whole: (routingTable: RoutingTable): PackedRoutingTable => ({ from: null, deflated: deflated(routingTable) }),
-  patch: (patch: RoutingTablePatch): PackedRoutingTable => ({ from: patch.from, deflated: deflated(patch) }),
+  packTable: (routingTable: RoutingTable): PackedRoutingTable => ({ from: null, deflated: deflated(routingTable) }),
+  packPatch: (patch: RoutingTablePatch): PackedRoutingTable => ({ from: patch.from, deflated: deflated(patch) }),
   /**
    * The routing table that was packed; a patch is applied to the given one. Fails with `otherBase` where the patch
    * builds on another version, with `unreadable` where the bytes aren't a packed table.
    */
-  open: (
+  unpack: (
     { from, deflated: bytes }: PackedRoutingTable,
     held: { readonly configVersion: number; readonly routingTable: RoutingTable | null },
   ): Result<RoutingTable, PackedRoutingTableError> => {
--- a/packages/route-table/src/patches.ts
+++ b/packages/route-table/src/patches.ts
@@ -40,7 +40,7 @@
 
 /** Makes, joins and applies patches. Entries are compared by name and JSON text. */
 export const patches = {
-  between: (from: number, before: RoutingTable, after: RoutingTable): RoutingTablePatch => {
+  diff: (from: number, before: RoutingTable, after: RoutingTable): RoutingTablePatch => {
     const { routes, customers: _, ...rest } = after;
     return { from, ...lists.between(before.routes, routes), customers: customersBetween(before, after), rest };
   },
@@ -50,7 +50,7 @@
     customers: customers === null ? null : lists.apply(held.customers ?? [], customers),
   }),
   /** One patch in place of two, of which the second builds on what the first makes. */
-  joined: (first: RoutingTablePatch, second: RoutingTablePatch): RoutingTablePatch => ({
+  merge: (first: RoutingTablePatch, second: RoutingTablePatch): RoutingTablePatch => ({
     from: first.from,
     ...lists.joined(first, second),
     customers:
--- a/packages/route-table/src/routeLookup.ts
+++ b/packages/route-table/src/routeLookup.ts
@@ -6,7 +6,7 @@
 export interface RouteView {
   readonly index: number;
   readonly route: Route;
-  readonly mayRepeat: boolean;
+  readonly isRetryable: boolean;
 }
 
 /**
@@ -15,9 +15,9 @@
 export interface RoutingTableView {
   readonly routingTable: RoutingTable;
   readonly configVersion: number;
-  readonly isKeyed: boolean;
+  readonly requiresApiKey: boolean;
   readonly match: (host: string, path: string) => RouteView | null;
-  readonly holderOf: (keyHash: string) => Customer | null;
+  readonly customerOf: (keyHash: string) => Customer | null;
   readonly pool: (name: string) => ReplicaPool | null;
 }
 
@@ -36,7 +36,7 @@
       views.push({
         index: this.routeNames.indexOf(route.name),
         route,
-        mayRepeat: route.kind === 'repeatable' || (route.kind === 'stream' && route.isResumable),
+        isRetryable: route.kind === 'repeatable' || (route.kind === 'stream' && route.isResumable),
       });
       byHost.set(host, views);
     }
@@ -48,10 +48,10 @@
     return {
       routingTable,
       configVersion,
-      isKeyed: routingTable.customers !== null,
+      requiresApiKey: routingTable.customers !== null,
       match: (host, path) =>
         byHost.get(hostNameOf(host))?.find((view) => path.startsWith(view.route.pathPrefix)) ?? null,
-      holderOf: (keyHash) => holders.get(keyHash) ?? null,
+      customerOf: (keyHash) => holders.get(keyHash) ?? null,
       pool: (name) => pools.get(name) ?? null,
     };
   };
--- a/packages/route-table/test/routingTables.test.ts
+++ b/packages/route-table/test/routingTables.test.ts
@@ -103,7 +103,7 @@
 
   it('given kinds of routes, when they are viewed, then only repeatable ones and resumable streams may repeat', () => {
     const mayRepeat = (more: Partial<Route>): boolean | undefined =>
-      new RoutingTableIndexer().view(1, routingTable({ routes: [route(more)] })).match('a.example', '/x/')?.mayRepeat;
+      new RoutingTableIndexer().view(1, routingTable({ routes: [route(more)] })).match('a.example', '/x/')?.isRetryable;
     expect(mayRepeat({ kind: 'repeatable' })).to.equal(true);
     expect(mayRepeat({ kind: 'once', isResumable: true })).to.equal(false);
     expect(mayRepeat({ kind: 'stream' })).to.equal(false);
@@ -141,13 +141,13 @@
       customers: [{ name: 'south', keyHashes: ['k9'], rank: 1, isIsolated: true }],
       limits: { headerBytes: 2, bodyBytes: 2, headerMs: 2, idleMs: 2 },
     });
-    const patch = patches.between(3, before, after);
+    const patch = patches.diff(3, before, after);
     expect(patch.put.map((one) => one.name)).to.deep.equal(['b', 'd']);
     expect(patch.gone).to.deep.equal(['a']);
     const held = patches.apply(before, patch);
     expect({ ...held, routes: [...held.routes].sort((x, y) => (x.name < y.name ? -1 : 1)) }).to.deep.equal(after);
     expect(patches.isSmaller(patch, after)).to.equal(false);
-    expect(patches.isSmaller(patches.between(3, after, after), after)).to.equal(true);
+    expect(patches.isSmaller(patches.diff(3, after, after), after)).to.equal(true);
   });
 
   it('given models, versions and tenants, when salts are made, then any two that must not share differ and the others are one', () => {
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -71,22 +71,22 @@
 
 /** Each field: how its flag is read, and its line in the help, with the default in brackets. */
 export const settingsFields = {
-  name: { form: forms.text, help: "this node's name, unlike any other node's" },
-  zone: { form: forms.text, help: 'the zone this machine stands in' },
-  peerAddress: { form: forms.text, help: "IP:PORT for the fleet's own connections" },
-  peerListenAddress: { form: forms.text, help: 'IP:PORT to listen on where others dial another (connection)' },
-  http: { form: forms.text, help: 'IP:PORT for HTTP (callers, or operators and platform)' },
-  operators: { form: forms.text, help: "IP:PORT for operators' pages, on a private network (gateway only; none)" },
-  seeds: { form: forms.list, help: 'three IP:PORT of other nodes, parted by commas' },
-  data: { form: forms.text, help: 'data folder (control node only)' },
-  gatewayCount: { form: forms.count, help: 'how many gateways share the retry budget (9)' },
-  bodyLimitBytes: { form: forms.count, help: 'largest request body (4194304)' },
-  queueLimit: { form: forms.count, help: 'most requests waiting in one stage (512)' },
-  drainMs: { form: forms.count, help: 'longest wait for running requests on SIGTERM (25000)' },
-  claimRetentionMs: { form: forms.count, help: 'how long an Idempotency-Key is remembered (600000)' },
-  stallMs: { form: forms.count, help: 'longest silence within a running stream before it is cut (20000)' },
-  logs: { form: forms.switch, help: 'on or off: JSON lines on stdout (on)' },
-  index: { form: forms.switch, help: 'on or off: use the index of kept prompts (on)' },
+  name: { parse: forms.text, help: "this node's name, unlike any other node's" },
+  zone: { parse: forms.text, help: 'the zone this machine stands in' },
+  peerAddress: { parse: forms.text, help: "IP:PORT for the fleet's own connections" },
+  peerListenAddress: { parse: forms.text, help: 'IP:PORT to listen on where others dial another (connection)' },
+  http: { parse: forms.text, help: 'IP:PORT for HTTP (callers, or operators and platform)' },
+  operators: { parse: forms.text, help: "IP:PORT for operators' pages, on a private network (gateway only; none)" },
+  seeds: { parse: forms.list, help: 'three IP:PORT of other nodes, parted by commas' },
+  data: { parse: forms.text, help: 'data folder (control node only)' },
+  gatewayCount: { parse: forms.count, help: 'how many gateways share the retry budget (9)' },
+  bodyLimitBytes: { parse: forms.count, help: 'largest request body (4194304)' },
+  queueLimit: { parse: forms.count, help: 'most requests waiting in one stage (512)' },
+  drainMs: { parse: forms.count, help: 'longest wait for running requests on SIGTERM (25000)' },
+  claimRetentionMs: { parse: forms.count, help: 'how long an Idempotency-Key is remembered (600000)' },
+  stallMs: { parse: forms.count, help: 'longest silence within a running stream before it is cut (20000)' },
+  logs: { parse: forms.switch, help: 'on or off: JSON lines on stdout (on)' },
+  index: { parse: forms.switch, help: 'on or off: use the index of kept prompts (on)' },
 } as const;
 
 /** Keys of earlier releases and the keys that replaced them; a file or flag with an old key is taken with a warning. */
@@ -105,8 +105,8 @@
   );
 
 const parseFlags = (flags: Readonly<Record<string, string>>): Record<string, unknown> => {
-  const fields: Readonly<Record<string, { form: (raw: string) => unknown }>> = settingsFields;
-  return Object.fromEntries(Object.entries(flags).map(([key, raw]) => [key, fields[key]?.form(raw) ?? raw]));
+  const fields: Readonly<Record<string, { parse: (raw: string) => unknown }>> = settingsFields;
+  return Object.fromEntries(Object.entries(flags).map(([key, raw]) => [key, fields[key]?.parse(raw) ?? raw]));
 };
 
 /** The rules that join several fields, which the schema can't express. */
--- a/packages/test-fleet/src/capacity/probes/joins.ts
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -27,9 +27,9 @@
 const fill = (index: PrefixIndex, records: readonly ReplicaRecord[]): void => {
   index.reconcile(records, () => 0);
   for (const [at, { name }] of records.entries()) {
-    if (index.seqOf(name, 1) > 0) continue;
+    if (index.lastSeqOf(name, 1) > 0) continue;
     const blocks = upTo(blocksPerReplica).map((block) => sampleData.blockName(at * blocksPerReplica + block));
-    index.take(sampleData.stored(name, 1, blocks), 0);
+    index.apply(sampleData.stored(name, 1, blocks), 0);
   }
 };
 
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -5,7 +5,7 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
 import { Unpacker, frames } from '@martenworks/peer-transport';
-import { PrefixIndex, place } from '@martenworks/prefix-index';
+import { PrefixIndex, choosePlacement } from '@martenworks/prefix-index';
 import type { Probe } from './probe.js';
 
 const blockCountsFromFrames = [10_000, 50_000, 100_000, 200_000, 400_000];
@@ -46,7 +46,7 @@
   packed(index).reduce((sum, frame) => sum + frame.length, 0);
 
 const frameOf = (index: PrefixIndex, record: ReplicaRecord, firstBlock: number): Uint8Array => {
-  const firstSeq = index.seqOf(record.name, 1) + 1;
+  const firstSeq = index.lastSeqOf(record.name, 1) + 1;
   const body = upTo(eventsInAFrame).map((at) =>
     sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
   );
@@ -59,7 +59,7 @@
   const index = newIndex();
   const unpacker = new Unpacker(
     (message) => {
-      for (const event of (message as { body: KvCacheEvent[] }).body) index.take(event, 0);
+      for (const event of (message as { body: KvCacheEvent[] }).body) index.apply(event, 0);
     },
     () => {},
   );
@@ -81,7 +81,7 @@
   for (let held = from; held < to; held += 1) {
     const { name } = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
     const block = Buffer.from(sampleData.blockName(held + 1)).toString('latin1');
-    index.take(sampleData.stored(name, index.seqOf(name, 1) + 1, [block]), 0);
+    index.apply(sampleData.stored(name, index.lastSeqOf(name, 1) + 1, [block]), 0);
   }
 };
 
@@ -91,7 +91,7 @@
   return upTo(eventsMeasured / 2).flatMap((pair) => {
     const at = pair * 2;
     const name = names[(at * 7) % names.length] as string;
-    const seq = lastSeqs.get(name) ?? index.seqOf(name, 1);
+    const seq = lastSeqs.get(name) ?? index.lastSeqOf(name, 1);
     lastSeqs.set(name, seq + 2);
     const blocks = [sampleData.blockName(firstNewBlock + at)];
     return [
@@ -114,7 +114,7 @@
       const events = storeAndRemoveEvents(index, names);
       series.event.add(
         target,
-        meanCpuUs(events.length, (at) => index.take(events[at] as KvCacheEvent, 1)),
+        meanCpuUs(events.length, (at) => index.apply(events[at] as KvCacheEvent, 1)),
       );
     });
     if (target <= mostBlocksPacked)
@@ -136,7 +136,7 @@
   const index = newIndex();
   index.reconcile(records, () => 0);
   for (const [at, record] of records.entries())
-    index.take(sampleData.stored(record.name, 1, blocks.slice(0, at % 3 === 0 ? cachedBlocks : 0)), 0);
+    index.apply(sampleData.stored(record.name, 1, blocks.slice(0, at % 3 === 0 ? cachedBlocks : 0)), 0);
   const question = {
     pool,
     blocks,
@@ -151,7 +151,7 @@
     pullExcessMs: () => 0,
   };
   await repeated(timers, 1, (isKept) => {
-    const us = meanCpuUs(placementsARepeat, () => void place(index, question));
+    const us = meanCpuUs(placementsARepeat, () => void choosePlacement(index, question));
     if (isKept) series.placement.add(replicas, us);
   });
 };
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -120,7 +120,7 @@
           const next = loosened(gateway.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
           loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
             const piece = await next(...args);
-            return piece.kind === 'cut' ? { kind: 'done' } : piece;
+            return piece.kind === 'truncated' ? { kind: 'done' } : piece;
           };
         },
       },
@@ -138,7 +138,7 @@
           loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
             const piece = await next(...args);
             count += 1;
-            return count % 100 === 0 && piece.kind === 'piece' ? next(...args) : piece;
+            return count % 100 === 0 && piece.kind === 'chunk' ? next(...args) : piece;
           };
         },
       },
@@ -171,10 +171,10 @@
       longShare: 0.5,
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.stateView.tenantPartitions).mayName = () => true;
+          loosened(gateway.stateView.tenantPartitions).mayBeSource = () => true;
           loosened(gateway.stateView.tenantPartitions).mayRun = () => true;
-          const kept = gateway.stateView.index.kept;
-          loosened(gateway.stateView.index).kept = (...args) => ({ ...kept(...args), isNameable: true });
+          const kept = gateway.stateView.index.match;
+          loosened(gateway.stateView.index).match = (...args) => ({ ...kept(...args), canBeSource: true });
         },
       },
     },
--- a/packages/upstream/src/httpClient.ts
+++ b/packages/upstream/src/httpClient.ts
@@ -31,10 +31,10 @@
 /** Connections to one address at most, and milliseconds until a connection counts as not to be had. */
 export interface HttpClientOptions {
   readonly connections: number;
-  readonly connectMs: number;
+  readonly connectTimeoutMs: number;
 }
 
-const usualTerms: HttpClientOptions = { connections: 256, connectMs: 1_000 };
+const usualTerms: HttpClientOptions = { connections: 256, connectTimeoutMs: 1_000 };
 
 /**
  * Creates clients on real sockets. Their errors carry the code of undici or of the system and tell whether any byte was
@@ -48,7 +48,7 @@
       keepAliveTimeout: 4_000,
       headersTimeout: 0,
       bodyTimeout: 0,
-      connect: { timeout: terms.connectMs, ...(localHost === null ? {} : { localAddress: localHost }) },
+      connect: { timeout: terms.connectTimeoutMs, ...(localHost === null ? {} : { localAddress: localHost }) },
     });
     return {
       send: async ({ method, url, headers, body, signal, gate, accepts }) => {
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -1,4 +1,4 @@
 /** HTTP towards replicas: the client, the completion protocol and cache events. */
-export * from './replicaClient.js';
+export * from './replicaProtocol.js';
 export * from './kvEvents.js';
 export * from './httpClient.js';
--- a/packages/upstream/src/kvEvents.ts
+++ b/packages/upstream/src/kvEvents.ts
@@ -1,7 +1,7 @@
 /** Follows the stream of cache events of one replica and reconnects where it breaks. */
 import { background, pause } from '@martenworks/core-types';
 import type { HttpClient, Clock, KvCacheEvent, Log, Random } from '@martenworks/core-types';
-import { backWire } from './replicaClient.js';
+import { replicaProtocol } from './replicaProtocol.js';
 
 const newsKinds = new Set(['hello', 'stored', 'removed', 'cleared']);
 
@@ -26,7 +26,7 @@
 };
 
 /** A running subscription; `stop` ends it for good. */
-export interface Follower {
+export interface KvEventSubscription {
   readonly stop: () => void;
 }
 
@@ -34,8 +34,8 @@
  * Subscribes to `/kv-events`. Reconnects after the last sequence number with a doubling pause of 100 ms to 2 s;
  * malformed events are skipped.
  */
-export const kvFollow = {
-  follow: (
+export const kvEvents = {
+  subscribe: (
     httpClient: HttpClient,
     clock: Clock,
     random: Random,
@@ -44,7 +44,7 @@
     address: string,
     after: () => number,
     take: (update: KvCacheEvent) => void,
-  ): Follower => {
+  ): KvEventSubscription => {
     const quit = new AbortController();
     const run = async (): Promise<void> => {
       let waitMs = 100;
@@ -60,7 +60,7 @@
         if (response.isOk() && response.value.status === 200) {
           waitMs = 100;
           try {
-            for await (const data of backWire.events(response.value.body)) {
+            for await (const data of replicaProtocol.events(response.value.body)) {
               const update = newsOf(replica, data);
               if (update !== null) take(update);
             }
--- a/packages/upstream/src/replicaClient.ts
+++ b/packages/upstream/src/replicaProtocol.ts
@@ -29,18 +29,18 @@
  * One step of a response: a chunk as JSON text, its regular end, a cut stream, or a chunk from other weights than asked
  * for.
  */
-export type Piece =
-  | { readonly kind: 'piece'; readonly data: string }
+export type CompletionEvent =
+  | { readonly kind: 'chunk'; readonly data: string }
   | { readonly kind: 'done' }
-  | { readonly kind: 'cut'; readonly cause: string }
-  | { readonly kind: 'wrong'; readonly cause: string };
+  | { readonly kind: 'truncated'; readonly cause: string }
+  | { readonly kind: 'wrongWeights'; readonly cause: string };
 
 /**
  * An attempt that brought no stream; `isUnsent` tells that no byte reached the replica, `status` is null where no
  * response came.
  */
 export interface ReplicaAttemptError {
-  readonly kind: 'shot';
+  readonly kind: 'replicaAttempt';
   readonly isUnsent: boolean;
   readonly status: number | null;
   readonly cause: string;
@@ -82,28 +82,32 @@
   }
 };
 
-const pieces = async function* (body: AsyncIterable<Uint8Array>, weights: string): AsyncGenerator<Piece> {
+const pieces = async function* (body: AsyncIterable<Uint8Array>, weights: string): AsyncGenerator<CompletionEvent> {
   let runId: unknown;
   let isFinished = false;
   try {
     for await (const data of eventsIn(body)) {
       if (data === doneMark) {
-        yield isFinished ? { kind: 'done' } : { kind: 'cut', cause: 'the end marker came before a finish reason' };
+        yield isFinished
+          ? { kind: 'done' }
+          : { kind: 'truncated', cause: 'the end marker came before a finish reason' };
         return;
       }
       const chunk = parsedChunk(data);
-      if (chunk === null) return yield { kind: 'cut', cause: 'a chunk is not a JSON object' };
-      if (chunk.error !== undefined) return yield { kind: 'cut', cause: 'the replica reported an error mid-stream' };
-      if (chunk.model !== weights) return yield { kind: 'wrong', cause: `the replica ran ${String(chunk.model)}` };
+      if (chunk === null) return yield { kind: 'truncated', cause: 'a chunk is not a JSON object' };
+      if (chunk.error !== undefined)
+        return yield { kind: 'truncated', cause: 'the replica reported an error mid-stream' };
+      if (chunk.model !== weights)
+        return yield { kind: 'wrongWeights', cause: `the replica ran ${String(chunk.model)}` };
       if (runId === undefined) runId = chunk.id;
       if (typeof runId !== 'string' || chunk.id !== runId)
-        return yield { kind: 'cut', cause: 'the run id changed within the stream' };
+        return yield { kind: 'truncated', cause: 'the run id changed within the stream' };
       if (chunk.choices?.some((choice) => typeof choice.finish_reason === 'string') === true) isFinished = true;
-      yield { kind: 'piece', data };
+      yield { kind: 'chunk', data };
     }
-    yield { kind: 'cut', cause: 'the stream ended without its end marker' };
+    yield { kind: 'truncated', cause: 'the stream ended without its end marker' };
   } catch (cause) {
-    yield { kind: 'cut', cause: (cause as { code?: string }).code ?? 'the stream broke' };
+    yield { kind: 'truncated', cause: (cause as { code?: string }).code ?? 'the stream broke' };
   }
 };
 
@@ -126,7 +130,7 @@
   readonly finish_reason?: string | null;
 }
 
-const assemble = (path: CompletionPath, datas: readonly string[]): Record<string, unknown> => {
+const assembleResponse = (path: CompletionPath, datas: readonly string[]): Record<string, unknown> => {
   const chunks = datas.map((data) => JSON.parse(data) as Record<string, unknown>);
   const texts = new Map<number, { text: string; finish: string | null }>();
   for (const chunk of chunks) {
@@ -157,12 +161,12 @@
 };
 
 /** Encoding and decoding of the completion protocol. */
-export const backWire = {
-  assemble,
+export const replicaProtocol = {
+  assembleResponse,
   send: async (
     httpClient: HttpClient,
     attempt: ReplicaAttempt,
-  ): Promise<Result<AsyncGenerator<Piece>, ReplicaAttemptError>> => {
+  ): Promise<Result<AsyncGenerator<CompletionEvent>, ReplicaAttemptError>> => {
     const response = await httpClient.send({
       method: 'POST',
       url: `http://${attempt.replica}${attempt.path}`,
@@ -181,7 +185,7 @@
     });
     if (response.isErr())
       return err({
-        kind: 'shot',
+        kind: 'replicaAttempt',
         isUnsent: response.error.isUnsent,
         status: null,
         cause: response.error.code,
@@ -190,7 +194,7 @@
     if (response.value.status !== 200) {
       await drainQuietly(response.value);
       return err({
-        kind: 'shot',
+        kind: 'replicaAttempt',
         isUnsent: false,
         status: response.value.status,
         cause: `status ${response.value.status}`,
@@ -199,7 +203,13 @@
     }
     if (!(response.value.header('content-type') ?? '').startsWith('text/event-stream')) {
       await drainQuietly(response.value);
-      return err({ kind: 'shot', isUnsent: false, status: 200, cause: 'the receipt is no event stream', ...noRetry });
+      return err({
+        kind: 'replicaAttempt',
+        isUnsent: false,
+        status: 200,
+        cause: 'the receipt is no event stream',
+        ...noRetry,
+      });
     }
     return ok(pieces(response.value.body, attempt.weights));
   },
