--- a/packages/control-plane/src/configuration/routingTableHistory.ts
+++ b/packages/control-plane/src/configuration/routingTableHistory.ts
@@ -31,7 +31,7 @@
     if (routing.configVersion < previous.configVersion || !isKeyUseUnchanged) this.steps = [];
     else
       this.append(
-        { patch: patches.between(previous.configVersion, previous.table, routing.table), to: routing.configVersion },
+        { patch: patches.diff(previous.configVersion, previous.table, routing.table), to: routing.configVersion },
         routing.table,
       );
   };
@@ -58,13 +58,13 @@
     if (cached !== undefined) return cached;
     const patch = this.patchFrom(configVersion);
     if (patch === null) return this.packFullTable(this.current.table);
-    const packed = packedRoutingTables.patch(patch);
+    const packed = packedRoutingTables.packPatch(patch);
     this.packed.set(configVersion, packed);
     return packed;
   };
 
   private readonly packFullTable = (routingTable: RoutingTable): PackedRoutingTable => {
-    this.packedFullTable ??= packedRoutingTables.whole(routingTable);
+    this.packedFullTable ??= packedRoutingTables.packTable(routingTable);
     return this.packedFullTable;
   };
 
@@ -74,6 +74,6 @@
     return this.steps
       .slice(first)
       .map(({ patch }) => patch)
-      .reduce((combined, next) => patches.joined(combined, next));
+      .reduce((combined, next) => patches.merge(combined, next));
   };
 }
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -1,8 +1,8 @@
 /** Follows the KV cache events of replicas for gateways. Each replica is followed by the holder of its lease. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { KvCacheEvent, Ports, ReplicaRecord } from '@martenworks/core-types';
-import { kvFollow } from '@martenworks/upstream';
-import type { Follower } from '@martenworks/upstream';
+import { kvEvents } from '@martenworks/upstream';
+import type { KvEventSubscription } from '@martenworks/upstream';
 import { PrefixIndex } from '@martenworks/prefix-index';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import { FencingTokenCheck } from '@martenworks/cluster-membership';
@@ -18,7 +18,7 @@
 
 interface Followed {
   readonly incarnation: number;
-  readonly follower: Follower;
+  readonly follower: KvEventSubscription;
 }
 
 /** Maintains the prefix index, sends its events to gateways in batches, and relays them to other control nodes. */
@@ -57,12 +57,12 @@
     const admitted = events.filter(
       ({ replica }) => fences[replica] !== undefined && this.fenceGate.accepts(replica, fences[replica]),
     );
-    for (const event of admitted) this.index.take(event, now);
+    for (const event of admitted) this.index.apply(event, now);
     if (admitted.length > 0) this.sendToGateways(admitted);
   };
 
   /** Returns the replicas whose events have a gap, so that a full index snapshot is needed. */
-  readonly replicasWithGaps = (): string[] => this.index.broken();
+  readonly replicasWithGaps = (): string[] => this.index.incompleteReplicas();
 
   /** Restores index snapshots, and returns those that were newer than the index of this node. */
   readonly restoreSnapshots = (snapshots: readonly PrefixIndexSnapshot[]): PrefixIndexSnapshot[] =>
@@ -84,14 +84,14 @@
     for (const record of wanted.values()) {
       if (this.followed.has(record.name)) continue;
       const { httpClient, clock, random, log } = this.ports;
-      const follower = kvFollow.follow(
+      const follower = kvEvents.subscribe(
         httpClient,
         clock,
         random,
         log,
         record.name,
         record.address,
-        () => this.index.seqOf(record.name, record.incarnation),
+        () => this.index.lastSeqOf(record.name, record.incarnation),
         this.handleEvent,
       );
       this.followed.set(record.name, { incarnation: record.incarnation, follower });
@@ -100,7 +100,7 @@
 
   private readonly handleEvent = (event: KvCacheEvent): void => {
     if (this.fenceOf(event.replica) === null) return;
-    this.index.take(event, this.ports.clock.now());
+    this.index.apply(event, this.ports.clock.now());
     this.batch.push(event);
   };
 
--- a/packages/control-plane/test/routingTableHistory.test.ts
+++ b/packages/control-plane/test/routingTableHistory.test.ts
@@ -69,14 +69,14 @@
 };
 
 const unpacked = (message: PackedRoutingTable | null, configVersion: number, base: RoutingTable | null): RoutingTable =>
-  packedRoutingTables.open(message as PackedRoutingTable, { configVersion, routingTable: base })._unsafeUnwrap();
+  packedRoutingTables.unpack(message as PackedRoutingTable, { configVersion, routingTable: base })._unsafeUnwrap();
 
 describe('the history of the routing table', () => {
   it('given twelve small changes, when an edge has any earlier configuration version, then it gets a small patch from that version to the newest table', () => {
     const routingTables = successiveTables(13);
     const history = historyOf(routingTables);
     const newest = routingTables.at(-1) as RoutingTable;
-    const fullBytes = packedRoutingTables.whole(newest).deflated.length;
+    const fullBytes = packedRoutingTables.packTable(newest).deflated.length;
     for (const [at, base] of routingTables.slice(0, -1).entries()) {
       const message = history.messageFrom(at + 1);
       expect(message?.from).to.equal(at + 1);
@@ -120,7 +120,7 @@
     const routingTables = successiveTables(3);
     const message = historyOf(routingTables).messageFrom(2) as PackedRoutingTable;
     const codeOf = (packed: PackedRoutingTable, configVersion: number, base: RoutingTable | null): string | undefined =>
-      packedRoutingTables.open(packed, { configVersion, routingTable: base }).match(
+      packedRoutingTables.unpack(packed, { configVersion, routingTable: base }).match(
         () => 'opened',
         ({ code }) => code,
       );
--- a/packages/control-plane/test/upgrade.test.ts
+++ b/packages/control-plane/test/upgrade.test.ts
@@ -1,7 +1,7 @@
 /** Tests that the current programs read data folders and settings files of an earlier release without any loss. */
 import { rmSync } from 'node:fs';
 import { expect } from 'chai';
-import { controlApi, boots } from '@martenworks/platform';
+import { controlApi, bootFile } from '@martenworks/platform';
 import { leaseTables, operatorApi } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import { gatewaySettings, gatewayConfigs } from '@martenworks/settings';
@@ -149,7 +149,7 @@
 
 describe('settings files of an earlier release', () => {
   it('given the file of a control node, when it is read, then every field has its previous meaning', () => {
-    const { settings, platformApi } = boots.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
+    const { settings, platformApi } = bootFile.read(upgradeData.settingsPath('core'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(settings).to.deep.equal({
       name: 'core-2',
@@ -180,7 +180,7 @@
   });
 
   it('given the file of an edge, when it is read, then every field has its previous meaning', () => {
-    const { settings, platformApi } = boots.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
+    const { settings, platformApi } = bootFile.read(upgradeData.settingsPath('edge'))._unsafeUnwrap();
     expect(platformApi).to.equal('127.77.6.1:8161');
     expect(settings).to.deep.equal({
       name: 'edge-1',
--- a/packages/control-plane/test/upgradedNodes.ts
+++ b/packages/control-plane/test/upgradedNodes.ts
@@ -1,5 +1,5 @@
 /** Starts control nodes on data folders of an earlier release in a simulated world, as in normal operation. */
-import { PlatformClient, boots } from '@martenworks/platform';
+import { PlatformClient, bootFile } from '@martenworks/platform';
 import { controlNodes, gatewayControlNodes } from '@martenworks/control-plane';
 import type { ControlNode, GatewayControlNode } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
@@ -22,7 +22,7 @@
     bindAddrs: { control: `${host}:8169` },
     dataFolder,
   };
-  const { settings: nodeSettings, platformApi } = boots.check(settings)._unsafeUnwrap();
+  const { settings: nodeSettings, platformApi } = bootFile.check(settings)._unsafeUnwrap();
   const backendClient = new PlatformClient(ports.httpClient, ports.clock, platformApi, nodeSettings.listTimeoutMs);
   return (await controlNodes.start(nodeSettings, ports, backendClient, nodeSettings.seeds))._unsafeUnwrap();
 };
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -61,13 +61,13 @@
   ) {
     const { replicaTracker, ports } = context;
     const { admission, progress, relay } = request;
-    const { route, mayRepeat } = admission.view;
+    const { route, isRetryable } = admission.view;
     this.stopped = new Promise((resolve) => {
       this.resolveStopped = resolve;
     });
     this.timing = new PromptTiming(context, admission, placed, relay.resumeAfter() !== null);
     this.oldWeights = new OldWeightsReport(context, admission, placed);
-    this.mayAbandon = mayRepeat && progress.attempts + 1 < route.maxAttempts;
+    this.mayAbandon = isRetryable && progress.attempts + 1 < route.maxAttempts;
     this.mightHaveRunBefore = progress.mayHaveRun;
     const { costMs } = placed;
     const typicalFirstChunkMs = replicaTracker.prefillRates.typicalFirstChunkMs(admission.pool);
@@ -258,7 +258,7 @@
   private readonly mayTryAnother = (): boolean => {
     const { view, pool } = this.request.admission;
     const { deliveredAttempts } = this.request.progress;
-    return view.mayRepeat && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0;
+    return view.isRetryable && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0;
   };
 
   private readonly handleResponse = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -101,5 +101,5 @@
 
   /** Whether a request whose last attempt may have run may be sent again; never for one that must run at most once. */
   mayRetry: (view: RouteView, hasResponseStarted: boolean, isResumable: boolean): boolean =>
-    hasResponseStarted ? view.route.isResumable && isResumable : view.mayRepeat,
+    hasResponseStarted ? view.route.isResumable && isResumable : view.isRetryable,
 };
