--- a/packages/control-plane/src/api/operatorApi.ts
+++ b/packages/control-plane/src/api/operatorApi.ts
@@ -15,7 +15,11 @@
  * Returns the HTTP response to a proposed change: 200 if it was accepted, 409 for `conflict`, 422 for `rejected`, 504
  * for `unknown` and 503 for `unavailable`.
  */
-export const changeResponse = (c: Context, changeId: string, outcome: Result<AppliedChange, ProposalError>): Response => {
+export const changeResponse = (
+  c: Context,
+  changeId: string,
+  outcome: Result<AppliedChange, ProposalError>,
+): Response => {
   if (outcome.isOk())
     return c.json(
       { outcome: 'accepted', changeId, generation: outcome.value.logIndex, repeated: outcome.value.isRepeat },
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -179,7 +179,10 @@
    */
   private readonly backOff = (attemptNumber: number): Promise<void> => {
     const base = Math.min(Math.max(minBackoffMs, this.lastBallotMs), maxBackoffMs);
-    return timing.sleep(this.clock, base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor));
+    return timing.sleep(
+      this.clock,
+      base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor),
+    );
   };
 
   /** Applies what another member has committed after this node's log index. */
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -81,7 +81,9 @@
         () => fleet.controlNodes.every((one) => one?.acceptor.isVoter() === true),
         40_000,
       );
-      const memberLists = new Set(fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.committedState()?.members)));
+      const memberLists = new Set(
+        fleet.controlNodes.map((one) => JSON.stringify(one?.acceptor.committedState()?.members)),
+      );
       expect(memberLists.size, `seed ${seed}`).to.equal(1);
     }
   });
--- a/packages/control-plane/test/logSuffix.test.ts
+++ b/packages/control-plane/test/logSuffix.test.ts
@@ -31,7 +31,9 @@
     for (const missed of [1, 16, 17, 100]) {
       const world = new SimWorld(7);
       const [ahead, behind] = [await openAcceptor(world, '10.0.0.1'), await openAcceptor(world, '10.0.0.2')];
-      const initialState = stateMachine.initialState([{ name: 'a', address: '10.0.0.1:1', incarnation: ahead.incarnation }]);
+      const initialState = stateMachine.initialState([
+        { name: 'a', address: '10.0.0.1:1', incarnation: ahead.incarnation },
+      ]);
       await complete(world, ahead.adopt(initialState));
       await complete(world, behind.adopt(initialState));
       for (let version = 1; version <= missed; version += 1)
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -258,7 +258,9 @@
   private readonly mayTryAnother = (): boolean => {
     const { view, pool } = this.request.admission;
     const { deliveredAttempts } = this.request.progress;
-    return view.isRetryable && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0;
+    return (
+      view.isRetryable && deliveredAttempts < view.route.maxAttempts && this.context.retryBudget.remaining(pool) > 0
+    );
   };
 
   private readonly handleResponse = async (response: HttpClientResponse): Promise<AttemptOutcome> => {
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -58,7 +58,8 @@
     cause,
     isReplicaFailure,
   });
-  if (!head.isForRequest || (isSuccess && !head.isSealed)) return discard('the response does not belong to this request');
+  if (!head.isForRequest || (isSuccess && !head.isSealed))
+    return discard('the response does not belong to this request');
   if (isFailure && (hasResponseStarted || mayTryAnother)) return discard(`the replica responded with status ${status}`);
   if (!isSuccess && hasResponseStarted)
     return discard(`the replica responded to the resumption with status ${status}`, false);
