--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -201,7 +201,7 @@
     expect(accepted.status).to.equal(200);
     const waited = await fleet.world.until('in force', () => {
       for (const gateway of fleet.gateways) {
-        const config = gateway?.stateView.agreed()?.config;
+        const config = gateway?.stateView.committedState()?.config;
         seen.add(
           `${config?.tiers.prompt?.horizonMs} ${Object.keys(config?.lanes ?? {}).length} ${config?.pools.main?.weights}`,
         );
--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -11,9 +11,9 @@
 import type { Gateway } from '../gateway.js';
 import type { StreamResponse } from '../gatewayRequest.js';
 
-const collectedBytesLimit = 8 * 1024 * 1024;
+const maxCollectedBytes = 8 * 1024 * 1024;
 /** Time for the error event to reach the caller before the connection is reset. */
-const flushMs = 25;
+const errorFlushMs = 25;
 const requestIdBytes = 12;
 const encoder = new TextEncoder();
 
@@ -28,32 +28,32 @@
   });
 
 const streamReply = (gateway: Gateway, response: StreamResponse): Response => {
-  const cut = (cause: string): Uint8Array =>
+  const errorEvent = (cause: string): Uint8Array =>
     encoder.encode(
       `event: error\ndata: ${JSON.stringify(errorBody(rejections.of('cut_stream', 'unknown', cause), response.requestId))}\n\n`,
     );
-  let isCut = false;
+  let isTruncated = false;
   const body = new ReadableStream<Uint8Array>(
     {
       pull: async (controller) => {
-        if (isCut) {
-          await timing.sleep(gateway.ports.clock, flushMs);
+        if (isTruncated) {
+          await timing.sleep(gateway.ports.clock, errorFlushMs);
           return controller.error(new Error('the stream was cut'));
         }
-        const next = await response.pieces.next();
+        const next = await response.events.next();
         if (next.done === true) return controller.error(new Error('the stream was cut'));
-        const piece: CompletionEvent = next.value;
-        if (piece.kind === 'chunk') return controller.enqueue(encoder.encode(`data: ${piece.data}\n\n`));
-        if (piece.kind === 'done') {
-          await response.pieces.return(undefined);
+        const event: CompletionEvent = next.value;
+        if (event.kind === 'chunk') return controller.enqueue(encoder.encode(`data: ${event.data}\n\n`));
+        if (event.kind === 'done') {
+          await response.events.return(undefined);
           controller.enqueue(encoder.encode('data: [DONE]\n\n'));
           return controller.close();
         }
-        isCut = true;
-        await response.pieces.return(undefined);
-        controller.enqueue(cut(piece.cause));
+        isTruncated = true;
+        await response.events.return(undefined);
+        controller.enqueue(errorEvent(event.cause));
       },
-      cancel: async () => void (await response.pieces.return(undefined)),
+      cancel: async () => void (await response.events.return(undefined)),
     },
     { highWaterMark: 0 },
   );
@@ -66,14 +66,14 @@
 const collectedReply = async (c: Context, path: CompletionPath, response: StreamResponse): Promise<Response> => {
   const datas: string[] = [];
   let size = 0;
-  for await (const piece of response.pieces) {
-    if (piece.kind === 'done')
+  for await (const event of response.events) {
+    if (event.kind === 'done')
       return c.json(replicaProtocol.assembleResponse(path, datas), 200, { 'x-request-id': response.requestId });
-    if (piece.kind !== 'chunk')
-      return rejectionReply(c, rejections.of('cut_stream', 'unknown', piece.cause), response.requestId);
-    datas.push(piece.data);
-    size += piece.data.length;
-    if (size > collectedBytesLimit)
+    if (event.kind !== 'chunk')
+      return rejectionReply(c, rejections.of('cut_stream', 'unknown', event.cause), response.requestId);
+    datas.push(event.data);
+    size += event.data.length;
+    if (size > maxCollectedBytes)
       return rejectionReply(
         c,
         rejections.of('cut_stream', 'unknown', 'the response is too large to collect'),
@@ -86,13 +86,13 @@
 const keyOf = (c: Context): string | null => /^Bearer +(\S+)$/i.exec(c.req.header('authorization') ?? '')?.[1] ?? null;
 
 const deadlineOf = (c: Context): number | null => {
-  const given = c.req.header('x-horizon-ms');
-  return given !== undefined && /^\d{1,9}$/.test(given) ? Math.max(1, Number(given)) : null;
+  const header = c.req.header('x-horizon-ms');
+  return header !== undefined && /^\d{1,9}$/.test(header) ? Math.max(1, Number(header)) : null;
 };
 
 const requestIdOf = (c: Context, gateway: Gateway): string => {
-  const given = c.req.header('x-request-id');
-  return given !== undefined && /^[\w.:-]{1,128}$/.test(given) ? given : gateway.ports.random.token(requestIdBytes);
+  const header = c.req.header('x-request-id');
+  return header !== undefined && /^[\w.:-]{1,128}$/.test(header) ? header : gateway.ports.random.token(requestIdBytes);
 };
 
 const bodyOf = async (c: Context): Promise<Result<Record<string, unknown>, Rejection>> => {
--- a/packages/gateway/src/api/operatorPages.ts
+++ b/packages/gateway/src/api/operatorPages.ts
@@ -4,9 +4,9 @@
 import { bodyLimit } from 'hono/body-limit';
 import type { Gateway } from '../gateway.js';
 
-type Vitals = () => string[];
+type MetricLines = () => string[];
 
-const noVitals: Vitals = () => [];
+const noProcessMetrics: MetricLines = () => [];
 
 const statusOf = (gateway: Gateway): Record<string, unknown> => ({
   name: gateway.settings.name,
@@ -17,22 +17,22 @@
   voices: gateway.freshness.freshNodeCount(),
   live: gateway.stages.live.size,
   queues: gateway.stages.placementStage.depths(),
-  budgets: gateway.stages.sending.budgetsLeft(),
+  budgets: gateway.stages.sendStage.remainingBudgets(),
   replicas: gateway.replicaTracker.all(),
   index: gateway.stateView.index.sizes(),
 });
 
-const metricLines = (gateway: Gateway, vitals: Vitals): string[] => [
+const metricLines = (gateway: Gateway, processMetrics: MetricLines): string[] => [
   `martenworks_generation ${gateway.stateView.logIndex()}`,
   `martenworks_fresh ${gateway.freshness.isFresh() ? 1 : 0}`,
   `martenworks_live ${gateway.stages.live.size}`,
-  ...vitals(),
+  ...processMetrics(),
   ...gateway.metrics.lines().map((line) => `martenworks_${line}`),
 ];
 
 const explainPlacement = async (gateway: Gateway, c: Context): Promise<Response> => {
-  const asked: unknown = await c.req.json().catch(() => null);
-  const { lane, tenant, prompt } = (asked ?? {}) as { lane?: unknown; tenant?: unknown; prompt?: unknown };
+  const body: unknown = await c.req.json().catch(() => null);
+  const { lane, tenant, prompt } = (body ?? {}) as { lane?: unknown; tenant?: unknown; prompt?: unknown };
   if (typeof lane !== 'string' || typeof tenant !== 'string' || typeof prompt !== 'string')
     return c.json({ detail: 'lane, tenant and prompt must be text' }, 400);
   const candidates = gateway.stages.placementStage.explain(lane, tenant, prompt);
@@ -42,12 +42,12 @@
 };
 
 /** The routes of one gateway's operator address; `vitals` gives further lines for the metrics page. */
-export const operatorPages = (gateway: Gateway, vitals = noVitals): Hono => {
+export const operatorPages = (gateway: Gateway, processMetrics = noProcessMetrics): Hono => {
   const app = new Hono();
   const limited = bodyLimit({ maxSize: gateway.settings.bodyLimitBytes });
   app.get('/healthz', (c) => c.json({ status: 'ok' }));
   app.get('/status', (c) => c.json(statusOf(gateway)));
   app.post('/why', limited, (c) => explainPlacement(gateway, c));
-  app.get('/metrics', (c) => c.text(`${metricLines(gateway, vitals).join('\n')}\n`));
+  app.get('/metrics', (c) => c.text(`${metricLines(gateway, processMetrics).join('\n')}\n`));
   return app;
 };
--- a/packages/gateway/src/claims/claimQuorum.ts
+++ b/packages/gateway/src/claims/claimQuorum.ts
@@ -9,7 +9,7 @@
 type StateVote = Extract<ClaimVote, { kind: 'state' }>;
 
 /** The votes that came until a majority granted, or until every member voted or failed to. */
-export interface Poll {
+export interface PollResult {
   readonly granted: number;
   readonly states: readonly StateVote[];
 }
@@ -18,23 +18,23 @@
 export type ClaimTopic = 'claimPrepare' | 'claimAccept' | 'claimRelease';
 
 /** Collects the votes on one message. */
-class VoteCount {
+class VoteCollector {
   private readonly states: StateVote[] = [];
   private granted = 0;
 
   constructor(
-    private open: number,
+    private outstanding: number,
     private readonly majority: number,
-    private readonly resolve: (poll: Poll) => void,
+    private readonly resolve: (poll: PollResult) => void,
   ) {}
 
   readonly add = (vote: ClaimVote | null): void => {
-    this.open -= 1;
+    this.outstanding -= 1;
     if (vote?.kind === 'state') {
       this.states.push(vote);
       if (vote.isGranted) this.granted += 1;
     }
-    if (this.granted >= this.majority || this.open <= 0)
+    if (this.granted >= this.majority || this.outstanding <= 0)
       this.resolve({ granted: this.granted, states: [...this.states] });
   };
 }
@@ -47,27 +47,27 @@
   ) {}
 
   /** Sends one message to every member; a member that is not reached counts as one that does not vote. */
-  readonly poll = (topic: ClaimTopic, body: unknown): Promise<Poll> => {
+  readonly poll = (topic: ClaimTopic, body: unknown): Promise<PollResult> => {
     const members = this.members();
     const majority = Math.floor(members.length / 2) + 1;
     return new Promise((resolve) => {
-      const count = new VoteCount(members.length, majority, resolve);
+      const votes = new VoteCollector(members.length, majority, resolve);
       if (members.length === 0) resolve({ granted: 0, states: [] });
-      for (const member of members) this.ask(member, topic, body, count);
+      for (const member of members) this.callMember(member, topic, body, votes);
     });
   };
 
-  private readonly ask = (member: Member, topic: ClaimTopic, body: unknown, count: VoteCount): void => {
+  private readonly callMember = (member: Member, topic: ClaimTopic, body: unknown, votes: VoteCollector): void => {
     const connection = this.peerPool().connectionTo(member.incarnation);
     if (connection === undefined) {
-      count.add(null);
+      votes.add(null);
       return;
     }
     background.run(
       'quorum call on a claim',
       connection
         .call(topic, body, voteTimeoutMs)
-        .then((response) => count.add(response.isOk() ? peerMessages.claimVote(response.value) : null)),
+        .then((response) => votes.add(response.isOk() ? peerMessages.claimVote(response.value) : null)),
     );
   };
 
--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -10,13 +10,13 @@
 import type { PeerPool } from '@martenworks/cluster-membership';
 import { peerMessages } from '../peers/peerMessages.js';
 import { ClaimQuorum } from './claimQuorum.js';
-import type { Poll } from './claimQuorum.js';
+import type { PollResult } from './claimQuorum.js';
 import { ResponseStore } from './responseStore.js';
 import type { StoredResponseState } from './responseStore.js';
 
-const askTimeoutMs = 700;
+const stateCallTimeoutMs = 700;
 const claimTimeoutMs = 4_000;
-const roundLimit = 12;
+const maxRounds = 12;
 const backoffStepMs = 10;
 const claimantTokenBytes = 4;
 
@@ -38,14 +38,14 @@
   | { readonly kind: 'reused' }
   | { readonly kind: 'no majority' };
 
-const newestTurn = (poll: Poll, turn: number): number =>
+const newestTurn = (poll: PollResult, turn: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.turn), turn);
 
-const newestRound = (poll: Poll, round: number): number =>
+const newestRound = (poll: PollResult, round: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.promised?.[0] ?? 0), round);
 
 /** Paxos: the claimant accepted under the highest ballot among the promises must be proposed again. */
-const highestAccepted = (poll: Poll): ClaimAccepted | null => {
+const highestAccepted = (poll: PollResult): ClaimAccepted | null => {
   let highest: ClaimAccepted | null = null;
   for (const { isGranted, state } of poll.states) {
     if (!isGranted || state.accepted === null) continue;
@@ -63,7 +63,7 @@
 
   constructor(
     private readonly ports: Ports,
-    private readonly own: () => Hello,
+    private readonly hello: () => Hello,
     members: () => readonly Member[],
     peerPool: () => PeerPool,
   ) {
@@ -71,43 +71,43 @@
   }
 
   /** Claims a key for a request; `digest` is the digest of the request's body, to tell a reuse of the key. */
-  readonly take = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
+  readonly acquire = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
-    const { incarnation, address } = this.own();
+    const { incarnation, address } = this.hello();
     const own: Claimant = {
       id: `${incarnation}/${requestId}/${random.token(claimantTokenBytes)}`,
       gateway: incarnation,
       address,
       digest,
     };
-    this.responseStore.began(own.id);
-    const outcome = await this.settle(key, own, clock.now() + claimTimeoutMs);
-    if (outcome.kind !== 'claimed') this.responseStore.ended(own.id, { kind: 'not run' });
+    this.responseStore.recordStart(own.id);
+    const outcome = await this.runRounds(key, own, clock.now() + claimTimeoutMs);
+    if (outcome.kind !== 'claimed') this.responseStore.recordOutcome(own.id, { kind: 'not run' });
     return outcome;
   };
 
-  private readonly settle = async (key: string, own: Claimant, deadlineAt: number): Promise<ClaimOutcome> => {
+  private readonly runRounds = async (key: string, own: Claimant, deadlineAt: number): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
     let turn = 0;
-    for (let round = 0; round < roundLimit && clock.now() < deadlineAt; round += 1) {
+    for (let round = 0; round < maxRounds && clock.now() < deadlineAt; round += 1) {
       if (round > 0) await timing.sleep(clock, backoffStepMs * round * (0.5 + random.fraction()));
       const ballot: ClaimBallot = [++this.round, own.id];
       const promises = await this.quorum.poll('claimPrepare', { key, turn, ballot });
       this.round = newestRound(promises, this.round);
-      const heldTurn = newestTurn(promises, turn);
-      if (heldTurn > turn) {
-        turn = heldTurn;
+      const currentTurn = newestTurn(promises, turn);
+      if (currentTurn > turn) {
+        turn = currentTurn;
         continue;
       }
       if (!this.quorum.isMajority(promises.granted)) continue;
       const claimant = highestAccepted(promises)?.claimant ?? own;
-      const accepts = await this.quorum.poll('claimAccept', { key, turn, ballot, claimant });
-      if (!this.quorum.isMajority(accepts.granted)) continue;
+      const acceptances = await this.quorum.poll('claimAccept', { key, turn, ballot, claimant });
+      if (!this.quorum.isMajority(acceptances.granted)) continue;
       if (claimant.id === own.id) return { kind: 'claimed', claim: { key, turn, claimant: own } };
       if (claimant.digest !== own.digest) return { kind: 'reused' };
-      const told = await this.inquire(claimant);
-      if (told.kind === 'done') return { kind: 'replay', datas: told.datas };
-      if (told.kind !== 'not run') return { kind: told.kind };
+      const state = await this.fetchState(claimant);
+      if (state.kind === 'done') return { kind: 'replay', datas: state.datas };
+      if (state.kind !== 'not run') return { kind: state.kind };
       await this.release({ key, turn, claimant });
       turn += 1;
     }
@@ -115,10 +115,10 @@
   };
 
   /** Asks the claimant's gateway what became of its request. */
-  private readonly inquire = async (claimant: Claimant): Promise<StoredResponseState> => {
-    if (claimant.gateway === this.own().incarnation) return this.responseStore.stateOf(claimant.id);
+  private readonly fetchState = async (claimant: Claimant): Promise<StoredResponseState> => {
+    if (claimant.gateway === this.hello().incarnation) return this.responseStore.stateOf(claimant.id);
     const { net, clock, log } = this.ports;
-    const dialed = await peerConnections.dial(net, clock, log, this.own(), claimant.address, {
+    const dialed = await peerConnections.dial(net, clock, log, this.hello(), claimant.address, {
       onMessage: () => {},
       onCall: async () => null,
       onOpen: () => {},
@@ -128,7 +128,7 @@
     const connection = dialed.value;
     const response =
       connection.peer?.incarnation === claimant.gateway
-        ? await connection.call('claimState', claimant.id, askTimeoutMs)
+        ? await connection.call('claimState', claimant.id, stateCallTimeoutMs)
         : null;
     connection.close();
     const state = response?.isOk() === true ? peerMessages.storedResponseState(response.value) : null;
@@ -140,8 +140,8 @@
   };
 
   /** Notes what became of a claimed request, and releases the claim of one that was not run. */
-  readonly ended = (claim: Claim, state: StoredResponseState): void => {
-    this.responseStore.ended(claim.claimant.id, state);
+  readonly recordOutcome = (claim: Claim, state: StoredResponseState): void => {
+    this.responseStore.recordOutcome(claim.claimant.id, state);
     if (state.kind === 'not run') background.run('release a claim', this.release(claim));
   };
 }
--- a/packages/gateway/src/claims/responseStore.ts
+++ b/packages/gateway/src/claims/responseStore.ts
@@ -4,9 +4,9 @@
  */
 
 /** Bounds of the store: entries, their bytes in all, and the bytes of one response. */
-const entryLimit = 4_096;
-const bytesLimit = 64 * 1024 * 1024;
-const responseBytesLimit = 256 * 1024;
+const maxEntries = 4_096;
+const maxBytes = 64 * 1024 * 1024;
+const maxResponseBytes = 256 * 1024;
 
 /** What is known of a claimed request; `datas` are the response's pieces in order. Sent between gateways. */
 export type StoredResponseState =
@@ -25,31 +25,31 @@
 
 /** Bounded in entries and bytes; drops the oldest entry whose request has ended. */
 export class ResponseStore {
-  private readonly held = new Map<string, StoredResponse>();
+  private readonly entries = new Map<string, StoredResponse>();
   private bytes = 0;
 
   /** Notes that the claimant with this id starts to run. */
-  readonly began = (claimantId: string): void => this.put(claimantId, { state: { kind: 'running' }, bytes: 0 });
+  readonly recordStart = (claimantId: string): void => this.put(claimantId, { state: { kind: 'running' }, bytes: 0 });
 
   /** Notes what became of it; a response over the size limit is kept as unknown. */
-  readonly ended = (claimantId: string, state: StoredResponseState): void => {
+  readonly recordOutcome = (claimantId: string, state: StoredResponseState): void => {
     const bytes = sizeOf(state);
-    this.put(claimantId, bytes > responseBytesLimit ? { state: { kind: 'unknown' }, bytes: 0 } : { state, bytes });
+    this.put(claimantId, bytes > maxResponseBytes ? { state: { kind: 'unknown' }, bytes: 0 } : { state, bytes });
   };
 
   private readonly put = (claimantId: string, response: StoredResponse): void => {
-    this.bytes += response.bytes - (this.held.get(claimantId)?.bytes ?? 0);
-    this.held.delete(claimantId);
-    this.held.set(claimantId, response);
-    for (const [oldestId, oldest] of this.held) {
-      if (this.held.size <= entryLimit && this.bytes <= bytesLimit) return;
+    this.bytes += response.bytes - (this.entries.get(claimantId)?.bytes ?? 0);
+    this.entries.delete(claimantId);
+    this.entries.set(claimantId, response);
+    for (const [oldestId, oldest] of this.entries) {
+      if (this.entries.size <= maxEntries && this.bytes <= maxBytes) return;
       if (oldest.state.kind === 'running') continue;
       this.bytes -= oldest.bytes;
-      this.held.delete(oldestId);
+      this.entries.delete(oldestId);
     }
   };
 
   /** What is known of the claimant's request. */
   readonly stateOf = (claimantId: string): StoredResponseState =>
-    this.held.get(claimantId)?.state ?? { kind: 'unknown' };
+    this.entries.get(claimantId)?.state ?? { kind: 'unknown' };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -9,7 +9,7 @@
 import { PeerPool, MemberList, FailureDetector } from '@martenworks/cluster-membership';
 import { Claims } from './claims/claims.js';
 import { ControlReporter } from './peers/controlReporter.js';
-import type { GatewayParts } from './gatewayParts.js';
+import type { GatewayContext } from './gatewayContext.js';
 import { GatewayRequest } from './gatewayRequest.js';
 import type { CompletionRequest, GatewayResponse } from './gatewayRequest.js';
 import { IsolationAdmission } from './peers/isolationAdmission.js';
@@ -20,10 +20,10 @@
 import { StateView } from './state/stateView.js';
 
 const incarnationBytes = 8;
-const drainPollMs = 50;
+const drainPollIntervalMs = 50;
 
 /** One gateway process, as its other modules and its pages see it. */
-export class Gateway implements GatewayParts {
+export class Gateway implements GatewayContext {
   /** Random id of this run of the process. */
   readonly incarnation: string;
   /** Nodes known by gossip. */
@@ -57,7 +57,7 @@
     const { clock, random } = ports;
     this.incarnation = random.token(incarnationBytes);
     this.memberList = new MemberList(clock, this.hello);
-    this.stateView = new StateView(clock, () => this.stateChanged());
+    this.stateView = new StateView(clock, () => this.onStateChange());
     this.freshness = new Freshness(clock, this.members, this.stateView.logIndex);
     this.replicaTracker = new ReplicaTracker(clock, () => this.controlReporter.reportLongPrompt());
     this.claims = new Claims(ports, this.hello, this.members, () => this.peerPool);
@@ -71,12 +71,12 @@
     );
     this.peerPool = this.createPeerPool();
     this.controlReporter = new ControlReporter(this, () => {
-      this.stages.placementStage.sweep();
+      this.stages.placementStage.rejectQueuedIfNotFresh();
       this.admitIsolatedTenants();
     });
   }
 
-  private readonly members = (): readonly Member[] => this.stateView.agreed()?.members ?? [];
+  private readonly members = (): readonly Member[] => this.stateView.committedState()?.members ?? [];
 
   private readonly createStages = (): Stages =>
     new Stages({
@@ -96,14 +96,14 @@
       this.settings.seeds,
       this.memberList,
       () => [...this.members().map((member) => member.address), ...this.failureDetector.watcherAddresses()],
-      peerMessageHandlers.of(this, (connection) => this.controlReporter.joined(connection)),
+      peerMessageHandlers.of(this, (connection) => this.controlReporter.onConnectionOpen(connection)),
     );
 
   /** How this node introduces itself to others. */
   readonly hello = (): Hello => hellos.of('edge', this.settings, this.incarnation);
 
   /** Listens for other nodes. */
-  readonly open = async (): Promise<Result<void, NetworkError>> => {
+  readonly listen = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
       net,
@@ -122,7 +122,7 @@
     background.run('admit isolated tenants', this.isolationAdmission.run());
 
   /** The parts are made one after the other, so some may be absent when the first state comes. */
-  private readonly stateChanged = (): void => {
+  private readonly onStateChange = (): void => {
     for (const connection of this.peerPool?.openConnections() ?? []) connection.send('ack', this.stateView.logIndex());
     this.stages?.recheck();
     if (this.peerPool !== undefined) this.admitIsolatedTenants();
@@ -131,14 +131,14 @@
 
   /** Serves one request; resolves with a rejection or once the first piece came. */
   readonly serve = (completion: CompletionRequest): Promise<GatewayResponse> =>
-    new Promise((resolve) => this.stages.enter(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
+    new Promise((resolve) => this.stages.accept(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
 
   /** Rejects new requests and waits for the live ones, for `settings.drainMs` at most. */
   readonly drain = async (): Promise<void> => {
     this.stages.drain();
     const { clock } = this.ports;
-    const endAt = clock.now() + this.settings.drainMs;
-    while (this.stages.live.size > 0 && clock.now() < endAt) await timing.sleep(clock, drainPollMs);
+    const drainDeadlineAt = clock.now() + this.settings.drainMs;
+    while (this.stages.live.size > 0 && clock.now() < drainDeadlineAt) await timing.sleep(clock, drainPollIntervalMs);
   };
 
   /** Rejects the requests still live and closes all connections. */
@@ -147,7 +147,7 @@
     this.failureDetector.stop();
     this.peerPool.stop();
     for (const request of [...this.stages.live])
-      this.stages.rejector.refuse(request, 'draining', 'this gateway is closing');
+      this.stages.rejector.reject(request, 'draining', 'this gateway is closing');
     await this.listener?.close();
     await this.ports.httpClient.close();
   };
@@ -158,7 +158,7 @@
   /** Makes a gateway and opens it; the error tells why its peer address could not be listened on. */
   start: async (settings: GatewaySettings, ports: Ports): Promise<Result<Gateway, NetworkError>> => {
     const gateway = new Gateway(settings, ports);
-    const opened = await gateway.open();
+    const opened = await gateway.listen();
     return opened.isErr() ? err(opened.error) : ok(gateway);
   },
 };
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayContext.ts
@@ -8,7 +8,7 @@
 import type { StateView } from './state/stateView.js';
 
 /** Implemented by the gateway; its comments are there. */
-export interface GatewayParts {
+export interface GatewayContext {
   readonly ports: Ports;
   readonly memberList: MemberList;
   readonly peerPool: PeerPool;
--- a/packages/gateway/src/gatewayRequest.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -23,7 +23,7 @@
 export interface StreamResponse {
   readonly kind: 'stream';
   readonly requestId: string;
-  readonly pieces: AsyncGenerator<CompletionEvent>;
+  readonly events: AsyncGenerator<CompletionEvent>;
 }
 
 /** What a caller gets: a rejection or a stream. */
@@ -34,7 +34,7 @@
   readonly replica: string;
   readonly incarnation: number;
   /** Called when the replica is gone or was started anew. */
-  readonly lost: () => void;
+  readonly onReplicaRemoved: () => void;
 }
 
 type RequestState = 'entered' | 'waiting' | 'out' | 'relaying' | 'ended';
@@ -78,19 +78,19 @@
   /** Attempts paid by the retry budget. */
   retries = 0;
   /** Whether the lane forbids to run the request twice. */
-  isOnce = false;
+  isAtMostOnce = false;
   /** The `retry-after` of the last busy replica, in seconds. */
   retryAfterSeconds: number | null = null;
   /** Whether a replica may have started to run it. */
   mayHaveRun = false;
   /** Whether the whole response was relayed. */
-  isWhole = false;
+  isComplete = false;
   /** The claim on its idempotency key, if it holds one. */
   claim: Claim | null = null;
   /** The pieces relayed so far, kept only for a claimed request. */
-  relayedDatas: string[] = [];
+  relayedChunks: string[] = [];
   /** Why the relay was cut, if it was. */
-  cutCause: string | null = null;
+  truncationCause: string | null = null;
   /** Names of replicas that failed this request; it does not go there again. */
   readonly avoided = new Set<string>();
   /** Aborted when the request ends or its relay is cut. */
@@ -123,7 +123,7 @@
   }
 
   /** Whether the caller got a response, at least its start. */
-  get isAnswered(): boolean {
+  get hasResponseStarted(): boolean {
     return this.isEnded || this.isRelaying;
   }
 
@@ -133,10 +133,10 @@
   }
 
   /** Calls the listener when the request ends. */
-  readonly whenEnded = (listener: () => void): void => void this.endListeners.push(listener);
+  readonly onEnd = (listener: () => void): void => void this.endListeners.push(listener);
 
   /** The request is put into a pool's queue. */
-  readonly startWaiting = (): void => this.moveTo('waiting');
+  readonly markQueued = (): void => this.moveTo('waiting');
 
   /** The request is sent to a replica. */
   readonly startAttempt = (attempt: ActiveAttempt): void => {
@@ -151,14 +151,14 @@
   };
 
   /** The caller gets these pieces. */
-  readonly startRelay = (pieces: AsyncGenerator<CompletionEvent>): void => {
+  readonly startRelay = (events: AsyncGenerator<CompletionEvent>): void => {
     this.moveTo('relaying');
-    this.respond({ kind: 'stream', requestId: this.completion.requestId, pieces });
+    this.respond({ kind: 'stream', requestId: this.completion.requestId, events });
   };
 
   /** The caller gets this rejection, unless it got a response already. */
   readonly reject = (rejection: Rejection): void => {
-    if (this.isAnswered) return;
+    if (this.hasResponseStarted) return;
     this.respond(rejection);
     this.end();
   };
@@ -172,8 +172,8 @@
   };
 
   /** Cuts the relay: the caller's stream ends with an error event that tells the cause. */
-  readonly cut = (cause: string): void => {
-    this.cutCause ??= cause;
+  readonly truncate = (cause: string): void => {
+    this.truncationCause ??= cause;
     this.abortController.abort();
   };
 }
--- a/packages/gateway/src/limits/rateLimiter.ts
+++ b/packages/gateway/src/limits/rateLimiter.ts
@@ -2,13 +2,13 @@
 
 /** An idle tenant may send the requests of this time at once. */
 const burstSeconds = 2;
-const smallestBurst = 2;
+const minBurst = 2;
 const msPerSecond = 1_000;
 
 /** A token bucket that time fills; it holds the requests of two seconds. */
 export class RateLimiter {
   private tokens: number;
-  private filledAt: number;
+  private refilledAt: number;
 
   /** `now` is in milliseconds, as in `take`. */
   constructor(
@@ -17,16 +17,16 @@
     now: number,
   ) {
     this.tokens = this.burst();
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  private readonly burst = (): number => Math.max(smallestBurst, this.perSecond * burstSeconds);
+  private readonly burst = (): number => Math.max(minBurst, this.perSecond * burstSeconds);
 
   /** Takes the token of one request; false when the tenant is over its rate. */
-  readonly take = (now: number): boolean => {
-    const refill = ((now - this.filledAt) / msPerSecond) * this.perSecond;
+  readonly tryAcquire = (now: number): boolean => {
+    const refill = ((now - this.refilledAt) / msPerSecond) * this.perSecond;
     this.tokens = Math.min(this.burst(), this.tokens + refill);
-    this.filledAt = now;
+    this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
--- a/packages/gateway/src/limits/retryBudget.ts
+++ b/packages/gateway/src/limits/retryBudget.ts
@@ -2,7 +2,7 @@
 
 /** One retry for five first attempts. */
 const tokensPerFirstAttempt = 0.2;
-const smallestCapacity = 1;
+const minCapacity = 1;
 
 /** A token bucket that first attempts fill and retries empty. */
 export class RetryBudget {
@@ -14,17 +14,17 @@
   ) {}
 
   /** Adds the share of a retry that one first attempt pays for. */
-  readonly firstAttempt = (): void => {
-    this.tokens = Math.min(Math.max(smallestCapacity, this.allowance), this.tokens + tokensPerFirstAttempt);
+  readonly recordFirstAttempt = (): void => {
+    this.tokens = Math.min(Math.max(minCapacity, this.allowance), this.tokens + tokensPerFirstAttempt);
   };
 
   /** Takes the token of one retry; false when the budget is spent. */
-  readonly take = (): boolean => {
+  readonly trySpend = (): boolean => {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
   };
 
   /** The tokens left, for the operators' page. */
-  readonly left = (): number => this.tokens;
+  readonly remaining = (): number => this.tokens;
 }
--- a/packages/gateway/src/peers/controlReporter.ts
+++ b/packages/gateway/src/peers/controlReporter.ts
@@ -2,13 +2,13 @@
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type { LoadReport } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
-import type { GatewayParts } from '../gatewayParts.js';
+import type { GatewayContext } from '../gatewayContext.js';
 import { peerMessages } from './peerMessages.js';
 
-const pingMs = 250;
+const pingIntervalMs = 250;
 const pingTimeoutMs = 2_000;
-const shortestInterval = 0.9;
-const intervalJitter = 0.2;
+const minIntervalFactor = 0.9;
+const intervalFactorJitter = 0.2;
 
 /** Pings each connected control node, one ping at a time. */
 export class ControlReporter {
@@ -16,11 +16,11 @@
   private readonly pending = new Set<PeerConnection>();
 
   constructor(
-    private readonly gateway: GatewayParts,
+    private readonly gateway: GatewayContext,
     private readonly beforePing: () => void,
   ) {
     const { clock, random } = gateway.ports;
-    const intervalMs = (): number => pingMs * (shortestInterval + intervalJitter * random.fraction());
+    const intervalMs = (): number => pingIntervalMs * (minIntervalFactor + intervalFactorJitter * random.fraction());
     this.timer = new RepeatingTimer(clock, intervalMs, this.pingAll);
   }
 
@@ -46,23 +46,23 @@
     if (connection.peer?.role !== 'control' || this.pending.has(connection)) return;
     this.pending.add(connection);
     const { freshness, replicaTracker, stateView, stages } = this.gateway;
-    const stamp = freshness.stamp();
+    const timestamp = freshness.timestamp();
     const response = await connection.call('ping', this.report(), pingTimeoutMs);
     this.pending.delete(connection);
     if (response.isErr()) return connection.close();
     const pong = peerMessages.pong(response.value);
     if (pong === null) return;
-    freshness.heard(stamp, pong);
-    replicaTracker.takeOtherLoads(pong.loads);
-    stages.placementStage.takeContention(pong.contention);
-    const broken = stateView.index.incompleteReplicas();
-    if (broken.length > 0) connection.send('indexSnapshotRequest', broken);
+    freshness.recordPong(timestamp, pong);
+    replicaTracker.applyOtherLoads(pong.loads);
+    stages.placementStage.updateContention(pong.contention);
+    const incomplete = stateView.index.incompleteReplicas();
+    if (incomplete.length > 0) connection.send('indexSnapshotRequest', incomplete);
     if (pong.logIndex > stateView.logIndex()) connection.send('subscribe', stateView.logIndex());
-    stages.placementStage.pumpAll();
+    stages.placementStage.placeAllQueued();
   };
 
   /** Subscribes to a newly connected control node's changes and pings it. */
-  readonly joined = (connection: PeerConnection): void => {
+  readonly onConnectionOpen = (connection: PeerConnection): void => {
     if (connection.peer?.role !== 'control') return;
     connection.send('subscribe', this.gateway.stateView.logIndex());
     background.run('report load to a control node', this.ping(connection));
--- a/packages/gateway/src/peers/isolationAdmission.ts
+++ b/packages/gateway/src/peers/isolationAdmission.ts
@@ -1,36 +1,36 @@
 /** Asks the control nodes to admit isolated tenants to replicas, as the tenant partitions want it. */
 import { background } from '@martenworks/core-types';
 import type { IsolationClaim, IsolationStatus, Member } from '@martenworks/core-types';
-import type { GatewayParts } from '../gatewayParts.js';
+import type { GatewayContext } from '../gatewayContext.js';
 import { peerMessages } from './peerMessages.js';
 
 const admitTimeoutMs = 1_000;
 
 /** What a majority knows of one replica: every tenant that any of them names, and the majority's smallest age. */
-const merged = (statuses: readonly IsolationStatus[], majority: number): IsolationStatus => ({
+const mergeStatuses = (statuses: readonly IsolationStatus[], majority: number): IsolationStatus => ({
   ...(statuses[0] as IsolationStatus),
   sides: [...new Set(statuses.flatMap((status) => status.sides))],
   ageMs: statuses.map((status) => status.ageMs).sort((a, b) => b - a)[majority - 1] as number,
 });
 
 /** Collects the members' answers by replica until a majority answered on every claim. */
-class AdmissionCount {
+class StatusCollector {
   private readonly byReplica = new Map<string, IsolationStatus[]>();
 
   constructor(
-    private open: number,
+    private outstanding: number,
     private readonly majority: number,
     private readonly claimCount: number,
     private readonly resolve: (statuses: IsolationStatus[]) => void,
   ) {}
 
   readonly add = (statuses: readonly IsolationStatus[]): void => {
-    this.open -= 1;
+    this.outstanding -= 1;
     for (const status of statuses)
       this.byReplica.set(status.replica, [...(this.byReplica.get(status.replica) ?? []), status]);
-    const known = [...this.byReplica.values()].filter((some) => some.length >= this.majority);
-    if (known.length < this.claimCount && this.open > 0) return;
-    this.resolve(known.map((some) => merged(some, this.majority)));
+    const complete = [...this.byReplica.values()].filter((some) => some.length >= this.majority);
+    if (complete.length < this.claimCount && this.outstanding > 0) return;
+    this.resolve(complete.map((some) => mergeStatuses(some, this.majority)));
   };
 }
 
@@ -38,41 +38,47 @@
 export class IsolationAdmission {
   private isRunning = false;
 
-  constructor(private readonly gateway: GatewayParts) {}
+  constructor(private readonly gateway: GatewayContext) {}
 
   /** Asks for all claims that are open, if no round is running. */
   readonly run = async (): Promise<void> => {
-    const claims = this.gateway.stateView.wantedIsolationClaims();
+    const claims = this.gateway.stateView.pendingIsolationClaims();
     if (this.isRunning || claims.length === 0) return;
     this.isRunning = true;
-    const statuses = await this.ask(claims);
+    const statuses = await this.callMembers(claims);
     this.isRunning = false;
     if (statuses.length === 0) return;
-    this.gateway.stateView.takeIsolationStatuses(statuses);
-    this.gateway.stages.placementStage.pumpAll();
+    this.gateway.stateView.applyIsolationStatuses(statuses);
+    this.gateway.stages.placementStage.placeAllQueued();
   };
 
-  private readonly ask = (claims: readonly IsolationClaim[]): Promise<IsolationStatus[]> => {
-    const members = this.gateway.stateView.agreed()?.members ?? [];
+  private readonly callMembers = (claims: readonly IsolationClaim[]): Promise<IsolationStatus[]> => {
+    const members = this.gateway.stateView.committedState()?.members ?? [];
     const majority = Math.floor(members.length / 2) + 1;
     return new Promise((resolve) => {
-      const count = new AdmissionCount(members.length, majority, claims.length, resolve);
+      const collector = new StatusCollector(members.length, majority, claims.length, resolve);
       if (members.length === 0) resolve([]);
-      for (const member of members) this.askMember(member, claims, count);
+      for (const member of members) this.callMember(member, claims, collector);
     });
   };
 
-  private readonly askMember = (member: Member, claims: readonly IsolationClaim[], count: AdmissionCount): void => {
+  private readonly callMember = (
+    member: Member,
+    claims: readonly IsolationClaim[],
+    collector: StatusCollector,
+  ): void => {
     const connection = this.gateway.peerPool.connectionTo(member.incarnation);
     if (connection === undefined) {
-      count.add([]);
+      collector.add([]);
       return;
     }
     background.run(
       'ask a control node to admit isolated tenants',
       connection
         .call('admitSides', claims, admitTimeoutMs)
-        .then((response) => count.add((response.isOk() ? peerMessages.isolationStatuses(response.value) : null) ?? [])),
+        .then((response) =>
+          collector.add((response.isOk() ? peerMessages.isolationStatuses(response.value) : null) ?? []),
+        ),
     );
   };
 }
--- a/packages/gateway/src/pipeline/admissionStage.ts
+++ b/packages/gateway/src/pipeline/admissionStage.ts
@@ -17,25 +17,25 @@
   ) {}
 
   /** Admits the request to the next stage or rejects it. */
-  readonly work = (request: GatewayRequest): void => {
+  readonly handle = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     if (this.isDraining) {
-      this.rejector.refuse(request, 'draining', 'this gateway is closing');
+      this.rejector.reject(request, 'draining', 'this gateway is closing');
       return;
     }
     const view = this.context.stateView.view();
     if (view === null || !this.context.freshness.isFresh()) {
-      this.rejector.refuse(request, 'not_fresh', 'this gateway has not heard a majority of control nodes lately');
+      this.rejector.reject(request, 'not_fresh', 'this gateway has not heard a majority of control nodes lately');
       return;
     }
     if (request.completion.key === null) {
-      this.rejector.refuse(request, 'unknown_key', 'no bearer key was given');
+      this.rejector.reject(request, 'unknown_key', 'no bearer key was given');
       return;
     }
     request.keyHash = apiKeys.hash(request.completion.key);
     const tenant = grants.tenantOfKey(view, request.keyHash);
     if (tenant === undefined) {
-      this.rejector.refuse(request, 'unknown_key', 'the key is not granted');
+      this.rejector.reject(request, 'unknown_key', 'the key is not granted');
       return;
     }
     request.tenant = tenant;
--- a/packages/gateway/src/pipeline/fairQueue.ts
+++ b/packages/gateway/src/pipeline/fairQueue.ts
@@ -10,26 +10,26 @@
   /** Waiting items with the time at which each was queued, in milliseconds. */
   readonly items: Map<T, number>;
   /** Items served, on a scale shared by the active tenants of a rank. */
-  served: number;
+  virtualTime: number;
   /** Items granted since `ratedAt`. */
-  grants: number;
+  dispatched: number;
   /** Measured service rate, in items a millisecond; 0 before the first measurement. */
   ratePerMs: number;
-  ratedAt: number;
+  measuredAt: number;
 }
 
 /** One grant in this many goes by age instead of by rank. */
-const grantsPerAgeTurn = 8;
-const rateWindowMs = 2_000;
-const firstRateWindowMs = 500;
+const dispatchesPerAgeTurn = 8;
+const minRateWindowMs = 2_000;
+const minFirstRateWindowMs = 500;
 /** Queues shorter than this get no forecast: their rate says too little. */
-const shortestForecastQueue = 2;
+const minForecastItems = 2;
 
 /** Holds at most `limit` items over all tenants. All times are in milliseconds. */
 export class FairQueue<T> {
   private readonly tenantQueues = new Map<string, TenantQueue<T>>();
   private readonly tenantQueueOf = new Map<T, TenantQueue<T>>();
-  private grantCount = 0;
+  private dispatchCount = 0;
 
   constructor(private readonly limit: number) {}
 
@@ -37,9 +37,16 @@
     [...this.tenantQueues.values()].filter(({ items }) => items.size > 0);
 
   private readonly tenantQueue = (tenantName: string, rank: number, now: number): TenantQueue<T> => {
-    const held = this.tenantQueues.get(tenantName);
-    if (held !== undefined && held.rank === rank) return held;
-    const created: TenantQueue<T> = { rank, items: new Map(), served: 0, grants: 0, ratePerMs: 0, ratedAt: now };
+    const existing = this.tenantQueues.get(tenantName);
+    if (existing !== undefined && existing.rank === rank) return existing;
+    const created: TenantQueue<T> = {
+      rank,
+      items: new Map(),
+      virtualTime: 0,
+      dispatched: 0,
+      ratePerMs: 0,
+      measuredAt: now,
+    };
     this.tenantQueues.set(tenantName, created);
     return created;
   };
@@ -47,7 +54,7 @@
   /** Adds an item. A full queue drops the newest item of the lowest tier's longest tenant queue and returns it. */
   readonly put = (tenantName: string, rank: number, item: T, now: number): T | null => {
     const queue = this.tenantQueue(tenantName, rank, now);
-    if (queue.items.size === 0) this.catchUp(queue);
+    if (queue.items.size === 0) this.advanceVirtualTime(queue);
     queue.items.set(item, now);
     this.tenantQueueOf.set(item, queue);
     if (this.tenantQueueOf.size <= this.limit) return null;
@@ -58,63 +65,64 @@
   };
 
   /** A tenant that waited for nothing gets no credit for that time. */
-  private readonly catchUp = (queue: TenantQueue<T>): void => {
-    const rivals = this.active().filter((other) => other.rank === queue.rank);
-    if (rivals.length > 0) queue.served = Math.max(queue.served, Math.min(...rivals.map((other) => other.served)));
+  private readonly advanceVirtualTime = (queue: TenantQueue<T>): void => {
+    const others = this.active().filter((other) => other.rank === queue.rank);
+    if (others.length > 0)
+      queue.virtualTime = Math.max(queue.virtualTime, Math.min(...others.map((other) => other.virtualTime)));
   };
 
   /** The first item of each active tenant, in the order in which they should be tried. */
   readonly heads = (): T[] => {
     const oldest = (queue: TenantQueue<T>): number => queue.items.values().next().value as number;
     const byRank = (a: TenantQueue<T>, b: TenantQueue<T>): number =>
-      a.rank - b.rank || a.served - b.served || oldest(a) - oldest(b);
+      a.rank - b.rank || a.virtualTime - b.virtualTime || oldest(a) - oldest(b);
     const byAge = (a: TenantQueue<T>, b: TenantQueue<T>): number => oldest(a) - oldest(b) || byRank(a, b);
-    const isAgeTurn = this.grantCount % grantsPerAgeTurn === grantsPerAgeTurn - 1;
+    const isAgeTurn = this.dispatchCount % dispatchesPerAgeTurn === dispatchesPerAgeTurn - 1;
     return this.active()
       .sort(isAgeTurn ? byAge : byRank)
       .map((queue) => queue.items.keys().next().value as T);
   };
 
   /** Removes an item that is served now, and counts it for its tenant's share and rate. */
-  readonly grant = (item: T, now: number): void => {
+  readonly dispatch = (item: T, now: number): void => {
     const queue = this.tenantQueueOf.get(item);
     if (queue === undefined) return;
     this.remove(item);
-    this.grantCount += 1;
-    queue.served += 1;
-    queue.grants += 1;
+    this.dispatchCount += 1;
+    queue.virtualTime += 1;
+    queue.dispatched += 1;
     this.measureRate(queue, now);
   };
 
   private readonly measureRate = (queue: TenantQueue<T>, now: number): void => {
-    const spanMs = now - queue.ratedAt;
-    if (spanMs < (queue.ratePerMs === 0 ? firstRateWindowMs : rateWindowMs)) return;
-    const measured = queue.grants / spanMs;
+    const spanMs = now - queue.measuredAt;
+    if (spanMs < (queue.ratePerMs === 0 ? minFirstRateWindowMs : minRateWindowMs)) return;
+    const measured = queue.dispatched / spanMs;
     queue.ratePerMs = queue.ratePerMs === 0 ? measured : (queue.ratePerMs + measured) / 2;
-    queue.grants = 0;
-    queue.ratedAt = now;
+    queue.dispatched = 0;
+    queue.measuredAt = now;
   };
 
   /** The expected wait of a new item of this tenant, in milliseconds; 0 when nothing is known. */
-  readonly forecastMs = (tenantName: string, now: number): number => {
+  readonly expectedWaitMs = (tenantName: string, now: number): number => {
     const queue = this.tenantQueues.get(tenantName);
-    if (queue === undefined || queue.items.size < shortestForecastQueue) return 0;
+    if (queue === undefined || queue.items.size < minForecastItems) return 0;
     this.measureRate(queue, now);
     return queue.ratePerMs === 0 ? 0 : queue.items.size / queue.ratePerMs;
   };
 
   /** The items that will miss their deadline at the measured rates. */
-  readonly hopeless = (now: number, deadlineOf: (item: T) => number): T[] =>
+  readonly predictedDeadlineMisses = (now: number, deadlineOf: (item: T) => number): T[] =>
     this.active().flatMap((queue) => {
       this.measureRate(queue, now);
-      return queue.ratePerMs === 0 ? [] : this.hopelessIn(queue, now, deadlineOf);
+      return queue.ratePerMs === 0 ? [] : this.deadlineMissesIn(queue, now, deadlineOf);
     });
 
-  private readonly hopelessIn = (queue: TenantQueue<T>, now: number, deadlineOf: (item: T) => number): T[] => {
+  private readonly deadlineMissesIn = (queue: TenantQueue<T>, now: number, deadlineOf: (item: T) => number): T[] => {
     const found: T[] = [];
     let ahead = 0;
     for (const item of queue.items.keys()) {
-      if (ahead >= shortestForecastQueue && now + ahead / queue.ratePerMs > deadlineOf(item)) found.push(item);
+      if (ahead >= minForecastItems && now + ahead / queue.ratePerMs > deadlineOf(item)) found.push(item);
       else ahead += 1;
     }
     return found;
--- a/packages/gateway/src/pipeline/lookupStage.ts
+++ b/packages/gateway/src/pipeline/lookupStage.ts
@@ -13,9 +13,9 @@
 import type { Rejector } from './rejector.js';
 import type { StageContext } from './stageContext.js';
 
-const longestDeadlineMs = 600_000;
+const maxDeadlineMs = 600_000;
 
-interface LookedUp {
+interface LookupResult {
   readonly lane: LaneView;
   readonly tenant: TenantView;
   readonly prompt: string;
@@ -39,7 +39,7 @@
 
 /** Fills in what the request's body names. */
 export class LookupStage {
-  private readonly rates = new Map<number, RateLimiter>();
+  private readonly rateLimiters = new Map<number, RateLimiter>();
 
   constructor(
     private readonly context: StageContext,
@@ -49,11 +49,11 @@
   ) {}
 
   /** Passes the request on, claimed first if it has an idempotency key, or rejects it. */
-  readonly work = (request: GatewayRequest): void => {
+  readonly handle = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     const found = this.lookUp(request);
     if (found.isErr()) {
-      this.rejector.refuse(request, found.error.code, found.error.detail);
+      this.rejector.reject(request, found.error.code, found.error.detail);
       return;
     }
     this.fill(request, found.value);
@@ -63,7 +63,7 @@
     else background.run('claim and queue a request', this.claimThenQueue(request, idempotencyKey));
   };
 
-  private readonly lookUp = (request: GatewayRequest): Result<LookedUp, LookupError> => {
+  private readonly lookUp = (request: GatewayRequest): Result<LookupResult, LookupError> => {
     const { tenant, completion } = request;
     const view = this.context.stateView.view();
     if (view === null || tenant === null) return err({ code: 'not_fresh', detail: 'no configuration is held' });
@@ -79,23 +79,23 @@
     return ok({ lane, tenant, prompt });
   };
 
-  private readonly fill = (request: GatewayRequest, { lane, tenant, prompt }: LookedUp): void => {
+  private readonly fill = (request: GatewayRequest, { lane, tenant, prompt }: LookupResult): void => {
     request.lane = lane;
     request.laneName = lane.name;
-    request.isOnce = lane.repeat === 'once';
+    request.isAtMostOnce = lane.repeat === 'once';
     request.promptTokens = prompts.tokens(prompt);
     request.blocks = prompts.blocks(prompt);
-    const deadlineMs = Math.min(longestDeadlineMs, request.completion.deadlineMs ?? tenant.tier.horizonMs);
+    const deadlineMs = Math.min(maxDeadlineMs, request.completion.deadlineMs ?? tenant.tier.horizonMs);
     request.deadlineAt = request.arrivedAt + deadlineMs;
   };
 
   private readonly startDeadline = (request: GatewayRequest): void => {
     const { clock } = this.context.ports;
     const timer = clock.after(Math.max(0, request.deadlineAt - clock.now()), () => {
-      if (request.isAnswered) return;
-      this.rejector.refuse(request, 'horizon_passed', 'the deadline passed before a first piece came');
+      if (request.hasResponseStarted) return;
+      this.rejector.reject(request, 'horizon_passed', 'the deadline passed before a first piece came');
     });
-    request.whenEnded(timer.cancel);
+    request.onEnd(timer.cancel);
   };
 
   private readonly claimThenQueue = async (request: GatewayRequest, idempotencyKey: string): Promise<void> => {
@@ -103,24 +103,24 @@
     const { completion, tenant } = request;
     const key = digests.of([tenant?.name, idempotencyKey]);
     const digest = digests.of([completion.path, { ...completion.body, stream: null }]);
-    const outcome = await claims.take(key, digest, completion.requestId);
+    const outcome = await claims.acquire(key, digest, completion.requestId);
     metrics.add(`claims_${outcome.kind.replace(' ', '_')}`);
     if (outcome.kind === 'claimed') this.runClaimed(request, outcome.claim);
-    else if (!request.isEnded) this.answerUnclaimed(request, outcome);
+    else if (!request.isEnded) this.respondUnclaimed(request, outcome);
   };
 
   private readonly runClaimed = (request: GatewayRequest, claim: Claim): void => {
     request.claim = claim;
-    const noteOutcome = (): void => this.context.claims.ended(claim, this.storedStateOf(request));
+    const recordOutcome = (): void => this.context.claims.recordOutcome(claim, this.storedStateOf(request));
     if (request.isEnded) {
-      noteOutcome();
+      recordOutcome();
       return;
     }
-    request.whenEnded(noteOutcome);
+    request.onEnd(recordOutcome);
     this.next(request);
   };
 
-  private readonly answerUnclaimed = (
+  private readonly respondUnclaimed = (
     request: GatewayRequest,
     outcome: Exclude<ClaimOutcome, { kind: 'claimed' }>,
   ): void => {
@@ -130,11 +130,11 @@
       return;
     }
     const { code, detail } = claimRejections[outcome.kind];
-    this.rejector.refuse(request, code, detail);
+    this.rejector.reject(request, code, detail);
   };
 
   private readonly storedStateOf = (request: GatewayRequest): StoredResponseState => {
-    if (request.isWhole) return { kind: 'done', datas: request.relayedDatas };
+    if (request.isComplete) return { kind: 'done', datas: request.relayedChunks };
     return request.mayHaveRun ? { kind: 'unknown' } : { kind: 'not run' };
   };
 
@@ -142,9 +142,9 @@
     if (tenant.tenant.ratePerSecond === null) return true;
     const now = this.context.ports.clock.now();
     const perSecond = tenant.tenant.ratePerSecond / this.context.settings.gatewayCount;
-    const held = this.rates.get(tenant.index);
-    const rate = held?.perSecond === perSecond ? held : new RateLimiter(perSecond, now);
-    this.rates.set(tenant.index, rate);
-    return rate.take(now);
+    const existing = this.rateLimiters.get(tenant.index);
+    const rateLimiter = existing?.perSecond === perSecond ? existing : new RateLimiter(perSecond, now);
+    this.rateLimiters.set(tenant.index, rateLimiter);
+    return rateLimiter.tryAcquire(now);
   };
 }
--- a/packages/gateway/src/pipeline/placementExplanation.ts
+++ b/packages/gateway/src/pipeline/placementExplanation.ts
@@ -5,7 +5,7 @@
 import type { PlacementQuery } from '@martenworks/prefix-index';
 import { GatewayRequest, isolationScopes } from '../gatewayRequest.js';
 import type { LaneView, TenantView } from '../state/gatewayConfigView.js';
-import type { PlacementQuestions } from './placementQuestions.js';
+import type { PlacementQueries } from './placementQueries.js';
 import type { StageContext } from './stageContext.js';
 
 /** One replica of the lane's pool, as the placement algorithm sees it. */
@@ -23,9 +23,9 @@
   readonly costMs: number | null;
 }
 
-type WeighedReplica = ReturnType<typeof estimatePlacements>[number];
+type PlacementEstimate = ReturnType<typeof estimatePlacements>[number];
 
-const trialRequest = (lane: LaneView, tenant: TenantView, prompt: string, now: number): GatewayRequest => {
+const hypotheticalRequest = (lane: LaneView, tenant: TenantView, prompt: string, now: number): GatewayRequest => {
   const completion = {
     requestId: 'why',
     key: null,
@@ -52,7 +52,7 @@
 export class PlacementExplanation {
   constructor(
     private readonly context: StageContext,
-    private readonly questions: PlacementQuestions,
+    private readonly queries: PlacementQueries,
   ) {}
 
   /** The replicas of the lane's pool, the cheapest first; null when the lane or the tenant is unknown. */
@@ -62,37 +62,37 @@
     const lane = view?.lanes.get(laneName);
     const tenant = view?.tenants.get(tenantName);
     if (lane === undefined || tenant === undefined) return null;
-    const request = trialRequest(lane, tenant, prompt, ports.clock.now());
-    const question = this.questions.of(request);
-    const weighed = question === null ? [] : estimatePlacements(stateView.index, question);
+    const request = hypotheticalRequest(lane, tenant, prompt, ports.clock.now());
+    const query = this.queries.of(request);
+    const estimates = query === null ? [] : estimatePlacements(stateView.index, query);
     return stateView
       .records()
       .filter((record) => record.pool === lane.poolName)
-      .map((record) => this.explained(record, request, question, weighed))
+      .map((record) => this.explained(record, request, query, estimates))
       .sort(cheapestFirst);
   };
 
   private readonly explained = (
     record: ReplicaRecord,
     request: GatewayRequest,
-    question: PlacementQuery | null,
-    weighed: readonly WeighedReplica[],
+    query: PlacementQuery | null,
+    estimates: readonly PlacementEstimate[],
   ): ExplainedReplica => {
     const { stateView, replicaTracker, ports } = this.context;
-    const found = weighed.find((one) => one.record.name === record.name);
+    const estimate = estimates.find((one) => one.record.name === record.name);
     const scope = isolationScopes.of(request);
-    const kept = stateView.index.match(record.name, request.blocks, scope, ports.clock.now());
+    const match = stateView.index.match(record.name, request.blocks, scope, ports.clock.now());
     const partition = stateView.tenantPartitions.roles().find(({ replica }) => replica === record.name);
     return {
       replica: record.name,
       state: record.state,
       tenantPartition: partition?.role ?? 'none',
-      keptTokens: kept.blockCount * prompts.blockTokens,
-      mayBeNamed: question?.holders.some((holder) => holder.name === record.name) === true && kept.canBeSource,
+      keptTokens: match.blockCount * prompts.blockTokens,
+      mayBeNamed: query?.holders.some((holder) => holder.name === record.name) === true && match.canBeSource,
       running: replicaTracker.running(record.name),
-      holder: found?.holder?.name ?? null,
-      prefillTokens: found?.prefilledTokens ?? null,
-      costMs: found === undefined ? null : oneDecimal(found.costMs),
+      holder: estimate?.holder?.name ?? null,
+      prefillTokens: estimate?.prefilledTokens ?? null,
+      costMs: estimate === undefined ? null : oneDecimal(estimate.costMs),
     };
   };
 }
--- a/packages/gateway/src/pipeline/placementQuestions.ts
+++ b/packages/gateway/src/pipeline/placementQueries.ts
@@ -10,7 +10,7 @@
 const urgentHeadroom = 0.5;
 
 /** Questions of one gateway. */
-export class PlacementQuestions {
+export class PlacementQueries {
   /** Measured delays of cache transfers. */
   readonly transferTracker: TransferTracker;
   private contention: Contention = {};
@@ -20,7 +20,7 @@
   }
 
   /** Takes how many gateways have requests waiting for each pool. */
-  readonly takeContention = (contention: Contention): void => {
+  readonly updateContention = (contention: Contention): void => {
     this.contention = contention;
   };
 
@@ -35,7 +35,12 @@
     const scope = isolationScopes.of(request);
     const now = ports.clock.now();
     const headroom = 1 + urgentHeadroom * view.urgencyOf(tenant.tier.rank);
-    const free = this.freeOf(this.usable(request, lane.poolName, scope, now), lane.poolName, pool.slots, headroom);
+    const free = this.withFreeSlots(
+      this.usable(request, lane.poolName, scope, now),
+      lane.poolName,
+      pool.slots,
+      headroom,
+    );
     return {
       pool,
       blocks: request.blocks,
@@ -68,15 +73,15 @@
     const ready = stateView
       .inPool(poolName)
       .filter((record) => !request.avoided.has(record.name) && stateView.tenantPartitions.mayRun(record, scope, now));
-    const sound = ready.filter((record) => !replicaTracker.isSuspect(record.name));
-    return sound.length > 0 ? sound : ready;
+    const healthy = ready.filter((record) => !replicaTracker.isSuspect(record.name));
+    return healthy.length > 0 ? healthy : ready;
   };
 
   /**
    * The replicas with a free slot. While other gateways contend for the pool, this one takes no more than its part of
    * the slots, and within that part it may use a replica that others have filled.
    */
-  private readonly freeOf = (
+  private readonly withFreeSlots = (
     records: readonly ReplicaRecord[],
     poolName: string,
     poolSlots: number,
@@ -85,12 +90,14 @@
     const { stateView, replicaTracker } = this.context;
     const slotsOf = (record: ReplicaRecord): number => Math.floor((record.slots ?? poolSlots) * headroom);
     const free = records.filter((record) => replicaTracker.running(record.name) < slotsOf(record));
-    const [contenders, calmRunning] = this.contention[poolName] ?? [0, 0];
+    const [contenders, uncontendedRunning] = this.contention[poolName] ?? [0, 0];
     if (contenders === 0) return free;
     const all = stateView.inPool(poolName);
     const total = all.reduce((sum, record) => sum + slotsOf(record), 0);
-    const own = all.reduce((sum, record) => sum + replicaTracker.own(record.name), 0);
-    if (own >= Math.max(1, Math.ceil((total - calmRunning) / (contenders + 1)))) return [];
-    return free.length > 0 ? free : records.filter((record) => replicaTracker.own(record.name) < slotsOf(record));
+    const own = all.reduce((sum, record) => sum + replicaTracker.ownRunning(record.name), 0);
+    if (own >= Math.max(1, Math.ceil((total - uncontendedRunning) / (contenders + 1)))) return [];
+    return free.length > 0
+      ? free
+      : records.filter((record) => replicaTracker.ownRunning(record.name) < slotsOf(record));
   };
 }
--- a/packages/gateway/src/pipeline/poolQueues.ts
+++ b/packages/gateway/src/pipeline/poolQueues.ts
@@ -25,8 +25,8 @@
 
   /** The queue of a pool. */
   readonly of = (poolName: string): PoolQueue => {
-    const held = this.queues.get(poolName);
-    if (held !== undefined) return held;
+    const existing = this.queues.get(poolName);
+    if (existing !== undefined) return existing;
     const queue: PoolQueue = { waiting: new FairQueue(this.context.settings.queueLimit), byTier: new Map() };
     this.queues.set(poolName, queue);
     return queue;
@@ -50,17 +50,17 @@
   ): GatewayRequest | null => {
     queue.byTier.set(tenant.tierName, (queue.byTier.get(tenant.tierName) ?? 0) + 1);
     const displaced = queue.waiting.put(tenant.name, tenant.tier.rank, request, now);
-    if (displaced !== null) this.uncount(queue, displaced);
+    if (displaced !== null) this.decrementTier(queue, displaced);
     return displaced;
   };
 
   /** Removes a request that goes to a replica now. */
-  readonly grant = (queue: PoolQueue, request: GatewayRequest): void => {
-    queue.waiting.grant(request, this.context.ports.clock.now());
-    this.uncount(queue, request);
+  readonly dispatch = (queue: PoolQueue, request: GatewayRequest): void => {
+    queue.waiting.dispatch(request, this.context.ports.clock.now());
+    this.decrementTier(queue, request);
   };
 
-  private readonly uncount = (queue: PoolQueue, request: GatewayRequest): void => {
+  private readonly decrementTier = (queue: PoolQueue, request: GatewayRequest): void => {
     if (request.tenant === null) return;
     const { tierName } = request.tenant;
     queue.byTier.set(tierName, Math.max(0, (queue.byTier.get(tierName) ?? 0) - 1));
@@ -71,14 +71,14 @@
     if (request.lane === null) return false;
     const queue = this.queues.get(request.lane.poolName);
     if (queue?.waiting.remove(request) !== true) return false;
-    this.uncount(queue, request);
+    this.decrementTier(queue, request);
     return true;
   };
 
   /** The expected wait of a request in its pool's queue, in milliseconds. */
-  readonly forecastMs = (request: GatewayRequest): number => {
+  readonly expectedWaitMs = (request: GatewayRequest): number => {
     const queue = request.lane === null ? undefined : this.queues.get(request.lane.poolName);
-    return queue?.waiting.forecastMs(request.tenant?.name ?? '', this.context.ports.clock.now()) ?? 0;
+    return queue?.waiting.expectedWaitMs(request.tenant?.name ?? '', this.context.ports.clock.now()) ?? 0;
   };
 
   /** The depths of all queues, by pool. */
--- a/packages/gateway/src/pipeline/queuedStage.ts
+++ b/packages/gateway/src/pipeline/queuedStage.ts
@@ -9,14 +9,14 @@
   constructor(
     limit: number,
     private readonly priorityOf: (item: T) => number,
-    private readonly work: (item: T) => void,
+    private readonly handle: (item: T) => void,
     private readonly onDisplaced: (item: T) => void,
   ) {
     this.queue = new BoundedQueue(limit);
   }
 
   /** Queues an item; an item that a full queue drops goes to `onDisplaced`. */
-  readonly enter = (item: T): void => {
+  readonly enqueue = (item: T): void => {
     const displaced = this.queue.put(item, this.priorityOf(item));
     if (displaced !== null) this.onDisplaced(displaced);
     if (this.isRunning) return;
@@ -25,7 +25,7 @@
   };
 
   private readonly drain = (): void => {
-    for (let item = this.queue.take(); item !== undefined; item = this.queue.take()) this.work(item);
+    for (let item = this.queue.take(); item !== undefined; item = this.queue.take()) this.handle(item);
     this.isRunning = false;
   };
 }
--- a/packages/gateway/src/pipeline/rejector.ts
+++ b/packages/gateway/src/pipeline/rejector.ts
@@ -4,45 +4,45 @@
 import type { GatewayRequest } from '../gatewayRequest.js';
 import type { StageContext } from './stageContext.js';
 
-const shortestRetryAfterSeconds = 1;
-const longestRetryAfterSeconds = 30;
+const minRetryAfterSeconds = 1;
+const maxRetryAfterSeconds = 30;
 const msPerSecond = 1_000;
 
 /** What the rejector needs of the placement stage. */
-interface WaitingRequests {
-  readonly unqueue: (request: GatewayRequest) => boolean;
-  readonly forecastMs: (request: GatewayRequest) => number;
+interface QueuedRequests {
+  readonly removeFromQueue: (request: GatewayRequest) => boolean;
+  readonly expectedWaitMs: (request: GatewayRequest) => number;
 }
 
 const withinBounds = (seconds: number): number =>
-  Math.min(longestRetryAfterSeconds, Math.max(shortestRetryAfterSeconds, seconds));
+  Math.min(maxRetryAfterSeconds, Math.max(minRetryAfterSeconds, seconds));
 
 /** One for all stages of a gateway. */
 export class Rejector {
   constructor(
     private readonly context: StageContext,
-    private readonly waitingRequests: () => WaitingRequests,
+    private readonly queuedRequests: () => QueuedRequests,
   ) {}
 
   private readonly retryAfter = (code: RejectionCode, request: GatewayRequest): number | undefined => {
     if (code !== 'no_capacity' && code !== 'horizon_passed') return undefined;
     if (request.retryAfterSeconds !== null) return withinBounds(request.retryAfterSeconds);
-    const waitSeconds = this.waitingRequests().forecastMs(request) / msPerSecond;
+    const waitSeconds = this.queuedRequests().expectedWaitMs(request) / msPerSecond;
     return withinBounds(Math.ceil(waitSeconds + this.context.ports.random.fraction()));
   };
 
   /** Rejects a request; if the caller is receiving its stream already, cuts the stream. */
-  readonly refuse = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
-    this.waitingRequests().unqueue(request);
+  readonly reject = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
+    this.queuedRequests().removeFromQueue(request);
     const isKnownNotRun = !request.mayHaveRun && (request.completion.idempotencyKey === null || request.claim !== null);
     const ran = isKnownNotRun ? 'no' : 'unknown';
     const rejection = rejections.of(code, ran, detail, this.retryAfter(code, request));
-    if (!request.isAnswered) this.note(request, rejection);
-    if (request.isRelaying) request.cut(detail);
+    if (!request.hasResponseStarted) this.record(request, rejection);
+    if (request.isRelaying) request.truncate(detail);
     else request.reject(rejection);
   };
 
-  private readonly note = (request: GatewayRequest, rejection: Rejection): void => {
+  private readonly record = (request: GatewayRequest, rejection: Rejection): void => {
     const { metrics, ports } = this.context;
     metrics.add(`denied_${rejection.code}`);
     ports.log.info('denied', {
@@ -56,10 +56,10 @@
   };
 
   /** The caller closed the connection: ends the request. */
-  readonly left = (request: GatewayRequest): void => {
+  readonly onCallerDisconnect = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     this.context.metrics.add('caller_left');
-    this.waitingRequests().unqueue(request);
+    this.queuedRequests().removeFromQueue(request);
     if (request.isRelaying) request.end();
     else request.reject(rejections.of('caller_left', 'unknown', 'the caller left'));
   };
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -7,13 +7,13 @@
 /** Resolves with the piece that ends the relay, once the request ends or is cut. */
 const untilStopped = (request: GatewayRequest): Promise<CompletionEvent> =>
   new Promise((resolve) => {
-    const stop = (): void => resolve({ kind: 'truncated', cause: request.cutCause ?? 'the request ended' });
+    const stop = (): void => resolve({ kind: 'truncated', cause: request.truncationCause ?? 'the request ended' });
     request.abortController.signal.addEventListener('abort', stop, { once: true });
   });
 
 /** A response under an idempotency key may be asked for again. */
-const keepForReplay = (request: GatewayRequest, piece: CompletionEvent): void => {
-  if (request.claim !== null && piece.kind === 'chunk') request.relayedDatas.push(piece.data);
+const storeForReplay = (request: GatewayRequest, event: CompletionEvent): void => {
+  if (request.claim !== null && event.kind === 'chunk') request.relayedChunks.push(event.data);
 };
 
 /** Makes the generators from which the callers' responses are read. */
@@ -33,12 +33,12 @@
     }
   };
 
-  private readonly nextPiece = (
+  private readonly nextEvent = (
     request: GatewayRequest,
     rest: AsyncGenerator<CompletionEvent>,
     stopped: Promise<CompletionEvent>,
   ): Promise<CompletionEvent> => {
-    if (request.cutCause !== null) return Promise.resolve({ kind: 'truncated', cause: request.cutCause });
+    if (request.truncationCause !== null) return Promise.resolve({ kind: 'truncated', cause: request.truncationCause });
     const next = rest
       .next()
       .then(
@@ -56,15 +56,15 @@
     );
   };
 
-  private readonly noteEnd = (request: GatewayRequest, replica: string, last: CompletionEvent): void => {
+  private readonly recordEnd = (request: GatewayRequest, replica: string, last: CompletionEvent): void => {
     const { metrics, replicaTracker } = this.context;
     if (last.kind === 'done') {
       metrics.add('finished');
-      request.isWhole = true;
+      request.isComplete = true;
       return;
     }
     metrics.add('cut');
-    if (request.cutCause === null && !request.isEnded) replicaTracker.failed(replica);
+    if (request.truncationCause === null && !request.isEnded) replicaTracker.recordFailure(replica);
   };
 
   /** The pieces of a running attempt: the first, then the rest; `release` is called when the relay ends. */
@@ -78,17 +78,17 @@
   ): AsyncGenerator<CompletionEvent> {
     const stopped = untilStopped(request);
     try {
-      keepForReplay(request, first);
+      storeForReplay(request, first);
       yield first;
       for (;;) {
-        const piece = await this.nextPiece(request, rest, stopped);
-        keepForReplay(request, piece);
-        if (piece.kind === 'chunk') {
-          yield piece;
+        const event = await this.nextEvent(request, rest, stopped);
+        storeForReplay(request, event);
+        if (event.kind === 'chunk') {
+          yield event;
           continue;
         }
-        this.noteEnd(request, replica, piece);
-        yield piece.kind === 'done' ? piece : { kind: 'truncated', cause: piece.cause };
+        this.recordEnd(request, replica, event);
+        yield event.kind === 'done' ? event : { kind: 'truncated', cause: event.cause };
         return;
       }
     } finally {
--- a/packages/gateway/src/pipeline/replicaAttempt.ts
+++ b/packages/gateway/src/pipeline/replicaAttempt.ts
@@ -40,9 +40,9 @@
   readonly startedAt: number;
   private readonly attemptId: number;
   private readonly abortController = new AbortController();
-  private readonly mayHaveRunBefore: boolean;
+  private readonly mightHaveRunBefore: boolean;
   private isSent = false;
-  private hasFirstPiece = false;
+  private hasFirstChunk = false;
 
   constructor(
     private readonly context: StageContext,
@@ -54,10 +54,10 @@
     const { record, prefilledTokens, costMs } = plan.placed;
     this.replica = record.name;
     this.incarnation = record.incarnation;
-    this.attemptId = context.replicaTracker.began(this.replica, prefilledTokens, costMs);
+    this.attemptId = context.replicaTracker.recordStart(this.replica, prefilledTokens, costMs);
     request.abortController.signal.addEventListener('abort', this.abort, { once: true });
     this.startedAt = context.ports.clock.now();
-    this.mayHaveRunBefore = request.mayHaveRun;
+    this.mightHaveRunBefore = request.mayHaveRun;
   }
 
   private readonly abort = (): void => this.abortController.abort();
@@ -73,66 +73,67 @@
   }
 
   /** Called as the body is about to be sent: from then on the request may have run. */
-  readonly decideSending = (isSendable: boolean): boolean => {
+  readonly gate = (isSendable: boolean): boolean => {
     this.isSent = this.isActive && isSendable;
     this.request.mayHaveRun ||= this.isSent;
     return this.isSent;
   };
 
   /** The first piece came. */
-  readonly takeFirstPiece = (): void => {
-    this.context.replicaTracker.firstPiece(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
-    this.hasFirstPiece = true;
+  readonly recordFirstChunk = (): void => {
+    this.context.replicaTracker.recordFirstChunk(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
+    this.hasFirstChunk = true;
   };
 
   /** The attempt no longer runs at its replica. */
   readonly release = (): void => {
     const { replicaTracker } = this.context;
     this.request.abortController.signal.removeEventListener('abort', this.abort);
-    if (!this.hasFirstPiece) replicaTracker.prefilled(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
-    replicaTracker.ended(this.replica);
-    queueMicrotask(() => this.followUp.placementStage.pump(this.plan.grant.lane.poolName));
+    if (!this.hasFirstChunk)
+      replicaTracker.recordPrefilled(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
+    replicaTracker.recordEnd(this.replica);
+    queueMicrotask(() => this.followUp.placementStage.placeQueued(this.plan.grant.lane.poolName));
   };
 
-  private readonly giveUp = (): void => {
+  private readonly abandon = (): void => {
     this.request.endAttempt();
     this.release();
     this.abort();
   };
 
   /** The replica is gone. */
-  readonly lost = (): void => {
+  readonly onReplicaRemoved = (): void => {
     const detail = 'the replica is gone';
-    if (this.request.isRelaying) this.request.cut(detail);
-    else if (this.isSent) this.failed('replica_failed', detail);
-    else this.withdraw();
+    if (this.request.isRelaying) this.request.truncate(detail);
+    else if (this.isSent) this.handleFailure('replica_failed', detail);
+    else this.requeue();
   };
 
   /** Sending came to nothing, with this error of the HTTP client or of the replica. */
-  readonly sendFailed = (error: ReplicaAttemptError): void => {
-    if (error.isUnsent) this.request.mayHaveRun = this.mayHaveRunBefore;
+  readonly handleSendError = (error: ReplicaAttemptError): void => {
+    if (error.isUnsent) this.request.mayHaveRun = this.mightHaveRunBefore;
     if (this.request.isEnded) this.release();
-    else if (error.cause === 'GATED') this.withdraw();
-    else this.refused(error);
+    else if (error.cause === 'GATED') this.requeue();
+    else this.handleErrorStatus(error);
   };
 
   /** Nothing was sent: the request is queued anew without a retry being counted. */
-  private readonly withdraw = (): void => {
-    this.giveUp();
+  private readonly requeue = (): void => {
+    this.abandon();
     if (this.request.isEnded) return;
     if (this.context.freshness.isFresh()) {
-      this.followUp.placementStage.queue(this.request);
+      this.followUp.placementStage.enqueue(this.request);
       return;
     }
     const detail = 'this gateway lost touch with the control nodes before the attempt';
-    this.followUp.rejector.refuse(this.request, 'not_fresh', detail);
+    this.followUp.rejector.reject(this.request, 'not_fresh', detail);
   };
 
   /** The replica failed: it is suspect, and the request does not go there again. */
-  readonly failed = (code: RejectionCode, detail: string): void => {
+  readonly handleFailure = (code: RejectionCode, detail: string): void => {
     if (!this.isActive) return;
-    this.context.replicaTracker.failed(this.replica);
-    this.giveUp();
+    this.context.replicaTracker.recordFailure(this.replica);
+    this.abandon();
     this.request.avoided.add(this.replica);
     this.context.ports.log.warn('attempt failed', {
       requestId: this.request.completion.requestId,
@@ -144,19 +145,19 @@
     this.followUp.retry(this.request, code, detail);
   };
 
-  private readonly refused = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
+  private readonly handleErrorStatus = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
     if (status !== null && requestErrorStatuses.has(status)) {
-      this.giveUp();
-      this.followUp.rejector.refuse(this.request, 'bad_request', `the replica refused the request: ${cause}`);
+      this.abandon();
+      this.followUp.rejector.reject(this.request, 'bad_request', `the replica refused the request: ${cause}`);
       return;
     }
     if (status === null || !busyStatuses.has(status) || retryAfterSeconds === null) {
-      this.failed('replica_failed', cause);
+      this.handleFailure('replica_failed', cause);
       return;
     }
-    this.context.replicaTracker.backOff(this.replica, retryAfterSeconds * msPerSecond);
+    this.context.replicaTracker.recordFull(this.replica, retryAfterSeconds * msPerSecond);
     this.request.retryAfterSeconds = retryAfterSeconds;
-    this.giveUp();
+    this.abandon();
     this.request.avoided.add(this.replica);
     this.followUp.retry(this.request, 'no_capacity', `the replica is full: ${cause}`);
   };
--- a/packages/gateway/src/pipeline/sendCheck.ts
+++ b/packages/gateway/src/pipeline/sendCheck.ts
@@ -17,13 +17,13 @@
 const isHolderUsable = ({ stateView }: StageContext, { placed }: AttemptPlan, grant: Grant): boolean => {
   const { holder } = placed;
   if (holder === null) return true;
-  const held = stateView.record(holder.name);
+  const current = stateView.record(holder.name);
   const { poolName } = grant.lane;
   const store = stateView.view()?.pools.get(poolName)?.store ?? null;
   return (
-    held !== undefined &&
+    current !== undefined &&
     includes(stateView.holdersIn(poolName, store), holder) &&
-    stateView.tenantPartitions.mayBeSource(held, isolationScopes.ofTenant(grant.tenant))
+    stateView.tenantPartitions.mayBeSource(current, isolationScopes.ofTenant(grant.tenant))
   );
 };
 
--- a/packages/gateway/src/pipeline/sendStage.ts
+++ b/packages/gateway/src/pipeline/sendStage.ts
@@ -15,7 +15,7 @@
 
 /** Time over the forecast that a cache transfer may take without being held against the holder. */
 const transferSlackMs = 100;
-const retryLimit = 2;
+const maxRetries = 2;
 
 type SendResult = Awaited<ReturnType<typeof replicaProtocol.send>>;
 
@@ -26,7 +26,7 @@
   constructor(
     private readonly context: StageContext,
     private readonly rejector: Rejector,
-    private readonly relaying: RelayStage,
+    private readonly relayStage: RelayStage,
     private readonly placementStage: () => PlacementStage,
     private readonly isDraining: () => boolean,
   ) {}
@@ -34,38 +34,38 @@
   private readonly budgetOf = (poolName: string): RetryBudget => {
     const poolAllowance = this.context.stateView.view()?.pools.get(poolName)?.extraAllowance ?? 0;
     const allowance = poolAllowance / this.context.settings.gatewayCount;
-    const held = this.budgets.get(poolName);
-    if (held?.allowance === allowance) return held;
+    const existing = this.budgets.get(poolName);
+    if (existing?.allowance === allowance) return existing;
     const budget = new RetryBudget(allowance);
     this.budgets.set(poolName, budget);
     return budget;
   };
 
   /** The tokens left in each pool's retry budget, for the operators' page. */
-  readonly budgetsLeft = (): Record<string, number> =>
-    Object.fromEntries([...this.budgets].map(([poolName, budget]) => [poolName, budget.left()]));
+  readonly remainingBudgets = (): Record<string, number> =>
+    Object.fromEntries([...this.budgets].map(([poolName, budget]) => [poolName, budget.remaining()]));
 
-  private readonly again = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
+  private readonly retry = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
     if (request.isEnded || !this.placementStage().refreshGrant(request) || request.lane === null) return;
-    const mayRunAgain = !request.mayHaveRun || !request.isOnce;
-    if (!mayRunAgain || this.isDraining() || request.retries >= retryLimit) {
-      this.rejector.refuse(request, code, detail);
+    const mayRunAgain = !request.mayHaveRun || !request.isAtMostOnce;
+    if (!mayRunAgain || this.isDraining() || request.retries >= maxRetries) {
+      this.rejector.reject(request, code, detail);
       return;
     }
-    if (!this.budgetOf(request.lane.poolName).take()) {
-      this.rejector.refuse(request, code, `${detail}; the retry budget is spent`);
+    if (!this.budgetOf(request.lane.poolName).trySpend()) {
+      this.rejector.reject(request, code, `${detail}; the retry budget is spent`);
       return;
     }
     request.retries += 1;
     this.context.metrics.add('shots_extra');
-    this.placementStage().queue(request);
+    this.placementStage().enqueue(request);
   };
 
-  private readonly count = (request: GatewayRequest, placed: Placement, poolName: string): void => {
+  private readonly recordAttempt = (request: GatewayRequest, placed: Placement, poolName: string): void => {
     const { metrics } = this.context;
     request.attempts += 1;
     if (request.attempts === 1) {
-      this.budgetOf(poolName).firstAttempt();
+      this.budgetOf(poolName).recordFirstAttempt();
       metrics.add('shots_first');
     }
     metrics.add('prompt_tokens', request.promptTokens);
@@ -85,26 +85,26 @@
   readonly send = async (request: GatewayRequest, placed: Placement): Promise<void> => {
     const plan = this.planOf(request, placed);
     if (plan === null) return;
-    this.count(request, placed, plan.grant.lane.poolName);
+    this.recordAttempt(request, placed, plan.grant.lane.poolName);
     const attempt = new ReplicaAttempt(this.context, request, plan, {
       rejector: this.rejector,
       placementStage: this.placementStage(),
-      retry: (...refusal) => this.again(...refusal),
+      retry: (...refusal) => this.retry(...refusal),
     });
     request.startAttempt(attempt);
     const response = await this.sendBody(request, attempt);
     if (!attempt.isActive) return;
     if (response.isErr()) {
-      attempt.sendFailed(response.error);
+      attempt.handleSendError(response.error);
       return;
     }
     const first = await response.value.next();
     if (!attempt.isActive) return;
     if (request.isEnded) attempt.release();
-    else if (first.done === true) attempt.failed('cut_stream', 'the stream was empty');
+    else if (first.done === true) attempt.handleFailure('cut_stream', 'the stream was empty');
     else if (first.value.kind === 'chunk')
       this.startRelay(request, attempt, first.value, response.value as AsyncGenerator<CompletionEvent>);
-    else this.failedFirst(attempt, first.value);
+    else this.handleFirstEventFailure(attempt, first.value);
   };
 
   private readonly sendBody = (request: GatewayRequest, attempt: ReplicaAttempt): Promise<SendResult> => {
@@ -121,16 +121,16 @@
       priority: grant.tenant.tier.rank,
       cacheFrom: placed.holder?.address ?? null,
       signal: attempt.signal,
-      gate: () => attempt.decideSending(isSendable(this.context, request, attempt.plan)),
+      gate: () => attempt.gate(isSendable(this.context, request, attempt.plan)),
     });
   };
 
-  private readonly failedFirst = (
+  private readonly handleFirstEventFailure = (
     attempt: ReplicaAttempt,
-    piece: Exclude<CompletionEvent, { kind: 'chunk' }>,
+    event: Exclude<CompletionEvent, { kind: 'chunk' }>,
   ): void => {
-    const detail = piece.kind === 'done' ? 'the stream held no piece' : piece.cause;
-    attempt.failed(piece.kind === 'wrongWeights' ? 'wrong_weights' : 'cut_stream', detail);
+    const detail = event.kind === 'done' ? 'the stream held no piece' : event.cause;
+    attempt.handleFailure(event.kind === 'wrongWeights' ? 'wrong_weights' : 'cut_stream', detail);
   };
 
   private readonly startRelay = (
@@ -140,21 +140,21 @@
     rest: AsyncGenerator<CompletionEvent>,
   ): void => {
     const { placed, grant } = attempt.plan;
-    attempt.takeFirstPiece();
+    attempt.recordFirstChunk();
     this.context.metrics.add(`first_pieces_tier_${grant.tenant.tierName}`);
-    const firstPieceAt = this.context.ports.clock.now();
+    const firstChunkAt = this.context.ports.clock.now();
     if (placed.holder !== null) {
-      const excessMs = firstPieceAt - attempt.startedAt - placed.costMs - transferSlackMs;
-      this.placementStage().takeTransferExcess(placed.holder.name, attempt.replica, excessMs);
+      const excessMs = firstChunkAt - attempt.startedAt - placed.costMs - transferSlackMs;
+      this.placementStage().recordTransferExcess(placed.holder.name, attempt.replica, excessMs);
     }
-    this.logWhenEnded(request, attempt.plan, firstPieceAt);
-    request.startRelay(this.relaying.relay(request, attempt.replica, first, rest, attempt.release));
+    this.logOnEnd(request, attempt.plan, firstChunkAt);
+    request.startRelay(this.relayStage.relay(request, attempt.replica, first, rest, attempt.release));
   };
 
-  private readonly logWhenEnded = (request: GatewayRequest, plan: AttemptPlan, firstPieceAt: number): void => {
+  private readonly logOnEnd = (request: GatewayRequest, plan: AttemptPlan, firstChunkAt: number): void => {
     const { ports } = this.context;
     const { placed, grant } = plan;
-    request.whenEnded(() =>
+    request.onEnd(() =>
       ports.log.info('request', {
         requestId: request.completion.requestId,
         tenant: grant.tenant.name,
@@ -166,8 +166,8 @@
         keptTokens: placed.localTokens,
         pulledTokens: placed.pulledTokens,
         attempts: request.attempts,
-        isWhole: request.isWhole,
-        firstMs: Math.round(firstPieceAt - request.arrivedAt),
+        isWhole: request.isComplete,
+        firstMs: Math.round(firstChunkAt - request.arrivedAt),
         totalMs: Math.round(ports.clock.now() - request.arrivedAt),
       }),
     );
--- a/packages/gateway/src/pipeline/stages.ts
+++ b/packages/gateway/src/pipeline/stages.ts
@@ -20,61 +20,71 @@
   /** Queues and places requests. */
   readonly placementStage: PlacementStage;
   /** Sends placed requests. */
-  readonly sending: SendStage;
+  readonly sendStage: SendStage;
   /** Relays responses. */
-  readonly relaying: RelayStage;
-  private readonly admission: AdmissionStage;
-  private readonly lookup: LookupStage;
-  private readonly entrance: QueuedStage<GatewayRequest>;
+  readonly relayStage: RelayStage;
+  private readonly admissionStage: AdmissionStage;
+  private readonly lookupStage: LookupStage;
+  private readonly queuedAdmission: QueuedStage<GatewayRequest>;
 
   constructor(private readonly context: StageContext) {
     const arrivedAt = (request: GatewayRequest): number => request.arrivedAt;
     const rejectDisplaced = (request: GatewayRequest): void =>
-      this.rejector.refuse(request, 'no_capacity', 'the stage is full');
+      this.rejector.reject(request, 'no_capacity', 'the stage is full');
     this.rejector = new Rejector(context, () => this.placementStage);
-    this.relaying = new RelayStage(context);
-    this.sending = new SendStage(
+    this.relayStage = new RelayStage(context);
+    this.sendStage = new SendStage(
       context,
       this.rejector,
-      this.relaying,
+      this.relayStage,
       () => this.placementStage,
-      () => this.admission.isDraining,
+      () => this.admissionStage.isDraining,
     );
     this.placementStage = new PlacementStage(context, this.rejector, (request, placed) =>
-      background.run('send a request', this.sending.send(request, placed)),
+      background.run('send a request', this.sendStage.send(request, placed)),
     );
-    this.lookup = new LookupStage(
+    this.lookupStage = new LookupStage(
       context,
       this.rejector,
-      (request) => this.placementStage.queue(request),
-      this.relaying.replay,
+      (request) => this.placementStage.enqueue(request),
+      this.relayStage.replay,
+    );
+    const queuedLookup = new QueuedStage(
+      context.settings.queueLimit,
+      arrivedAt,
+      this.lookupStage.handle,
+      rejectDisplaced,
+    );
+    this.admissionStage = new AdmissionStage(context, this.rejector, queuedLookup.enqueue);
+    this.queuedAdmission = new QueuedStage(
+      context.settings.queueLimit,
+      arrivedAt,
+      this.admissionStage.handle,
+      rejectDisplaced,
     );
-    const lookupEntrance = new QueuedStage(context.settings.queueLimit, arrivedAt, this.lookup.work, rejectDisplaced);
-    this.admission = new AdmissionStage(context, this.rejector, lookupEntrance.enter);
-    this.entrance = new QueuedStage(context.settings.queueLimit, arrivedAt, this.admission.work, rejectDisplaced);
   }
 
   /** Takes a new request. */
-  readonly enter = (request: GatewayRequest): void => {
+  readonly accept = (request: GatewayRequest): void => {
     this.live.add(request);
-    request.whenEnded(() => this.live.delete(request));
-    const callerLeft = (): void => this.rejector.left(request);
+    request.onEnd(() => this.live.delete(request));
+    const onDisconnect = (): void => this.rejector.onCallerDisconnect(request);
     if (request.completion.signal.aborted) {
-      callerLeft();
+      onDisconnect();
       return;
     }
-    request.completion.signal.addEventListener('abort', callerLeft, { once: true });
-    this.entrance.enter(request);
+    request.completion.signal.addEventListener('abort', onDisconnect, { once: true });
+    this.queuedAdmission.enqueue(request);
   };
 
   /** Whether new requests are rejected because the gateway closes. */
   get isDraining(): boolean {
-    return this.admission.isDraining;
+    return this.admissionStage.isDraining;
   }
 
   /** Rejects new requests from now on. */
   readonly drain = (): void => {
-    this.admission.isDraining = true;
+    this.admissionStage.isDraining = true;
   };
 
   /** After a change of the state: ends what lost its grant or its replica, and places what can be placed. */
@@ -83,23 +93,23 @@
     if (view === null) return;
     for (const request of [...this.live]) {
       if (request.tenant === null) continue;
-      if (!grants.isKeyGranted(view, request)) this.rejector.refuse(request, 'key_revoked', 'the key was revoked');
+      if (!grants.isKeyGranted(view, request)) this.rejector.reject(request, 'key_revoked', 'the key was revoked');
       else if (request.activeAttempt !== null)
         this.recheckAttempt(request, view.lanes.get(request.laneName)?.repeat === 'once');
-      else if (!request.isRelaying) this.placementStage.renew(request);
+      else if (!request.isRelaying) this.placementStage.recheckGrant(request);
     }
-    this.placementStage.pumpAll();
+    this.placementStage.placeAllQueued();
   };
 
   private readonly recheckAttempt = (request: GatewayRequest, isOnceNow: boolean): void => {
     const { activeAttempt } = request;
-    request.isOnce ||= isOnceNow;
+    request.isAtMostOnce ||= isOnceNow;
     const record = activeAttempt === null ? undefined : this.context.stateView.record(activeAttempt.replica);
     if (
       activeAttempt !== null &&
       record !== undefined &&
       (record.incarnation > activeAttempt.incarnation || record.state === 'gone')
     )
-      activeAttempt.lost();
+      activeAttempt.onReplicaRemoved();
   };
 }
--- a/packages/gateway/src/replicas/replicaTracker.ts
+++ b/packages/gateway/src/replicas/replicaTracker.ts
@@ -1,24 +1,24 @@
 /** What one gateway knows of each replica's load and health: its own attempts, and what others report. */
 import type { Clock, Loads } from '@martenworks/core-types';
 
-const firstSuspicionMs = 500;
-const longestSuspicionMs = 5_000;
+const initialSuspicionMs = 500;
+const maxSuspicionMs = 5_000;
 /** A replica is silent when a first piece is this late, on top of `forecastSlack` times the forecast. */
-const silenceMs = 1_500;
-const forecastSlack = 3;
+const firstChunkSlackMs = 1_500;
+const forecastFactor = 3;
 /** Prompts of at least this many tokens are told to the control nodes at once. */
-const longPromptTokens = 1_000;
+const minLongPromptTokens = 1_000;
 
 interface TrackedReplica {
   running: number;
   pendingTokens: number;
-  othersRunning: number;
-  othersTokens: number;
+  otherGatewaysRunning: number;
+  otherGatewaysTokens: number;
   suspectUntil: number;
   /** Length of the next suspicion; doubles with each failure. */
   suspicionMs: number;
   /** Attempts without a first piece, by id, with the time at which it is overdue. */
-  readonly unanswered: Map<number, number>;
+  readonly awaitingFirstChunk: Map<number, number>;
 }
 
 /** One replica on the operators' page. */
@@ -32,7 +32,7 @@
 
 /** One record for each replica name, made on first use. */
 export class ReplicaTracker {
-  private readonly held = new Map<string, TrackedReplica>();
+  private readonly replicas = new Map<string, TrackedReplica>();
   private lastAttemptId = 0;
 
   constructor(
@@ -41,115 +41,119 @@
   ) {}
 
   private readonly of = (replica: string): TrackedReplica => {
-    const held = this.held.get(replica);
-    if (held !== undefined) return held;
+    const existing = this.replicas.get(replica);
+    if (existing !== undefined) return existing;
     const tracked: TrackedReplica = {
       running: 0,
       pendingTokens: 0,
-      othersRunning: 0,
-      othersTokens: 0,
+      otherGatewaysRunning: 0,
+      otherGatewaysTokens: 0,
       suspectUntil: 0,
-      suspicionMs: firstSuspicionMs,
-      unanswered: new Map(),
+      suspicionMs: initialSuspicionMs,
+      awaitingFirstChunk: new Map(),
     };
-    this.held.set(replica, tracked);
+    this.replicas.set(replica, tracked);
     return tracked;
   };
 
   /** An attempt starts: tokens to prefill and the forecast of its first piece in milliseconds. Returns its id. */
-  readonly began = (replica: string, tokens: number, forecastMs: number): number => {
+  readonly recordStart = (replica: string, tokens: number, expectedFirstChunkMs: number): number => {
     const tracked = this.of(replica);
     tracked.running += 1;
     tracked.pendingTokens += tokens;
     const attemptId = ++this.lastAttemptId;
-    tracked.unanswered.set(attemptId, this.clock.now() + silenceMs + Math.max(0, forecastMs) * forecastSlack);
-    if (tokens >= longPromptTokens) this.onLongPrompt();
+    tracked.awaitingFirstChunk.set(
+      attemptId,
+      this.clock.now() + firstChunkSlackMs + Math.max(0, expectedFirstChunkMs) * forecastFactor,
+    );
+    if (tokens >= minLongPromptTokens) this.onLongPrompt();
     return attemptId;
   };
 
   /** The attempt's tokens no longer wait to be prefilled. */
-  readonly prefilled = (replica: string, attemptId: number, tokens: number): void => {
+  readonly recordPrefilled = (replica: string, attemptId: number, tokens: number): void => {
     const tracked = this.of(replica);
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
-    const wasUnanswered = tracked.unanswered.delete(attemptId);
-    if (wasUnanswered && tokens >= longPromptTokens) this.onLongPrompt();
+    const wasAwaited = tracked.awaitingFirstChunk.delete(attemptId);
+    if (wasAwaited && tokens >= minLongPromptTokens) this.onLongPrompt();
   };
 
   /** The attempt's first piece came: the replica is well. */
-  readonly firstPiece = (replica: string, attemptId: number, tokens: number): void => {
-    this.prefilled(replica, attemptId, tokens);
+  readonly recordFirstChunk = (replica: string, attemptId: number, tokens: number): void => {
+    this.recordPrefilled(replica, attemptId, tokens);
     const tracked = this.of(replica);
-    tracked.suspicionMs = firstSuspicionMs;
+    tracked.suspicionMs = initialSuspicionMs;
     tracked.suspectUntil = 0;
   };
 
   /** An attempt ended, in whatever way. */
-  readonly ended = (replica: string): void => {
+  readonly recordEnd = (replica: string): void => {
     this.of(replica).running -= 1;
   };
 
   /** An attempt failed: the replica is suspect for a while, longer each time. */
-  readonly failed = (replica: string): void => {
+  readonly recordFailure = (replica: string): void => {
     const tracked = this.of(replica);
     tracked.suspectUntil = this.clock.now() + tracked.suspicionMs;
-    tracked.suspicionMs = Math.min(tracked.suspicionMs * 2, longestSuspicionMs);
+    tracked.suspicionMs = Math.min(tracked.suspicionMs * 2, maxSuspicionMs);
   };
 
   /** The replica asked to be left alone for this many milliseconds. */
-  readonly backOff = (replica: string, forMs: number): void => {
+  readonly recordFull = (replica: string, forMs: number): void => {
     const tracked = this.of(replica);
-    tracked.suspectUntil = Math.max(tracked.suspectUntil, this.clock.now() + Math.min(forMs, longestSuspicionMs));
+    tracked.suspectUntil = Math.max(tracked.suspectUntil, this.clock.now() + Math.min(forMs, maxSuspicionMs));
   };
 
   /** Takes the loads that other gateways put on the replicas; a replica not named has none. */
-  readonly takeOtherLoads = (loads: Loads): void => {
-    for (const [replica, tracked] of this.held) {
+  readonly applyOtherLoads = (loads: Loads): void => {
+    for (const [replica, tracked] of this.replicas) {
       if (loads[replica] !== undefined) continue;
-      tracked.othersRunning = 0;
-      tracked.othersTokens = 0;
+      tracked.otherGatewaysRunning = 0;
+      tracked.otherGatewaysTokens = 0;
     }
     for (const [replica, [running, tokens]] of Object.entries(loads)) {
       const tracked = this.of(replica);
-      tracked.othersRunning = running;
-      tracked.othersTokens = tokens;
+      tracked.otherGatewaysRunning = running;
+      tracked.otherGatewaysTokens = tokens;
     }
   };
 
   /** Attempts running at the replica, of all gateways. */
-  readonly running = (replica: string): number => this.of(replica).running + this.of(replica).othersRunning;
+  readonly running = (replica: string): number => this.of(replica).running + this.of(replica).otherGatewaysRunning;
 
   /** Attempts running at the replica, of this gateway. */
-  readonly own = (replica: string): number => this.of(replica).running;
+  readonly ownRunning = (replica: string): number => this.of(replica).running;
 
   /** Prompt tokens that wait to be prefilled there, of all gateways. */
-  readonly pendingTokens = (replica: string): number => this.of(replica).pendingTokens + this.of(replica).othersTokens;
+  readonly pendingTokens = (replica: string): number =>
+    this.of(replica).pendingTokens + this.of(replica).otherGatewaysTokens;
 
-  private readonly isSilent = (tracked: TrackedReplica): boolean => {
+  private readonly isUnresponsive = (tracked: TrackedReplica): boolean => {
     const now = this.clock.now();
-    for (const dueAt of tracked.unanswered.values()) if (now > dueAt) return true;
+    for (const dueAt of tracked.awaitingFirstChunk.values()) if (now > dueAt) return true;
     return false;
   };
 
   /** Whether the replica failed lately, asked for a pause or is overdue with a first piece. */
   readonly isSuspect = (replica: string): boolean => {
     const tracked = this.of(replica);
-    return tracked.suspectUntil > this.clock.now() || this.isSilent(tracked);
+    return tracked.suspectUntil > this.clock.now() || this.isUnresponsive(tracked);
   };
 
   /** This gateway's own load on each replica, for the control nodes. */
   readonly report = (): Loads =>
     Object.fromEntries(
-      [...this.held]
+      [...this.replicas]
         .filter(([, tracked]) => tracked.running > 0)
         .map(([replica, tracked]) => [replica, [tracked.running, Math.round(tracked.pendingTokens)] as const]),
     );
 
   /** Every tracked replica, for the operators' page. */
   readonly all = (): ReplicaStatus[] =>
-    [...this.held].map(([replica, tracked]) => ({
+    [...this.replicas].map(([replica, tracked]) => ({
       replica,
       running: tracked.running,
-      others: tracked.othersRunning,
+      others: tracked.otherGatewaysRunning,
       isSuspect: this.isSuspect(replica),
     }));
 }
--- a/packages/gateway/src/state/freshness.ts
+++ b/packages/gateway/src/state/freshness.ts
@@ -2,58 +2,62 @@
 import type { Clock, Member, Pong } from '@martenworks/core-types';
 
 /** How long a pong counts. */
-const freshMs = 1_500;
+const maxPongAgeMs = 1_500;
 /** How long an accepted but uncommitted change may be outstanding. */
-const pendingMs = 500;
+const maxPendingMs = 500;
 /** A wall clock that moved by more than this against the monotonic one means that the machine was suspended. */
-const jumpMs = 1_000;
+const maxClockJumpMs = 1_000;
 
-interface HeardPong {
-  askedAt: number;
-  wallGap: number;
+interface ReceivedPong {
+  sentAt: number;
+  wallClockOffsetMs: number;
   logIndex: number;
   pendingSince: number | null;
 }
 
 /** When a ping was sent, by the monotonic clock and by its distance to the wall clock, in milliseconds. */
-export interface PingStamp {
-  readonly askedAt: number;
-  readonly wallGap: number;
+export interface PingTimestamp {
+  readonly sentAt: number;
+  readonly wallClockOffsetMs: number;
 }
 
 /** Keeps the newest pong of each control node. */
 export class Freshness {
-  private readonly pongs = new Map<string, HeardPong>();
+  private readonly pongs = new Map<string, ReceivedPong>();
 
   constructor(
     private readonly clock: Clock,
     private readonly members: () => readonly Member[],
-    private readonly heldLogIndex: () => number,
+    private readonly ownLogIndex: () => number,
   ) {}
 
-  private readonly wallGap = (): number => this.clock.wall() - this.clock.now();
+  private readonly wallClockOffsetMs = (): number => this.clock.wall() - this.clock.now();
 
   /** The stamp of a ping that is sent now. */
-  readonly stamp = (): PingStamp => ({ askedAt: this.clock.now(), wallGap: this.wallGap() });
+  readonly timestamp = (): PingTimestamp => ({ sentAt: this.clock.now(), wallClockOffsetMs: this.wallClockOffsetMs() });
 
   /** Takes the reply to a ping; it counts from when the ping was sent. */
-  readonly heard = (stamp: PingStamp, pong: Pong): void => {
-    const held = this.pongs.get(pong.incarnation);
-    if (held !== undefined && held.askedAt > stamp.askedAt) return;
-    const isPending = pong.acceptedSlot !== null && pong.acceptedSlot > this.heldLogIndex();
+  readonly recordPong = (stamp: PingTimestamp, pong: Pong): void => {
+    const previous = this.pongs.get(pong.incarnation);
+    if (previous !== undefined && previous.sentAt > stamp.sentAt) return;
+    const isPending = pong.acceptedSlot !== null && pong.acceptedSlot > this.ownLogIndex();
     this.pongs.set(pong.incarnation, {
       ...stamp,
       logIndex: pong.logIndex,
-      pendingSince: isPending ? (held?.pendingSince ?? this.clock.now()) : null,
+      pendingSince: isPending ? (previous?.pendingSince ?? this.clock.now()) : null,
     });
   };
 
-  private readonly isPongFresh = (heard: HeardPong | undefined): boolean => {
-    if (heard === undefined) return false;
+  private readonly isPongFresh = (pong: ReceivedPong | undefined): boolean => {
+    if (pong === undefined) return false;
     const now = this.clock.now();
-    if (now - heard.askedAt > freshMs || Math.abs(this.wallGap() - heard.wallGap) > jumpMs) return false;
-    if (heard.logIndex > this.heldLogIndex()) return false;
-    return heard.pendingSince === null || now - heard.pendingSince <= pendingMs;
+    if (
+      now - pong.sentAt > maxPongAgeMs ||
+      Math.abs(this.wallClockOffsetMs() - pong.wallClockOffsetMs) > maxClockJumpMs
+    )
+      return false;
+    if (pong.logIndex > this.ownLogIndex()) return false;
+    return pong.pendingSince === null || now - pong.pendingSince <= maxPendingMs;
   };
 
   /** The number of control nodes whose newest pong still counts. */
--- a/packages/gateway/src/state/gatewayConfigView.ts
+++ b/packages/gateway/src/state/gatewayConfigView.ts
@@ -45,14 +45,14 @@
   readonly tenantNames = new DenseIndex();
 
   /** The view of a committed state's configuration. */
-  readonly view = (agreed: CommittedState): GatewayConfigView => ({
-    logIndex: agreed.logIndex,
-    configLogIndex: agreed.configLogIndex,
-    lanes: this.lanesOf(agreed.config),
-    tenants: this.tenantsOf(agreed.config),
-    pools: new Map(Object.entries(agreed.config.pools)),
-    keys: agreed.keys,
-    urgencyOf: urgencyBy(Object.values(agreed.config.tiers)),
+  readonly view = (state: CommittedState): GatewayConfigView => ({
+    logIndex: state.logIndex,
+    configLogIndex: state.configLogIndex,
+    lanes: this.lanesOf(state.config),
+    tenants: this.tenantsOf(state.config),
+    pools: new Map(Object.entries(state.config.pools)),
+    keys: state.keys,
+    urgencyOf: urgencyBy(Object.values(state.config.tiers)),
   });
 
   private readonly lanesOf = ({ lanes, pools }: GatewayConfig): Map<string, LaneView> => {
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -14,12 +14,12 @@
 import { GatewayConfigIndexer } from './gatewayConfigView.js';
 import type { GatewayConfigView } from './gatewayConfigView.js';
 
-const keptAgeLimitMs = 600_000;
+const maxPrefixAgeMs = 600_000;
 
 /** Follows the control nodes' changes in log order and calls `changed` after each. */
 export class StateView {
   /** Which replica keeps which prompt prefixes. */
-  readonly index = new PrefixIndex(keptAgeLimitMs);
+  readonly index = new PrefixIndex(maxPrefixAgeMs);
   /** Which replicas serve which isolated tenant. */
   readonly tenantPartitions = new TenantPartitions();
   private readonly configIndexer = new GatewayConfigIndexer();
@@ -29,11 +29,11 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly changed: () => void,
+    private readonly onChange: () => void,
   ) {}
 
   /** The committed state, or null before the first. */
-  readonly agreed = (): CommittedState | null => this.state;
+  readonly committedState = (): CommittedState | null => this.state;
   /** The configuration's view, or null before the first. */
   readonly view = (): GatewayConfigView | null => this.configView;
   /** The log index of the committed state, or -1 before the first. */
@@ -47,7 +47,7 @@
     this.state = state;
     this.configView = this.configIndexer.view(state);
     this.reindex();
-    this.changed();
+    this.onChange();
   };
 
   /** Log index since which what a replica or store keeps is valid. */
@@ -60,33 +60,33 @@
   };
 
   /** Applies the change that follows the held state; false when it is another. */
-  readonly takeChange = (logIndex: number, change: Change): boolean => {
+  readonly applyChange = (logIndex: number, change: Change): boolean => {
     if (this.state === null || logIndex !== this.state.logIndex + 1) return false;
     this.replaceState(stateMachine.apply(this.state, change));
     return true;
   };
 
   /** Takes a whole committed state; false when it is not newer. */
-  readonly takeSnapshot = (state: CommittedState): boolean => {
+  readonly applySnapshot = (state: CommittedState): boolean => {
     if (this.state !== null && state.logIndex <= this.state.logIndex) return false;
     this.replaceState(state);
     return true;
   };
 
   /** Takes replica records; of two records of a replica the newer one stays. */
-  readonly takeReplicas = (told: readonly ReplicaRecord[]): void => {
-    for (const record of told)
+  readonly applyReplicas = (records: readonly ReplicaRecord[]): void => {
+    for (const record of records)
       this.replicaRecords.set(record.name, replicaRecords.merge(this.replicaRecords.get(record.name), record));
     this.reindex();
-    this.changed();
+    this.onChange();
   };
 
   /** Takes the index of one replica as a whole. */
-  readonly takeIndexSnapshot = (snapshot: PrefixIndexSnapshot): void =>
+  readonly applyIndexSnapshot = (snapshot: PrefixIndexSnapshot): void =>
     void this.index.restore(snapshot, this.clock.now());
 
   /** Takes events of the replicas' prefix caches. */
-  readonly takeKv = (events: readonly KvCacheEvent[]): void => {
+  readonly applyKvEvents = (events: readonly KvCacheEvent[]): void => {
     const now = this.clock.now();
     for (const event of events) this.index.apply(event, now);
   };
@@ -114,10 +114,10 @@
   };
 
   /** Isolated tenants to be admitted to replicas. */
-  readonly wantedIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.pendingClaims(this.clock.now());
+  readonly pendingIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.pendingClaims(this.clock.now());
 
   /** Takes what the control nodes know of the replicas' isolated tenants. */
-  readonly takeIsolationStatuses = (statuses: readonly IsolationStatus[]): void => {
+  readonly applyIsolationStatuses = (statuses: readonly IsolationStatus[]): void => {
     for (const status of statuses)
       this.tenantPartitions.applyGrantedClaim(status, this.index.mayHaveEntries(status.replica), this.clock.now());
   };
--- a/packages/inspector/src/index.ts
+++ b/packages/inspector/src/index.ts
@@ -2,8 +2,8 @@
 import { createInterface } from 'node:readline/promises';
 import { parseArgs } from 'node:util';
 import { print } from './print.js';
-import { codes, help, query } from './queries.js';
-import { askOverHttp } from './statusReader.js';
+import { exitCodes, help, query } from './queries.js';
+import { httpRequest } from './statusReader.js';
 
 export * from './queries.js';
 export * from './statusReader.js';
@@ -34,26 +34,26 @@
     parsed = readFlags(args);
   } catch (cause) {
     process.stderr.write(`${cause instanceof Error ? cause.message : String(cause)}\n`);
-    return codes.usage;
+    return exitCodes.usage;
   }
   const { values, positionals } = parsed;
   if (values.help === true) {
     process.stdout.write(usage);
-    return codes.fine;
+    return exitCodes.fine;
   }
   const addresses = (values.at ?? '').split(',').filter((part) => part !== '');
   if (addresses.length === 0) {
     process.stderr.write(usage);
-    return codes.usage;
+    return exitCodes.usage;
   }
-  const answer = async (words: readonly string[]): Promise<number> => {
-    const outcome = await query(askOverHttp, addresses, words);
-    if (outcome.rows.length > 0 || outcome.code === codes.fine)
+  const runQuery = async (words: readonly string[]): Promise<number> => {
+    const outcome = await query(httpRequest, addresses, words);
+    if (outcome.rows.length > 0 || outcome.code === exitCodes.fine)
       process.stdout.write(values.json ? print.json(outcome.rows) : print.table(outcome.rows));
     if (outcome.note !== null) process.stderr.write(`${outcome.note}\n`);
     return outcome.code;
   };
-  if (positionals.length > 0) return answer(positionals);
+  if (positionals.length > 0) return runQuery(positionals);
   const lines = createInterface({ input: process.stdin, output: process.stdout, prompt: 'fleet> ' });
   lines.prompt();
   for await (const line of lines) {
@@ -62,9 +62,9 @@
       .split(/\s+/)
       .filter((word) => word !== '');
     if (words[0] === 'quit' || words[0] === 'exit') break;
-    if (words.length > 0) await answer(words);
+    if (words.length > 0) await runQuery(words);
     lines.prompt();
   }
   lines.close();
-  return codes.fine;
+  return exitCodes.fine;
 };
--- a/packages/inspector/src/queries.ts
+++ b/packages/inspector/src/queries.ts
@@ -1,7 +1,7 @@
 /** The queries of the inspector: tables over the fleet, and requests to one node. */
 import { readFileSync } from 'node:fs';
 import { readFleet, rowsOf } from './statusReader.js';
-import type { Ask, NodeReply, Row } from './statusReader.js';
+import type { NodeRequest, NodeReply, Row } from './statusReader.js';
 import { reachable, unreachable, views } from './views.js';
 import type { View } from './views.js';
 
@@ -13,7 +13,7 @@
 }
 
 /** Exit codes: all reached, some nodes not reached, wrong words, nothing reached, refused. */
-export const codes = { fine: 0, partly: 1, usage: 2, unreachable: 3, refused: 4 } as const;
+export const exitCodes = { fine: 0, partly: 1, usage: 2, unreachable: 3, refused: 4 } as const;
 
 /** The queries and what each answers. */
 export const help = `queries:
@@ -35,41 +35,45 @@
 const patchHeaders = { 'content-type': 'application/json-patch+json' };
 
 /** How one query reaches the fleet. */
-interface Connection {
-  readonly ask: Ask;
+interface FleetClient {
+  readonly requestNode: NodeRequest;
   readonly addresses: readonly string[];
 }
 
-type Query = (connection: Connection, words: readonly string[]) => Promise<Outcome>;
+type Query = (client: FleetClient, words: readonly string[]) => Promise<Outcome>;
 
-const usage = (note: string): Outcome => ({ rows: [], code: codes.usage, note });
+const usageError = (note: string): Outcome => ({ rows: [], code: exitCodes.usage, note });
 
-const noAnswer = (role: string): Outcome => ({ rows: [], code: codes.unreachable, note: `no ${role} answers` });
+const noneReachable = (role: string): Outcome => ({
+  rows: [],
+  code: exitCodes.unreachable,
+  note: `no ${role} answers`,
+});
 
 const outcomeOf = (reply: NodeReply | null): Outcome => {
-  if (reply === null) return noAnswer('control node');
-  return { rows: [reply.body], code: reply.status < 300 ? codes.fine : codes.refused, note: null };
+  if (reply === null) return noneReachable('control node');
+  return { rows: [reply.body], code: reply.status < 300 ? exitCodes.fine : exitCodes.refused, note: null };
 };
 
 /** Asks the control nodes in turn until one answers. */
-const askFirst = async (
-  { ask, addresses }: Connection,
+const requestFromAny = async (
+  { requestNode, addresses }: FleetClient,
   path: string,
-  options?: Parameters<Ask>[2],
+  options?: Parameters<NodeRequest>[2],
 ): Promise<NodeReply | null> => {
   for (const address of addresses) {
-    const reply = await ask(address, path, options);
+    const reply = await requestNode(address, path, options);
     if (reply !== null) return reply;
   }
   return null;
 };
 
 /** The text of the file, or what was given where there is no such file. */
-const textOf = (given: string): string => {
+const textOf = (fileOrText: string): string => {
   try {
-    return readFileSync(given, 'utf8');
+    return readFileSync(fileOrText, 'utf8');
   } catch {
-    return given;
+    return fileOrText;
   }
 };
 
@@ -83,45 +87,47 @@
   }
 };
 
-const askForPlan = (connection: Connection, patch: unknown): Promise<NodeReply | null> =>
-  askFirst(connection, '/operator/plans', { method: 'POST', body: patch, headers: patchHeaders });
+const requestPlan = (client: FleetClient, patch: unknown): Promise<NodeReply | null> =>
+  requestFromAny(client, '/operator/plans', { method: 'POST', body: patch, headers: patchHeaders });
 
-const layout: Query = async (connection) => outcomeOf(await askFirst(connection, '/operator/layout'));
+const layout: Query = async (client) => outcomeOf(await requestFromAny(client, '/operator/layout'));
 
-const change: Query = async (connection, [id]) =>
-  id === undefined ? usage(help) : outcomeOf(await askFirst(connection, `/operator/changes/${encodeURIComponent(id)}`));
+const change: Query = async (client, [id]) =>
+  id === undefined
+    ? usageError(help)
+    : outcomeOf(await requestFromAny(client, `/operator/changes/${encodeURIComponent(id)}`));
 
-const why: Query = async ({ ask, addresses }, [lane, tenant, ...prompt]) => {
-  if (lane === undefined || tenant === undefined || prompt.length === 0) return usage(help);
-  const fleet = await readFleet(ask, addresses);
+const why: Query = async ({ requestNode, addresses }, [lane, tenant, ...prompt]) => {
+  if (lane === undefined || tenant === undefined || prompt.length === 0) return usageError(help);
+  const fleet = await readFleet(requestNode, addresses);
   const [gateway] = fleet === null ? [] : reachable(fleet.gateways);
-  if (gateway === undefined) return noAnswer('counter');
+  if (gateway === undefined) return noneReachable('counter');
   const [name, status] = gateway;
   const body = { lane, tenant, prompt: textOf(prompt.join(' ')) };
-  const reply = await ask(String(status.http), '/why', { method: 'POST', body });
-  if (reply?.status !== 200) return { rows: reply === null ? [] : [reply.body], code: codes.refused, note: null };
-  return { rows: rowsOf(reply.body.candidates), code: codes.fine, note: `as ${name} sees it` };
+  const reply = await requestNode(String(status.http), '/why', { method: 'POST', body });
+  if (reply?.status !== 200) return { rows: reply === null ? [] : [reply.body], code: exitCodes.refused, note: null };
+  return { rows: rowsOf(reply.body.candidates), code: exitCodes.fine, note: `as ${name} sees it` };
 };
 
-const plan: Query = async (connection, [file]) => {
+const plan: Query = async (client, [file]) => {
   const patch = jsonOf(file);
-  if (patch === null) return usage('plan FILE: a JSON Patch');
-  const reply = await askForPlan(connection, patch);
+  if (patch === null) return usageError('plan FILE: a JSON Patch');
+  const reply = await requestPlan(client, patch);
   if (reply?.status !== 200) return outcomeOf(reply);
   const { planId, base, touches, changes } = reply.body;
   const note = `plan ${String(planId)} on generation ${String(base)}; touches ${JSON.stringify(touches)}`;
-  return { rows: rowsOf(changes), code: codes.fine, note };
+  return { rows: rowsOf(changes), code: exitCodes.fine, note };
 };
 
 /** Plans again and applies only if that gives the plan that was named, so that nothing changed in between. */
-const apply: Query = async (connection, [file, planId]) => {
+const apply: Query = async (client, [file, planId]) => {
   const patch = jsonOf(file);
-  if (patch === null || planId === undefined) return usage('apply FILE PLAN-ID');
-  const planned = await askForPlan(connection, patch);
+  if (patch === null || planId === undefined) return usageError('apply FILE PLAN-ID');
+  const planned = await requestPlan(client, patch);
   if (planned?.status !== 200) return outcomeOf(planned);
   if (planned.body.planId !== planId) {
     const note = 'that plan was made for another base or another change; this is the plan now';
-    return { rows: [planned.body], code: codes.refused, note };
+    return { rows: [planned.body], code: exitCodes.refused, note };
   }
   const headers = {
     ...patchHeaders,
@@ -129,24 +135,28 @@
     'plan-id': planId,
     'change-id': `plan-${planId}`,
   };
-  return outcomeOf(await askFirst(connection, '/operator/layout', { method: 'PATCH', body: patch, headers }));
+  return outcomeOf(await requestFromAny(client, '/operator/layout', { method: 'PATCH', body: patch, headers }));
 };
 
 const queries = new Map<string, Query>(Object.entries({ layout, change, why, plan, apply }));
 
-const showView = async ({ ask, addresses }: Connection, view: View): Promise<Outcome> => {
-  const fleet = await readFleet(ask, addresses);
-  if (fleet === null) return noAnswer('control node');
-  const absent = unreachable(fleet);
-  if (absent.length === 0) return { rows: view(fleet), code: codes.fine, note: null };
-  return { rows: view(fleet), code: codes.partly, note: `not reached: ${absent.join(', ')}` };
+const showView = async ({ requestNode, addresses }: FleetClient, view: View): Promise<Outcome> => {
+  const fleet = await readFleet(requestNode, addresses);
+  if (fleet === null) return noneReachable('control node');
+  const missing = unreachable(fleet);
+  if (missing.length === 0) return { rows: view(fleet), code: exitCodes.fine, note: null };
+  return { rows: view(fleet), code: exitCodes.partly, note: `not reached: ${missing.join(', ')}` };
 };
 
 /** Answers the query that the words name, `nodes` where there are none. */
-export const query = async (ask: Ask, addresses: readonly string[], words: readonly string[]): Promise<Outcome> => {
+export const query = async (
+  requestNode: NodeRequest,
+  addresses: readonly string[],
+  words: readonly string[],
+): Promise<Outcome> => {
   const [name = 'nodes', ...rest] = words;
-  const connection = { ask, addresses };
+  const client = { requestNode, addresses };
   const view = views.get(name);
-  if (view !== undefined) return showView(connection, view);
-  return queries.get(name)?.(connection, rest) ?? usage(help);
+  if (view !== undefined) return showView(client, view);
+  return queries.get(name)?.(client, rest) ?? usageError(help);
 };
--- a/packages/inspector/test/inspector.test.ts
+++ b/packages/inspector/test/inspector.test.ts
@@ -2,15 +2,15 @@
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { codes, query } from '@martenworks/inspector';
-import type { Ask, Outcome } from '@martenworks/inspector';
+import { exitCodes, query } from '@martenworks/inspector';
+import type { NodeRequest, Outcome } from '@martenworks/inspector';
 import { SimFleet } from '@martenworks/test-fleet';
 
 const raised = async (): Promise<{ fleet: SimFleet; see: (...words: string[]) => Promise<Outcome> }> => {
   const fleet = new SimFleet({ seed: 12, edges: 2, replicas: 5 });
   await fleet.up();
   await fleet.world.run(500);
-  const ask: Ask = async (address, path, more = {}) => {
+  const ask: NodeRequest = async (address, path, more = {}) => {
     const told = await fleet.call(`http://${address}${path}`, more.method ?? 'GET', more.body, more.headers);
     return told.status === 0 ? null : told;
   };
@@ -22,15 +22,15 @@
   it('given a whole fleet and then a dead gateway, when its nodes are asked for, then each is told and the absent one is named by the code', async () => {
     const { fleet, see } = await raised();
     const whole = await see('nodes');
-    expect(whole.code).to.equal(codes.fine);
+    expect(whole.code).to.equal(exitCodes.fine);
     expect(whole.rows.map((row) => row.state)).to.deep.equal(['voter', 'voter', 'voter', 'fresh', 'fresh']);
     expect(new Set((await see('acks')).rows.map((row) => row.acked))).to.deep.equal(new Set([9]));
-    expect((await see('nonsense')).code).to.equal(codes.usage);
+    expect((await see('nonsense')).code).to.equal(exitCodes.usage);
     fleet.killControlNode(2);
     const partly = await see('nodes');
-    expect([partly.code, partly.note]).to.deep.equal([codes.partly, 'not reached: postmaster-3']);
+    expect([partly.code, partly.note]).to.deep.equal([exitCodes.partly, 'not reached: postmaster-3']);
     for (const at of [0, 1]) fleet.killControlNode(at);
-    expect((await see('nodes')).code).to.equal(codes.unreachable);
+    expect((await see('nodes')).code).to.equal(exitCodes.unreachable);
   });
 
   it('given a request, when it is asked why it would be placed, then the cheapest candidate comes first with its reasons', async () => {
@@ -40,7 +40,7 @@
     const costs = told.rows.map((row) => row.costMs).filter((cost) => cost !== null) as number[];
     expect(costs.length).to.be.greaterThan(0);
     expect(costs).to.deep.equal([...costs].sort((a, b) => a - b));
-    expect((await see('why', 'query', 'nobody', 'x')).code).to.equal(codes.refused);
+    expect((await see('why', 'query', 'nobody', 'x')).code).to.equal(exitCodes.refused);
   });
 
   it('given a JSON Patch, when it is planned and another change lands first, then the plan is refused, and a new plan applies once', async () => {
@@ -63,9 +63,9 @@
       fleet.onControlNode(1, 'PATCH', '/operator/layout', { tiers: { extra: { rank: 5 } } }, { 'if-match': '"1"' }),
     );
     expect(rival.status).to.equal(200);
-    expect((await see('apply', file, planIdOf(first))).code).to.equal(codes.refused);
+    expect((await see('apply', file, planIdOf(first))).code).to.equal(exitCodes.refused);
     const second = planIdOf(await see('plan', file));
-    expect((await see('apply', file, second)).code).to.equal(codes.fine);
+    expect((await see('apply', file, second)).code).to.equal(exitCodes.fine);
     const config = (await see('layout')).rows[0]?.layout as {
       pools: { main: { weights: string } };
       tiers: Record<string, unknown>;
@@ -73,9 +73,9 @@
     expect([config.pools.main.weights, 'extra' in config.tiers]).to.deep.equal(['weights-2', true]);
     writeFileSync(file, JSON.stringify([{ op: 'remove', path: '/pools/main' }]));
     const broken = await see('plan', file);
-    expect(broken.code).to.equal(codes.refused);
+    expect(broken.code).to.equal(exitCodes.refused);
     expect((broken.rows[0] as { complaints: { path: string }[] }).complaints[0]?.path).to.match(/^\/lanes\//);
     writeFileSync(file, JSON.stringify([{ op: 'replace', path: '/absent/thing', value: 1 }]));
-    expect((await see('plan', file)).code).to.equal(codes.refused);
+    expect((await see('plan', file)).code).to.equal(exitCodes.refused);
   });
 });
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -27,9 +27,9 @@
 let isReal = false;
 
 const takeAsGateway = (topic: string, body: unknown): void => {
-  if (topic === 'replicas') routingTable.takeReplicas(body as ReplicaRecord[]);
-  else if (topic === 'indexSnapshot') routingTable.takeIndexSnapshot(body as PrefixIndexSnapshot);
-  else if (topic === 'kv') routingTable.takeKv(body as KvCacheEvent[]);
+  if (topic === 'replicas') routingTable.applyReplicas(body as ReplicaRecord[]);
+  else if (topic === 'indexSnapshot') routingTable.applyIndexSnapshot(body as PrefixIndexSnapshot);
+  else if (topic === 'kv') routingTable.applyKvEvents(body as KvCacheEvent[]);
 };
 
 const handlers: PeerHandlers = {
@@ -92,7 +92,7 @@
   ping(
     count,
     connections.map((_, at) => reportOf(at, load)),
-    (pong) => replicaTracker.takeOtherLoads((pong as Pong).loads),
+    (pong) => replicaTracker.applyOtherLoads((pong as Pong).loads),
   );
 
 const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
--- a/packages/test-fleet/src/capacity/probes/layout.ts
+++ b/packages/test-fleet/src/capacity/probes/layout.ts
@@ -28,10 +28,10 @@
   const empty = heapBytes();
   const routingTable = new StateView(machine.clock, () => {});
   const state = structuredClone(sampleData.stateOf(tenants, isolated, []));
-  routingTable.takeSnapshot(state);
+  routingTable.applySnapshot(state);
   kept.push(routingTable);
   if (isolated === 0) series.memory.add(tenants, heapBytes() - empty);
-  routingTable.takeReplicas(sampleData.records(fleetSize.replicas));
+  routingTable.applyReplicas(sampleData.records(fleetSize.replicas));
   const { logIndex } = state;
   const changes = upTo(changesARepeat).map(
     (at): Change => ({
@@ -40,18 +40,18 @@
       body: { kind: 'config', config: sampleData.configOf(tenants, isolated, at), base: logIndex + at },
     }),
   );
-  const ms = meanCpuMs(changesARepeat, (at) => void routingTable.takeChange(logIndex + 1 + at, changes[at] as Change));
+  const ms = meanCpuMs(changesARepeat, (at) => void routingTable.applyChange(logIndex + 1 + at, changes[at] as Change));
   (isolated === 0 ? series.view : series.viewIsolated).add(tenants, ms);
 };
 
 const measureRecord = async (series: LayoutSeries, replicas: number): Promise<void> => {
   const routingTable = new StateView(machine.clock, () => {});
-  routingTable.takeSnapshot(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
+  routingTable.applySnapshot(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
   const records = sampleData.records(replicas);
-  routingTable.takeReplicas(records);
+  routingTable.applyReplicas(records);
   await repeated(timers, 1, (isKept, repeat) => {
     const ms = meanCpuMs(recordsARepeat, (at) =>
-      routingTable.takeReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
+      routingTable.applyReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
     );
     if (isKept) series.replicaRecord.add(replicas, ms);
   });
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -22,11 +22,11 @@
 const deafTo =
   (topic: 'change', from: number) =>
   (gateway: Gateway): void => {
-    const take = gateway.stateView.takeChange;
-    loosened(gateway.stateView).takeChange = (logIndex, change) =>
+    const take = gateway.stateView.applyChange;
+    loosened(gateway.stateView).applyChange = (logIndex, change) =>
       logIndex > from && topic === 'change' ? false : take(logIndex, change);
-    const whole = gateway.stateView.takeSnapshot;
-    loosened(gateway.stateView).takeSnapshot = (state) => (state.logIndex > from ? false : whole(state));
+    const whole = gateway.stateView.applySnapshot;
+    loosened(gateway.stateView).applySnapshot = (state) => (state.logIndex > from ? false : whole(state));
     loosened(gateway.freshness).isFresh = () => gateway.stateView.logIndex() >= 0;
   };
 
@@ -60,7 +60,7 @@
           send: async (request) => (await httpClient.send(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
         })),
         onCounter: (gateway) => {
-          loosened(gateway.stages.sending).again = (parcel: never) => gateway.stages.placementStage.queue(parcel);
+          loosened(gateway.stages.sendStage).retry = (parcel: never) => gateway.stages.placementStage.enqueue(parcel);
         },
       },
     },
@@ -73,7 +73,7 @@
       faults: 2,
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.claims).take = async (key, digest) => ({
+          loosened(gateway.claims).acquire = async (key, digest) => ({
             kind: 'claimed',
             claim: { key, turn: 0, claimant: { id: key, gateway: '', address: '', digest } },
           });
@@ -88,7 +88,7 @@
     plan: {
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.claims).inquire = async () => ({ kind: 'not run' });
+          loosened(gateway.claims).fetchState = async () => ({ kind: 'not run' });
         },
       },
     },
@@ -101,8 +101,8 @@
       longShare: 0.4,
       overrides: {
         onCounter: (gateway) => {
-          const refuse = gateway.stages.rejector.refuse;
-          loosened(gateway.stages.rejector).refuse = (parcel, code, detail) => {
+          const refuse = gateway.stages.rejector.reject;
+          loosened(gateway.stages.rejector).reject = (parcel, code, detail) => {
             parcel.mayHaveRun = false;
             refuse(parcel, code, detail);
           };
@@ -117,8 +117,10 @@
     plan: {
       overrides: {
         onCounter: (gateway) => {
-          const next = loosened(gateway.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
-          loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
+          const next = loosened(gateway.stages.relayStage).nextEvent as (
+            ...args: unknown[]
+          ) => Promise<{ kind: string }>;
+          loosened(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
             const piece = await next(...args);
             return piece.kind === 'truncated' ? { kind: 'done' } : piece;
           };
@@ -134,8 +136,10 @@
       overrides: {
         onCounter: (gateway) => {
           let count = 0;
-          const next = loosened(gateway.stages.relaying).nextPiece as (...args: unknown[]) => Promise<{ kind: string }>;
-          loosened(gateway.stages.relaying).nextPiece = async (...args: unknown[]) => {
+          const next = loosened(gateway.stages.relayStage).nextEvent as (
+            ...args: unknown[]
+          ) => Promise<{ kind: string }>;
+          loosened(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
             const piece = await next(...args);
             count += 1;
             return count % 100 === 0 && piece.kind === 'chunk' ? next(...args) : piece;
@@ -274,10 +278,10 @@
     plan: {
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.stateView).takeReplicas = (
+          loosened(gateway.stateView).applyReplicas = (
             (take) => (records: Parameters<typeof take>[0]) =>
               take(records.map((record) => ({ ...record, state: 'ready' as const })))
-          )(gateway.stateView.takeReplicas);
+          )(gateway.stateView.applyReplicas);
         },
       },
     },
@@ -291,10 +295,10 @@
       faults: 3,
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.stages.sending).budgetOf = () => ({
-            take: () => true,
-            firstAttempt: () => {},
-            left: () => 1,
+          loosened(gateway.stages.sendStage).budgetOf = () => ({
+            trySpend: () => true,
+            recordFirstAttempt: () => {},
+            remaining: () => 1,
           });
         },
       },
@@ -491,11 +495,12 @@
       longShare: 0,
       overrides: {
         onCounter: (gateway) => {
-          loosened(gateway.stages.sending).budgetOf = ((budgetOf) => (pool: string) => {
+          loosened(gateway.stages.sendStage).budgetOf = ((budgetOf) => (pool: string) => {
             const budget = budgetOf(pool) as { tokens: number; isFilled?: boolean };
-            if (budget.isFilled !== true) Object.assign(budget, { isFilled: true, tokens: 40, firstAttempt: () => {} });
+            if (budget.isFilled !== true)
+              Object.assign(budget, { isFilled: true, tokens: 40, recordFirstAttempt: () => {} });
             return budget;
-          })(loosened(gateway.stages.sending).budgetOf as (pool: string) => unknown);
+          })(loosened(gateway.stages.sendStage).budgetOf as (pool: string) => unknown);
         },
       },
     },
