--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -13,7 +13,7 @@
 const bytesPerExtraMs = 4_000;
 const weightsTimeoutMs = 700;
 
-type EditOf = (current: ActiveRouting | null) => Result<ConfigurationChange, readonly RoutingTableError[]>;
+type EditFunction = (current: ActiveRouting | null) => Result<ConfigurationChange, readonly RoutingTableError[]>;
 
 /** An operator's request to change the configuration. */
 export interface ConfigChangeRequest {
@@ -26,16 +26,16 @@
   readonly requestBody: unknown;
   /** Size of the request body. */
   readonly byteCount: number;
-  /** Computes the edit on the current routing. */
-  readonly editOf: EditOf;
+  /** Applies the edit to the current routing. */
+  readonly applyTo: EditFunction;
 }
 
 /** Validates the resulting routing table as well, and caches the result for the last routing it was called with. */
-const withCachedCheck = (editOf: EditOf): EditOf => {
-  let last: { readonly held: ActiveRouting | null; readonly outcome: ReturnType<EditOf> } | null = null;
-  return (held) => {
-    if (last === null || last.held !== held)
-      last = { held, outcome: editOf(held).andThen((edit) => routingTables.check(edit.table).map(() => edit)) };
+const withCachedCheck = (applyTo: EditFunction): EditFunction => {
+  let last: { readonly current: ActiveRouting | null; readonly outcome: ReturnType<EditFunction> } | null = null;
+  return (current) => {
+    if (last === null || last.current !== current)
+      last = { current, outcome: applyTo(current).andThen((edit) => routingTables.check(edit.table).map(() => edit)) };
     return last.outcome;
   };
 };
@@ -71,11 +71,11 @@
     configVersion,
     requestBody,
     byteCount,
-    editOf,
+    applyTo,
   }: ConfigChangeRequest): Promise<Result<Applied, ProposalError>> => {
     const digest = digests.ofCanonical([kind, base, requestBody]);
     const id = `ways/${digest}`;
-    const checked = withCachedCheck(editOf);
+    const checked = withCachedCheck(applyTo);
     return this.propose(id, digest, timeoutMs + byteCount / bytesPerExtraMs, (state) => {
       const currentVersion = state.routing?.configVersion ?? 0;
       if (base !== currentVersion) {
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -113,8 +113,8 @@
     );
     this.weightsRollout = this.createWeightsRollout();
     this.consensus.start();
-    acceptor.watch(this.alignPrefixCaches);
-    this.alignPrefixCaches();
+    acceptor.watch(this.reconcilePrefixCaches);
+    this.reconcilePrefixCaches();
     this.weightsTimer = new RepeatingTimer(clock, () => weightsStepIntervalMs, this.weightsRollout.step);
   }
 
@@ -128,7 +128,7 @@
     };
     return new EndpointListReader(this.backendClient, clock, random, log, pace, (update) => {
       this.statePublisher.sendToContentEdges('endpoints', update);
-      this.alignPrefixCaches();
+      this.reconcilePrefixCaches();
     });
   };
 
@@ -208,14 +208,14 @@
     );
   };
 
-  private readonly alignPrefixCaches = (): void => {
+  private readonly reconcilePrefixCaches = (): void => {
     const routingTable = this.acceptor.agreed()?.routing?.table;
     if (routingTable === undefined) return;
     const enginePools = new Set(routingTable.pools.filter((pool) => pool.engine !== null).map((pool) => pool.name));
     const voters = this.consensus.reachableVoters();
     const isAssigned = (address: string): boolean =>
       rendezvousHashing.isAssigned(address, this.acceptor.incarnation, voters);
-    this.prefixCaches.align(
+    this.prefixCaches.reconcile(
       new Set([
         ...this.endpointList
           .all()
@@ -234,7 +234,7 @@
 
   private readonly prepareUpkeep = async (): Promise<void> => {
     this.statePublisher.closeIdleConnections();
-    this.alignPrefixCaches();
+    this.reconcilePrefixCaches();
     if (this.acceptor.agreed() === null) return;
     await this.consensus.catchUp.step();
   };
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -111,9 +111,9 @@
     this.replicaRegistry = new ReplicaRegistry(replicaTable, claimTable, acceptor, () => this.peerPool);
     replicaTable.watch((records) => {
       this.gatewayPublisher.sendReplicas(records);
-      this.kvEventFollower.align(replicaTable.records());
+      this.kvEventFollower.reconcile(replicaTable.records());
     });
-    this.kvEventFollower.align(replicaTable.records());
+    this.kvEventFollower.reconcile(replicaTable.records());
     this.consensus.start();
     this.trimTimer = new RepeatingTimer(
       clock,
@@ -194,7 +194,7 @@
         .records()
         .filter((record) => record.state !== 'gone')
         .map((record) => kvLease(record.name)),
-    leasesChanged: () => this.kvEventFollower.align(this.replicaTable.records()),
+    leasesChanged: () => this.kvEventFollower.reconcile(this.replicaTable.records()),
     needsCopies: true,
     syncedFrom: () => [...this.replicaRegistry.syncedFrom],
     prepareUpkeep: this.prepareUpkeep,
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -69,7 +69,7 @@
     snapshots.filter((snapshot) => this.index.restore(snapshot, this.ports.clock.now()));
 
   /** Follows exactly those replicas that are not removed and whose lease this node holds. */
-  readonly align = (records: readonly ReplicaRecord[]): void => {
+  readonly reconcile = (records: readonly ReplicaRecord[]): void => {
     this.index.reconcile(records, () => 0);
     const wanted = new Map(
       records
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -98,7 +98,7 @@
    * Tracks exactly these addresses. This node follows those for which `isAssigned` is true, and receives the updates of
    * the others from the nodes that follow them.
    */
-  readonly align = (addresses: ReadonlySet<string>, isAssigned: (address: string) => boolean): void => {
+  readonly reconcile = (addresses: ReadonlySet<string>, isAssigned: (address: string) => boolean): void => {
     for (const [address, contents] of this.prefixCaches) {
       if (addresses.has(address)) continue;
       contents.isStopped = true;
@@ -269,5 +269,5 @@
   readonly staleEntryCounts = (): Record<string, number> => ({ ...this.counts });
 
   /** Stops following all addresses. */
-  readonly stop = (): void => this.align(new Set(), () => false);
+  readonly stop = (): void => this.reconcile(new Set(), () => false);
 }
--- a/packages/control-plane/test/staleIndex.test.ts
+++ b/packages/control-plane/test/staleIndex.test.ts
@@ -42,7 +42,7 @@
     (batch) => void sent.push(...batch),
     () => {},
   );
-  follower.align(new Set([address]), () => true);
+  follower.reconcile(new Set([address]), () => true);
   const parts = (): string[] =>
     follower
       .snapshot()
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -131,7 +131,7 @@
   const desk = follow(node, feed);
   await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges, isReal });
   await peers.run({ verb: 'tell', topic: 'subscribe' });
-  desk.align(records);
+  desk.reconcile(records);
   await pauseMs(followersReadyMs);
   const before = await peers.run({ verb: 'readCounters' });
   const { events, ...cost } = await measurePlay(node, feed, desk, load);
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -57,7 +57,7 @@
   });
   const desk = followerOf(idle, () => {});
   const addresses = routeSamples.endpoints(replicas).map(({ address }) => address);
-  desk.align(new Set(addresses), () => true);
+  desk.reconcile(new Set(addresses), () => true);
   await pauseMs(followMs);
   await repeated(timers, 0, async () => {
     const spent = startWatch();
@@ -105,7 +105,7 @@
   const sent: SentBundle[] = [];
   const empty = heapBytes();
   const desk = followerOf(pagedBackEnds(pages), (bundle) => void bundles.push([...bundle]));
-  desk.align(new Set(addresses), () => true);
+  desk.reconcile(new Set(addresses), () => true);
   const heldParts = (): number => desk.sizes().reduce((sum, { parts }) => sum + parts, 0);
   let held = 0;
   const step = async (target: number): Promise<void> => {
