--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -39,7 +39,11 @@
     await fleet.world.until('the bootstrap', () => fleet.controlNodes.every((one) => one?.isReady() === true));
     fleet.killControlNode(0);
     await fleet.startCounter(0);
-    await fleet.world.until('fresh with one seed down', () => fleet.gateways[0]?.freshness.isFresh() === true, 5_000);
+    await fleet.world.until(
+      'an up-to-date gateway with one seed down',
+      () => fleet.gateways[0]?.freshness.isFresh() === true,
+      5_000,
+    );
     await fleet.bootControlNode(0);
     await fleet.world.until(
       'contact with three control nodes',
@@ -118,7 +122,11 @@
     );
     const after = await fleet.finish(patch(fleet, 1, tier(18_000), await baseOf(fleet, 1), 'after-recovery'));
     expect(after.status).to.equal(200);
-    await fleet.world.until('in force on every counter', () => allApplied(fleet, Number(after.body.generation)), 2_000);
+    await fleet.world.until(
+      'the change applied on every gateway',
+      () => allApplied(fleet, Number(after.body.generation)),
+      2_000,
+    );
   });
 
   it('given a control node lost for good, when an empty one with another name and address starts, then it replaces the lost member and no accepted change is lost', async () => {
@@ -137,7 +145,11 @@
     fleet.killControlNode(0);
     const next = await fleet.finish(patch(fleet, 2, tier(16_000), await baseOf(fleet, 2), 'by-the-new'));
     expect(next.status).to.equal(200);
-    await fleet.world.until('in force on every counter', () => allApplied(fleet, Number(next.body.generation)), 2_000);
+    await fleet.world.until(
+      'the change applied on every gateway',
+      () => allApplied(fleet, Number(next.body.generation)),
+      2_000,
+    );
   });
 });
 
@@ -197,7 +209,7 @@
     );
     const accepted = await pending;
     expect(accepted.status).to.equal(200);
-    const waited = await fleet.world.until('in force', () => {
+    const waited = await fleet.world.until('the change applied on every gateway', () => {
       for (const gateway of fleet.gateways) {
         const config = gateway?.stateView.agreed()?.config;
         seen.add(
@@ -276,7 +288,11 @@
       }),
     );
     expect(granted.status).to.equal(200);
-    await fleet.world.until('in force', () => allApplied(fleet, Number(granted.body.generation)), 2_000);
+    await fleet.world.until(
+      'the change applied on every gateway',
+      () => allApplied(fleet, Number(granted.body.generation)),
+      2_000,
+    );
     const request = {
       ...sampleWorkload.request(fleet.world.random, 1),
       kind: 'query' as const,
--- a/packages/control-plane/test/routingTableHistory.test.ts
+++ b/packages/control-plane/test/routingTableHistory.test.ts
@@ -116,7 +116,7 @@
     expect(unpacked(withoutKeys.messageFrom(1), 1, routingTables[0] as RoutingTable).customers).to.equal(null);
   });
 
-  it('given a patch of another configuration version, or invalid bytes, when it is unpacked, then it fails with a code', () => {
+  it('given a patch of another configuration version, or invalid bytes, when it is unpacked, then it fails and no routing table is returned', () => {
     const routingTables = successiveTables(3);
     const message = historyOf(routingTables).messageFrom(2) as PackedRoutingTable;
     const codeOf = (packed: PackedRoutingTable, configVersion: number, base: RoutingTable | null): string | undefined =>
