--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -1,4 +1,4 @@
-/** The calls of the data plane and control nodes to the platform behind the fleet, and the translation of headers. */
+/** The client interface to the platform and its replicas, and the codec between HTTP headers and request metadata. */
 import type { Result } from 'neverthrow';
 import type { BackendError } from './errors.js';
 import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
@@ -11,8 +11,15 @@
 }
 
 /**
- * `taken`: under way; `holds`: already so; `busy`: another is under way; `outranked`: a higher fencing token was seen;
- * `refused`: never will; `elsewhere`: another replica has the address; `unknown`: it may have been taken.
+ * A replica's answer to a request to load weights.
+ *
+ * - `taken`: loading has started
+ * - `holds`: the replica has this version already
+ * - `busy`: another load is in progress
+ * - `outranked`: the replica has seen a higher fencing token
+ * - `refused`: the replica will never load this version
+ * - `elsewhere`: another replica answered at this address
+ * - `unknown`: no usable answer; the request may have been accepted
  */
 export type WeightsLoadOutcome = 'taken' | 'holds' | 'busy' | 'outranked' | 'refused' | 'elsewhere' | 'unknown';
 
@@ -22,8 +29,8 @@
 }
 
 /**
- * Cache events of one address after a number. `epoch` changes with each run of its process, `next` is the number
- * to ask from, and `isLost` tells that events before these are no longer kept.
+ * Prefix cache events of one address from a sequence number on. `epoch` changes with each run of the replica's process,
+ * `next` is the sequence number to request next, and `isLost` is set where earlier events are no longer available.
  */
 export interface PrefixCacheEventPage {
   readonly epoch: string;
@@ -38,10 +45,7 @@
   readonly held: readonly PrefixCacheEvent[];
 }
 
-/**
- * What control nodes ask of the platform and its replicas. Times are in milliseconds; each call ends within its
- * timeout.
- */
+/** Calls of control nodes to the platform and its replicas. Each call has a timeout of its own; times are in milliseconds. */
 export interface BackendClient {
   readonly listReplicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
   readonly requestWeightsLoad: (endpoint: ReplicaEndpoint, order: WeightsLoadRequest) => Promise<WeightsLoadOutcome>;
@@ -54,7 +58,10 @@
   readonly prefixCacheListing: (address: string) => Promise<Result<PrefixCacheListing, BackendError>>;
 }
 
-/** A caller's request as the data plane understands it; its headers and body stay opaque beside it. */
+/**
+ * The parts of a caller's request that the data plane reads from its headers; the other headers and the body are
+ * forwarded as they are. `remainingMs` is the time until the deadline in milliseconds, null for none.
+ */
 export interface RequestMetadata {
   readonly id: string;
   readonly key: string | null;
@@ -66,10 +73,10 @@
 }
 
 /**
- * What one attempt tells its replica. `remainingMs` is the milliseconds until its deadline; `urgency` the rank, 0
- * first; `salt` the cache namespace; `version` the weights version it must run on; `holder` and `store` are the
- * addresses to fetch cached parts from and to keep them at; `resumeAfter` is the id of the last event that the
- * caller has.
+ * What one attempt passes to its replica in headers: `remainingMs` is the milliseconds until the deadline, `urgency` the
+ * rank (0 is the most urgent), `salt` the cache namespace, `version` the weights version that it must run on, `holder`
+ * the address to fetch cached prompt parts from, `store` the address to store them at, and `resumeAfter` the id of the
+ * last event that the caller received.
  */
 export interface AttemptPlan {
   readonly replica: string;
@@ -84,8 +91,13 @@
 }
 
 /**
- * `isForRequest`: it bears the request's own id; a response that bears none, a rejection too, may belong to an earlier
- * request.
+ * What the head of a response says about its request.
+ *
+ * - `isForRequest`: it carries the request's id; without one, even a rejection may belong to an earlier request
+ * - `isNotRun`: the replica did not run the request
+ * - `isSealed`: it carries the replica's seal
+ * - `isFromOtherReplica`: another replica answered at this address
+ * - `versions`: the weights version of each model
  */
 export interface ResponseHead {
   readonly isForRequest: boolean;
@@ -96,20 +108,23 @@
   readonly versions: Record<string, number>;
 }
 
-/** How callers' and replicas' headers are read and written. Header lists alternate names and values, as they came. */
+/**
+ * Reads and writes the headers of callers and replicas. Header lists alternate names and values, in the order in which
+ * they were received.
+ */
 export interface HeaderCodec {
   readonly requestMetadata: (headers: readonly string[]) => Result<RequestMetadata, string>;
   readonly attemptHeaders: (headers: readonly string[], attempt: AttemptPlan) => string[];
   readonly responseHead: (
     status: number,
     headers: readonly string[],
-    orderId: string,
+    requestId: string,
     model: string | null,
   ) => ResponseHead;
   readonly rejectionBody: (message: string) => string;
 }
 
-/** A configuration that an operator puts into force: its version, its routing table, and the text it was read from. */
+/** A configuration that an operator activates: its version, its routing table, and the text it was parsed from. */
 export interface ConfigurationChange {
   readonly configVersion: number;
   readonly table: RoutingTable;
--- a/packages/core-types/src/background.ts
+++ b/packages/core-types/src/background.ts
@@ -1,13 +1,15 @@
-/** Runs asynchronous work that nobody awaits, so that its failure ends in one typed report and never in silence. */
+/** Runs asynchronous work that nobody awaits and makes its failures visible as one typed error. */
 
-/** A piece of background work was rejected: a broken invariant, since expected failures are results, not rejections. */
+/**
+ * The rejection of background work. It means a broken invariant, since expected failures are returned as results.
+ */
 export class BackgroundTaskError extends Error {
-  /** Stable name of this failure, in the log's field `code`. */
+  /** Stable code of this failure, logged in the field `code`. */
   readonly code = 'BACKGROUND_TASK_FAILED';
 
   /**
-   * @param task what the work was for, in a few words, the same for each run of it
-   * @param reason what it was rejected with
+   * @param task a short description of the work, the same for each run
+   * @param reason the rejection's reason
    */
   constructor(
     readonly task: string,
@@ -19,12 +21,12 @@
 }
 
 /**
- * Lets work run that nobody awaits.
+ * Runs work that nobody awaits.
  *
- * A rejection is rethrown as a {@link BackgroundTaskError}, which Node turns into an uncaught exception: the roles log
- * it and end, because their state can no longer be trusted. Work that is fulfilled leaves no trace.
+ * A rejection is rethrown as a {@link BackgroundTaskError}, which Node turns into an uncaught exception: the process logs
+ * it and exits, because its state can no longer be trusted.
  *
- * @param task what the work is for, in a few words
+ * @param task a short description of the work
  */
 const run = (task: string, work: PromiseLike<unknown>): void => {
   void work.then(undefined, (reason: unknown) => {
@@ -32,5 +34,5 @@
   });
 };
 
-/** Work that nobody awaits. */
+/** Runs work in the background. */
 export const background = { run };
--- a/packages/core-types/src/changeRecords.ts
+++ b/packages/core-types/src/changeRecords.ts
@@ -1,36 +1,37 @@
-/** The records of changes that were taken, so that a change sent again is known; the oldest are dropped. */
+/** The records of applied changes, by which a change that is sent again is recognized; the oldest are pruned. */
 import type { Change, ChangeRecord, CommittedState, PrunedChanges } from './committedState.js';
 
-const keptChangeIds = 4096;
+const maxChangeRecords = 4096;
 
-const recordOf = (agreed: CommittedState, { digest, body }: Change, logIndex: number): ChangeRecord => {
-  const inForce = agreed.routing?.configVersion ?? 0;
-  const isRoutingChange = body.kind === 'routing' && body.base === inForce && body.routing.configVersion > inForce;
+const recordOf = (state: CommittedState, { digest, body }: Change, logIndex: number): ChangeRecord => {
+  const activeConfigVersion = state.routing?.configVersion ?? 0;
+  const isRoutingChange =
+    body.kind === 'routing' && body.base === activeConfigVersion && body.routing.configVersion > activeConfigVersion;
   return isRoutingChange ? { logIndex, digest, configVersion: body.routing.configVersion } : { logIndex, digest };
 };
 
-const oldestBeside = (records: CommittedState['changeIds'], keptConfigVersion: number): string | null => {
+const oldestExcept = (records: CommittedState['changeIds'], activeConfigVersion: number): string | null => {
   let oldest: string | null = null;
   let logIndex = Infinity;
   for (const id of Object.keys(records)) {
     const record = records[id] as ChangeRecord;
-    if (record.logIndex >= logIndex || record.configVersion === keptConfigVersion) continue;
+    if (record.logIndex >= logIndex || record.configVersion === activeConfigVersion) continue;
     oldest = id;
     logIndex = record.logIndex;
   }
   return oldest;
 };
 
-/** A copy; a loop, as deleting from a large object makes every later copy of it slow. */
-const without = (records: CommittedState['changeIds'], dropped: string): CommittedState['changeIds'] => {
-  const kept: Record<string, ChangeRecord> = {};
-  for (const id of Object.keys(records)) if (id !== dropped) kept[id] = records[id] as ChangeRecord;
-  return kept;
+/** Copies the records without one of them. A loop, since deleting from a large object slows every later copy of it. */
+const without = (records: CommittedState['changeIds'], removedId: string): CommittedState['changeIds'] => {
+  const remaining: Record<string, ChangeRecord> = {};
+  for (const id of Object.keys(records)) if (id !== removedId) remaining[id] = records[id] as ChangeRecord;
+  return remaining;
 };
 
 const weightsId = /^weights\/(.+)\/(\d+)$/;
 
-const forget = (forgotten: PrunedChanges, id: string, { configVersion }: ChangeRecord): PrunedChanges => {
+const prune = (forgotten: PrunedChanges, id: string, { configVersion }: ChangeRecord): PrunedChanges => {
   if (configVersion !== undefined)
     return { ...forgotten, configVersion: Math.max(forgotten.configVersion, configVersion) };
   const [, model, version] = weightsId.exec(id) ?? [];
@@ -40,25 +41,25 @@
 };
 
 /**
- * Keeps the records of the last `keptChangeIds` changes, and by rule that of the configuration in force, however many
- * changes of other kinds followed it.
+ * Adds the record of an applied change and prunes the oldest beyond `maxChangeRecords`. The record of the active
+ * configuration is never pruned, however many changes of other kinds follow it.
  */
-const remember = (
-  agreed: CommittedState,
+const add = (
+  state: CommittedState,
   change: Change,
   logIndex: number,
 ): Pick<CommittedState, 'changeIds' | 'forgotten'> => {
-  const record = recordOf(agreed, change, logIndex);
-  const keptConfigVersion = record.configVersion ?? agreed.routing?.configVersion ?? 0;
-  let { changeIds, forgotten } = agreed;
-  for (let excess = Object.keys(changeIds).length + 1 - keptChangeIds; excess > 0; excess -= 1) {
-    const oldest = oldestBeside(changeIds, keptConfigVersion);
+  const record = recordOf(state, change, logIndex);
+  const activeConfigVersion = record.configVersion ?? state.routing?.configVersion ?? 0;
+  let { changeIds, forgotten } = state;
+  for (let excess = Object.keys(changeIds).length + 1 - maxChangeRecords; excess > 0; excess -= 1) {
+    const oldest = oldestExcept(changeIds, activeConfigVersion);
     if (oldest === null) break;
-    forgotten = forget(forgotten, oldest, changeIds[oldest] as ChangeRecord);
+    forgotten = prune(forgotten, oldest, changeIds[oldest] as ChangeRecord);
     changeIds = without(changeIds, oldest);
   }
   return { changeIds: { ...changeIds, [change.id]: record }, forgotten };
 };
 
-/** Adds the record of a change that was applied. */
-export const changeRecords = { remember };
+/** Adds records of applied changes to the committed state. */
+export const changeRecords = { add };
--- a/packages/core-types/src/commandQueue.ts
+++ b/packages/core-types/src/commandQueue.ts
@@ -1,25 +1,25 @@
-/** A queue that gives a table or file one owner. */
+/** A queue that serializes access to a table or file. */
 
-/** Runs commands one after another, in the order they were given; one that fails does not hold up the next. */
+/** Runs commands one at a time, in the order in which they were added; a failed command does not stop the next. */
 export class CommandQueue {
   private tail: Promise<unknown> = Promise.resolve();
-  private waiting = 0;
+  private pending = 0;
 
-  /** Runs a command after all earlier ones. Resolves or rejects as it does. */
+  /** Runs a command after all earlier ones. Resolves or rejects as the command does. */
   readonly run = <T>(command: () => Promise<T> | T): Promise<T> => {
-    this.waiting += 1;
-    const turn = this.tail.then(command);
-    this.tail = turn.then(
+    this.pending += 1;
+    const completion = this.tail.then(command);
+    this.tail = completion.then(
       () => {
-        this.waiting -= 1;
+        this.pending -= 1;
       },
       () => {
-        this.waiting -= 1;
+        this.pending -= 1;
       },
     );
-    return turn;
+    return completion;
   };
 
-  /** Commands that have not ended, the running one among them. */
-  readonly depth = (): number => this.waiting;
+  /** The number of unfinished commands, including the running one. */
+  readonly depth = (): number => this.pending;
 }
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -2,13 +2,13 @@
 import type { GatewayConfig, Tenant } from './gatewayConfig.js';
 import type { ActiveRouting } from './routing.js';
 
-/** What an API key admits to: the requests of one tenant. */
+/** What an API key grants: requests in the name of one tenant. */
 export interface KeyGrant {
   readonly tenant: string;
 }
 
 /**
- * A seat among the voters. `incarnation` is that of the node's data folder: a node with a new disk is another
+ * A voter of the control cluster. `incarnation` identifies the node's data folder: a node with a new disk is a new
  * member.
  */
 export interface Member {
@@ -17,28 +17,31 @@
   readonly incarnation: string;
 }
 
-/** What is kept of a change that was agreed on: by it, the same change sent again is known. */
+/** The record of a committed change, by which the same change is recognized when it is sent again. */
 export interface ChangeRecord {
   readonly logIndex: number;
   readonly digest: string;
   /**
-   * The configuration version it brought into force; absent for other kinds of change, and in states of older releases.
+   * The configuration version that the change activated; absent for other kinds of change, and in states written by
+   * older releases.
    */
   readonly configVersion?: number;
 }
 
-/** The newest changes whose records were dropped: of none up to these can it be told whether it was taken. */
+/**
+ * The newest changes whose records were pruned. For changes up to these it is unknown whether they were applied.
+ */
 export interface PrunedChanges {
-  /** Configuration version of the routing table; 0 where none was dropped. */
+  /** Configuration version of the newest pruned routing change; 0 where none was pruned. */
   readonly configVersion: number;
-  /** Version of its weights, by model. */
+  /** Weights version of the newest pruned weights change, by model. */
   readonly targetWeights: Record<string, number>;
 }
 
 /**
- * The state after `logIndex` changes. `configLogIndex` is the index of the change that brought the configuration,
- * `weightsSince` and `storeSince` the index since which a pool's weights and a store's contents may be relied on;
- * `keys` are by hash, `changeIds` by the id of the change, `targetWeights` by model.
+ * The state after `logIndex` changes. `configLogIndex` is the index of the change that set the configuration.
+ * `weightsSince` and `storeSince` give the index from which on a pool's weights and a store's contents are valid.
+ * `keys` are by key hash, `changeIds` by change id, `targetWeights` by model.
  */
 export interface CommittedState {
   readonly logIndex: number;
@@ -55,8 +58,8 @@
 }
 
 /**
- * What a change asks for. `base` names the configuration it builds on; where another is in force, it takes no
- * effect.
+ * The contents of a change. `base` is the configuration that it builds on; the change has no effect where another one is
+ * active.
  */
 export type ChangeBody =
   | { readonly kind: 'config'; readonly config: GatewayConfig; readonly base: number }
@@ -67,8 +70,8 @@
   | { readonly kind: 'weights'; readonly model: string; readonly version: number };
 
 /**
- * A change as the log carries it. `id` is chosen by who sends it and `digest` is of its contents, so that one sent
- * twice is taken once.
+ * A change as an entry of the replicated log. `id` is chosen by the sender and `digest` covers the contents, so that a
+ * change that is sent twice is applied once.
  */
 export interface Change {
   readonly id: string;
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -2,15 +2,15 @@
 import type { Member } from './committedState.js';
 import type { Customer, PrefixCacheEvent, ReplicaEndpoint, Route, RoutingTable } from './routing.js';
 
-/** Entries put, by name, and names taken away. */
+/** A difference of two lists: entries added or replaced (`put`), and the names of removed ones (`gone`). */
 export interface ListPatch<T> {
   readonly put: readonly T[];
   readonly gone: readonly string[];
 }
 
 /**
- * What changed from the configuration version `from` to a later one: routes put and names taken away, customers
- * likewise (null where the later one has none); the rest of a routing table is small and comes whole.
+ * The difference between the routing table of configuration version `from` and a later one: changes of routes and of
+ * customers (null where the later one has no customers). The rest of a routing table is small and sent in full.
  */
 export interface RoutingTablePatch extends ListPatch<Route> {
   readonly from: number;
@@ -18,19 +18,22 @@
   readonly rest: Omit<RoutingTable, 'routes' | 'customers'>;
 }
 
-/** A routing table, or where `from` is a configuration version, a patch that builds on it; as JSON in raw deflate. */
+/**
+ * A compressed routing table, or a patch where `from` is the configuration version that it applies to: JSON in raw
+ * deflate.
+ */
 export interface PackedRoutingTable {
   readonly from: number | null;
   readonly deflated: Uint8Array;
 }
 
-/** A version of a model's weights, and how many milliseconds ago it was named as far as the sender remembers. */
+/** A target version of a model's weights, and the milliseconds since the sender first saw it. */
 export interface WeightsAge {
   readonly version: number;
   readonly msAgo: number;
 }
 
-/** What a control node tells another one of the latest targets, by model. */
+/** The ages of the latest weights targets by model, sent from one control node to another. */
 export interface WeightsAgesMessage {
   readonly weightsAges: Record<string, readonly WeightsAge[]>;
 }
@@ -44,33 +47,36 @@
 }
 
 /**
- * What is in force, as an edge knows it; `weightsAges` tells since when the sender knows the latest versions named of
- * each model, the newest last.
+ * The active state as an edge stores it; `weightsAges` has the latest target versions of each model with their ages at
+ * the sender, the newest last.
  */
 export interface EdgeState extends EdgeStateFields {
   readonly table: RoutingTable | null;
 }
 
 /**
- * What is in force, as a control node sends it to an edge; `packedTable` is null where the edge has that configuration
- * version.
+ * The active state as a control node sends it to an edge; `packedTable` is null where the edge already has this
+ * configuration version.
  */
 export interface EdgeStateMessage extends EdgeStateFields {
   readonly packedTable: PackedRoutingTable | null;
 }
 
-/** Where a node stands: log index of the committed state, version of the configuration in force. */
+/** How current a node is: the log index of its committed state, and its active configuration version. */
 export interface StatePosition {
   readonly logIndex: number;
   readonly configVersion: number;
 }
 
-/** An edge asks a control node for the state after its position; without `wantsContent` it is told positions only. */
+/**
+ * An edge's subscription at a control node to state after its own position. Without `wantsContent` the control node
+ * announces positions only.
+ */
 export interface Subscription extends StatePosition {
   readonly wantsContent: boolean;
 }
 
-/** Endpoints that were put, by id, and ids taken away; `isWhole` tells that there are no others. */
+/** Endpoints added or replaced (`put`), and ids of removed ones (`gone`); with `isWhole`, `put` is the complete list. */
 export interface EndpointListUpdate {
   readonly isWhole: boolean;
   readonly put: readonly ReplicaEndpoint[];
@@ -78,7 +84,8 @@
 }
 
 /**
- * A replica that is being brought to other weights: `version` is null while it is, and the new one once it holds it.
+ * The progress of a replica that loads other weights: `version` is null while it loads, and the new version once it is
+ * loaded.
  */
 export interface WeightsUpdate {
   readonly id: string;
@@ -88,8 +95,8 @@
 }
 
 /**
- * Which parts one address keeps; `isWhole` tells that it keeps no others, `isHeard` whether its events are being
- * followed.
+ * Prompt parts that one address has cached. With `isWhole` the list is complete; `isHeard` is whether a control node
+ * follows its events.
  */
 export interface PrefixCacheUpdate {
   readonly address: string;
@@ -105,8 +112,10 @@
 }
 
 /**
- * `hasMajority` tells whether the control node hears a majority of the members; `majorityHeardMs` how many milliseconds
- * ago it last had bytes of each of a majority, null where it has no connection to one.
+ * A control node's reply to an edge's heartbeat. `hasMajority` is whether it is in contact with a majority of the
+ * members; `majorityHeardMs` is the milliseconds since it last received bytes from every member of a majority, null
+ * where it is not connected to one. `edgeCount` is the number of connected edges, and `listAgeMs` the age of its
+ * replica list.
  */
 export interface EdgePong {
   readonly logIndex: number;
@@ -117,8 +126,8 @@
 }
 
 /**
- * A long prompt that one edge has a replica read: `tokens` is 0 once it is read. Sent to the other edges, which do not
- * see each other's requests.
+ * A long prefill that one edge started on a replica: `tokens` is 0 once it is finished. Sent to the other edges, which
+ * do not see each other's requests.
  */
 export interface PrefillNotice {
   readonly id: string;
@@ -129,9 +138,9 @@
 }
 
 /**
- * Cached parts that responses to an edge speak against, at an address where the index has them: one miss, or, with
- * `isDecided`, enough of them to count the parts as gone. With `quarantineMs` the address does not count as keeping
- * them for that long, whatever its events tell.
+ * A report of cache misses that contradict the prefix index: the index has these parts at the address, but a response
+ * shows that they were not cached. With `isDecided` there were enough misses to remove the parts from the index. With
+ * `quarantineMs` the address does not count as caching them for that long, whatever its events say.
  */
 export interface CacheMissReport {
   readonly address: string;
--- a/packages/core-types/src/denseIndex.ts
+++ b/packages/core-types/src/denseIndex.ts
@@ -1,11 +1,11 @@
-/** Maps names to small numbers, for tables that are arrays. */
+/** Maps names to small integers, for tables stored as arrays. */
 
-/** Numbers names from 0 in the order they first come; none is ever removed. */
+/** Numbers names from 0 in the order in which they are first used; none is ever removed. */
 export class DenseIndex {
   private readonly indices = new Map<string, number>();
   private readonly names: string[] = [];
 
-  /** The number of a name, a new one where it is new. */
+  /** Returns the number of a name, and assigns the next one to a new name. */
   readonly indexOf = (name: string): number => {
     const known = this.indices.get(name);
     if (known !== undefined) return known;
@@ -15,12 +15,12 @@
     return index;
   };
 
-  /** The number of a name, if it has one. */
+  /** Returns the number of a name, or undefined. */
   readonly find = (name: string): number | undefined => this.indices.get(name);
 
-  /** The name of a number; empty where there is none. */
+  /** Returns the name with this number, or an empty string. */
   readonly nameOf = (index: number): string => this.names[index] ?? '';
 
-  /** How many names there are. */
+  /** The number of names. */
   readonly size = (): number => this.names.length;
 }
--- a/packages/core-types/src/errors.ts
+++ b/packages/core-types/src/errors.ts
@@ -1,9 +1,9 @@
 /**
- * The errors of this package. Each has a `kind` that tells its type, and a `code` that stays the same between releases.
+ * The errors of this package. Each has a `kind` that gives its type, and a `code` that is stable between releases.
  */
 
 /**
- * A disk call that failed. `code` is that of the operating system (`ENOSPC`, `EIO`), or `NODATA` on a node without a
+ * A failed disk operation. `code` is that of the operating system (`ENOSPC`, `EIO`), or `NODATA` on a node without a
  * data folder.
  */
 export interface DiskError {
@@ -13,8 +13,8 @@
 }
 
 /**
- * A connection or request that failed. `isUnsent` tells that no byte of it reached the network, so that it may be
- * repeated. `code` is that of the operating system or of the HTTP client.
+ * A failed connection or request. With `isUnsent` no byte of it reached the network, so that it is safe to retry. `code`
+ * is that of the operating system or of the HTTP client.
  */
 export interface NetworkError {
   readonly kind: 'net';
@@ -22,7 +22,7 @@
   readonly isUnsent: boolean;
 }
 
-/** A call to the platform or to a replica's management endpoints that failed. */
+/** A failed call to the platform or to a replica's management endpoints. */
 export interface BackendError {
   readonly kind: 'backend';
   readonly code: string;
@@ -55,8 +55,7 @@
   | 'no_such_page';
 
 /**
- * The response to a request that a gateway doesn't answer with a replica's response. `retryAfterSeconds` is null where
- * repeating it is of no use.
+ * A response of the gateway itself instead of a replica's. `retryAfterSeconds` is null where a retry cannot succeed.
  */
 export interface Rejection {
   readonly kind: 'rejection';
--- a/packages/core-types/src/gatewayConfig.ts
+++ b/packages/core-types/src/gatewayConfig.ts
@@ -1,8 +1,8 @@
-/** The configuration that operators of a gateway put into force: tiers, pools, lanes and tenants, each by its name. */
+/** The gateway configuration that operators activate: tiers, pools, lanes and tenants, each by name. */
 
 /**
- * A class of priority. `rank` 0 is the most urgent; `share` (0 to 1) is the part of a queue that it may fill;
- * `horizonMs` is the deadline of the first piece, in milliseconds.
+ * A priority class. `rank` 0 is the most urgent; `share` (0 to 1) is the fraction of a queue that it may fill;
+ * `horizonMs` is the deadline of the first piece of a response, in milliseconds.
  */
 export interface Tier {
   readonly rank: number;
@@ -11,8 +11,9 @@
 }
 
 /**
- * Replicas that run the same weights. `slots` is how many requests a replica runs where the platform tells none,
- * `extraAllowance` the retries beyond a fifth of the first attempts, and `store` the name of its cache store.
+ * Replicas that run the same weights. `slots` is the number of concurrent requests of a replica for which the platform
+ * reports none, `extraAllowance` the number of retries allowed beyond a fifth of the first attempts, and `store` the
+ * name of the pool's cache store.
  */
 export interface Pool {
   readonly weights: string;
@@ -23,15 +24,15 @@
   readonly store: string | null;
 }
 
-/** A route of the gateway: its pool, and whether a request may be repeated after an attempt of unknown outcome. */
+/** A route of the gateway: its pool, and whether a request may be retried after an attempt with an unknown outcome. */
 export interface Lane {
   readonly pool: string;
   readonly repeat: 'once' | 'freely';
 }
 
 /**
- * A customer: its tier, its lanes, requests a second (null: no limit); an isolated one shares no cached prompts
- * with others.
+ * A customer: its tier, its lanes, and its rate limit in requests per second (null for none). An isolated tenant shares
+ * no cached prompts with others.
  */
 export interface Tenant {
   readonly tier: string;
@@ -40,7 +41,7 @@
   readonly ratePerSecond: number | null;
 }
 
-/** A whole configuration, each table by name. */
+/** A complete configuration, each table by name. */
 export interface GatewayConfig {
   readonly tiers: Record<string, Tier>;
   readonly pools: Record<string, Pool>;
@@ -48,5 +49,5 @@
   readonly tenants: Record<string, Tenant>;
 }
 
-/** The configuration of a new cluster: nothing is served until an operator sets one. */
+/** The configuration of a new cluster, which serves no requests until an operator sets one. */
 export const emptyGatewayConfig: GatewayConfig = { tiers: {}, pools: {}, lanes: {}, tenants: {} };
--- a/packages/core-types/src/gatewayMessages.ts
+++ b/packages/core-types/src/gatewayMessages.ts
@@ -1,11 +1,11 @@
 /**
- * What gateways and their control nodes tell each other: cache events, isolation claims, load reports and heartbeat
+ * The messages between gateways and their control nodes: cache events, isolation claims, load reports and heartbeat
  * replies.
  */
 
 /**
- * An event of a replica's prefix cache. `seq` counts up by one within an incarnation, so that a lost event is
- * noticed; `tenant` is null for parts that no tenant has to itself, and undefined where the event does not tell.
+ * An event of a replica's prefix cache. `seq` increases by one within an incarnation, so that a lost event is
+ * detected; `tenant` is null for parts that tenants share, and undefined where the event does not say.
  */
 export interface KvCacheEvent {
   readonly replica: string;
@@ -16,7 +16,10 @@
   readonly blocks: readonly string[];
 }
 
-/** A replica's incarnation is about to serve a side: the name of an isolated tenant, or that of all others. */
+/**
+ * A claim that an incarnation of a replica is about to serve a side: the name of an isolated tenant, or the name that
+ * stands for all other tenants.
+ */
 export interface IsolationClaim {
   readonly replica: string;
   readonly incarnation: number;
@@ -29,10 +32,10 @@
   readonly ageMs: number;
 }
 
-/** Load by replica. */
+/** The load of each replica. */
 export type Loads = Record<string, readonly [running: number, pendingTokens: number]>;
 
-/** Demand by pool. */
+/** The demand on each pool. */
 export type PoolDemands = Record<string, readonly [waiting: number, running: number]>;
 
 /** One gateway's own load, by replica and by pool. */
@@ -41,10 +44,10 @@
   readonly pools: PoolDemands;
 }
 
-/** By pool: how many other gateways have requests waiting, and how many requests run for those that have none. */
+/** By pool: the number of other gateways with queued requests, and the running requests of those without any. */
 export type Contention = Record<string, readonly [contenders: number, calmRunning: number]>;
 
-/** A control node's reply to a gateway's heartbeat: where it stands, and the load that the other gateways reported. */
+/** A control node's reply to a gateway's heartbeat: how current it is, and the load that the other gateways reported. */
 export interface Pong {
   readonly logIndex: number;
   readonly acceptedSlot: number | null;
--- a/packages/core-types/src/prompt.ts
+++ b/packages/core-types/src/hashes.ts
@@ -1,13 +1,13 @@
-/** Hashes: blocks of prompts for the prefix cache, API keys, and digests of JSON values. */
+/** Hashes of prompt blocks for the prefix cache, of API keys and of JSON values. */
 import { createHash } from 'node:crypto';
 
 const blockBytes = 256;
 const bytesPerToken = 4;
 
 /**
- * Blocks and tokens of a prompt's text. Each block's hash (24 hex digits) covers all text before it, so that equal
- * hashes mean an equal prefix; what is left after the last whole block has none. Tokens are estimated at four
- * bytes each.
+ * Splits a prompt into blocks of 256 bytes and estimates its tokens. The hash of a block (24 hex digits) covers all text
+ * up to its end, so that equal hashes mean an equal prefix; a partial block at the end has no hash. A token counts as
+ * four bytes.
  */
 export const prompts = {
   blocks: (prompt: string): string[] => {
@@ -28,34 +28,34 @@
   blockTokens: blockBytes / bytesPerToken,
 };
 
-/** API keys are kept as hashes only. */
+/** Hashes API keys, which are stored as hashes only. */
 export const apiKeys = {
   hash: (key: string): string => createHash('sha256').update('martenworks-key:').update(key).digest('hex'),
 };
 
 interface NameOrder {
-  readonly given: readonly string[];
+  readonly original: readonly string[];
   readonly sorted: readonly string[];
 }
 
-const isGivenIn = (value: object, { given }: NameOrder): boolean => {
-  let at = 0;
-  for (const name in value) if (name !== given[at++]) return false;
-  return at === given.length;
+const hasNamesInOrder = (value: object, { original }: NameOrder): boolean => {
+  let index = 0;
+  for (const name in value) if (name !== original[index++]) return false;
+  return index === original.length;
 };
 
 /**
  * Rewrites a JSON value so that equal values give equal JSON: each object becomes `{ o: [sorted names, their values in
- * that order] }`. The order of the last object at each depth is kept, as the items of a list mostly have the same
- * names.
+ * that order] }`. The sorted names of the last object at each depth are cached, since the items of a list usually have
+ * the same names.
  */
 const canonical = (value: unknown, orders: NameOrder[], depth: number): unknown => {
   if (value === null || typeof value !== 'object') return value;
   if (Array.isArray(value)) return value.map((item) => canonical(item, orders, depth + 1));
   let order = orders[depth];
-  if (order === undefined || !isGivenIn(value, order)) {
-    const given = Object.keys(value);
-    order = { given, sorted: [...given].sort() };
+  if (order === undefined || !hasNamesInOrder(value, order)) {
+    const original = Object.keys(value);
+    order = { original, sorted: [...original].sort() };
     orders[depth] = order;
   }
   const fields = value as Record<string, unknown>;
@@ -64,9 +64,9 @@
   return { o: rewritten };
 };
 
-/** Digests of JSON values. */
+/** Computes digests of JSON values. */
 export const digests = {
-  /** 32 hex digits; alike for JSON values that differ only in the order of their objects' names. */
+  /** 32 hex digits; equal for JSON values that differ only in the order of property names. */
   ofCanonical: (value: unknown): string => digests.of(canonical(value, [], 0)),
   of: (value: unknown): string => createHash('sha256').update(JSON.stringify(value)).digest('hex').slice(0, 32),
 };
--- a/packages/core-types/src/idempotencyClaim.ts
+++ b/packages/core-types/src/idempotencyClaim.ts
@@ -1,12 +1,12 @@
 /**
- * Messages of the idempotency claims: a consensus among the control nodes, one instance for each `Idempotency-
- * Key`, on which gateway runs the request.
+ * The messages of idempotency claims: the control nodes reach consensus on which gateway runs a request, with one
+ * instance of the protocol for each `Idempotency-Key`.
  */
 
 /** A ballot number and the name of its proposer, which breaks ties. */
 export type ClaimBallot = readonly [number, string];
 
-/** Who claims a key: an id of the request, its gateway with its peer address, and the digest of the body. */
+/** The claimant of a key: the id of the request, its gateway with the peer address, and the digest of the body. */
 export interface Claimant {
   readonly id: string;
   readonly gateway: string;
@@ -14,13 +14,13 @@
   readonly digest: string;
 }
 
-/** The claimant accepted last, and the ballot it was accepted under. */
+/** The last accepted claimant, and the ballot under which it was accepted. */
 export interface ClaimAccepted {
   readonly ballot: ClaimBallot;
   readonly claimant: Claimant;
 }
 
-/** A voter's state for one key. `turn` counts how often the claim was released. */
+/** A voter's state for one key. `turn` is the number of times that the claim was released. */
 export interface ClaimState {
   readonly turn: number;
   readonly promised: ClaimBallot | null;
@@ -32,7 +32,7 @@
   | { readonly kind: 'state'; readonly isGranted: boolean; readonly state: ClaimState }
   | { readonly kind: 'unavailable' };
 
-/** Some claims in the order of their keys; `next` is where the next page begins, null after the last. */
+/** A page of claims in the order of their keys; `next` is the start of the next page, null after the last. */
 export interface ClaimPage {
   readonly entries: readonly (readonly [key: string, state: ClaimState])[];
   readonly next: number | null;
--- a/packages/core-types/src/incarnationMatcher.ts
+++ b/packages/core-types/src/incarnationMatcher.ts
@@ -1,34 +1,33 @@
-/** Matches the two signs of a restarted replica. */
+/** Matches the two signals of a restarted replica. */
 import type { Clock } from './ports/ports.js';
 
-const matchMs = 10_000;
+const matchWindowMs = 10_000;
 
 /**
- * Pairs what two sources tell of a restarted replica at one address: the list of replicas by another id, the events by
- * another epoch, in either order. The first of the two to come empties what is known of the address, the second one
- * does not.
+ * Pairs the two signals of one restart of the replica at an address: the replica list shows a new id, and the event feed
+ * shows a new epoch, in either order. What is known about the address must be cleared at the first signal only.
  */
 export class IncarnationMatcher {
-  private idAt: number | null = null;
-  private epochAt: number | null = null;
+  private newIdAt: number | null = null;
+  private newEpochAt: number | null = null;
 
   constructor(private readonly clock: Clock) {}
 
-  private readonly isRecent = (at: number | null): boolean => at !== null && this.clock.now() - at <= matchMs;
+  private readonly isRecent = (at: number | null): boolean => at !== null && this.clock.now() - at <= matchWindowMs;
 
-  /** The list shows another id. True where no new epoch came shortly before. */
+  /** Records a new id in the list. Returns whether it is the first signal, with no new epoch shortly before. */
   readonly recordNewId = (): boolean => {
-    const isPaired = this.isRecent(this.epochAt);
-    this.epochAt = null;
-    this.idAt = isPaired ? null : this.clock.now();
+    const isPaired = this.isRecent(this.newEpochAt);
+    this.newEpochAt = null;
+    this.newIdAt = isPaired ? null : this.clock.now();
     return !isPaired;
   };
 
-  /** The events show another epoch. True where no new id came shortly before. */
+  /** Records a new epoch in the events. Returns whether it is the first signal, with no new id shortly before. */
   readonly recordNewEpoch = (): boolean => {
-    const isPaired = this.isRecent(this.idAt);
-    this.idAt = null;
-    this.epochAt = isPaired ? null : this.clock.now();
+    const isPaired = this.isRecent(this.newIdAt);
+    this.newIdAt = null;
+    this.newEpochAt = isPaired ? null : this.clock.now();
     return !isPaired;
   };
 }
--- a/packages/core-types/src/index.ts
+++ b/packages/core-types/src/index.ts
@@ -1,4 +1,4 @@
-/** The types, ports and small helpers that all packages share. */
+/** The types, ports and utilities that all packages share. */
 export * from './ports/ports.js';
 export * from './gatewayConfig.js';
 export * from './committedState.js';
@@ -11,7 +11,7 @@
 export * from './metricCounters.js';
 export * from './commandQueue.js';
 export * from './timers.js';
-export * from './prompt.js';
+export * from './hashes.js';
 export * from './ports/addresses.js';
 export * from './ports/machine.js';
 export * from './log.js';
--- a/packages/core-types/src/ports/addresses.ts
+++ b/packages/core-types/src/ports/addresses.ts
@@ -1,6 +1,6 @@
 /** Addresses of nodes as text, `HOST:PORT`. */
 
-/** Addresses as `HOST:PORT`; the host may hold colons itself. */
+/** Splits addresses of the form `HOST:PORT`; the host may contain colons. */
 export const addresses = {
   split: (address: string): { host: string; port: number } => {
     const at = address.lastIndexOf(':');
--- a/packages/core-types/src/ports/machine.ts
+++ b/packages/core-types/src/ports/machine.ts
@@ -1,11 +1,11 @@
-/** The ports over the real machine; tests use simulated ones in their place. */
+/** The ports of the real machine; tests use simulated ones instead. */
 import { realClock } from './realClock.js';
 import { noDisk, realDisk } from './realDisk.js';
 import { realNetwork } from './realNetwork.js';
 import { realRandom } from './realRandom.js';
 
 /**
- * The real clock, randomness, network (given the local host to dial from, or null for any) and disk (given its folder).
- * `noDisk` fails every call with `NODATA`.
+ * The real clock and random source, a network for a local host to dial from (null for any), and a disk for a folder.
+ * Every operation of `noDisk` fails with `NODATA`.
  */
 export const machine = { clock: realClock, random: realRandom, net: realNetwork, disk: realDisk, noDisk };
--- a/packages/core-types/src/ports/ports.ts
+++ b/packages/core-types/src/ports/ports.ts
@@ -1,15 +1,15 @@
-/** What a node needs of the machine it runs on; the simulation gives its own in the machine's place. */
+/** The interfaces between a node and the machine that it runs on; simulations implement them with simulated ones. */
 import type { Result } from 'neverthrow';
 import type { DiskError, NetworkError } from '../errors.js';
 
-/** A timer that has been set; to cancel it later than its call changes nothing. */
+/** A scheduled timer; cancelling it after its callback has run has no effect. */
 export interface Timer {
   readonly cancel: () => void;
 }
 
 /**
- * `now` is monotonic and `wall` the time of day, both in milliseconds; `after` calls back once, after a delay in
- * milliseconds.
+ * A clock. `now` is monotonic and `wall` the time of day, both in milliseconds; `after` calls back once, after a delay
+ * in milliseconds.
  */
 export interface Clock {
   readonly now: () => number;
@@ -17,13 +17,13 @@
   readonly after: (delayMs: number, callback: () => void) => Timer;
 }
 
-/** A fraction of [0, 1), and a token of random bytes in hexadecimal. */
+/** A source of random fractions in [0, 1) and of tokens of random bytes in hexadecimal. */
 export interface Random {
   readonly fraction: () => number;
   readonly token: (byteCount: number) => string;
 }
 
-/** A file open for appending; what was appended survives a loss of power only once `sync` has ended. */
+/** A file that is open for appending; appended bytes survive a power loss only once `sync` has completed. */
 export interface DiskFile {
   readonly append: (bytes: Uint8Array) => Promise<Result<void, DiskError>>;
   readonly sync: () => Promise<Result<void, DiskError>>;
@@ -31,9 +31,9 @@
 }
 
 /**
- * One data folder, flat. `read` gives null where there is no such file, and else also what a process wrote that ended
- * before its sync; `sync` makes that durable. `replace` is atomic; `open`, `replace`, `truncate` and `remove` are synced
- * when they end.
+ * One data folder without subfolders. `read` returns null where there is no such file; it may return bytes that another
+ * process wrote but did not sync, which `sync` makes durable. `replace` is atomic. `open`, `replace`, `truncate` and
+ * `remove` are durable once they have completed.
  */
 export interface Disk {
   readonly list: () => Promise<Result<string[], DiskError>>;
@@ -46,8 +46,8 @@
 }
 
 /**
- * A connection of bytes. `bufferedBytes` is the bytes written that have not left; `listen` is called once, and calls
- * `onClose` once, after the last bytes.
+ * A byte stream connection. `bufferedBytes` is the number of written bytes that are not sent yet. `listen` must be called
+ * once; it calls `onClose` once, after the last bytes.
  */
 export interface RawConnection {
   readonly remoteAddress: string;
@@ -62,7 +62,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** Connections by address, `HOST:PORT`; the timeout is in milliseconds. */
+/** Opens and accepts connections; addresses have the form `HOST:PORT`. */
 export interface Net {
   readonly dial: (address: string, timeoutMs: number) => Promise<Result<RawConnection, NetworkError>>;
   readonly listen: (
@@ -71,7 +71,7 @@
   ) => Promise<Result<Listener, NetworkError>>;
 }
 
-/** Answers one HTTP request. */
+/** Handles one HTTP request. */
 export type WebHandler = (request: Request) => Response | Promise<Response>;
 
 /** Serves HTTP at an address. */
@@ -79,7 +79,10 @@
   readonly open: (address: string, handler: WebHandler) => Promise<Result<Listener, NetworkError>>;
 }
 
-/** The head of a response; `isDelimited` tells that its end can be told from a broken connection (RFC 9112, 6.3). */
+/**
+ * The head of a response. With `isDelimited` the end of its body can be distinguished from a broken connection
+ * (RFC 9112, section 6.3).
+ */
 export interface HttpResponseHead {
   readonly status: number;
   readonly headers: readonly string[];
@@ -87,9 +90,9 @@
 }
 
 /**
- * One request to a back end. `gate` is asked as its first byte is about to be written, once; where it was not opened,
- * the request is unsent. `accepts` is asked with the head of the response, before its body; a head that is not accepted
- * ends the request (`HEAD_REFUSED`) and closes its connection.
+ * One request to a backend. `gate` is called once, immediately before the first byte is written; where it returns false,
+ * the request is not sent. `accepts` is called with the head of the response before its body is read; where it returns
+ * false, the request fails with `HEAD_REFUSED` and its connection is closed.
  */
 interface HttpClientRequest {
   readonly method: string;
@@ -102,8 +105,8 @@
 }
 
 /**
- * The response to a request. Header names are matched without their case; `headers` alternates names and values as
- * they came. The body is read once, and its iteration throws where the connection breaks.
+ * The response to a request. `header` ignores the case of names; `headers` alternates names and values in the order
+ * received. The body can be read once, and its iteration throws where the connection breaks.
  */
 export interface HttpClientResponse {
   readonly status: number;
@@ -112,13 +115,13 @@
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** HTTP requests over pooled connections; `close` ends those that are idle or running. */
+/** Sends HTTP requests over pooled connections; `close` closes all of them, in use or idle. */
 export interface HttpClient {
   readonly send: (request: HttpClientRequest) => Promise<Result<HttpClientResponse, NetworkError>>;
   readonly close: () => Promise<void>;
 }
 
-/** All that a node needs of its machine. */
+/** All ports of a node. */
 export interface Ports {
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/core-types/src/ports/realClock.ts
+++ b/packages/core-types/src/ports/realClock.ts
@@ -1,7 +1,7 @@
-/** The clock port over this machine's clocks and timers. */
+/** The clock port of this machine. */
 import type { Clock } from './ports.js';
 
-/** Monotonic and wall time in milliseconds, and timers; a negative delay counts as none. */
+/** Monotonic and wall time in milliseconds, and timers; a negative delay counts as 0. */
 export const realClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
--- a/packages/core-types/src/ports/realDisk.ts
+++ b/packages/core-types/src/ports/realDisk.ts
@@ -1,4 +1,4 @@
-/** The disk port over one data folder; each call ends once its change is synced. */
+/** The disk port over one data folder of this machine. */
 import { mkdirSync } from 'node:fs';
 import { open, readFile, readdir, rename, rm, truncate } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
@@ -15,7 +15,7 @@
   detail: String((cause as Error | null)?.message ?? cause),
 });
 
-const onDisk = async <T>(work: () => Promise<T>): Promise<Result<T, DiskError>> => {
+const toResult = async <T>(work: () => Promise<T>): Promise<Result<T, DiskError>> => {
   try {
     return ok(await work());
   } catch (cause) {
@@ -33,20 +33,20 @@
 };
 
 const readFrom = async (path: string): Promise<Result<Uint8Array | null, DiskError>> => {
-  const read = await onDisk(() => readFile(path));
+  const read = await toResult(() => readFile(path));
   if (read.isErr() && read.error.code === 'ENOENT') return ok(null);
   return read.map((bytes) => new Uint8Array(bytes.buffer, bytes.byteOffset, bytes.byteLength));
 };
 
-const fileOver = (handle: FileHandle): DiskFile => ({
+const toDiskFile = (handle: FileHandle): DiskFile => ({
   append: (bytes) =>
-    onDisk(async () => {
-      let begin = 0;
-      while (begin < bytes.length) begin += (await handle.write(bytes, begin)).bytesWritten;
+    toResult(async () => {
+      let offset = 0;
+      while (offset < bytes.length) offset += (await handle.write(bytes, offset)).bytesWritten;
     }),
-  sync: () => onDisk(() => handle.datasync()),
+  sync: () => toResult(() => handle.datasync()),
   close: async () => {
-    await onDisk(() => handle.close());
+    await toResult(() => handle.close());
   },
 });
 
@@ -54,19 +54,19 @@
   const handle = await open(join(folder, name), 'a');
   await handle.sync();
   await syncFolder(folder);
-  return fileOver(handle);
+  return toDiskFile(handle);
 };
 
 const replaceFile = async (folder: string, name: string, bytes: Uint8Array): Promise<void> => {
-  const draft = join(folder, `${name}.draft`);
-  const handle = await open(draft, 'w');
+  const temporaryPath = join(folder, `${name}.draft`);
+  const handle = await open(temporaryPath, 'w');
   try {
     await handle.writeFile(bytes);
     await handle.sync();
   } finally {
     await handle.close();
   }
-  await rename(draft, join(folder, name));
+  await rename(temporaryPath, join(folder, name));
   await syncFolder(folder);
 };
 
@@ -89,23 +89,23 @@
   await syncFolder(folder);
 };
 
-/** The disk over a folder, which is made where it is missing. */
+/** Opens the disk over a folder, which is created if it is missing. */
 export const realDisk = (folder: string): Disk => {
   mkdirSync(folder, { recursive: true });
   return {
-    list: () => onDisk(() => readdir(folder)),
+    list: () => toResult(() => readdir(folder)),
     read: (name) => readFrom(join(folder, name)),
-    open: (name) => onDisk(() => openForAppending(folder, name)),
-    replace: (name, bytes) => onDisk(() => replaceFile(folder, name, bytes)),
-    sync: (name) => onDisk(() => syncFile(join(folder, name))),
-    truncate: (name, size) => onDisk(() => truncateFile(join(folder, name), size)),
-    remove: (name) => onDisk(() => removeFile(folder, name)),
+    open: (name) => toResult(() => openForAppending(folder, name)),
+    replace: (name, bytes) => toResult(() => replaceFile(folder, name, bytes)),
+    sync: (name) => toResult(() => syncFile(join(folder, name))),
+    truncate: (name, size) => toResult(() => truncateFile(join(folder, name), size)),
+    remove: (name) => toResult(() => removeFile(folder, name)),
   };
 };
 
-/** The disk of a node without a data folder: every call fails with `NODATA`. */
+/** The disk of a node without a data folder: every operation fails with `NODATA`. */
 export const noDisk = (): Disk => {
-  const refuse = async <T>(): Promise<Result<T, DiskError>> =>
+  const fail = async <T>(): Promise<Result<T, DiskError>> =>
     err({ kind: 'disk', code: 'NODATA', detail: 'this node has no data folder' });
-  return { list: refuse, read: refuse, open: refuse, replace: refuse, sync: refuse, truncate: refuse, remove: refuse };
+  return { list: fail, read: fail, open: fail, replace: fail, sync: fail, truncate: fail, remove: fail };
 };
--- a/packages/core-types/src/ports/realNetwork.ts
+++ b/packages/core-types/src/ports/realNetwork.ts
@@ -1,4 +1,4 @@
-/** The network port over TCP sockets of this machine. */
+/** The network port over TCP sockets. */
 import { createConnection, createServer } from 'node:net';
 import type { Socket } from 'node:net';
 import { err, ok } from 'neverthrow';
@@ -7,7 +7,7 @@
 import type { Listener, Net, RawConnection } from './ports.js';
 import { systemErrorCode } from './systemErrorCode.js';
 
-const connectionOver = (socket: Socket): RawConnection => {
+const toRawConnection = (socket: Socket): RawConnection => {
   socket.setNoDelay(true);
   socket.on('error', () => {});
   return {
@@ -31,18 +31,18 @@
   new Promise((resolve) => {
     const { host, port } = addresses.split(address);
     const socket = createConnection({ host, port, ...(localHost === null ? {} : { localAddress: localHost }) });
-    const giveUp = (code: string): void => {
+    const fail = (code: string): void => {
       socket.destroy();
       resolve(err(networkError(code)));
     };
-    const timer = setTimeout(() => giveUp('ETIMEDOUT'), timeoutMs);
+    const timer = setTimeout(() => fail('ETIMEDOUT'), timeoutMs);
     socket.once('error', (cause) => {
       clearTimeout(timer);
-      giveUp(systemErrorCode(cause));
+      fail(systemErrorCode(cause));
     });
     socket.once('connect', () => {
       clearTimeout(timer);
-      resolve(ok(connectionOver(socket)));
+      resolve(ok(toRawConnection(socket)));
     });
   });
 
@@ -53,12 +53,12 @@
     const server = createServer((socket) => {
       sockets.add(socket);
       socket.on('close', () => sockets.delete(socket));
-      onConnection(connectionOver(socket));
+      onConnection(toRawConnection(socket));
     });
     const listener: Listener = {
       close: () =>
-        new Promise((closed) => {
-          server.close(() => closed());
+        new Promise((resolveClosed) => {
+          server.close(() => resolveClosed());
           for (const socket of sockets) socket.destroy();
         }),
     };
@@ -66,7 +66,7 @@
     server.listen(port, host, () => resolve(ok(listener)));
   });
 
-/** The network over TCP; `localHost` is the address that connections are dialled from, null for any. */
+/** Creates the network over TCP; `localHost` is the local address of outgoing connections, null for any. */
 export const realNetwork = (localHost: string | null): Net => ({
   dial: (address, timeoutMs) => dial(localHost, address, timeoutMs),
   listen,
--- a/packages/core-types/src/ports/realRandom.ts
+++ b/packages/core-types/src/ports/realRandom.ts
@@ -1,4 +1,4 @@
-/** The randomness port over this process's generators. */
+/** The random port over the generators of Node.js. */
 import { randomBytes } from 'node:crypto';
 import type { Random } from './ports.js';
 
--- a/packages/core-types/src/ports/systemErrorCode.ts
+++ b/packages/core-types/src/ports/systemErrorCode.ts
@@ -1,4 +1,4 @@
-/** The code that Node.js gives an error of the operating system. */
+/** The error codes of the operating system. */
 
-/** The `code` of a system error (`ECONNREFUSED`, `ENOSPC`), and `UNKNOWN` where it has none. */
+/** Returns the `code` of a system error (`ECONNREFUSED`, `ENOSPC`), or `UNKNOWN` where it has none. */
 export const systemErrorCode = (cause: unknown): string => (cause as { code?: string } | null)?.code ?? 'UNKNOWN';
--- a/packages/core-types/src/rejection.ts
+++ b/packages/core-types/src/rejection.ts
@@ -39,8 +39,8 @@
 ]);
 
 /**
- * Builds rejections, and tells their HTTP status. Codes that pass by themselves are retried after a second unless told
- * otherwise.
+ * Builds rejections and maps them to HTTP statuses. The retry delay of retryable codes is one second unless another is
+ * supplied; other codes have none.
  */
 export const rejections = {
   of: (code: RejectionCode, ran: ExecutionStatus, detail: string, retryAfterSeconds?: number): Rejection => ({
--- a/packages/core-types/src/replicaEndpoints.ts
+++ b/packages/core-types/src/replicaEndpoints.ts
@@ -1,12 +1,12 @@
-/** Merging of what two sources tell of one replica. */
+/** Merges two versions of the endpoint of one replica. */
 import type { ReplicaEndpoint } from './routing.js';
 
-/** Joins endpoints that were received with those known. */
+/** Merges received endpoints with known ones. */
 export const replicaEndpoints = {
   /**
-   * The received endpoint, merged with the one known before under the same id. An id names one incarnation of a
-   * replica, within which weights versions never decrease and leaving is never taken back; a list that was read earlier
-   * may arrive later.
+   * Merges a received endpoint with the known one of the same id. An id names one incarnation of a replica, within which
+   * weights versions never decrease and `isLeaving` is never reset. The merge preserves this, since an older list may
+   * arrive after a newer one.
    */
   merge: (received: ReplicaEndpoint, known: ReplicaEndpoint): ReplicaEndpoint => {
     const weights = { ...received.weights };
--- a/packages/core-types/src/replicaRecords.ts
+++ b/packages/core-types/src/replicaRecords.ts
@@ -1,10 +1,10 @@
-/** The record of one replica of a gateway, as the nodes gossip it, and the merge of two records of the same replica. */
+/** The record of a replica as nodes gossip it, and the merge of two records of the same replica. */
 
-/** In this order: a record further along wins a merge. */
+/** The states in the order in which a replica goes through them; the later one wins a merge. */
 type ReplicaState = 'ready' | 'leaving' | 'gone';
 
 /**
- * A replica, or a cache store, of a gateway. `incarnation` grows with each run of its process; `born` is the log
+ * A replica or a cache store of a gateway. `incarnation` increases with each run of its process; `born` is the log
  * index at which it was announced; `sides` are the isolated tenants that it may have served.
  */
 export interface ReplicaRecord {
@@ -22,7 +22,7 @@
 
 const stateRanks: Record<ReplicaState, number> = { ready: 0, leaving: 1, gone: 2 };
 
-const isAhead = (a: ReplicaRecord, b: ReplicaRecord): boolean => {
+const supersedes = (a: ReplicaRecord, b: ReplicaRecord): boolean => {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
   if (a.state !== b.state) return stateRanks[a.state] > stateRanks[b.state];
   return JSON.stringify({ ...a, born: 0, sides: [] }) < JSON.stringify({ ...b, born: 0, sides: [] });
@@ -32,8 +32,9 @@
 const unknownSide = '*unknown*';
 
 /**
- * Merges records of one replica. The merge is commutative and idempotent, so that nodes agree whatever the order
- * they hear of them; `withDefaults` completes a record of an older release, whose sides are unknown.
+ * Merges records of one replica. The merge is commutative and idempotent, so that nodes converge regardless of the
+ * order in which they receive records. `withDefaults` completes a record of an older release, which has no sides, and
+ * `isUpdate` returns whether a received record adds anything to the known one.
  */
 export const replicaRecords = {
   withDefaults: (record: ReplicaRecord): ReplicaRecord => ({
@@ -42,10 +43,10 @@
   }),
   merge: (known: ReplicaRecord | undefined, received: ReplicaRecord): ReplicaRecord => {
     if (known === undefined) return received;
-    const ahead = isAhead(received, known) ? received : known;
-    if (known.incarnation !== received.incarnation) return ahead;
+    const newer = supersedes(received, known) ? received : known;
+    if (known.incarnation !== received.incarnation) return newer;
     const sides = new Set([...known.sides, ...received.sides, ...(known.pool === received.pool ? [] : [movedSide])]);
-    return { ...ahead, born: Math.min(known.born, received.born), sides: [...sides].sort() };
+    return { ...newer, born: Math.min(known.born, received.born), sides: [...sides].sort() };
   },
   isUpdate: (known: ReplicaRecord | undefined, received: ReplicaRecord): boolean => {
     const merged = replicaRecords.merge(known, received);
--- a/packages/core-types/src/routing.ts
+++ b/packages/core-types/src/routing.ts
@@ -1,11 +1,10 @@
 /**
- * The configuration of the data plane as the product uses it: routes, pools, stores and customers, and the
- * replicas that the platform lists.
+ * The configuration of the data plane: routes, pools, stores and customers, and the replicas that the platform lists.
  */
 
 /**
- * Whether a request may be sent again after an attempt of unknown outcome (`repeatable`), may not (`once`), or is
- * answered by a stream of events (`stream`).
+ * Whether a request may be retried after an attempt with an unknown outcome (`repeatable`), may not be retried (`once`),
+ * or is answered by a stream of events (`stream`).
  */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
@@ -15,9 +14,9 @@
 }
 
 /**
- * Requests of one host and path prefix. `timeoutMs` is the longest a request may take, `latencyTargetMs` what is
- * aimed at, `maxEventGapMs` the longest silence in a stream (null: no limit); `rank` 0 is the most urgent;
- * `shares` are weights, relative to each other.
+ * The requests of one host and path prefix. `timeoutMs` is the maximum duration of a request, `latencyTargetMs` the
+ * desired one, and `maxEventGapMs` the longest gap between events of a stream (null for no limit). `rank` 0 is the most
+ * urgent. `shares` splits the requests between pools, with weights relative to each other.
  */
 export interface Route {
   readonly name: string;
@@ -44,8 +43,8 @@
 }
 
 /**
- * Replicas that serve the same requests; `engine` is null where they run no model. `connectionLimit` is per
- * replica, null for none.
+ * Replicas that serve the same requests; `engine` is null where they run no model. `connectionLimit` is per replica,
+ * null for no limit.
  */
 export interface ReplicaPool {
   readonly name: string;
@@ -54,8 +53,8 @@
 }
 
 /**
- * A cache store outside the replicas. `linkMbps` is in megabits a second, `inFlight` how many transfers it takes
- * at once.
+ * A cache store outside the replicas. `linkMbps` is in megabits per second, `inFlight` the maximum number of concurrent
+ * transfers.
  */
 export interface CacheStore {
   readonly name: string;
@@ -67,8 +66,8 @@
 }
 
 /**
- * A customer and the hashes of its API keys; `rank` null leaves the route's. An isolated one shares no cached
- * prompts with others.
+ * A customer and the hashes of its API keys. `rank` overrides the rank of the route unless it is null. An isolated
+ * customer shares no cached prompts with others.
  */
 export interface Customer {
   readonly name: string;
@@ -78,8 +77,8 @@
 }
 
 /**
- * Limits on callers: the largest head and body in bytes, the longest wait for a whole head, and how long a
- * connection may be idle, in milliseconds.
+ * Limits on callers: the maximum size of head and body in bytes, the timeout for receiving a complete head, and the idle
+ * timeout of a connection, in milliseconds.
  */
 export interface CallerLimits {
   readonly headerBytes: number;
@@ -88,7 +87,7 @@
   readonly idleMs: number;
 }
 
-/** A whole configuration. `customers` is null where requests need no key. */
+/** A complete configuration. `customers` is null where requests need no key. */
 export interface RoutingTable {
   readonly routes: readonly Route[];
   readonly pools: readonly ReplicaPool[];
@@ -97,7 +96,7 @@
   readonly limits: CallerLimits;
 }
 
-/** The configuration in force: its version, its table, and the text that operators read back. */
+/** The active configuration: its version, its table, and the source text that operators read back. */
 export interface ActiveRouting {
   readonly configVersion: number;
   readonly table: RoutingTable;
@@ -105,8 +104,8 @@
 }
 
 /**
- * A replica as the platform lists it; `id` names one run of its process. `weights` is the version of each model it
- * has, `isLeaving` tells that it takes no new requests.
+ * A replica as the platform lists it; `id` names one run of its process. `weights` has the loaded version of each model;
+ * a replica with `isLeaving` accepts no new requests.
  */
 export interface ReplicaEndpoint {
   readonly id: string;
@@ -118,13 +117,13 @@
   readonly weights: Record<string, number>;
 }
 
-/** A part of a prompt that may be cached, by the caller's id, with its length in tokens. */
+/** A part of a prompt that may be cached, with the id that the caller gave it and its length in tokens. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A part that an address has begun (`isKept`) or ceased to keep, in a cache namespace (`salt`). */
+/** An event of a prefix cache: a part was stored (`isKept`) or evicted, in a cache namespace (`salt`). */
 export interface PrefixCacheEvent {
   readonly isKept: boolean;
   readonly salt: string;
--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -42,9 +42,10 @@
   const after = storeUses(config);
   const since: Record<string, number> = { ...state.storeSince };
   for (const store of new Set([...before.keys(), ...after.keys()])) {
-    const [was, is] = [before.get(store), after.get(store)];
-    if (since[store] === undefined && was === undefined) since[store] = is?.isMixed === true ? logIndex : 0;
-    else if (was?.weights !== is?.weights || was?.isMixed === true || is?.isMixed === true) since[store] = logIndex;
+    const [previous, current] = [before.get(store), after.get(store)];
+    if (since[store] === undefined && previous === undefined) since[store] = current?.isMixed === true ? logIndex : 0;
+    else if (previous?.weights !== current?.weights || previous?.isMixed === true || current?.isMixed === true)
+      since[store] = logIndex;
   }
   return since;
 };
@@ -52,19 +53,19 @@
 const isVoter = (state: CommittedState, incarnation: string): boolean =>
   state.members.some((member) => member.incarnation === incarnation);
 
-/** Whether a swap keeps the seats distinct: its outgoing member holds one, its incoming member holds none. */
+/** Whether a swap keeps the voters distinct: its outgoing member is a voter, and its incoming member is not. */
 const canSwap = (state: CommittedState, outgoing: string, incoming: Member): boolean =>
   isVoter(state, outgoing) && !isVoter(state, incoming.incarnation);
 
 /**
- * The voters: one for each distinct incarnation, also where an older release gave one of them two seats. A majority is
- * still counted of all seats.
+ * The voters, each incarnation once: older releases could list one of them twice. A majority is still counted over all
+ * entries of `members`.
  */
 const distinctVoters = (state: CommittedState | null): Member[] => [
   ...new Map((state?.members ?? []).map((member) => [member.incarnation, member])).values(),
 ];
 
-/** States of older releases lack the newer fields. */
+/** Adds the fields that states of older releases lack. */
 const withDefaults = (state: CommittedState): CommittedState => ({
   ...state,
   storeSince: (state.storeSince as CommittedState['storeSince'] | undefined) ?? {},
@@ -146,7 +147,7 @@
   return {
     ...state,
     logIndex,
-    ...changeRecords.remember(state, change, logIndex),
+    ...changeRecords.add(state, change, logIndex),
     ...changedFields(state, change.body, logIndex),
   };
 };
@@ -167,8 +168,8 @@
 };
 
 /**
- * The state machine. `initialState` is the state of a new cluster, `withDefaults` one of an older release with its missing fields;
- * `apply` gives the state after a change, and `isNoOp` tells whether the change would take effect on none of it.
+ * The state machine. `initialState` is the state of a new cluster, `withDefaults` completes a state of an older release,
+ * `apply` returns the state after a change, and `isNoOp` returns whether a change would have no effect.
  */
 export const stateMachine = {
   servesIsolated,
--- a/packages/core-types/src/timers.ts
+++ b/packages/core-types/src/timers.ts
@@ -1,15 +1,15 @@
-/** Waiting on the clock port. */
+/** Delays, timeouts and repeating timers on the clock port. */
 import type { Clock } from './ports/ports.js';
 
 /**
- * `sleep` waits for some milliseconds; `withTimeout` gives what `late` returns where the work takes longer than that, and
- * does not stop the work.
+ * `sleep` resolves after a delay in milliseconds. `withTimeout` resolves with the result of the work, or with what
+ * `onTimeout` returns where the work takes longer than the timeout; the work is not stopped.
  */
 export const timing = {
-  sleep: (clock: Clock, delayMs: number): Promise<void> => new Promise((wake) => void clock.after(delayMs, wake)),
-  withTimeout: <T>(clock: Clock, delayMs: number, work: Promise<T>, late: () => T): Promise<T> =>
-    new Promise((resolve, fail) => {
-      const timer = clock.after(delayMs, () => resolve(late()));
+  sleep: (clock: Clock, delayMs: number): Promise<void> => new Promise((resolve) => void clock.after(delayMs, resolve)),
+  withTimeout: <T>(clock: Clock, timeoutMs: number, work: Promise<T>, onTimeout: () => T): Promise<T> =>
+    new Promise((resolve, reject) => {
+      const timer = clock.after(timeoutMs, () => resolve(onTimeout()));
       work.then(
         (value) => {
           timer.cancel();
@@ -17,34 +17,34 @@
         },
         (cause) => {
           timer.cancel();
-          fail(cause);
+          reject(cause);
         },
       );
     }),
 };
 
-/** Runs a task again and again, with a new delay in milliseconds each time; not at once. */
+/** Runs a task repeatedly, each time after a new delay in milliseconds; the first run is delayed as well. */
 export class RepeatingTimer {
   private timer: { cancel: () => void } | null = null;
   private isStopped = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly everyMs: () => number,
+    private readonly nextDelayMs: () => number,
     private readonly task: () => void,
   ) {
-    this.plan();
+    this.schedule();
   }
 
-  private readonly plan = (): void => {
+  private readonly schedule = (): void => {
     if (this.isStopped) return;
-    this.timer = this.clock.after(this.everyMs(), () => {
+    this.timer = this.clock.after(this.nextDelayMs(), () => {
       this.task();
-      this.plan();
+      this.schedule();
     });
   };
 
-  /** Runs the task no more. */
+  /** Cancels all further runs. */
   readonly stop = (): void => {
     this.isStopped = true;
     this.timer?.cancel();
--- a/packages/core-types/src/uncaughtExceptions.ts
+++ b/packages/core-types/src/uncaughtExceptions.ts
@@ -1,4 +1,4 @@
-/** Ends a role on an exception that nobody caught, after one report to the log. */
+/** Logs an uncaught exception and exits the process. */
 import { BackgroundTaskError } from './background.js';
 import type { Log } from './ports/ports.js';
 
@@ -6,23 +6,23 @@
 interface UncaughtReport extends Record<string, unknown> {
   /** `BACKGROUND_TASK_FAILED` for rejected background work, `UNCAUGHT_EXCEPTION` for anything else. */
   readonly code: string;
-  /** What the background work was for; null for anything else. */
+  /** The description of the background work; null for anything else. */
   readonly task: string | null;
-  /** The stack of the original failure, or its text where it has none. */
+  /** The stack of the original error, or its text where it has none. */
   readonly cause: string;
 }
 
 const stackOf = (reason: unknown): string => String(reason instanceof Error ? (reason.stack ?? reason) : reason);
 
-/** Describes an uncaught exception for the log; background work is named by its task and its original failure. */
+/** Describes an uncaught exception for the log; background work is reported with its task and original error. */
 const report = (failure: unknown): UncaughtReport =>
   failure instanceof BackgroundTaskError
     ? { code: failure.code, task: failure.task, cause: stackOf(failure.cause) }
     : { code: 'UNCAUGHT_EXCEPTION', task: null, cause: stackOf(failure) };
 
 /**
- * Ends the process with `exitCode` on the first uncaught exception: an invariant broke, and a restart from what is on
- * disk is safer than going on. Node hands rejections that nobody handles to the same event.
+ * Exits the process with `exitCode` on the first uncaught exception: an invariant is broken, and a restart from the data
+ * on disk is safer than continuing. Node reports unhandled rejections by the same event.
  */
 const installHandler = (log: Log, exitCode: number): void => {
   process.on('uncaughtException', (failure) => {
@@ -31,5 +31,5 @@
   });
 };
 
-/** What becomes of an exception that nobody caught. */
+/** Handles uncaught exceptions. */
 export const uncaughtExceptions = { report, installHandler };
--- a/packages/core-types/test/background.test.ts
+++ b/packages/core-types/test/background.test.ts
@@ -9,7 +9,7 @@
 
 const brokenExitCode = 70;
 
-/** Runs `body` in a process of its own whose uncaught exceptions end it, as they end a role. */
+/** Runs `body` in its own process, with the uncaught exception handler of the roles installed. */
 const inProcess = (body: string): Promise<Ended> => {
   const script = `
     import { background, uncaughtExceptions } from ${JSON.stringify(import.meta.resolve('@martenworks/core-types'))};
@@ -44,7 +44,7 @@
     expect(report?.cause).to.match(/^Error: the disk is gone\n/);
   });
 
-  it('given work rejected later and another at once, when nobody awaits them, then the first one is reported and the process ends', async () => {
+  it('given work that is rejected later and work that is rejected at once, when nobody awaits them, then the first rejection is reported and the process ends', async () => {
     const ended = await inProcess(`
       background.run('later', new Promise((_, fail) => setTimeout(() => fail(new Error('later')), 200)));
       background.run('at once', (async () => { throw new Error('at once'); })());
@@ -53,7 +53,7 @@
     expect(reportsOf(ended).map(({ task }) => task)).to.deep.equal(['at once']);
   });
 
-  it('given work that is fulfilled, when nobody awaits it, then nothing is logged and the process goes on', async () => {
+  it('given work that is fulfilled, when nobody awaits it, then nothing is logged and the process continues', async () => {
     const ended = await inProcess(`
       background.run('trim claims', Promise.resolve(1));
       setTimeout(() => console.log('went on'), 50);
@@ -61,7 +61,7 @@
     expect(ended).to.deep.equal({ exitCode: 0, stdout: 'went on\n' });
   });
 
-  it('given a rejection that was not run in the background, when nobody handles it, then it ends the process alike', async () => {
+  it('given a rejection outside background work, when nobody handles it, then it is reported and the process ends', async () => {
     const ended = await inProcess(`Promise.reject(new Error('forgotten'));`);
     expect(ended.exitCode).to.equal(brokenExitCode);
     expect(reportsOf(ended).map(({ code, task }) => ({ code, task }))).to.deep.equal([
@@ -69,7 +69,7 @@
     ]);
   });
 
-  it('given a reason that is no error, when it is reported, then its text is the cause', () => {
+  it('given a reason that is not an Error, when it is reported, then its text is the cause', () => {
     expect(uncaughtExceptions.report(new BackgroundTaskError('trim claims', undefined))).to.deep.equal({
       code: 'BACKGROUND_TASK_FAILED',
       task: 'trim claims',
--- a/packages/core-types/test/realDisk.test.ts
+++ b/packages/core-types/test/realDisk.test.ts
@@ -13,7 +13,7 @@
 
   afterEach(() => rmSync(folder, { recursive: true }));
 
-  it('given a file that another process wrote, when it is synced, then it is as it was; given none, then the error says so', async () => {
+  it('given a file that another process wrote, when it is synced, then its contents are unchanged; given no file, then sync fails with ENOENT', async () => {
     const disk = machine.disk(folder);
     writeFileSync(join(folder, 'book'), 'written, not synced');
     expect((await disk.sync('book')).isOk()).to.equal(true);
@@ -21,7 +21,7 @@
     expect((await disk.sync('absent'))._unsafeUnwrapErr()).to.include({ kind: 'disk', code: 'ENOENT' });
   });
 
-  it('given a node without a data folder, when a file is synced, then it is refused', async () => {
+  it('given a node without a data folder, when a file is synced, then it fails with NODATA', async () => {
     expect((await machine.noDisk().sync('book'))._unsafeUnwrapErr().code).to.equal('NODATA');
   });
 });
--- a/packages/core-types/test/rendezvousHash.test.ts
+++ b/packages/core-types/test/rendezvousHash.test.ts
@@ -1,4 +1,7 @@
-/** Nodes of different releases rank replicas alike only as long as the digests stay as they are: they are computed here on their own. */
+/**
+ * Nodes of different releases agree on a ranking only while the digests stay unchanged, so the expected digests are
+ * computed here independently.
+ */
 import { createHash } from 'node:crypto';
 import { expect } from 'chai';
 import { RendezvousHash, replicaEndpoints } from '@martenworks/core-types';
@@ -17,7 +20,7 @@
 
 describe('rendezvous hashing', () => {
   for (const options of hashes)
-    it(`given ${options.algorithm} with the separator ${JSON.stringify(options.separator)}, when nodes are ranked for a key, then they come by descending digest of key and name`, () => {
+    it(`given ${options.algorithm} with the separator ${JSON.stringify(options.separator)}, when nodes are ranked for a key, then they are in descending order of the digest of key and name`, () => {
       const hash = new RendezvousHash(options);
       for (const key of ['a', 'manual', 'own:tenant', 'mixed', '']) {
         const expected = [...names].sort((a, b) => (digest(options, key, a) < digest(options, key, b) ? 1 : -1));
@@ -26,19 +29,19 @@
       }
     });
 
-  it('given a key and nodes, when one node leaves, then the others keep their order', () => {
+  it('given a ranking, when one node is removed, then the others keep their order', () => {
     const hash = new RendezvousHash({ algorithm: 'sha1', separator: '\n' });
     const ranked = hash.ranked('manual', names, (name) => name);
     const without = names.filter((name) => name !== ranked[0]);
     expect(hash.ranked('manual', without, (name) => name)).to.deep.equal(ranked.slice(1));
   });
 
-  it('given no nodes, when one is looked for, then there is none', () => {
+  it('given no nodes, when the highest is requested, then the result is null', () => {
     expect(new RendezvousHash({ algorithm: 'sha1', separator: '\n' }).highest('manual', [])).to.equal(null);
   });
 });
 
-describe('two records of one replica', () => {
+describe('merging two endpoints of one replica', () => {
   const endpoint = (more: Partial<ReplicaEndpoint>): ReplicaEndpoint => ({
     id: 'r1',
     pool: 'p',
@@ -50,13 +53,13 @@
     ...more,
   });
 
-  it('given an older list, when it is merged, then weights versions never decrease and leaving stays', () => {
+  it('given a received endpoint that is older, when it is merged, then weights versions do not decrease and isLeaving stays set', () => {
     const known = endpoint({ isLeaving: true, weights: { m: 3, n: 1 } });
     const merged = replicaEndpoints.merge(endpoint({ address: 'b', slots: 2, weights: { m: 2, o: 5 } }), known);
     expect(merged).to.deep.equal(endpoint({ address: 'b', slots: 2, isLeaving: true, weights: { m: 3, o: 5, n: 1 } }));
   });
 
-  it('given a newer list, when it is merged, then what it has wins', () => {
+  it('given a received endpoint that is newer, when it is merged, then its values win', () => {
     const merged = replicaEndpoints.merge(
       endpoint({ isLeaving: true, weights: { m: 4 } }),
       endpoint({ weights: { m: 3 } }),
