--- a/packages/cluster-membership/src/failureDetector.ts
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -1,4 +1,4 @@
-/** Sends and watches heartbeats, and reports suspected nodes to the control nodes. */
+/** Sends and monitors heartbeats, and reports suspected nodes to the control nodes. */
 import { RepeatingTimer } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import type { Hello } from '@martenworks/peer-transport';
@@ -7,17 +7,17 @@
 import type { MemberList } from './memberList.js';
 import { HeartbeatMonitor, heartbeatIntervalMs } from './heartbeatMonitor.js';
 
-const frozenMs = 1_200;
+const maxTickGapMs = 1_200;
 
 /**
- * Runs on every node. A tick that comes much too late tells that this process stood still: its own silence is not held
- * against the others.
+ * Detects failed nodes; runs on every node. A tick that is more than 1.2 s after the previous one means that this process
+ * itself was paused: heartbeats that it did not receive meanwhile do not count against their senders.
  */
 export class FailureDetector {
-  /** The heartbeats that this node watches. */
+  /** The monitor of the heartbeats that this node receives. */
   readonly heartbeatMonitor: HeartbeatMonitor;
   private readonly timer: RepeatingTimer;
-  private tickedAt: number;
+  private lastTickAt: number;
 
   constructor(
     ports: Ports,
@@ -27,8 +27,8 @@
     private readonly reportLocally: (suspects: readonly string[]) => void,
   ) {
     const { clock, random } = ports;
-    this.heartbeatMonitor = new HeartbeatMonitor(clock, own, this.nodes);
-    this.tickedAt = clock.now();
+    this.heartbeatMonitor = new HeartbeatMonitor(clock, own, this.ringNodes);
+    this.lastTickAt = clock.now();
     this.timer = new RepeatingTimer(
       clock,
       () => heartbeatIntervalMs * (0.95 + 0.1 * random.fraction()),
@@ -36,13 +36,13 @@
     );
   }
 
-  private readonly nodes = (): RingNode[] =>
+  private readonly ringNodes = (): RingNode[] =>
     this.memberList
       .entries()
       .filter(({ hello }) => hello.role !== 'inspector')
       .map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
 
-  /** Addresses of the nodes that watch this one, to hold connections to. */
+  /** The addresses of the nodes that watch this one, to which it keeps connections. */
   readonly watcherAddresses = (): string[] => {
     const names = new Set(this.heartbeatMonitor.watchers());
     return this.memberList
@@ -52,8 +52,8 @@
   };
 
   private readonly tick = (now: number): void => {
-    if (now - this.tickedAt > frozenMs) this.heartbeatMonitor.resetAfterPause();
-    this.tickedAt = now;
+    if (now - this.lastTickAt > maxTickGapMs) this.heartbeatMonitor.resetAfterPause();
+    this.lastTickAt = now;
     const watchers = new Set(this.heartbeatMonitor.watchers());
     const suspects = this.heartbeatMonitor.suspects();
     for (const connection of this.peerPool().openConnections()) {
@@ -64,6 +64,6 @@
     this.reportLocally(suspects);
   };
 
-  /** Stops the ticks. */
+  /** Stops sending heartbeats and reports. */
   readonly stop = (): void => this.timer.stop();
 }
--- a/packages/cluster-membership/src/failureVerdicts.ts
+++ b/packages/cluster-membership/src/failureVerdicts.ts
@@ -1,43 +1,45 @@
-/** Joins the suspicions of several watchers into one verdict on each node. */
+/** Combines the suspicions of several watchers into one verdict on each node. */
 import type { Clock } from '@martenworks/core-types';
 
-const reportAgeMs = 2_000;
-const confirmations = 2;
+const maxReportAgeMs = 2_000;
+const requiredWatchers = 2;
 
-/** Who suspects a node now, and whether they are enough. */
+/** The watchers that currently suspect a node, and whether they are enough for it to count as down. */
 export interface FailureVerdict {
   readonly node: string;
   readonly suspectedBy: readonly string[];
   readonly isDown: boolean;
 }
 
-/** Holds a node down once two watchers suspect it; a report counts for 2 s. */
+/** Counts a node as down once two watchers suspect it; a report is valid for 2 s. */
 export class FailureVerdicts {
   private readonly reports = new Map<string, Map<string, number>>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes the whole list of nodes that a watcher suspects. */
+  /** Records the complete list of nodes that a watcher suspects, in place of its earlier list. */
   readonly report = (watcher: string, suspects: readonly string[]): void => {
     const now = this.clock.now();
-    for (const [node, by] of this.reports) if (!suspects.includes(node)) by.delete(watcher);
+    for (const [node, watchers] of this.reports) if (!suspects.includes(node)) watchers.delete(watcher);
     for (const node of suspects) {
-      const by = this.reports.get(node) ?? new Map<string, number>();
-      by.set(watcher, now);
-      this.reports.set(node, by);
+      const watchers = this.reports.get(node) ?? new Map<string, number>();
+      watchers.set(watcher, now);
+      this.reports.set(node, watchers);
     }
   };
 
-  /** Names of the watchers that suspect this node. */
+  /** The names of the watchers that suspect this node. */
   readonly suspectedBy = (node: string): string[] => {
     const now = this.clock.now();
-    return [...(this.reports.get(node) ?? [])].filter(([, at]) => now - at <= reportAgeMs).map(([watcher]) => watcher);
+    return [...(this.reports.get(node) ?? [])]
+      .filter(([, reportedAt]) => now - reportedAt <= maxReportAgeMs)
+      .map(([watcher]) => watcher);
   };
 
   /** Whether enough watchers suspect it. */
-  readonly isDown = (node: string): boolean => this.suspectedBy(node).length >= confirmations;
+  readonly isDown = (node: string): boolean => this.suspectedBy(node).length >= requiredWatchers;
 
-  /** The nodes that anyone suspects. */
+  /** The verdicts on all suspected nodes. */
   readonly status = (): FailureVerdict[] =>
     [...this.reports.keys()]
       .map((node) => ({ node, suspectedBy: this.suspectedBy(node), isDown: this.isDown(node) }))
--- a/packages/cluster-membership/src/fencingTokenCheck.ts
+++ b/packages/cluster-membership/src/fencingTokenCheck.ts
@@ -1,10 +1,10 @@
-/** The check of fencing tokens where work of a lease's holder arrives. */
+/** The check of fencing tokens at the receiver of a lease holder's messages. */
 
-/** Admits a duty's messages in the order of their fencing tokens: none below the highest seen. */
+/** Rejects the messages of former lease holders: for each duty, those with a lower token than the highest seen. */
 export class FencingTokenCheck {
   private readonly highest = new Map<string, number>();
 
-  /** Whether a message under this token is taken; the token then counts as seen. */
+  /** Returns whether a message with this token is accepted, and if so records the token. */
   readonly accepts = (duty: string, fence: number): boolean => {
     if (fence < (this.highest.get(duty) ?? 0)) return false;
     this.highest.set(duty, fence);
--- a/packages/cluster-membership/src/heartbeatMonitor.ts
+++ b/packages/cluster-membership/src/heartbeatMonitor.ts
@@ -1,30 +1,30 @@
-/** Watches the heartbeats of the nodes that the ring gives this node to watch. */
+/** Monitors the heartbeats of the nodes that the hash ring assigns to this node. */
 import type { Clock } from '@martenworks/core-types';
 import type { RingNode } from './hashRing.js';
 import { hashRing } from './hashRing.js';
 
-/** Milliseconds between two heartbeats of a node. */
+/** The interval between two heartbeats of a node, in milliseconds. */
 export const heartbeatIntervalMs = 500;
-const leastSilenceMs = 1_800;
-const spreadFactor = 6;
-/** Weight of the newest gap in the moving means. */
+const minTimeoutMs = 1_800;
+const deviationFactor = 6;
+/** The weight of the newest gap in the exponential moving averages. */
 const smoothing = 0.1;
 
 interface HeartbeatHistory {
-  at: number;
+  lastHeartbeatAt: number;
   meanMs: number;
-  spreadMs: number;
+  deviationMs: number;
 }
 
-const newHistory = (at: number): HeartbeatHistory => ({
-  at,
+const newHistory = (lastHeartbeatAt: number): HeartbeatHistory => ({
+  lastHeartbeatAt,
   meanMs: heartbeatIntervalMs,
-  spreadMs: heartbeatIntervalMs / 4,
+  deviationMs: heartbeatIntervalMs / 4,
 });
 
 /**
- * Suspects a node once it is silent for longer than the mean gap between its heartbeats and six times their mean
- * deviation, and at least 1.8 s.
+ * Suspects a watched node after a timeout without a heartbeat: the mean gap between its heartbeats plus six times their
+ * mean deviation, and at least 1.8 s.
  */
 export class HeartbeatMonitor {
   private readonly histories = new Map<string, HeartbeatHistory>();
@@ -35,7 +35,7 @@
     private readonly nodes: () => readonly RingNode[],
   ) {}
 
-  /** Names of the nodes that watch this one. */
+  /** The names of the nodes that watch this one. */
   readonly watchers = (): string[] => hashRing.watchersOf(this.own().name, this.nodes());
 
   private readonly watched = (): RingNode[] => {
@@ -44,7 +44,7 @@
     return nodes.filter((node) => node.name !== own && hashRing.watchersOf(node.name, nodes).includes(own));
   };
 
-  /** Notes a heartbeat. */
+  /** Records a heartbeat of the node with this name. */
   readonly recordHeartbeat = (name: string): void => {
     const now = this.clock.now();
     const history = this.histories.get(name);
@@ -52,27 +52,29 @@
       this.histories.set(name, newHistory(now));
       return;
     }
-    const gap = now - history.at;
-    history.spreadMs += (Math.abs(gap - history.meanMs) - history.spreadMs) * smoothing;
-    history.meanMs += (gap - history.meanMs) * smoothing;
-    history.at = now;
+    const gapMs = now - history.lastHeartbeatAt;
+    history.deviationMs += (Math.abs(gapMs - history.meanMs) - history.deviationMs) * smoothing;
+    history.meanMs += (gapMs - history.meanMs) * smoothing;
+    history.lastHeartbeatAt = now;
   };
 
-  private readonly limitMs = (history: HeartbeatHistory): number =>
-    Math.max(leastSilenceMs, history.meanMs + spreadFactor * history.spreadMs);
+  private readonly timeoutMs = (history: HeartbeatHistory): number =>
+    Math.max(minTimeoutMs, history.meanMs + deviationFactor * history.deviationMs);
 
-  /** Names of the watched nodes that are silent for too long. */
+  /** The names of the watched nodes whose heartbeat is overdue. */
   readonly suspects = (): string[] => {
     const now = this.clock.now();
     const watched = new Set(this.watched().map((node) => node.name));
     for (const name of [...this.histories.keys()]) if (!watched.has(name)) this.histories.delete(name);
     for (const name of watched) if (!this.histories.has(name)) this.histories.set(name, newHistory(now));
-    return [...this.histories].filter(([, history]) => now - history.at > this.limitMs(history)).map(([name]) => name);
+    return [...this.histories]
+      .filter(([, history]) => now - history.lastHeartbeatAt > this.timeoutMs(history))
+      .map(([name]) => name);
   };
 
-  /** This process stood still itself: all silences begin anew. */
+  /** Restarts all timeouts after a pause of this process, during which it could not receive heartbeats. */
   readonly resetAfterPause = (): void => {
     const now = this.clock.now();
-    for (const history of this.histories.values()) history.at = now;
+    for (const history of this.histories.values()) history.lastHeartbeatAt = now;
   };
 }
--- a/packages/cluster-membership/src/index.ts
+++ b/packages/cluster-membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Who is in the cluster, who is down, and who holds which lease. */
+/** Cluster membership, failure detection and leases. */
 export * from './memberList.js';
 export * from './peerPool.js';
 export { leaseMs } from './leaseTerms.js';
--- a/packages/cluster-membership/src/leaseTerms.ts
+++ b/packages/cluster-membership/src/leaseTerms.ts
@@ -1,32 +1,30 @@
-/**
- * The messages and terms of leases: a duty's lease is held by the node to which a majority of the voters granted it.
- */
+/** The messages and terms of leases. The lease of a duty is held by the node to which a majority of voters granted it. */
 
-/** Milliseconds that a grant lasts unless it is renewed. */
+/** The duration of a grant that is not renewed, in milliseconds. */
 export const leaseMs = 3_000;
 const marginMs = 600;
 
-/** One duty and the fencing token it is asked or granted under. */
+/** A duty and the fencing token under which it is requested or granted. */
 export interface DutyFence {
   readonly duty: string;
   readonly fence: number;
 }
 
-/** A node asks a voter for duties, or gives them back. */
+/** A node's request to a voter to grant, renew or release the leases of duties. */
 export interface LeaseRequest {
   readonly holder: string;
   readonly duties: readonly DutyFence[];
 }
 
-/** A voter's reply: the duties it granted, and the highest fencing token it knows of each duty asked for. */
+/** A voter's reply: the granted duties, and the highest fencing token that it knows for each requested duty. */
 export interface LeaseReply {
   readonly granted: readonly string[];
   readonly fences: Record<string, number>;
 }
 
 /**
- * Milliseconds: how long a grant lasts, how much earlier its holder stops, how long after its end nobody else gets it;
- * and the fence that any new one must pass.
+ * The terms of leases; times are in milliseconds. A grant lasts `leaseMs`, its holder stops `marginMs` earlier, and for
+ * `gapMs` after its end it is granted to no other holder. A new fencing token must be higher than `fenceFloor`.
  */
 export interface LeaseTerms {
   readonly leaseMs: number;
@@ -35,5 +33,5 @@
   readonly fenceFloor: () => number;
 }
 
-/** The terms without a gap or a floor. */
+/** The terms without a gap between holders or a floor for fencing tokens. */
 export const defaultTerms: LeaseTerms = { leaseMs, marginMs, gapMs: 0, fenceFloor: () => 0 };
--- a/packages/cluster-membership/src/memberList.ts
+++ b/packages/cluster-membership/src/memberList.ts
@@ -1,9 +1,9 @@
-/** The nodes that this node knows of, spread by gossip. */
+/** The list of known nodes, spread by gossip. */
 import type { Clock } from '@martenworks/core-types';
 import { hellos } from '@martenworks/peer-transport';
 import type { Hello } from '@martenworks/peer-transport';
 
-/** A node, and the milliseconds since anyone saw it, by the clock of whoever tells it. */
+/** A node and the milliseconds since any node last had contact with it, as the sender of the entry measures them. */
 export interface MemberEntry {
   readonly hello: Hello;
   readonly ageMs: number;
@@ -14,8 +14,8 @@
   seenAt: number;
 }
 
-const forgetMs = 120_000;
-const entryLimit = 256;
+const maxAgeMs = 120_000;
+const maxEntries = 256;
 
 const isEntry = (value: unknown): value is MemberEntry => {
   if (typeof value !== 'object' || value === null) return false;
@@ -23,12 +23,12 @@
   return typeof ageMs === 'number' && hellos.isHello(hello);
 };
 
-/** Checks member entries that came from a peer; those that can't be read are left out. */
+/** Validates the member entries received from a peer; invalid ones are skipped. */
 export const memberEntries = {
   parse: (body: unknown): MemberEntry[] => (Array.isArray(body) ? body.filter(isEntry) : []),
 };
 
-/** Keeps the newest hello of each other node; one that nobody has seen for two minutes is forgotten. */
+/** Stores the newest hello of each other node; a node that no node has had contact with for two minutes is removed. */
 export class MemberList {
   private readonly members = new Map<string, KnownMember>();
 
@@ -37,22 +37,22 @@
     private readonly own: () => Hello,
   ) {}
 
-  /** Notes that this node is connected now. */
+  /** Records that there is a connection to this node now. */
   readonly recordContact = (hello: Hello): void => this.merge([{ hello, ageMs: 0 }]);
 
-  /** Takes another node's entries; of each node the newer sighting stays. */
+  /** Merges the entries of another node; for each member the more recent contact wins. */
   readonly merge = (entries: readonly MemberEntry[]): void => {
     const now = this.clock.now();
-    for (const { hello, ageMs } of entries.slice(0, entryLimit)) {
-      if (hello.name === this.own().name || ageMs > forgetMs) continue;
+    for (const { hello, ageMs } of entries.slice(0, maxEntries)) {
+      if (hello.name === this.own().name || ageMs > maxAgeMs) continue;
       const seenAt = now - ageMs;
       const known = this.members.get(hello.name);
       if (known === undefined || known.seenAt < seenAt) this.members.set(hello.name, { hello, seenAt });
     }
-    for (const [name, member] of this.members) if (now - member.seenAt > forgetMs) this.members.delete(name);
+    for (const [name, member] of this.members) if (now - member.seenAt > maxAgeMs) this.members.delete(name);
   };
 
-  /** All entries to send to a peer, this node's own first. */
+  /** All entries to send to a peer, starting with this node itself. */
   readonly entries = (): MemberEntry[] => {
     const now = this.clock.now();
     return [
@@ -61,7 +61,7 @@
     ];
   };
 
-  /** The other nodes of one role. */
+  /** The other nodes with this role. */
   readonly withRole = (role: Hello['role']): Hello[] =>
     [...this.members.values()].map((member) => member.hello).filter((hello) => hello.role === role);
 }
--- a/packages/cluster-membership/src/peerPool.ts
+++ b/packages/cluster-membership/src/peerPool.ts
@@ -1,4 +1,4 @@
-/** Keeps a connection to each control node, dialled from this node. */
+/** Maintains outgoing connections to all control nodes. */
 import { background, RepeatingTimer, timing } from '@martenworks/core-types';
 import type { Ports } from '@martenworks/core-types';
 import { peerConnections } from '@martenworks/peer-transport';
@@ -6,19 +6,19 @@
 import { memberEntries } from './memberList.js';
 import type { MemberList } from './memberList.js';
 
-const firstWaitMs = 50;
+const initialBackoffMs = 50;
 const maxBackoffMs = 1_000;
-const refreshMs = 1_000;
+const refreshIntervalMs = 1_000;
 const memberListTimeoutMs = 800;
-const enoughControlNodes = 3;
+const minControlNodes = 3;
 
-/** Milliseconds: how long one dial may take, and the longest wait between two. */
+/** The timeout of one dial and the maximum backoff between dials, in milliseconds. */
 export interface DialOptions {
   readonly timeoutMs: number;
   readonly maxBackoffMs: number;
 }
 
-const defaultPace: DialOptions = { timeoutMs: 2_000, maxBackoffMs };
+const defaultDialOptions: DialOptions = { timeoutMs: 2_000, maxBackoffMs };
 
 interface PooledPeer {
   connection: PeerConnection | null;
@@ -26,7 +26,7 @@
 }
 
 /**
- * Owns the dialled connections: one to each known control node, and to the seeds while fewer than three control nodes
+ * Owns the outgoing connections: one to each known control node, and to the seeds while fewer than three control nodes
  * are connected.
  */
 export class PeerPool {
@@ -41,31 +41,31 @@
     private readonly memberList: MemberList,
     private readonly memberAddresses: () => readonly string[],
     private readonly handlers: PeerHandlers,
-    private readonly pace: DialOptions = defaultPace,
+    private readonly dialOptions: DialOptions = defaultDialOptions,
   ) {
     this.refresher = new RepeatingTimer(
       ports.clock,
-      () => refreshMs * (0.75 + 0.5 * ports.random.fraction()),
+      () => refreshIntervalMs * (0.75 + 0.5 * ports.random.fraction()),
       this.refresh,
     );
     this.reconcile();
   }
 
-  private readonly wanted = (): Set<string> => {
+  private readonly wantedAddresses = (): Set<string> => {
     const controlNodes = new Set([
       ...this.memberAddresses(),
       ...this.memberList.withRole('control').map((hello) => hello.address),
     ]);
     const liveControlNodes = this.openConnections().filter((connection) => connection.peer?.role === 'control').length;
-    const addresses = liveControlNodes >= enoughControlNodes ? controlNodes : new Set([...controlNodes, ...this.seeds]);
+    const addresses = liveControlNodes >= minControlNodes ? controlNodes : new Set([...controlNodes, ...this.seeds]);
     addresses.delete(this.own().address);
     return addresses;
   };
 
-  /** Dials addresses that became wanted, closes connections that no longer are. */
+  /** Dials wanted addresses without a connection, and closes connections to addresses that are no longer wanted. */
   readonly reconcile = (): void => {
     if (this.isStopped) return;
-    const wanted = this.wanted();
+    const wanted = this.wantedAddresses();
     for (const address of wanted) if (!this.peers.has(address)) this.start(address);
     for (const [address, pooled] of this.peers) {
       if (wanted.has(address)) continue;
@@ -84,22 +84,22 @@
   private readonly isEnded = (pooled: PooledPeer): boolean => pooled.isStopped || this.isStopped;
 
   /**
-   * Dials until the peer is no longer wanted, with a wait that doubles up to the pace's longest; a connection that held
-   * for that long begins it anew.
+   * Dials until the peer is no longer wanted, with exponential backoff up to the maximum; a connection that lasted longer
+   * than the maximum resets the backoff.
    */
   private readonly keepConnected = async (address: string, pooled: PooledPeer): Promise<void> => {
     const { clock, random } = this.ports;
-    let waitMs = firstWaitMs;
+    let backoffMs = initialBackoffMs;
     while (!this.isEnded(pooled)) {
-      const heldMs = await this.connectOnce(address, pooled);
-      if (heldMs > this.pace.maxBackoffMs) waitMs = firstWaitMs;
+      const connectedMs = await this.connectOnce(address, pooled);
+      if (connectedMs > this.dialOptions.maxBackoffMs) backoffMs = initialBackoffMs;
       if (this.isEnded(pooled)) return;
-      await timing.sleep(clock, waitMs * (0.5 + random.fraction()));
-      waitMs = Math.min(waitMs * 2, this.pace.maxBackoffMs);
+      await timing.sleep(clock, backoffMs * (0.5 + random.fraction()));
+      backoffMs = Math.min(backoffMs * 2, this.dialOptions.maxBackoffMs);
     }
   };
 
-  /** Dials once and keeps the connection until it ends; the milliseconds that it held, 0 where there was none. */
+  /** Dials once and waits for the end of the connection. Returns its duration in milliseconds, 0 if the dial failed. */
   private readonly connectOnce = async (address: string, pooled: PooledPeer): Promise<number> => {
     const { clock, net, log } = this.ports;
     let notifyClosed = (): void => {};
@@ -111,23 +111,31 @@
         notifyClosed();
       },
     };
-    const dialed = await peerConnections.dial(net, clock, log, this.own(), address, handlers, this.pace.timeoutMs);
+    const dialed = await peerConnections.dial(
+      net,
+      clock,
+      log,
+      this.own(),
+      address,
+      handlers,
+      this.dialOptions.timeoutMs,
+    );
     if (dialed.isErr()) return 0;
-    this.adopt(dialed.value, pooled);
+    this.attach(dialed.value, pooled);
     const openedAt = clock.now();
     await closed;
     pooled.connection = null;
     return clock.now() - openedAt;
   };
 
-  private readonly adopt = (connection: PeerConnection, pooled: PooledPeer): void => {
+  private readonly attach = (connection: PeerConnection, pooled: PooledPeer): void => {
     if (this.isEnded(pooled)) connection.close();
     pooled.connection = connection;
     if (connection.peer !== null) this.memberList.recordContact(connection.peer);
-    background.run('learn the members from a peer', this.learnFrom(connection));
+    background.run('learn the members from a peer', this.exchangeMembers(connection));
   };
 
-  private readonly learnFrom = async (connection: PeerConnection): Promise<void> => {
+  private readonly exchangeMembers = async (connection: PeerConnection): Promise<void> => {
     const reply = await connection.call('memberList', this.memberList.entries(), memberListTimeoutMs);
     if (reply.isOk()) this.memberList.merge(memberEntries.parse(reply.value));
     if (connection.peer !== null && reply.isOk()) this.memberList.recordContact(connection.peer);
@@ -137,7 +145,7 @@
   private readonly refresh = (): void => {
     const live = this.openConnections();
     const connection = live[Math.floor(this.ports.random.fraction() * live.length)];
-    if (connection !== undefined) background.run('learn the members from a peer', this.learnFrom(connection));
+    if (connection !== undefined) background.run('learn the members from a peer', this.exchangeMembers(connection));
     else this.reconcile();
   };
 
@@ -145,11 +153,11 @@
   readonly openConnections = (): PeerConnection[] =>
     [...this.peers.values()].flatMap((pooled) => (pooled.connection?.isLive() ? [pooled.connection] : []));
 
-  /** The open connection to the run of a node with this incarnation. */
+  /** The open connection to the node with this incarnation, if there is one. */
   readonly connectionTo = (incarnation: string): PeerConnection | undefined =>
     this.openConnections().find((connection) => connection.peer?.incarnation === incarnation);
 
-  /** Closes all connections and dials no more. */
+  /** Closes all connections and stops dialling. */
   readonly stop = (): void => {
     this.isStopped = true;
     this.refresher.stop();
--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -2,7 +2,7 @@
 import { LeaseTable, hashRing } from '@martenworks/cluster-membership';
 import { InvariantChecker, SimFleet, SimWorld } from '@martenworks/test-fleet';
 
-const kvHolders = (fleet: SimFleet, replica: string): number[] =>
+const followersOf = (fleet: SimFleet, replica: string): number[] =>
   fleet.controlNodes.flatMap((controlNode, at) =>
     controlNode !== null &&
     !fleet.machineOf('control', at).isFrozen &&
@@ -11,18 +11,18 @@
       : [],
   );
 
-const raised = async (seed: number, edges = 6, replicas = 4): Promise<SimFleet> => {
+const startedFleet = async (seed: number, edges = 6, replicas = 4): Promise<SimFleet> => {
   const fleet = new SimFleet({ seed, edges, replicas });
   await fleet.up();
   await fleet.world.run(6_000);
   return fleet;
 };
 
-const verdicts = (fleet: SimFleet, node: string): boolean[] =>
+const downVerdicts = (fleet: SimFleet, node: string): boolean[] =>
   fleet.controlNodes.flatMap((controlNode) => (controlNode === null ? [] : [controlNode.verdicts.isDown(node)]));
 
-describe('the rounds', () => {
-  it("given a ring of twelve nodes in three zones, when watchers are named, then each node has three, in other zones, and one node's loss moves few", () => {
+describe('failure detection', () => {
+  it('given a ring of twelve nodes in three zones, when watchers are assigned, then each node has three in other zones, and the loss of one node changes few assignments', () => {
     const nodes = Array.from({ length: 12 }, (_, at) => ({ name: `node-${at}`, zone: 'abc'[at % 3] as string }));
     let moved = 0;
     for (const node of nodes) {
@@ -38,32 +38,32 @@
     expect(moved).to.be.lessThan(8);
   });
 
-  it('given gateways that die, when their watchers miss them, then two watchers confirm it within three seconds, and clear it when they return', async () => {
-    const fleet = await raised(41);
-    const waits: number[] = [];
+  it('given gateways that are killed, when their heartbeats stop, then at least two control nodes count them as down within 4.5 seconds, and as up again once they return', async () => {
+    const fleet = await startedFleet(41);
+    const detectionMs: number[] = [];
     for (const at of [0, 2, 4]) {
       fleet.killCounter(at);
-      waits.push(
+      detectionMs.push(
         await fleet.world.until(
           'the verdict',
-          () => verdicts(fleet, `counter-${at + 1}`).filter(Boolean).length >= 2,
+          () => downVerdicts(fleet, `counter-${at + 1}`).filter(Boolean).length >= 2,
           6_000,
         ),
       );
       await fleet.bootCounter(at);
       await fleet.world.until(
         'the verdict cleared',
-        () => verdicts(fleet, `counter-${at + 1}`).every((isDown) => !isDown),
+        () => downVerdicts(fleet, `counter-${at + 1}`).every((isDown) => !isDown),
         6_000,
       );
     }
-    expect(Math.max(...waits)).to.be.lessThan(4_500);
+    expect(Math.max(...detectionMs)).to.be.lessThan(4_500);
   });
 
-  it('given noise (late links, one watcher cut off, short freezes), when nobody died, then nobody is held to be down', async () => {
-    const fleet = await raised(42);
+  it('given slow links, disconnected links and short freezes, when no node has failed, then no gateway counts as down', async () => {
+    const fleet = await startedFleet(42);
     const names = fleet.gatewayHosts.map((_, at) => `counter-${at + 1}`);
-    let alarms = 0;
+    let falseAlarms = 0;
     for (let round = 0; round < 30; round += 1) {
       const hosts = [...fleet.gatewayHosts, ...fleet.controlNodeHosts];
       const pick = (): string => hosts[Math.floor(fleet.world.random() * hosts.length)] as string;
@@ -74,14 +74,14 @@
       await fleet.world.run(600);
       fleet.world.machine(frozen).thaw();
       await fleet.world.run(1_400);
-      alarms += names.filter((name) => verdicts(fleet, name).some(Boolean)).length;
+      falseAlarms += names.filter((name) => downVerdicts(fleet, name).some(Boolean)).length;
       fleet.world.healAll();
     }
-    expect(alarms).to.equal(0);
+    expect(falseAlarms).to.equal(0);
   });
 
-  it('given a control node cut off from one peer only, when a stranger waits to be swapped in, then the living member keeps its seat', async () => {
-    const fleet = await raised(43, 4, 3);
+  it('given a control node that is partitioned from one peer only, when an unknown node waits to be swapped in, then the live member stays a voter', async () => {
+    const fleet = await startedFleet(43, 4, 3);
     fleet.world.partition('10.0.0.1', '10.0.0.3');
     fleet.controlNodeHosts.push('10.0.0.9');
     fleet.controlNodeNames.push('postmaster-9');
@@ -93,71 +93,71 @@
 });
 
 describe('leases', () => {
-  it("given each replica's kv-events to follow, when the fleet runs, then one control node does, and another within six seconds after it is killed, frozen or cut off", async () => {
-    const fleet = await raised(51);
+  it("given the leases to follow each replica's kv-events, when the holder is killed, frozen or isolated, then another control node holds them within eight seconds, and two never hold one at a time", async () => {
+    const fleet = await startedFleet(51);
     const names = ['replica-1', 'replica-2', 'replica-3', 'replica-4'];
-    for (const name of names) expect(kvHolders(fleet, name).length, name).to.equal(1);
+    for (const name of names) expect(followersOf(fleet, name).length, name).to.equal(1);
     let overlaps = 0;
-    const watchFor = async (forMs: number): Promise<void> => {
+    const runAndCountOverlaps = async (forMs: number): Promise<void> => {
       for (let at = 0; at < forMs; at += 50) {
         await fleet.world.run(50);
-        for (const name of names) if (kvHolders(fleet, name).length > 1) overlaps += 1;
+        for (const name of names) if (followersOf(fleet, name).length > 1) overlaps += 1;
       }
     };
-    const holder = kvHolders(fleet, 'replica-1')[0] as number;
+    const holder = followersOf(fleet, 'replica-1')[0] as number;
     fleet.killControlNode(holder);
-    await watchFor(6_000);
-    for (const name of names) expect(kvHolders(fleet, name).length, `${name} after a kill`).to.equal(1);
+    await runAndCountOverlaps(6_000);
+    for (const name of names) expect(followersOf(fleet, name).length, `${name} after a kill`).to.equal(1);
     await fleet.bootControlNode(holder);
-    await watchFor(6_000);
-    const second = kvHolders(fleet, 'replica-2')[0] as number;
+    await runAndCountOverlaps(6_000);
+    const second = followersOf(fleet, 'replica-2')[0] as number;
     fleet.machineOf('control', second).freeze();
-    await watchFor(6_000);
-    for (const name of names) expect(kvHolders(fleet, name).length, `${name} during a freeze`).to.equal(1);
+    await runAndCountOverlaps(6_000);
+    for (const name of names) expect(followersOf(fleet, name).length, `${name} during a freeze`).to.equal(1);
     fleet.machineOf('control', second).thaw();
-    for (const name of names) expect(kvHolders(fleet, name).length, `${name} at the thaw`).to.equal(1);
-    await watchFor(3_000);
-    const third = kvHolders(fleet, 'replica-3')[0] as number;
+    for (const name of names) expect(followersOf(fleet, name).length, `${name} at the thaw`).to.equal(1);
+    await runAndCountOverlaps(3_000);
+    const third = followersOf(fleet, 'replica-3')[0] as number;
     fleet.world.isolate(fleet.controlNodeHosts[third] as string);
-    await watchFor(8_000);
-    for (const name of names) expect(kvHolders(fleet, name).length, `${name} during a cut`).to.equal(1);
+    await runAndCountOverlaps(8_000);
+    for (const name of names) expect(followersOf(fleet, name).length, `${name} during a cut`).to.equal(1);
     fleet.world.healAll();
-    fleet.machineOf('control', kvHolders(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
-    await watchFor(6_000);
+    fleet.machineOf('control', followersOf(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
+    await runAndCountOverlaps(6_000);
     expect(overlaps).to.equal(0);
   });
 
-  it('given a holder that is stopped in order, when it resigns, then its duties are taken up within two seconds, not after the lease', async () => {
-    const fleet = await raised(53);
-    const holder = kvHolders(fleet, 'replica-1')[0] as number;
+  it('given a holder that shuts down gracefully, when it resigns, then its duties have new holders within two seconds, before its leases would have expired', async () => {
+    const fleet = await startedFleet(53);
+    const holder = followersOf(fleet, 'replica-1')[0] as number;
     await fleet.finish(fleet.rollControlNode(holder));
     await fleet.world.run(1_900);
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'])
-      expect(kvHolders(fleet, name).length, name).to.equal(1);
+      expect(followersOf(fleet, name).length, name).to.equal(1);
   });
 
-  it('given grantors that restart, when a lease they granted still runs, then they grant it to nobody else, and numbers never go back', async () => {
+  it('given a voter that restarts, when a lease that it granted has not expired, then it grants it to no other node, and fencing tokens never decrease', async () => {
     const world = new SimWorld(1);
     const clock = world.machine('10.0.0.1').clock();
-    const kept: [string, number][] = [];
-    const keep = async (duty: string, fence: number): Promise<boolean> => {
-      kept.push([duty, fence]);
+    const persisted: [string, number][] = [];
+    const persist = async (duty: string, fence: number): Promise<boolean> => {
+      persisted.push([duty, fence]);
       return true;
     };
-    const first = new LeaseTable(clock, keep, [], true);
+    const first = new LeaseTable(clock, persist, [], true);
     expect((await first.grant({ holder: 'a', duties: [{ duty: 'x', fence: 4 }] })).granted).to.deep.equal(['x']);
-    const again = new LeaseTable(clock, keep, kept, false);
-    expect(await again.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).to.deep.equal({
+    const restarted = new LeaseTable(clock, persist, persisted, false);
+    expect(await restarted.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).to.deep.equal({
       granted: [],
       fences: { x: 4 },
     });
     await world.run(3_100);
-    expect((await again.grant({ holder: 'b', duties: [{ duty: 'x', fence: 4 }] })).granted).to.deep.equal([]);
-    expect((await again.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).granted).to.deep.equal(['x']);
+    expect((await restarted.grant({ holder: 'b', duties: [{ duty: 'x', fence: 4 }] })).granted).to.deep.equal([]);
+    expect((await restarted.grant({ holder: 'b', duties: [{ duty: 'x', fence: 5 }] })).granted).to.deep.equal(['x']);
   });
 
-  it('given traffic, when the follower of kv-events changes again and again, then the index misses nothing and is whole on every gateway', async () => {
-    const fleet = await raised(52, 3, 4);
+  it('given traffic, when the follower of kv-events changes repeatedly, then no event is lost and the index is complete on every gateway', async () => {
+    const fleet = await startedFleet(52, 3, 4);
     const checker = new InvariantChecker(fleet);
     checker.traffic(40, 30_000, 0.2);
     for (let round = 0; round < 5; round += 1) {
@@ -169,10 +169,10 @@
     await fleet.world.run(20_000);
     for (const gateway of fleet.gateways) {
       for (const stored of gateway?.stateView.index.sizes() ?? []) {
-        const standIn = fleet.runningReplicas.get(stored.replica);
+        const replica = fleet.runningReplicas.get(stored.replica);
         expect([stored.replica, stored.seq, stored.isWhole]).to.deep.equal([
           stored.replica,
-          standIn?.eventCount(),
+          replica?.eventCount(),
           true,
         ]);
       }
--- a/packages/cluster-membership/test/memberEntries.test.ts
+++ b/packages/cluster-membership/test/memberEntries.test.ts
@@ -9,10 +9,10 @@
 );
 
 describe('member entries from a peer', () => {
-  it('given entries that can and that can not be read, when they are received, then those that can are kept in their order', () => {
-    const sound = { hello, ageMs: 20 };
+  it('given valid and invalid entries, when they are parsed, then the valid ones are returned in order', () => {
+    const valid = { hello, ageMs: 20 };
     const other = { hello: { ...hello, name: 'edge-2' }, ageMs: 0 };
-    const unreadable = [
+    const invalid = [
       null,
       'edge-1',
       {},
@@ -20,10 +20,10 @@
       { hello, ageMs: '20' },
       { hello: { ...hello, role: 'king' }, ageMs: 0 },
     ];
-    expect(memberEntries.parse([sound, ...unreadable, other])).to.deep.equal([sound, other]);
+    expect(memberEntries.parse([valid, ...invalid, other])).to.deep.equal([valid, other]);
   });
 
-  it('given what is no list, when it is received, then there are no entries', () => {
+  it('given a body that is not a list, when it is parsed, then there are no entries', () => {
     for (const body of [null, undefined, 7, 'entries', { hello, ageMs: 0 }])
       expect(memberEntries.parse(body)).to.deep.equal([]);
   });
