--- a/packages/peer-transport/src/frames.ts
+++ b/packages/peer-transport/src/frames.ts
@@ -1,11 +1,11 @@
-/** Frames between nodes: a length of four bytes, big end first, and a message in CBOR. */
+/** Frames between nodes: a length of four bytes in big-endian order, followed by a message in CBOR. */
 import { cbor } from '@martenworks/core-types';
 
-/** Most bytes of one message, and of one frame. */
+/** The maximum size of a message and of a frame without its length prefix. */
 export const maxFrameBytes = 16 * 1024 * 1024;
-const headBytes = 4;
+const lengthPrefixBytes = 4;
 
-/** A bounded piece of a large message; pieces of one stream follow each other in order. */
+/** A part of a large message; the parts of one stream are sent in order. */
 export interface PartFrame {
   readonly f: 'part';
   readonly stream: string;
@@ -14,8 +14,8 @@
 }
 
 /**
- * What travels on a connection: a hello, a message (`tell`), a call (`ask`) and its `reply`, a part of any of these,
- * and the acknowledgement of a part (`got`).
+ * A frame: the hello, a one-way message (`tell`), a call (`ask`) and its `reply`, a part of any of these, or the
+ * acknowledgement of a part (`got`).
  */
 export type Frame =
   | { readonly f: 'hello'; readonly hello: unknown }
@@ -26,64 +26,64 @@
   | { readonly f: 'got' };
 
 const withLengthPrefix = (body: Uint8Array): Uint8Array => {
-  const frame = new Uint8Array(headBytes + body.length);
+  const frame = new Uint8Array(lengthPrefixBytes + body.length);
   new DataView(frame.buffer).setUint32(0, body.length);
-  frame.set(body, headBytes);
+  frame.set(body, lengthPrefixBytes);
   return frame;
 };
 
 const encodeFrame = (message: unknown): Uint8Array => withLengthPrefix(cbor.encode(message));
 
-/** The parts as one array of bytes. */
+/** Concatenates byte arrays. */
 export const concatBytes = (parts: readonly Uint8Array[]): Uint8Array => {
-  const whole = new Uint8Array(parts.reduce((size, part) => size + part.length, 0));
-  let begin = 0;
+  const bytes = new Uint8Array(parts.reduce((size, part) => size + part.length, 0));
+  let offset = 0;
   for (const part of parts) {
-    whole.set(part, begin);
-    begin += part.length;
+    bytes.set(part, offset);
+    offset += part.length;
   }
-  return whole;
+  return bytes;
 };
 
-/** Cuts a stream of bytes into frames, and decodes them. Stops for good once it has complained. */
+/** Splits a byte stream into frames and decodes them. No frames are decoded after the first error. */
 export class FrameDecoder {
-  private parts: Uint8Array[] = [];
-  private size = 0;
-  private wanted = headBytes;
+  private chunks: Uint8Array[] = [];
+  private bufferedBytes = 0;
+  private neededBytes = lengthPrefixBytes;
 
   constructor(
-    private readonly deliver: (message: unknown) => void,
-    private readonly complain: (cause: string) => void,
+    private readonly onMessage: (message: unknown) => void,
+    private readonly onError: (cause: string) => void,
   ) {}
 
-  /** Takes the next bytes, and delivers each message that they complete. */
+  /** Adds the next bytes, and delivers each message that they complete. */
   readonly push = (bytes: Uint8Array): void => {
-    this.parts.push(bytes);
-    this.size += bytes.length;
-    if (this.size < this.wanted) return;
-    const rest = this.deliverWhole(this.parts.length === 1 ? bytes : concatBytes(this.parts));
+    this.chunks.push(bytes);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes < this.neededBytes) return;
+    const rest = this.deliverComplete(this.chunks.length === 1 ? bytes : concatBytes(this.chunks));
     if (rest === null) return;
-    this.parts = rest.length === 0 ? [] : [rest];
-    this.size = rest.length;
+    this.chunks = rest.length === 0 ? [] : [rest];
+    this.bufferedBytes = rest.length;
   };
 
-  /** Delivers the whole frames among these bytes and returns the rest, or null after a complaint. */
-  private readonly deliverWhole = (bytes: Uint8Array): Uint8Array | null => {
+  /** Delivers the complete frames in these bytes. Returns the remaining bytes, or null after an error. */
+  private readonly deliverComplete = (bytes: Uint8Array): Uint8Array | null => {
     let rest = bytes;
     for (;;) {
-      if (rest.length < headBytes) {
-        this.wanted = headBytes;
+      if (rest.length < lengthPrefixBytes) {
+        this.neededBytes = lengthPrefixBytes;
         return rest;
       }
       const length = new DataView(rest.buffer, rest.byteOffset).getUint32(0);
       if (length > maxFrameBytes) {
-        this.complain('frame over the limit');
+        this.onError('frame over the limit');
         return null;
       }
-      this.wanted = headBytes + length;
-      if (rest.length < this.wanted) return rest;
-      const body = rest.subarray(headBytes, this.wanted);
-      rest = rest.subarray(this.wanted);
+      this.neededBytes = lengthPrefixBytes + length;
+      if (rest.length < this.neededBytes) return rest;
+      const body = rest.subarray(lengthPrefixBytes, this.neededBytes);
+      rest = rest.subarray(this.neededBytes);
       if (!this.deliverFrame(body)) return null;
     }
   };
@@ -93,18 +93,18 @@
     try {
       message = cbor.decode(body);
     } catch {
-      this.complain('frame is not CBOR');
+      this.onError('frame is not CBOR');
       return false;
     }
-    this.deliver(message);
+    this.onMessage(message);
     return true;
   };
 }
 
-const isPart = (fields: Record<string, unknown>): boolean =>
+const isPartFrame = (fields: Record<string, unknown>): boolean =>
   typeof fields.stream === 'string' && typeof fields.isLast === 'boolean' && fields.bytes instanceof Uint8Array;
 
-/** Checks the fields of each kind of frame but its body, which is for the topic's own reader. */
+/** Validates the fields of a frame except its body, which the handler of its topic validates. */
 const isFrame = (message: unknown): message is Frame => {
   if (typeof message !== 'object' || message === null) return false;
   const fields = message as Record<string, unknown>;
@@ -119,14 +119,14 @@
     case 'reply':
       return typeof fields.id === 'number';
     case 'part':
-      return isPart(fields);
+      return isPartFrame(fields);
     default:
       return false;
   }
 };
 
 /**
- * Encodes, decodes and checks frames; `encodeFrame` gives a message's bytes with the length in front, `withLengthPrefix` takes it
- * encoded already. `decode` throws on bytes that are no CBOR.
+ * Encodes, decodes and validates frames. `encodeFrame` encodes a message with its length prefix, and `withLengthPrefix`
+ * adds the prefix to an encoded message. `decode` throws on bytes that are not CBOR.
  */
 export const frames = { isFrame, encodeFrame, encode: cbor.encode, decode: cbor.decode, withLengthPrefix };
--- a/packages/peer-transport/src/hello.ts
+++ b/packages/peer-transport/src/hello.ts
@@ -1,11 +1,12 @@
-/** The handshake's one message: who a node is. Each side sends it first, and reads the other's before anything else. */
+/** The hello, the only message of the handshake. Each side sends it first and accepts nothing before the other's. */
 
-/** The version of the protocol between nodes; peers of another version are not talked to. */
+/** The version of the protocol between nodes; connections to peers with another version are closed. */
 export const protocolVersion = 4;
 
 /**
- * A node as it presents itself. `address` takes peer connections, `http` serves its pages (empty where there are none);
- * `incarnation` is new for each run of a process, or each data folder on a node that keeps one.
+ * A node's description of itself. `release` is its protocol version, `address` the address for peer connections, and
+ * `http` that of its HTTP pages (empty for none). `incarnation` identifies a run of the process, or the data folder on a
+ * node that has one.
  */
 export interface Hello {
   readonly release: number;
@@ -54,6 +55,7 @@
   typeof value === 'object' && value !== null ? (value as { release?: unknown }).release : undefined;
 
 /**
- * Builds the hello of a node, and checks one that came from another: `protocolVersionOf` reads its release whatever its form.
+ * Builds the hello of a node and validates received ones. `protocolVersionOf` reads the version of a value that need not
+ * be a valid hello; it is undefined where there is none.
  */
 export const hellos = { of, isHello, protocolVersionOf };
--- a/packages/peer-transport/src/index.ts
+++ b/packages/peer-transport/src/index.ts
@@ -1,4 +1,4 @@
-/** Held connections between nodes, over TCP with CBOR frames. */
+/** Long-lived connections between nodes: CBOR frames over TCP. */
 export { FrameDecoder, maxFrameBytes, frames } from './frames.js';
 export { hellos, protocolVersion } from './hello.js';
 export type { Hello } from './hello.js';
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -1,44 +1,44 @@
-/** A held connection between two nodes: messages both ways, and calls with replies. */
+/** A long-lived connection between two nodes: messages in both directions, and calls with replies. */
 import { err } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background } from '@martenworks/core-types';
 import type { Clock, Log, RawConnection } from '@martenworks/core-types';
-import { Assembly } from './assembly.js';
+import { MessageAssembler } from './messageAssembler.js';
 import { peerError } from './errors.js';
 import type { PeerError } from './errors.js';
 import { FrameDecoder, maxFrameBytes, frames } from './frames.js';
 import type { Frame, PartFrame } from './frames.js';
 import { hellos, protocolVersion } from './hello.js';
 import type { Hello } from './hello.js';
-import { OpenCalls } from './openCalls.js';
-import { SendQueue, partBytes } from './sendQueue.js';
+import { PendingCalls } from './pendingCalls.js';
+import { SendQueue, maxPartBytes } from './sendQueue.js';
 import { StallDetector } from './stallDetector.js';
 import { streams } from './streams.js';
 
 /**
- * What the owner of a connection does with what comes on it. Bodies are as the peer sent them: each topic's reader
- * checks its own.
+ * The event handlers of a connection. Bodies are passed on as the peer sent them; the handler of each topic validates
+ * them.
  */
 export interface PeerHandlers {
   readonly onMessage: (from: PeerConnection, topic: string, body: unknown) => void;
   readonly onCall: (from: PeerConnection, topic: string, body: unknown) => Promise<unknown>;
-  /** The peer's hello has come; before it nothing else is handed on. */
+  /** The peer's hello was received; no other handler is called before this. */
   readonly onOpen: (connection: PeerConnection) => void;
-  /** The connection ended; called only after `onOpen`. */
+  /** The connection closed; called only after `onOpen`. */
   readonly onClose: (connection: PeerConnection) => void;
 }
 
-/** One connection to a peer, dialled or accepted; both ends are alike. Made by `peerConnections`. */
+/** A connection to a peer, dialled or accepted; the protocol is symmetric. Created by `peerConnections`. */
 export class PeerConnection {
   private isOpen = true;
-  private readonly calls: OpenCalls;
+  private readonly calls: PendingCalls;
   private readonly queue: SendQueue;
-  private readonly stalls: StallDetector;
-  private readonly assembly = new Assembly();
-  /** When a part of each stream last arrived or was acknowledged. */
+  private readonly stallDetector: StallDetector;
+  private readonly assembler = new MessageAssembler();
+  /** The time at which a part of each stream last arrived or was acknowledged. */
   private readonly progressAt = new Map<string, number>();
-  private receivedAt: number;
-  /** The peer's hello, null until it has come. */
+  private lastReceivedAt: number;
+  /** The peer's hello, null until it is received. */
   peer: Hello | null = null;
 
   constructor(
@@ -48,21 +48,21 @@
     private readonly own: Hello,
     private readonly handlers: PeerHandlers,
   ) {
-    this.calls = new OpenCalls(clock, (stream) => this.progressAt.get(stream) ?? 0);
+    this.calls = new PendingCalls(clock, (stream) => this.progressAt.get(stream) ?? 0);
     this.queue = new SendQueue(clock, (part) => this.connection.write(frames.encodeFrame(part)));
-    this.stalls = new StallDetector(clock);
-    this.receivedAt = clock.now();
+    this.stallDetector = new StallDetector(clock);
+    this.lastReceivedAt = clock.now();
   }
 
-  /** Sends the own hello and begins to read. */
+  /** Sends this node's hello and starts to read. */
   readonly start = (): void => {
-    const unpacker = new FrameDecoder(this.receiveMessage, (cause) => this.drop(cause));
+    const decoder = new FrameDecoder(this.receiveMessage, (cause) => this.drop(cause));
     this.sendFrame('hello', { f: 'hello', hello: this.own });
     this.connection.listen(
       (bytes) => {
         if (!this.isOpen) return;
-        this.receivedAt = this.clock.now();
-        unpacker.push(bytes);
+        this.lastReceivedAt = this.clock.now();
+        decoder.push(bytes);
       },
       () => this.close(),
     );
@@ -75,7 +75,7 @@
 
   private readonly sendFrame = (topic: string, frame: Frame): boolean => {
     if (!this.isOpen) return false;
-    if (this.stalls.isStalled(this.connection.bufferedBytes(), this.queue.bytes())) {
+    if (this.stallDetector.isStalled(this.connection.bufferedBytes(), this.queue.queuedBytes())) {
       this.drop('peer reads too slowly');
       return false;
     }
@@ -85,7 +85,7 @@
       return false;
     }
     const stream = streams.of(topic);
-    if (message.length <= partBytes && !this.queue.hasWaiting(stream))
+    if (message.length <= maxPartBytes && !this.queue.hasQueued(stream))
       this.connection.write(frames.withLengthPrefix(message));
     else this.queue.add(stream, message);
     return true;
@@ -94,12 +94,12 @@
   private readonly receivePart = (part: PartFrame): void => {
     this.connection.write(frames.encodeFrame({ f: 'got' }));
     this.progressAt.set(part.stream, this.clock.now());
-    const message = this.assembly.take(part);
+    const message = this.assembler.add(part);
     if (message === undefined) this.drop('message over the limit');
-    else if (message !== null) this.receiveWhole(message);
+    else if (message !== null) this.receiveComplete(message);
   };
 
-  private readonly receiveWhole = (message: Uint8Array): void => {
+  private readonly receiveComplete = (message: Uint8Array): void => {
     let decoded: unknown;
     try {
       decoded = frames.decode(message);
@@ -112,7 +112,7 @@
 
   private readonly receiveMessage = (message: unknown): void => {
     if (!frames.isFrame(message)) {
-      this.drop('message of no known kind');
+      this.drop('message of unknown kind');
       return;
     }
     if (!this.isOpen) return;
@@ -122,8 +122,8 @@
   };
 
   private readonly receiveAcknowledgement = (): void => {
-    const stream = this.queue.acknowledged();
-    this.stalls.acknowledged();
+    const stream = this.queue.recordAcknowledgement();
+    this.stallDetector.recordAcknowledgement();
     if (stream !== null) this.progressAt.set(stream, this.clock.now());
   };
 
@@ -136,7 +136,7 @@
       return;
     }
     if (!hellos.isHello(hello)) {
-      this.drop('hello is not readable');
+      this.drop('invalid hello');
       return;
     }
     if (this.peer !== null) {
@@ -170,34 +170,34 @@
     this.handlers.onCall(this, topic, body).then((reply) => this.sendFrame(topic, { f: 'reply', id, body: reply }));
 
   /**
-   * Sends a message. False where the connection is closed, or was dropped as the peer reads nothing or the message
-   * passes the limit; true tells nothing of its arrival.
+   * Sends a message. Returns false if the connection is closed, also where this call closed it because the peer reads too
+   * slowly or the message is too large. True does not mean that the message arrives.
    */
   readonly send = (topic: string, body: unknown): boolean => this.sendFrame(topic, { f: 'tell', topic, body });
 
-  /** Asks and waits for the reply.
-   * @param timeoutMs milliseconds without progress: each part that arrives or is acknowledged on the ask's stream
-   *   begins them anew
-   * @returns the reply's body, or `timeout`, `full` (too many calls are open) or `closed` */
+  /** Calls the peer and waits for the reply.
+   * @param timeoutMs timeout in milliseconds, which restarts with each part that arrives or is acknowledged on the
+   *   stream of the call
+   * @returns the reply's body, or `timeout`, `full` (too many calls are pending) or `closed` */
   readonly call = (topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => {
     if (!this.isOpen) return Promise.resolve(err(peerError('closed')));
     if (this.calls.isFull()) return Promise.resolve(err(peerError('full')));
-    return this.calls.open(streams.of(topic), timeoutMs, (id) => this.sendFrame(topic, { f: 'ask', id, topic, body }));
+    return this.calls.start(streams.of(topic), timeoutMs, (id) => this.sendFrame(topic, { f: 'ask', id, topic, body }));
   };
 
-  /** Milliseconds since the last byte from the peer. */
-  readonly idleMs = (): number => this.clock.now() - this.receivedAt;
+  /** The milliseconds since the last byte from the peer. */
+  readonly idleMs = (): number => this.clock.now() - this.lastReceivedAt;
 
-  /** Whether a large message of this topic's stream has begun to arrive and is not whole yet. */
-  readonly isReceiving = (topic: string): boolean => this.assembly.isReceiving(streams.of(topic));
+  /** Whether a large message on this topic's stream has partly arrived. */
+  readonly isReceiving = (topic: string): boolean => this.assembler.isReceiving(streams.of(topic));
 
-  /** Whether a large message of this topic's stream is on its way to the peer. */
+  /** Whether a large message on this topic's stream is being sent. */
   readonly isSending = (topic: string): boolean => this.queue.isSending(streams.of(topic));
 
-  /** Whether the connection is open, as far as this end knows. */
+  /** Whether the connection is open on this side. */
   readonly isLive = (): boolean => this.isOpen;
 
-  /** Closes the connection; open calls end as `closed`. */
+  /** Closes the connection; pending calls end with `closed`. */
   readonly close = (): void => {
     if (!this.isOpen) return;
     this.isOpen = false;
--- a/packages/peer-transport/src/peerConnections.ts
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -1,4 +1,4 @@
-/** Opens peer connections from either side, with the handshake's timeout. */
+/** Accepts and dials peer connections, with a timeout for the handshake. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Clock, Listener, Log, Net, NetworkError } from '@martenworks/core-types';
@@ -11,8 +11,8 @@
 const helloTimeoutMs = 2000;
 
 /**
- * Accepts and dials connections. Each end drops the other where its hello does not come within the timeout (2 s unless
- * given, in milliseconds); `dial` ends once the hello is there.
+ * Accepts and dials connections. Each side closes the connection if the other's hello does not arrive within the timeout
+ * (in milliseconds, 2 s by default). `dial` resolves once the hello has arrived.
  */
 export const peerConnections = {
   listen: (
--- a/packages/peer-transport/src/sendQueue.ts
+++ b/packages/peer-transport/src/sendQueue.ts
@@ -1,18 +1,18 @@
-/** The sending side of a connection: large messages leave in bounded parts, as fast as the other end takes them. */
+/** The sending side of large messages: sends them in bounded parts, with flow control by acknowledgements. */
 import type { Clock } from '@martenworks/core-types';
 import type { PartFrame } from './frames.js';
 
-/** Bytes of a message that travel in one part: 19 ms of a link of 7 Mbit/s. */
-export const partBytes = 16 * 1_024;
-const firstWindowBytes = 64 * 1_024;
-const leastWindowBytes = 2 * partBytes;
-const mostWindowBytes = 512 * 1_024;
-const windowStepBytes = partBytes / 4;
-const queueingTargetMs = 60;
+/** The maximum size of a part: 19 ms on a link of 7 Mbit/s. */
+export const maxPartBytes = 16 * 1_024;
+const initialWindowBytes = 64 * 1_024;
+const minWindowBytes = 2 * maxPartBytes;
+const maxWindowBytes = 512 * 1_024;
+const windowStepBytes = maxPartBytes / 4;
+const targetQueueingDelayMs = 60;
 
 interface QueuedMessage {
   readonly message: Uint8Array;
-  begin: number;
+  offset: number;
 }
 
 interface UnacknowledgedPart {
@@ -22,44 +22,44 @@
 }
 
 /**
- * Owns what waits on one connection. At most a window of bytes is unacknowledged; the window follows the delay that
- * this connection's own parts add on their path (as in LEDBAT), so that small frames don't wait long behind them in
- * buffers below. Streams take turns, a part each.
+ * The queue of messages to send on one connection. The number of unacknowledged bytes is limited by a window that adapts
+ * to the queueing delay of the connection's own parts (as in LEDBAT, RFC 6817), so that small frames do not wait long
+ * behind them in socket and network buffers. Streams are served round-robin, one part at a time.
  */
 export class SendQueue {
-  private readonly waiting = new Map<string, QueuedMessage[]>();
+  private readonly queued = new Map<string, QueuedMessage[]>();
   private readonly unacknowledged: UnacknowledgedPart[] = [];
   private unacknowledgedBytes = 0;
-  private waitingBytes = 0;
-  private windowBytes = firstWindowBytes;
-  private leastDelayMs = Number.POSITIVE_INFINITY;
+  private unsentBytes = 0;
+  private windowBytes = initialWindowBytes;
+  private baseDelayMs = Number.POSITIVE_INFINITY;
 
   constructor(
     private readonly clock: Clock,
     private readonly write: (part: PartFrame) => void,
   ) {}
 
-  /** Whether a message of this stream would pass others of it if it were written at once. */
-  readonly hasWaiting = (stream: string): boolean => this.waiting.has(stream);
+  /** Whether messages of this stream are queued, which a message that is written directly would overtake. */
+  readonly hasQueued = (stream: string): boolean => this.queued.has(stream);
 
-  /** Whether bytes of this stream wait or have not been acknowledged. */
+  /** Whether bytes of this stream are queued or unacknowledged. */
   readonly isSending = (stream: string): boolean =>
-    this.waiting.has(stream) || this.unacknowledged.some((part) => part.stream === stream);
+    this.queued.has(stream) || this.unacknowledged.some((part) => part.stream === stream);
 
-  /** Bytes that have not been written. */
-  readonly bytes = (): number => this.waitingBytes;
+  /** The number of bytes that have not been written. */
+  readonly queuedBytes = (): number => this.unsentBytes;
 
-  /** Queues a message, and sends of it what the window lets through. */
+  /** Queues a message, and sends as many parts as the window allows. */
   readonly add = (stream: string, message: Uint8Array): void => {
-    const queued = this.waiting.get(stream);
-    if (queued === undefined) this.waiting.set(stream, [{ message, begin: 0 }]);
-    else queued.push({ message, begin: 0 });
-    this.waitingBytes += message.length;
+    const messages = this.queued.get(stream);
+    if (messages === undefined) this.queued.set(stream, [{ message, offset: 0 }]);
+    else messages.push({ message, offset: 0 });
+    this.unsentBytes += message.length;
     this.pump();
   };
 
-  /** The other end has taken the oldest part: tells its stream, or null where none was under way. */
-  readonly acknowledged = (): string | null => {
+  /** Records the acknowledgement of the oldest part. Returns its stream, or null if no part was unacknowledged. */
+  readonly recordAcknowledgement = (): string | null => {
     const part = this.unacknowledged.shift();
     if (part === undefined) return null;
     this.unacknowledgedBytes -= part.bytes;
@@ -69,30 +69,30 @@
   };
 
   private readonly adjustWindow = (delayMs: number): void => {
-    this.leastDelayMs = Math.min(this.leastDelayMs, delayMs);
-    const isFree = delayMs - this.leastDelayMs < queueingTargetMs;
-    const next = this.windowBytes + (isFree ? windowStepBytes : -windowStepBytes);
-    this.windowBytes = Math.min(mostWindowBytes, Math.max(leastWindowBytes, next));
+    this.baseDelayMs = Math.min(this.baseDelayMs, delayMs);
+    const isBelowTarget = delayMs - this.baseDelayMs < targetQueueingDelayMs;
+    const next = this.windowBytes + (isBelowTarget ? windowStepBytes : -windowStepBytes);
+    this.windowBytes = Math.min(maxWindowBytes, Math.max(minWindowBytes, next));
   };
 
   private readonly pump = (): void => {
     while (this.unacknowledgedBytes < this.windowBytes) {
-      const turn = this.waiting.entries().next();
-      if (turn.done === true) return;
-      const [stream, messages] = turn.value;
-      this.waiting.delete(stream);
+      const next = this.queued.entries().next();
+      if (next.done === true) return;
+      const [stream, messages] = next.value;
+      this.queued.delete(stream);
       this.sendPart(stream, messages[0] as QueuedMessage);
-      if (messages[0]?.begin === messages[0]?.message.length) messages.shift();
-      if (messages.length > 0) this.waiting.set(stream, messages);
+      if (messages[0]?.offset === messages[0]?.message.length) messages.shift();
+      if (messages.length > 0) this.queued.set(stream, messages);
     }
   };
 
   private readonly sendPart = (stream: string, queued: QueuedMessage): void => {
-    const bytes = queued.message.subarray(queued.begin, queued.begin + partBytes);
-    queued.begin += bytes.length;
-    this.waitingBytes -= bytes.length;
+    const bytes = queued.message.subarray(queued.offset, queued.offset + maxPartBytes);
+    queued.offset += bytes.length;
+    this.unsentBytes -= bytes.length;
     this.unacknowledgedBytes += bytes.length;
     this.unacknowledged.push({ stream, bytes: bytes.length, sentAt: this.clock.now() });
-    this.write({ f: 'part', stream, isLast: queued.begin === queued.message.length, bytes });
+    this.write({ f: 'part', stream, isLast: queued.offset === queued.message.length, bytes });
   };
 }
--- a/packages/peer-transport/src/stallDetector.ts
+++ b/packages/peer-transport/src/stallDetector.ts
@@ -1,32 +1,35 @@
-/** Back-pressure: tells a peer that reads slowly from one that reads nothing. */
+/** Detects peers that have stopped reading, so that the memory for messages to them is bounded. */
 import type { Clock } from '@martenworks/core-types';
 
 const backlogLimitBytes = 8 * 1024 * 1024;
 const hardBacklogLimitBytes = 64 * 1024 * 1024;
-const stalledMs = 3_000;
+const stallTimeoutMs = 3_000;
 
-/** A peer that reads at the pace of its link is kept; one that takes nothing for a while isn't. */
+/** Distinguishes a peer that reads as fast as its link allows from one that has not read anything for some time. */
 export class StallDetector {
   private lastSocketBytes = 0;
-  private drainedAt: number;
+  private lastProgressAt: number;
 
   constructor(private readonly clock: Clock) {
-    this.drainedAt = clock.now();
+    this.lastProgressAt = clock.now();
   }
 
-  /** The peer has acknowledged a part. */
-  readonly acknowledged = (): void => {
-    this.drainedAt = this.clock.now();
+  /** Records that the peer has acknowledged a part. */
+  readonly recordAcknowledgement = (): void => {
+    this.lastProgressAt = this.clock.now();
   };
 
-  /** Whether too much waits for the peer.
-   * @param socketBytes bytes that wait in the socket
-   * @param queuedBytes bytes that were not yet written to it */
+  /** Whether the peer has stalled: a large backlog makes no progress, or the backlog exceeds the hard limit.
+   * @param socketBytes bytes buffered in the socket
+   * @param queuedBytes bytes not yet written to the socket */
   readonly isStalled = (socketBytes: number, queuedBytes: number): boolean => {
     const now = this.clock.now();
-    const waiting = socketBytes + queuedBytes;
-    if (socketBytes < this.lastSocketBytes || waiting === 0) this.drainedAt = now;
+    const waitingBytes = socketBytes + queuedBytes;
+    if (socketBytes < this.lastSocketBytes || waitingBytes === 0) this.lastProgressAt = now;
     this.lastSocketBytes = socketBytes;
-    return waiting > hardBacklogLimitBytes || (waiting > backlogLimitBytes && now - this.drainedAt > stalledMs);
+    return (
+      waitingBytes > hardBacklogLimitBytes ||
+      (waitingBytes > backlogLimitBytes && now - this.lastProgressAt > stallTimeoutMs)
+    );
   };
 }
--- a/packages/peer-transport/src/streams.ts
+++ b/packages/peer-transport/src/streams.ts
@@ -1,6 +1,6 @@
-/** Which messages keep their order on a connection, and which may pass each other. */
+/** The streams of a connection: messages on one stream stay in order, and those on different streams may overtake. */
 
-/** The stream of topics without one of their own. */
+/** The stream of topics that have no stream of their own. */
 const mainStream = 'main';
 
 const streamsByTopic: Readonly<Record<string, string>> = {
@@ -16,11 +16,12 @@
   committed: 'agreement',
 };
 
-/** The stream of each topic. */
+/** Maps topics to streams. */
 export const streams = {
   /**
-   * Messages of one stream arrive in the order they were sent; large ones of different streams share the connection in
-   * turns. A reply takes the stream of its ask. Topics without a stream of their own share one.
+   * Returns the stream of a topic. Messages on one stream arrive in the order in which they were sent; large messages on
+   * different streams share the connection round-robin. A reply uses the stream of its call. Topics without a stream of
+   * their own share one.
    */
   of: (topic: string): string =>
     Object.hasOwn(streamsByTopic, topic) ? (streamsByTopic[topic] as string) : mainStream,
--- a/packages/peer-transport/test/frameChecks.test.ts
+++ b/packages/peer-transport/test/frameChecks.test.ts
@@ -14,10 +14,10 @@
     host,
   );
 
-const quiet: PeerHandlers = { onMessage: () => {}, onCall: async () => null, onOpen: () => {}, onClose: () => {} };
+const noHandlers: PeerHandlers = { onMessage: () => {}, onCall: async () => null, onOpen: () => {}, onClose: () => {} };
 
-/** Dials a peer that presents itself with this value; the outcome, and the causes of dropped connections. */
-const dialPeerWith = async (hello: unknown): Promise<{ code: string; causes: unknown[] }> => {
+/** Dials a peer that sends this value as its hello. Returns the result, and the causes of dropped connections. */
+const dialWithHello = async (hello: unknown): Promise<{ code: string; causes: unknown[] }> => {
   const world = new SimWorld(5);
   const far = world.machine(farHost).ports();
   (
@@ -25,35 +25,37 @@
   )._unsafeUnwrap();
   const near = world.machine(nearHost).ports();
   let code = '';
-  void peerConnections.dial(near.net, near.clock, near.log, helloOf(nearHost), farAddress, quiet).then((dialed) => {
-    code = dialed.isOk() ? 'ok' : dialed.error.code;
-  });
+  void peerConnections
+    .dial(near.net, near.clock, near.log, helloOf(nearHost), farAddress, noHandlers)
+    .then((dialed) => {
+      code = dialed.isOk() ? 'ok' : dialed.error.code;
+    });
   await world.until('the outcome', () => code !== '');
   const dropped = world.logLines.filter(({ message }) => message === 'connection dropped');
   return { code, causes: dropped.map(({ context }) => context.cause) };
 };
 
-describe('checks of what a peer sends', () => {
-  it('given a hello that lacks a field, or has one of another type, when it comes, then the connection is dropped and the cause logged', async () => {
-    const sound = helloOf(farHost);
-    expect(await dialPeerWith(sound)).to.deep.equal({ code: 'ok', causes: [] });
+describe('validation of what a peer sends', () => {
+  it('given a hello with a field that is missing or of the wrong type, when it is received, then the connection is dropped and the cause is logged', async () => {
+    const valid = helloOf(farHost);
+    expect(await dialWithHello(valid)).to.deep.equal({ code: 'ok', causes: [] });
     for (const field of ['name', 'role', 'address', 'http', 'zone', 'incarnation'])
       for (const value of [undefined, 7])
-        expect(await dialPeerWith({ ...sound, [field]: value }), `${field} ${value}`).to.deep.equal({
+        expect(await dialWithHello({ ...valid, [field]: value }), `${field} ${value}`).to.deep.equal({
           code: 'unreachable',
-          causes: ['hello is not readable'],
+          causes: ['invalid hello'],
         });
   });
 
-  it('given a hello of another release, whatever its form, when it comes, then the version mismatch is the cause', async () => {
+  it('given a hello of another protocol version, valid or not, when it is received, then the logged cause is the version mismatch', async () => {
     for (const hello of [{ ...helloOf(farHost), release: protocolVersion + 1 }, { release: 1 }, 'hello', null])
-      expect((await dialPeerWith(hello)).causes, JSON.stringify(hello)).to.deep.equal([
+      expect((await dialWithHello(hello)).causes, JSON.stringify(hello)).to.deep.equal([
         'peer protocol version mismatch',
       ]);
   });
 
-  it('given each kind of frame with a field missing, when it is checked, then it is no frame; and whole ones are', () => {
-    const whole = [
+  it('given frames of each kind, when they are checked, then complete ones are valid and those with a missing field are not', () => {
+    const complete = [
       { f: 'hello', hello: null },
       { f: 'got' },
       { f: 'tell', topic: 't' },
@@ -61,8 +63,8 @@
       { f: 'reply', id: 1 },
       { f: 'part', stream: 's', isLast: true, bytes: new Uint8Array(1) },
     ];
-    for (const frame of whole) expect(frames.isFrame(frame), JSON.stringify(frame)).to.equal(true);
-    for (const frame of whole)
+    for (const frame of complete) expect(frames.isFrame(frame), JSON.stringify(frame)).to.equal(true);
+    for (const frame of complete)
       for (const field of Object.keys(frame).filter((name) => name !== 'hello')) {
         const { [field]: _, ...rest } = frame as Record<string, unknown>;
         expect(frames.isFrame(rest), `${frame.f} without ${field}`).to.equal(false);
