--- a/packages/control-plane/src/endpoints/claims.ts
+++ b/packages/control-plane/src/endpoints/claims.ts
@@ -163,7 +163,7 @@
     let keepFrom = this.wal.currentSegment();
     for (const [segment, at] of this.filledAt) if (now - at <= this.retentionMs) keepFrom = Math.min(keepFrom, segment);
     for (const segment of [...this.filledAt.keys()]) if (segment < keepFrom) this.filledAt.delete(segment);
-    await this.wal.dropBefore(keepFrom);
+    await this.wal.removeSegmentsBefore(keepFrom);
   };
 
   /** Number of claims in memory. */
--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -99,7 +99,7 @@
  * - `isFromOtherReplica`: another replica answered at this address
  * - `versions`: the weights version of each model
  */
-export interface ResponseHead {
+export interface ResponseMetadata {
   readonly isForRequest: boolean;
   readonly isNotRun: boolean;
   readonly isSealed: boolean;
@@ -115,12 +115,12 @@
 export interface HeaderCodec {
   readonly requestMetadata: (headers: readonly string[]) => Result<RequestMetadata, string>;
   readonly attemptHeaders: (headers: readonly string[], attempt: AttemptPlan) => string[];
-  readonly responseHead: (
+  readonly responseMetadata: (
     status: number,
     headers: readonly string[],
     requestId: string,
     model: string | null,
-  ) => ResponseHead;
+  ) => ResponseMetadata;
   readonly rejectionBody: (message: string) => string;
 }
 
--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -20,7 +20,7 @@
   ),
 });
 
-const servesIsolated = (config: GatewayConfig, pool: string): boolean =>
+const servesIsolatedTenants = (config: GatewayConfig, pool: string): boolean =>
   Object.values(config.tenants).some(
     (tenant) => tenant.isolated && tenant.lanes.some((lane) => config.lanes[lane]?.pool === pool),
   );
@@ -31,7 +31,7 @@
     if (pool.store === null) continue;
     uses.set(pool.store, {
       weights: pool.weights,
-      isMixed: uses.get(pool.store)?.isMixed === true || servesIsolated(config, name),
+      isMixed: uses.get(pool.store)?.isMixed === true || servesIsolatedTenants(config, name),
     });
   }
   return uses;
@@ -172,7 +172,7 @@
  * `apply` returns the state after a change, and `isNoOp` returns whether a change would have no effect.
  */
 export const stateMachine = {
-  servesIsolated,
+  servesIsolatedTenants,
   isVoter,
   canSwap,
   distinctVoters,
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,6 +1,12 @@
 /** One attempt of a request at one replica: timeouts, outcome and what it teaches of the replica. */
 import { background } from '@martenworks/core-types';
-import type { HttpResponseHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
+import type {
+  HttpResponseHead,
+  HttpClientResponse,
+  Timer,
+  NetworkError,
+  ResponseMetadata,
+} from '@martenworks/core-types';
 import type { AnswerRelay } from './answerRelay.js';
 import { headerLists } from '../ingress/headers.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
@@ -186,9 +192,9 @@
     return true;
   };
 
-  private readonly headOf = (status: number, headers: readonly string[]): ResponseHead => {
+  private readonly headOf = (status: number, headers: readonly string[]): ResponseMetadata => {
     const { order } = this.request.admission;
-    return this.context.wire.responseHead(status, headers, order.id, order.model);
+    return this.context.wire.responseMetadata(status, headers, order.id, order.model);
   };
 
   /** Whether a head belongs to this request, and its answer's end can be told from a broken connection. */
@@ -285,7 +291,7 @@
     return outcome;
   };
 
-  private readonly turnedAway = (response: HttpClientResponse, head: ResponseHead): AttemptOutcome => {
+  private readonly turnedAway = (response: HttpClientResponse, head: ResponseMetadata): AttemptOutcome => {
     const { replicaTracker, metrics, ports } = this.context;
     const { tracked } = this.placed;
     this.takeBack();
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -1,5 +1,5 @@
 /** When an attempt is given up and what may follow it, as rules without state. */
-import type { ResponseHead, Route } from '@martenworks/core-types';
+import type { ResponseMetadata, Route } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 
 const patienceShare = 0.7;
@@ -42,7 +42,7 @@
 
 const headVerdict = (
   status: number,
-  head: ResponseHead,
+  head: ResponseMetadata,
   { hasReply, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
   if (head.isForRequest && head.isNotRun) return { kind: 'connection rejected' };
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -105,7 +105,7 @@
   readonly holdersIn = (poolName: string, store: string | null): ReplicaRecord[] => {
     const { state } = this;
     if (state === null) return [];
-    const isStoreShared = stateMachine.servesIsolated(state.config, poolName);
+    const isStoreShared = stateMachine.servesIsolatedTenants(state.config, poolName);
     const isOfPool = (record: ReplicaRecord): boolean =>
       record.kind === 'replica' ? record.pool === poolName : record.name === store && !isStoreShared;
     return this.records().filter(
--- a/packages/write-ahead-log/src/writeAheadLog.ts
+++ b/packages/write-ahead-log/src/writeAheadLog.ts
@@ -129,7 +129,7 @@
   readonly currentSegment = (): number => this.segment;
 
   /** Removes the segments before the one with this number, but never the current one. */
-  readonly dropBefore = (segment: number): Promise<Result<void, WriteAheadLogError>> =>
+  readonly removeSegmentsBefore = (segment: number): Promise<Result<void, WriteAheadLogError>> =>
     this.writer.run(async () => {
       for (; this.firstSegment < Math.min(segment, this.segment); this.firstSegment += 1) {
         const removed = await this.disk.remove(this.segmentName(this.firstSegment));
