--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -1,6 +1,12 @@
 /** One attempt of a request at one replica: timeouts, outcome, and what it shows about the replica. */
 import { background } from '@martenworks/core-types';
-import type { HttpResponseHead, HttpClientResponse, Timer, NetworkError, ResponseHead } from '@martenworks/core-types';
+import type {
+  HttpResponseHead,
+  HttpClientResponse,
+  Timer,
+  NetworkError,
+  ResponseMetadata,
+} from '@martenworks/core-types';
 import type { ResponseRelay } from './responseRelay.js';
 import { headerLists } from '../ingress/headerLists.js';
 import type { Admission, EdgeContext } from '../edgeContext.js';
@@ -188,9 +194,9 @@
     return true;
   };
 
-  private readonly headOf = (status: number, headers: readonly string[]): ResponseHead => {
+  private readonly headOf = (status: number, headers: readonly string[]): ResponseMetadata => {
     const { metadata } = this.request.admission;
-    return this.context.headerCodec.responseHead(status, headers, metadata.id, metadata.model);
+    return this.context.headerCodec.responseMetadata(status, headers, metadata.id, metadata.model);
   };
 
   /** Whether the head belongs to this request, and the end of its body is distinguishable from a broken connection. */
@@ -290,7 +296,7 @@
     return outcome;
   };
 
-  private readonly handleRejection = (response: HttpClientResponse, head: ResponseHead): AttemptOutcome => {
+  private readonly handleRejection = (response: HttpClientResponse, head: ResponseMetadata): AttemptOutcome => {
     const { replicaTracker, metrics, ports } = this.context;
     const { tracked } = this.placed;
     this.markNotRun();
--- a/packages/edge-proxy/src/forwarding/retryPolicy.ts
+++ b/packages/edge-proxy/src/forwarding/retryPolicy.ts
@@ -1,5 +1,5 @@
 /** Stateless rules for when an attempt is abandoned and whether the request may be sent again. */
-import type { ResponseHead, Route } from '@martenworks/core-types';
+import type { ResponseMetadata, Route } from '@martenworks/core-types';
 import type { RouteView } from '@martenworks/route-table';
 
 const latencyTargetShare = 0.7;
@@ -47,7 +47,7 @@
 
 const headVerdict = (
   status: number,
-  head: ResponseHead,
+  head: ResponseMetadata,
   { hasResponseStarted, mayTryAnother }: HeadCircumstances,
 ): HeadVerdict => {
   if (head.isForRequest && head.isNotRun) return { kind: 'rejected' };
