--- a/packages/edge-proxy/test/controlNodeStub.ts
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -1,4 +1,4 @@
-/** A control node of the simulated world that holds whatever state a test gives it and publishes as the product does. */
+/** A simulated control node whose state is set by the test, and which publishes it like the real one. */
 import { logs } from '@martenworks/core-types';
 import type {
   EdgePong,
@@ -18,7 +18,7 @@
 
 const limits = { headerBytes: 16_384, bodyBytes: 65_536, headerMs: 3_000, idleMs: 15_000 };
 
-/** The routing table of a generation: one pool, named after it. */
+/** The routing table of a log index: one pool, named after the index. */
 export const routingTableOf = (logIndex: number): RoutingTable => ({
   routes: [],
   pools: [{ name: `pool of ${logIndex}`, connectionLimit: null, engine: null }],
@@ -33,11 +33,11 @@
   incarnation: `incarnation of ${host}`,
 });
 
-/** Whether a node compares what it holds with what an edge told before it sends its state, as the product does. */
-export type Publishing = 'newer states only' | 'any state';
+/** Whether a node sends its state only to edges that reported an older one, as the real node does, or to all. */
+export type PublishPolicy = 'newer states only' | 'any state';
 
 interface Subscriber {
-  held: number;
+  reportedLogIndex: number;
   wantsContent: boolean;
 }
 
@@ -46,9 +46,9 @@
   private readonly connections = new Set<PeerConnection>();
   private listener: Listener | null = null;
   private starts = 0;
-  /** States sent since the last start, asked for or not. */
+  /** States sent since the last start, whether requested or not. */
   statesSent = 0;
-  /** States that arrived at an edge which held a newer one, by its acknowledgements. */
+  /** States that reached an edge that already had a newer one, according to its acknowledgements. */
   staleArrivals = 0;
 
   constructor(
@@ -57,7 +57,7 @@
     private readonly zone: string,
     private readonly members: readonly Member[],
     public logIndex: number,
-    private readonly publishing: Publishing = 'newer states only',
+    private readonly publishing: PublishPolicy = 'newer states only',
   ) {}
 
   private readonly hello = (): Hello => {
@@ -73,8 +73,8 @@
     const listening = await peerConnections.listen(net, clock, logs.silent(), this.hello, memberOf(this.host).address, {
       joined: (connection) => void this.connections.add(connection),
       left: this.forget,
-      told: this.told,
-      asked: async (_, topic) => this.answer(topic),
+      told: this.receive,
+      asked: async (_, topic) => this.answerRequest(topic),
     });
     this.listener = listening._unsafeUnwrap();
   };
@@ -85,13 +85,13 @@
     for (const connection of [...this.connections]) connection.close();
   };
 
-  /** Puts a state in force here, which is published at once. */
+  /** Sets the committed log index and publishes the state immediately. */
   readonly advanceTo = (logIndex: number): void => {
     this.logIndex = logIndex;
     for (const connection of this.subscribers.keys()) this.publish(connection);
   };
 
-  /** Whether an edge takes this node for its source. */
+  /** Whether an edge uses this node as its source. */
   readonly isSource = (): boolean => [...this.subscribers.values()].some(({ wantsContent }) => wantsContent);
 
   private readonly forget = (connection: PeerConnection): void => {
@@ -99,26 +99,26 @@
     this.subscribers.delete(connection);
   };
 
-  private readonly told = (connection: PeerConnection, topic: string, body: unknown): void => {
+  private readonly receive = (connection: PeerConnection, topic: string, body: unknown): void => {
     if (topic === 'subscribe') this.subscribe(connection, body as Subscription);
-    if (topic === 'ack') this.acknowledged(connection, body as StatePosition);
+    if (topic === 'ack') this.handleAck(connection, body as StatePosition);
   };
 
-  private readonly acknowledged = (connection: PeerConnection, { logIndex }: StatePosition): void => {
+  private readonly handleAck = (connection: PeerConnection, { logIndex }: StatePosition): void => {
     const subscriber = this.subscribers.get(connection);
-    if (subscriber !== undefined) subscriber.held = Math.max(subscriber.held, logIndex);
+    if (subscriber !== undefined) subscriber.reportedLogIndex = Math.max(subscriber.reportedLogIndex, logIndex);
     if (logIndex > this.logIndex) this.staleArrivals += 1;
   };
 
   private readonly subscribe = (connection: PeerConnection, { logIndex, wantsContent }: Subscription): void => {
-    this.subscribers.set(connection, { held: logIndex, wantsContent });
+    this.subscribers.set(connection, { reportedLogIndex: logIndex, wantsContent });
     this.publish(connection);
   };
 
   private readonly publish = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    if (this.publishing === 'newer states only' && this.logIndex <= subscriber.held) return;
+    if (this.publishing === 'newer states only' && this.logIndex <= subscriber.reportedLogIndex) return;
     connection.tell('stateAnnounced', this.logIndex);
     if (!subscriber.wantsContent) return;
     this.statesSent += 1;
@@ -147,7 +147,7 @@
     listAgeMs: 0,
   });
 
-  private readonly answer = (topic: string): unknown => {
+  private readonly answerRequest = (topic: string): unknown => {
     if (topic === 'state') return this.answerState();
     if (topic === 'ping') return this.pong();
     return topic === 'memberList' ? [{ hello: this.hello(), ageMs: 0 }] : null;
--- a/packages/edge-proxy/test/edgeHarness.ts
+++ b/packages/edge-proxy/test/edgeHarness.ts
@@ -10,7 +10,7 @@
 const host = '127.0.0.1';
 const headEnd = '\r\n\r\n';
 
-/** One request as a replica read it from its socket. `turn` counts the requests of its connection from 1. */
+/** One request as read from a replica's socket. `turn` counts the requests of the connection from 1. */
 export interface ReplicaRequest {
   readonly method: string;
   readonly target: string;
@@ -27,13 +27,13 @@
 const listening = (server: Server): Promise<number> =>
   new Promise((resolve) => server.listen(0, host, () => resolve((server.address() as AddressInfo).port)));
 
-/** A replica that speaks raw bytes: it reads whole requests and leaves each answer to its script. */
+/** A replica on raw TCP: parses complete requests and leaves each response to its script. */
 export class RawReplica {
-  readonly begun: ReplicaRequest[] = [];
+  readonly requests: ReplicaRequest[] = [];
   readonly sockets = new Set<Socket>();
-  private tellBegun: () => void = () => {};
-  private readonly firstBegun = new Promise<void>((resolve) => {
-    this.tellBegun = resolve;
+  private resolveFirstRequest: () => void = () => {};
+  private readonly firstRequest = new Promise<void>((resolve) => {
+    this.resolveFirstRequest = resolve;
   });
   private readonly server: Server;
   private port = 0;
@@ -42,15 +42,15 @@
     readonly id: string,
     private readonly script: (request: ReplicaRequest, replica: RawReplica) => void,
   ) {
-    this.server = createServer({ noDelay: true, allowHalfOpen: true }, this.take);
+    this.server = createServer({ noDelay: true, allowHalfOpen: true }, this.handleConnection);
   }
 
   readonly open = async (): Promise<void> => {
     this.port = await listening(this.server);
   };
 
-  /** Resolves once a first request has begun. */
-  readonly untilBegun = (): Promise<void> => this.firstBegun;
+  /** Resolves once the first request has arrived. */
+  readonly untilFirstRequest = (): Promise<void> => this.firstRequest;
 
   readonly address = (): string => `${host}:${this.port}`;
 
@@ -59,67 +59,67 @@
     for (const socket of this.sockets) socket.destroy();
   };
 
-  private readonly take = (socket: Socket): void => {
-    let held = '';
+  private readonly handleConnection = (socket: Socket): void => {
+    let received = '';
     let turn = 0;
     this.sockets.add(socket);
     socket.on('error', () => {});
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('end', () => socket.end());
     socket.on('data', (bytes: Buffer) => {
-      held += bytes.toString('latin1');
+      received += bytes.toString('latin1');
       for (;;) {
-        const end = held.indexOf(headEnd);
+        const end = received.indexOf(headEnd);
         if (end < 0) return;
-        const head = held.slice(0, end);
+        const head = received.slice(0, end);
         const size = Number(headerIn(head, 'content-length') ?? 0);
         const bodyAt = end + headEnd.length;
-        if (held.length < bodyAt + size) return;
+        if (received.length < bodyAt + size) return;
         const [method = '', target = ''] = head.split(' ');
         const request: ReplicaRequest = {
           method,
           target,
           tryId: headerIn(head, 'try-id') ?? '',
           lastEventId: Number(headerIn(head, 'last-event-id') ?? 0),
-          body: held.slice(bodyAt, bodyAt + size),
+          body: received.slice(bodyAt, bodyAt + size),
           turn: ++turn,
           socket,
         };
-        held = held.slice(bodyAt + size);
-        this.begun.push(request);
-        this.tellBegun();
+        received = received.slice(bodyAt + size);
+        this.requests.push(request);
+        this.resolveFirstRequest();
         this.script(request, this);
       }
     });
   };
 }
 
-/** What a caller read: `isWhole` by the answer's own framing, `isReset` where the connection was reset rather than closed. */
-export interface CallerAnswer {
+/** A response as read by a caller; `isComplete` by the response's own framing. */
+export interface CallerResponse {
   readonly status: number;
   readonly head: string;
   readonly body: string;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
-const chunksIn = (text: string): { body: string; used: number; isWhole: boolean } => {
+const decodeChunks = (text: string): { body: string; used: number; isComplete: boolean } => {
   let body = '';
   let at = 0;
   for (;;) {
     const lineEnd = text.indexOf('\r\n', at);
-    if (lineEnd < 0) return { body, used: text.length, isWhole: false };
+    if (lineEnd < 0) return { body, used: text.length, isComplete: false };
     const size = Number.parseInt(text.slice(at, lineEnd), 16);
     const begin = lineEnd + 2;
     body += text.slice(begin, begin + size);
-    if (text.length < begin + size + 2) return { body, used: text.length, isWhole: false };
+    if (text.length < begin + size + 2) return { body, used: text.length, isComplete: false };
     at = begin + size + 2;
-    if (size === 0) return { body, used: at, isWhole: true };
+    if (size === 0) return { body, used: at, isComplete: true };
   }
 };
 
 const bodiless = (status: number, method: string): boolean => method === 'HEAD' || status === 204 || status === 304;
 
-/** One connection of a caller, in raw bytes. */
+/** One caller connection on raw TCP; `isReset` is true if it was reset rather than closed. */
 export class RawCaller {
   readonly socket: Socket;
   private text = '';
@@ -131,7 +131,7 @@
     this.socket = createConnection({ host: edgeHost, port: edgePort, noDelay: true, allowHalfOpen: true });
     this.socket.on('data', (bytes: Buffer) => {
       this.text += bytes.toString('latin1');
-      this.changed();
+      this.notifyWatchers();
     });
     this.socket.on('error', () => {
       this.isReset = true;
@@ -139,20 +139,20 @@
     this.socket.on('end', () => this.socket.end());
     this.socket.on('close', () => {
       this.isClosed = true;
-      this.changed();
+      this.notifyWatchers();
     });
   }
 
-  private readonly changed = (): void => {
+  private readonly notifyWatchers = (): void => {
     for (const watcher of this.watchers) watcher();
   };
 
   readonly received = (): string => this.text;
 
-  readonly until = (isThere: () => boolean): Promise<void> =>
+  readonly until = (condition: () => boolean): Promise<void> =>
     new Promise((resolve) => {
       const check = (): void => {
-        if (!isThere()) return;
+        if (!condition()) return;
         this.watchers.delete(check);
         resolve();
       };
@@ -160,42 +160,42 @@
       check();
     });
 
-  /** The answers so far to requests of these methods; the last one may not be whole. */
-  readonly answers = (methods: readonly string[]): CallerAnswer[] => {
-    const answers: CallerAnswer[] = [];
+  /** The responses received so far to requests of these methods; the last one may be incomplete. */
+  readonly responses = (methods: readonly string[]): CallerResponse[] => {
+    const responses: CallerResponse[] = [];
     let rest = this.text;
     while (rest.length > 0) {
       const end = rest.indexOf(headEnd);
-      if (end < 0) return answers;
+      if (end < 0) return responses;
       const head = rest.slice(0, end);
       const status = Number(head.split(' ')[1]);
       rest = rest.slice(end + headEnd.length);
       if (status < 200) continue;
-      const method = methods[answers.length] ?? 'GET';
+      const method = methods[responses.length] ?? 'GET';
       const length = headerIn(head, 'content-length');
-      if (bodiless(status, method)) answers.push({ status, head, body: '', isWhole: true });
+      if (bodiless(status, method)) responses.push({ status, head, body: '', isComplete: true });
       else if (/chunked/i.test(headerIn(head, 'transfer-encoding') ?? '')) {
-        const { body, used, isWhole } = chunksIn(rest);
-        answers.push({ status, head, body, isWhole });
+        const { body, used, isComplete } = decodeChunks(rest);
+        responses.push({ status, head, body, isComplete });
         rest = rest.slice(used);
       } else if (length !== null) {
         const body = rest.slice(0, Number(length));
-        answers.push({ status, head, body, isWhole: body.length === Number(length) });
+        responses.push({ status, head, body, isComplete: body.length === Number(length) });
         rest = rest.slice(body.length);
       } else {
-        answers.push({ status, head, body: rest, isWhole: this.isClosed && !this.isReset });
-        return answers;
+        responses.push({ status, head, body: rest, isComplete: this.isClosed && !this.isReset });
+        return responses;
       }
     }
-    return answers;
+    return responses;
   };
 
-  /** Resolves once so many answers are whole, or the connection is closed. */
-  readonly finish = async (methods: readonly string[]): Promise<CallerAnswer[]> => {
+  /** Resolves once every request has a complete response, or the connection is closed. */
+  readonly untilResponses = async (methods: readonly string[]): Promise<CallerResponse[]> => {
     await this.until(
-      () => this.isClosed || this.answers(methods).filter(({ isWhole }) => isWhole).length >= methods.length,
+      () => this.isClosed || this.responses(methods).filter(({ isComplete }) => isComplete).length >= methods.length,
     );
-    return this.answers(methods);
+    return this.responses(methods);
   };
 }
 
@@ -206,23 +206,23 @@
 
 export const pathOf = (kind: RouteKind): string => `/${kind.replace(' ', '-')}/`;
 
-/** Milliseconds: how long a route holds a request, and the aim from which an edge derives its patience with a replica. */
-export interface Times {
-  readonly deadlineMs: number;
+/** Route timeout, and latency target from which an edge derives its timeouts for replicas, in milliseconds. */
+export interface Timeouts {
+  readonly timeoutMs: number;
   readonly targetMs: number;
 }
 
-/** So long that a busy machine changes no outcome. */
-export const patient: Times = { deadlineMs: 20_000, targetMs: 10_000 };
-/** So short that an edge leaves a silent replica, where it may, well before it gives the request up. */
-export const impatient: Times = { deadlineMs: 10_000, targetMs: 4_000 };
+/** Long enough that a busy machine does not change any outcome. */
+export const longTimeouts: Timeouts = { timeoutMs: 20_000, targetMs: 10_000 };
+/** Short enough that an edge abandons an unresponsive replica, where allowed, well before the request's deadline. */
+export const shortTimeouts: Timeouts = { timeoutMs: 10_000, targetMs: 4_000 };
 
-const routeOf = (kind: RouteKind, { deadlineMs, targetMs }: Times): Route => ({
+const routeOf = (kind: RouteKind, { timeoutMs, targetMs }: Timeouts): Route => ({
   name: kind,
   host: 'site.example',
   pathPrefix: pathOf(kind),
   kind: kind === 'once' || kind === 'repeatable' ? kind : 'stream',
-  timeoutMs: deadlineMs,
+  timeoutMs,
   latencyTargetMs: targetMs,
   rank: 1,
   shares: [{ pool: 'p', share: 1 }],
@@ -232,7 +232,7 @@
   maxEventGapMs: 50,
 });
 
-const routingTableOf = (times: Times): RoutingTable => ({
+const routingTableOf = (times: Timeouts): RoutingTable => ({
   routes: routeKinds.map((kind) => routeOf(kind, times)),
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
@@ -241,10 +241,10 @@
 });
 
 const edgePort = 8_080;
-const anyByte = (): number => 1 + Math.floor(machine.random.fraction() * 250);
+const randomByte = (): number => 1 + Math.floor(machine.random.fraction() * 250);
 
-/** A loopback address of its own for each edge, so that none waits for another's port. */
-const freshHost = (): string => `127.${anyByte()}.${anyByte()}.${anyByte()}`;
+/** A random loopback address for each edge, so that edges don't compete for a port. */
+const randomLoopbackHost = (): string => `127.${randomByte()}.${randomByte()}.${randomByte()}`;
 
 export const requestText = (
   kind: RouteKind,
@@ -264,33 +264,37 @@
 export const eventCount = 3;
 export const eventText = (tryId: string, id: number): string => `id: ${id}\ndata: ${tryId}\n\n`;
 
-/** The pieces of the right body for a request, from the event after `lastEventId` on. */
-export const piecesOf = ({ target, tryId, lastEventId }: Pick<ReplicaRequest, 'target' | 'tryId' | 'lastEventId'>) =>
+/** The chunks of the correct body for a request, starting after event `lastEventId`. */
+export const expectedChunks = ({
+  target,
+  tryId,
+  lastEventId,
+}: Pick<ReplicaRequest, 'target' | 'tryId' | 'lastEventId'>) =>
   isStream(target)
     ? Array.from({ length: eventCount - lastEventId }, (_, at) => eventText(tryId, lastEventId + at + 1))
     : [`answer to ${tryId}, `, 'whole\n'];
 
-export const chunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
+export const encodeChunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
 
-export const answerHead = (status: string, tryId: string | null, more: readonly string[] = []): string =>
+export const responseHead = (status: string, tryId: string | null, more: readonly string[] = []): string =>
   `${[`HTTP/1.1 ${status}`, ...(tryId === null ? [] : [`Try-Id: ${tryId}`]), ...more].join('\r\n')}${headEnd}`;
 
-/** The whole proper answer to a request, with a length or, for streams, in chunks. */
-export const properAnswer = (request: ReplicaRequest): string => {
+/** The complete, correct response to a request, with a length or, for streams, chunked. */
+export const validResponse = (request: ReplicaRequest): string => {
   const { method, target, tryId } = request;
-  const pieces = piecesOf(request);
+  const chunks = expectedChunks(request);
   const seal = `Server-Seal: seal-of-${tryId}`;
   const isHead = method === 'HEAD';
   if (isStream(target)) {
-    const head = answerHead('200 OK', tryId, [seal, 'Content-Type: text/event-stream', 'Transfer-Encoding: chunked']);
-    return isHead ? head : `${head}${pieces.map(chunk).join('')}0\r\n\r\n`;
+    const head = responseHead('200 OK', tryId, [seal, 'Content-Type: text/event-stream', 'Transfer-Encoding: chunked']);
+    return isHead ? head : `${head}${chunks.map(encodeChunk).join('')}0\r\n\r\n`;
   }
-  const body = pieces.join('');
-  return `${answerHead('200 OK', tryId, [seal, `Content-Length: ${body.length}`])}${isHead ? '' : body}`;
+  const body = chunks.join('');
+  return `${responseHead('200 OK', tryId, [seal, `Content-Length: ${body.length}`])}${isHead ? '' : body}`;
 };
 
-/** A real edge on loopback before raw replicas: real `CallDoor`, real carriage, real clock; nothing is simulated. */
-export class WireStage {
+/** An edge on loopback in front of raw replicas, with real sockets, HTTP client and clock; nothing is simulated. */
+export class EdgeFixture {
   private constructor(
     readonly edge: EdgeProxy,
     private readonly edgeHost: string,
@@ -298,9 +302,12 @@
     readonly replicas: readonly RawReplica[],
   ) {}
 
-  static readonly open = async (replicas: readonly RawReplica[], times: Times = patient): Promise<WireStage> => {
+  static readonly open = async (
+    replicas: readonly RawReplica[],
+    times: Timeouts = longTimeouts,
+  ): Promise<EdgeFixture> => {
     for (const replica of replicas) await replica.open();
-    const edgeHost = freshHost();
+    const edgeHost = randomLoopbackHost();
     const settings = nodeSettings
       .check({
         name: 'edge',
@@ -329,7 +336,7 @@
       clock: machine.clock,
       random: machine.random,
       net: machine.net(null),
-      httpServer: { open: async () => Promise.reject(new Error('no door is opened here')) },
+      httpServer: { open: async () => Promise.reject(new Error('the HTTP server port is not used here')) },
       httpClient,
       disk: machine.noDisk(),
       log: logs.silent(),
@@ -343,10 +350,10 @@
       weightsAges: {},
       members: [],
     });
-    const stage = new WireStage(edge, edgeHost, httpClient, replicas);
-    stage.list(replicas);
+    const fixture = new EdgeFixture(edge, edgeHost, httpClient, replicas);
+    fixture.setEndpoints(replicas);
     (await edge.open())._unsafeUnwrap();
-    return stage;
+    return fixture;
   };
 
   private readonly endpointOf = (replica: RawReplica): ReplicaEndpoint => ({
@@ -359,41 +366,41 @@
     weights: {},
   });
 
-  /** Puts just these replicas on the list. */
-  readonly list = (replicas: readonly RawReplica[]): void =>
+  /** Updates the endpoint list so that it holds exactly these replicas. */
+  readonly setEndpoints = (replicas: readonly RawReplica[]): void =>
     this.edge.applyEndpoints({
       isWhole: false,
       put: replicas.map(this.endpointOf),
       gone: this.replicas.filter((replica) => !replicas.includes(replica)).map(({ id }) => id),
     });
 
-  /** Serves one request at each replica, so that a kept connection leads to each. */
-  readonly warm = async (): Promise<void> => {
+  /** Serves one request on each replica, so that a reusable connection to each exists. */
+  readonly warmUp = async (): Promise<void> => {
     for (const replica of this.replicas) {
-      this.list([replica]);
+      this.setEndpoints([replica]);
       await this.ask('repeatable', 'GET', `warm-${replica.id}`, 'none');
     }
-    this.list(this.replicas);
+    this.setEndpoints(this.replicas);
   };
 
   readonly caller = (): RawCaller => new RawCaller(this.edgeHost);
 
-  /** One request on a connection of its own; the answer is null where the connection ended without a head. */
+  /** Sends one request on a new connection; returns null if the connection ended before a response head. */
   readonly ask = async (
     kind: RouteKind,
     method: string,
     tryId: string,
     body: BodyKind,
-  ): Promise<CallerAnswer | null> => {
+  ): Promise<CallerResponse | null> => {
     const caller = this.caller();
     caller.socket.write(requestText(kind, method, tryId, body));
-    const [answer] = await caller.finish([method]);
+    const [response] = await caller.untilResponses([method]);
     caller.socket.destroy();
-    return answer ?? null;
+    return response ?? null;
   };
 
-  readonly begun = (tryId: string): ReplicaRequest[] =>
-    this.replicas.flatMap(({ begun }) => begun).filter((request) => request.tryId === tryId);
+  readonly requestsOf = (tryId: string): ReplicaRequest[] =>
+    this.replicas.flatMap(({ requests }) => requests).filter((request) => request.tryId === tryId);
 
   readonly close = async (): Promise<void> => {
     this.edge.stop();
--- a/packages/edge-proxy/test/edgeMessages.test.ts
+++ b/packages/edge-proxy/test/edgeMessages.test.ts
@@ -1,4 +1,4 @@
-/** The checks of messages from control nodes take whatever those send, and nothing that lacks a field. */
+/** The checks of messages from control nodes accept everything that those send, and nothing that lacks a field. */
 import { expect } from 'chai';
 import { edgeMessages } from '@martenworks/edge-proxy';
 import type {
@@ -56,7 +56,7 @@
 
 describe('messages from control nodes', () => {
   for (const [name, message, isValid] of cases)
-    it(`given ${name}, when it is whole or lacks a field, then only the whole one is taken`, () => {
+    it(`given ${name}, when it is complete or lacks a field, then only the complete one is accepted`, () => {
       expect(isValid(message)).to.equal(true);
       for (const field of Object.keys(message)) {
         const { [field]: _, ...rest } = message as Fields;
@@ -66,7 +66,7 @@
       for (const odd of [null, undefined, 7, 'text', []]) expect(isValid(odd)).to.equal(false);
     });
 
-  it('given optional and null fields as nodes send them, when they are checked, then they are taken', () => {
+  it('given optional and null fields as nodes send them, when they are checked, then they are accepted', () => {
     expect(edgeMessages.isState({ ...state, packedTable: null, members: [], weightsAges: {} })).to.equal(true);
     expect(edgeMessages.isState({ ...state, packedTable: { from: 1, deflated: Buffer.from('x') } })).to.equal(true);
     expect(edgeMessages.isWeights({ ...weights, version: 4 })).to.equal(true);
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -15,25 +15,25 @@
 const bytes = (text: string): Uint8Array => Buffer.from(text, 'utf8');
 const text = (part: Uint8Array): string => Buffer.from(part).toString('utf8');
 
-describe('events of a stream', () => {
-  it('given a stream cut anywhere, when it is fed byte by byte, then whole events come out byte for byte, with their ids', () => {
+describe('event splitter', () => {
+  it('given a stream of events, when it is fed byte by byte, then complete events are returned unchanged, with their ids', () => {
     const stream = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\nid:3\ndata: c\n\n';
-    const cutter = new EventSplitter();
-    const events = [...stream].flatMap((letter) => cutter.push(bytes(letter)));
+    const splitter = new EventSplitter();
+    const events = [...stream].flatMap((letter) => splitter.push(bytes(letter)));
     expect(events.map((event) => event.id)).to.deep.equal(['1', '2', '3']);
     expect(events.map((event) => text(event.bytes)).join('')).to.equal(stream);
-    expect(cutter.remainder().length).to.equal(0);
+    expect(splitter.remainder().length).to.equal(0);
   });
 
-  it('given an event that broke off, when the stream ends, then it was not given out', () => {
-    const cutter = new EventSplitter();
-    expect(cutter.push(bytes('id: 1\ndata: a\n\nid: 2\ndata: b')).map((event) => event.id)).to.deep.equal(['1']);
-    expect(text(cutter.remainder())).to.equal('id: 2\ndata: b');
+  it('given an incomplete last event, when the stream ends, then the event is not returned', () => {
+    const splitter = new EventSplitter();
+    expect(splitter.push(bytes('id: 1\ndata: a\n\nid: 2\ndata: b')).map((event) => event.id)).to.deep.equal(['1']);
+    expect(text(splitter.remainder())).to.equal('id: 2\ndata: b');
   });
 });
 
-describe('headers that concern one connection', () => {
-  it('given such headers and some that Connection names, when a list is passed on, then they are left out and the rest stays in order', () => {
+describe('hop-by-hop headers', () => {
+  it('given hop-by-hop headers and some that Connection names, when a list is forwarded, then they are removed and the rest keeps its order', () => {
     const list = [
       'Host',
       'a',
@@ -54,35 +54,39 @@
   });
 });
 
-describe('the budget of extra attempts', () => {
-  const terms = { ratio: 0.2, windowMs: 10_000, slack: 58 };
+describe('retry budget', () => {
+  const limits = { ratio: 0.2, windowMs: 10_000, slack: 58 };
 
-  it('given nine edges that spend all they may in every window, when uneven load runs a minute, then no sliding window of all exceeds the bound', async () => {
+  it('given nine edges that spend their whole budget in every window, when uneven load runs for a minute, then no sliding window over all edges exceeds the limit', async () => {
     const world = new SimWorld(5);
     const { clock } = world.machine('10.0.0.1').ports();
-    const budgets = Array.from({ length: 9 }, () => new RetryBudget(clock, terms, () => 9));
-    const firsts: number[] = [];
-    const extras: number[] = [];
+    const budgets = Array.from({ length: 9 }, () => new RetryBudget(clock, limits, () => 9));
+    const firstAttempts: number[] = [];
+    const retries: number[] = [];
     for (let step = 0; step < 600; step += 1) {
       await world.run(100);
       budgets.forEach((budget, at) => {
         for (let one = 0; one < at; one += 1) {
           budget.recordFirstAttempt('p');
-          firsts.push(world.time);
+          firstAttempts.push(world.time);
         }
-        while (budget.trySpend('p')) extras.push(world.time);
+        while (budget.trySpend('p')) retries.push(world.time);
       });
     }
     const within = (times: readonly number[], end: number): number =>
-      times.filter((at) => at > end - terms.windowMs && at <= end).length;
+      times.filter((at) => at > end - limits.windowMs && at <= end).length;
     for (let end = 10_000; end <= 60_000; end += 500) {
-      const requests = Math.max(within(firsts, end), within(firsts, end - 10_000), within(firsts, end - 5_000));
-      expect(within(extras, end)).to.be.at.most(requests * terms.ratio + terms.slack);
+      const requests = Math.max(
+        within(firstAttempts, end),
+        within(firstAttempts, end - 10_000),
+        within(firstAttempts, end - 5_000),
+      );
+      expect(within(retries, end)).to.be.at.most(requests * limits.ratio + limits.slack);
     }
-    expect(extras.length).to.be.greaterThan(100);
+    expect(retries.length).to.be.greaterThan(100);
   });
 
-  it('given edges that start anew one after another, when each spends at once, then a young edge gets half of its slack only', () => {
+  it('given edges that restart one after another, when each spends immediately, then an edge gets only half of its slack in its first window', () => {
     const clock = new SimWorld(1).machine('10.0.0.1').ports().clock;
     const budget = new RetryBudget(clock, { ratio: 0.2, windowMs: 10_000, slack: 80 }, () => 10);
     let spent = 0;
@@ -126,7 +130,7 @@
   customers,
   limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
 };
-const long = (id: string): RequestMetadata => ({
+const longPrompt = (id: string): RequestMetadata => ({
   id: 'q',
   key: null,
   leftMs: null,
@@ -138,66 +142,66 @@
     { id: 'own', tokens: 3_700 },
   ],
 });
-const nobody: ReadonlySet<string> = new Set();
+const noReplicas: ReadonlySet<string> = new Set();
 const versionMs = 8_000;
 const neededMs = 1_200;
 
-const office = (count = 13) => {
+const setUp = (count = 13) => {
   const world = new SimWorld(3);
   const { clock } = world.machine('10.0.0.1').ports();
   const replicaTracker = new ReplicaTracker(clock);
   const prefixCaches = new PrefixCacheIndex(clock);
   const weightsTargets = new WeightsTargets(clock, versionMs);
-  const placing = new ReplicaSelector(replicaTracker, prefixCaches, clock, weightsTargets);
+  const replicaSelector = new ReplicaSelector(replicaTracker, prefixCaches, clock, weightsTargets);
   replicaTracker.applyEndpoints({
     isWhole: true,
     put: Array.from({ length: count }, (_, at) => endpoint(`r${at + 1}`)),
     gone: [],
   });
   const view = new RoutingTableIndexer().view(1, routingTable);
-  const place = (metadata: RequestMetadata, customer: Customer | null = null, avoided = nobody) =>
-    placing.place({ pool: 'p', metadata, customer, avoided, neededMs }, view, 64);
+  const place = (metadata: RequestMetadata, customer: Customer | null = null, avoided = noReplicas) =>
+    replicaSelector.place({ pool: 'p', metadata, customer, avoided, neededMs }, view, 64);
   return { world, replicaTracker, prefixCaches, weightsTargets, place, clock };
 };
 
-describe('where a prompt goes', () => {
-  it('given edges that never talk, when they place prompts of one anchor, then all choose one home, and many anchors spread', () => {
-    const [one, other] = [office(), office()];
-    const preferred = Array.from({ length: 92 }, (_, at) => one.place(long(`manual-${at}`))?.tracked.endpoint.id);
+describe('placement', () => {
+  it('given edges that do not communicate, when they place prompts with the same affinity part, then all choose the same replica, and many affinity parts spread over the replicas', () => {
+    const [one, other] = [setUp(), setUp()];
+    const preferred = Array.from({ length: 92 }, (_, at) => one.place(longPrompt(`manual-${at}`))?.tracked.endpoint.id);
     expect(preferred).to.deep.equal(
-      Array.from({ length: 92 }, (_, at) => other.place(long(`manual-${at}`))?.tracked.endpoint.id),
+      Array.from({ length: 92 }, (_, at) => other.place(longPrompt(`manual-${at}`))?.tracked.endpoint.id),
     );
     const counts = new Map<string | undefined, number>();
-    for (const home of preferred) counts.set(home, (counts.get(home) ?? 0) + 1);
+    for (const id of preferred) counts.set(id, (counts.get(id) ?? 0) + 1);
     expect(counts.size).to.be.greaterThan(10);
     expect(Math.max(...counts.values())).to.be.lessThan(20);
   });
 
-  it('given a home that reads long prompts, when its anchor is kept there, then a crowded home is left for one that pulls from it', () => {
-    const { replicaTracker, prefixCaches, place } = office();
-    const home = place(long('manual'));
-    if (home === null) throw new Error('no home');
+  it('given a preferred replica that has the affinity part cached, when it has a long prefill queue, then another replica is chosen that pulls from it', () => {
+    const { replicaTracker, prefixCaches, place } = setUp();
+    const preferred = place(longPrompt('manual'));
+    if (preferred === null) throw new Error('no placement');
     prefixCaches.apply([
       {
-        address: home.tracked.endpoint.address,
+        address: preferred.tracked.endpoint.address,
         isWhole: false,
         isHeard: true,
         events: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
       },
     ]);
-    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
-    expect(place(long('manual'))?.isCached).to.equal(true);
-    replicaTracker.recordStart(home.tracked, 60_000);
-    const left = place(long('manual'));
-    expect(left?.tracked).to.not.equal(home.tracked);
-    expect(left?.holder).to.equal(home.tracked.endpoint.address);
+    expect(place(longPrompt('manual'))?.tracked).to.equal(preferred.tracked);
+    expect(place(longPrompt('manual'))?.isCached).to.equal(true);
+    replicaTracker.recordStart(preferred.tracked, 60_000);
+    const other = place(longPrompt('manual'));
+    expect(other?.tracked).to.not.equal(preferred.tracked);
+    expect(other?.holder).to.equal(preferred.tracked.endpoint.address);
   });
 
-  it('given parts kept under other weights or for an isolated tenant, when another prompt is placed, then they count for nothing', () => {
-    const { prefixCaches, place, replicaTracker } = office();
+  it('given parts cached under other weights or for an isolated tenant, when another prompt is placed, then they are ignored', () => {
+    const { prefixCaches, place, replicaTracker } = setUp();
     const holder = replicaTracker.all()[4];
     if (holder === undefined) throw new Error('no replica');
-    const kept = (salt: string) =>
+    const reportCached = (salt: string) =>
       prefixCaches.apply([
         {
           address: holder.endpoint.address,
@@ -206,32 +210,34 @@
           events: [{ isKept: true, salt, part: 'manual', tokens: 13_300 }],
         },
       ]);
-    kept('m@0');
-    kept('m@1/walled');
-    expect(place(long('manual'), customers[0])?.isCached).to.equal(false);
-    expect(place(long('manual'), customers[0])?.salt).to.equal('m@1');
-    const walled = place(long('manual'), customers[1]);
-    expect(walled?.salt).to.equal('m@1/walled');
-    expect(walled?.isCached === true || walled?.holder === holder.endpoint.address).to.equal(true);
+    reportCached('m@0');
+    reportCached('m@1/walled');
+    expect(place(longPrompt('manual'), customers[0])?.isCached).to.equal(false);
+    expect(place(longPrompt('manual'), customers[0])?.salt).to.equal('m@1');
+    const isolatedPlacement = place(longPrompt('manual'), customers[1]);
+    expect(isolatedPlacement?.salt).to.equal('m@1/walled');
+    expect(isolatedPlacement?.isCached === true || isolatedPlacement?.holder === holder.endpoint.address).to.equal(
+      true,
+    );
   });
 
-  it('given replicas that leave, rest or hold old weights for too long, when prompts are placed, then none of them is chosen', async () => {
-    const { replicaTracker, weightsTargets, place, world } = office(3);
+  it('given replicas that are leaving, loading weights or on superseded weights for too long, when prompts are placed, then none of them is chosen', async () => {
+    const { replicaTracker, weightsTargets, place, world } = setUp(3);
     replicaTracker.applyEndpoints({ isWhole: false, put: [endpoint('r1', { isLeaving: true })], gone: [] });
     replicaTracker.applyWeights({ id: 'r2', model, version: null, forMs: 500 });
-    for (let at = 0; at < 50; at += 1) expect(place(long(`a${at}`))?.tracked.endpoint.id).to.equal('r3');
+    for (let at = 0; at < 50; at += 1) expect(place(longPrompt(`a${at}`))?.tracked.endpoint.id).to.equal('r3');
     replicaTracker.applyWeights({ id: 'r2', model, version: 2, forMs: 0 });
     weightsTargets.apply({ [model]: [{ version: 2, msAgo: 0 }] });
     await world.run(6_500);
     for (let at = 0; at < 50; at += 1) {
-      const placed = place(long(`a${at}`));
+      const placed = place(longPrompt(`a${at}`));
       expect(placed?.tracked.endpoint.id).to.equal('r2');
       expect(placed?.version).to.equal(2);
     }
   });
 
-  it('given a leaving replica, when an older list says that it is ready, then it stays leaving, and weights never go back', () => {
-    const { replicaTracker } = office(2);
+  it('given a leaving replica, when an older list shows it as ready, then it stays leaving, and its weights version never decreases', () => {
+    const { replicaTracker } = setUp(2);
     replicaTracker.applyEndpoints({
       isWhole: false,
       put: [endpoint('r1', { isLeaving: true, weights: { m: 3 } })],
@@ -243,10 +249,10 @@
     expect(tracked?.endpoint.weights).to.deep.equal({ m: 3 });
   });
 
-  it('given a short part before the long one, when nobody keeps the long one, then no replica counts as keeping it', () => {
-    const { place } = office();
+  it('given a short part before a long one, when no replica has the long one cached, then the placement is not a cache hit', () => {
+    const { place } = setUp();
     const prompt: RequestMetadata = {
-      ...long('q'),
+      ...longPrompt('q'),
       parts: [
         { id: 'greeting', tokens: 55 },
         { id: 'manual', tokens: 13_300 },
@@ -256,21 +262,21 @@
     expect(place(prompt)?.isCached).to.equal(false);
   });
 
-  it('given a long prompt that another edge has read at the home, when a second one of that anchor comes, then it goes there and waits rather than have it read twice', () => {
-    const { replicaTracker, prefixCaches, place } = office();
-    const home = place(long('manual'));
-    if (home === null) throw new Error('no home');
+  it('given a long prompt of another edge being prefilled on the preferred replica, when a second one with the same affinity part arrives, then it is placed there and waits rather than being prefilled twice', () => {
+    const { replicaTracker, prefixCaches, place } = setUp();
+    const preferred = place(longPrompt('manual'));
+    if (preferred === null) throw new Error('no placement');
     replicaTracker.applyPrefillNotice({
       id: 'x',
-      replica: home.tracked.endpoint.id,
+      replica: preferred.tracked.endpoint.id,
       tokens: 17_000,
       salt: 'm@1',
       part: 'manual',
     });
-    prefixCaches.recordPrefill(home.tracked.endpoint.address, 'm@1', 'manual');
-    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
+    prefixCaches.recordPrefill(preferred.tracked.endpoint.address, 'm@1', 'manual');
+    expect(place(longPrompt('manual'))?.tracked).to.equal(preferred.tracked);
     const short: RequestMetadata = {
-      ...long('s'),
+      ...longPrompt('s'),
       tokensIn: 400,
       parts: [
         { id: 'greeting', tokens: 55 },
@@ -288,54 +294,54 @@
             { id: 'own', tokens: 300 },
           ],
         })?.tracked,
-      ).to.not.equal(home.tracked);
+      ).to.not.equal(preferred.tracked);
     replicaTracker.applyPrefillNotice({
       id: 'x',
-      replica: home.tracked.endpoint.id,
+      replica: preferred.tracked.endpoint.id,
       tokens: 0,
       salt: null,
       part: null,
     });
-    expect(home.tracked.otherEdgesTokens).to.equal(0);
+    expect(preferred.tracked.otherEdgesTokens).to.equal(0);
   });
 });
 
-describe('replicas that lie about their health', () => {
-  it('given one that fails a third of its requests, when prompts at home there come, then they go elsewhere, and come back once it has been well for a while', async () => {
-    const { replicaTracker, place, world } = office();
-    const home = place(long('manual'));
-    if (home === null) throw new Error('no home');
+describe('replicas that fail some of their requests', () => {
+  it('given a replica that fails a third of its requests, when prompts that prefer it arrive, then they are placed elsewhere, and return once it has not failed for a while', async () => {
+    const { replicaTracker, place, world } = setUp();
+    const preferred = place(longPrompt('manual'));
+    if (preferred === null) throw new Error('no placement');
     for (let at = 0; at < 12; at += 1) {
-      if (at % 3 === 0) replicaTracker.health.recordFailure(home.tracked);
-      else replicaTracker.health.recordSuccess(home.tracked);
+      if (at % 3 === 0) replicaTracker.health.recordFailure(preferred.tracked);
+      else replicaTracker.health.recordSuccess(preferred.tracked);
     }
-    expect(place(long('manual'))?.tracked).to.not.equal(home.tracked);
+    expect(place(longPrompt('manual'))?.tracked).to.not.equal(preferred.tracked);
     await world.run(25_000);
-    expect(place(long('manual'))?.tracked).to.equal(home.tracked);
+    expect(place(longPrompt('manual'))?.tracked).to.equal(preferred.tracked);
   });
 
-  it('given a pool in which every replica fails, when a prompt is placed, then the pool is not emptied by suspicion', () => {
-    const { replicaTracker, place } = office();
+  it('given a pool in which every replica fails, when a prompt is placed, then suspicion does not exclude all replicas', () => {
+    const { replicaTracker, place } = setUp();
     for (const tracked of replicaTracker.all())
       for (let at = 0; at < 6; at += 1) replicaTracker.health.recordFailure(tracked);
-    expect(place(long('manual'))).to.not.equal(null);
+    expect(place(longPrompt('manual'))).to.not.equal(null);
   });
 });
 
-describe('what a store is sent', () => {
-  it('given prompts of one manual with ends short and long, when they are placed, then only those whose end is short are sent on to the store', () => {
-    const { prefixCaches, place } = office();
+describe('uploads to a cache store', () => {
+  it('given prompts with the same prefix and short or long remainders, when they are placed, then only those with a short remainder are uploaded to the store', () => {
+    const { prefixCaches, place } = setUp();
     prefixCaches.apply([{ address: '10.9.0.1:9000', isWhole: false, isHeard: true, events: [] }]);
-    const withEnd = (tokens: number): RequestMetadata => ({
-      ...long('manual'),
+    const withRemainder = (tokens: number): RequestMetadata => ({
+      ...longPrompt('manual'),
       tokensIn: 13_300 + tokens,
       parts: [
         { id: 'manual', tokens: 13_300 },
         { id: 'own', tokens },
       ],
     });
-    expect(place(withEnd(1_000))?.store).to.equal('10.9.0.1:9000');
-    expect(place(withEnd(9_000))?.store).to.equal(null);
+    expect(place(withRemainder(1_000))?.store).to.equal('10.9.0.1:9000');
+    expect(place(withRemainder(9_000))?.store).to.equal(null);
     prefixCaches.apply([
       {
         address: '10.9.0.1:9000',
@@ -344,36 +350,36 @@
         events: [{ isKept: true, salt: 'm@1', part: 'manual', tokens: 13_300 }],
       },
     ]);
-    expect(place(withEnd(1_000))?.store).to.equal(null);
-    expect(place(withEnd(1_000))?.holder).to.equal('10.9.0.1:9000');
+    expect(place(withRemainder(1_000))?.store).to.equal(null);
+    expect(place(withRemainder(1_000))?.holder).to.equal('10.9.0.1:9000');
   });
 
-  it('given a store that is not heard, when a prompt is placed, then it is neither named nor sent anything', () => {
-    const { place } = office();
-    expect(place(long('manual'))?.store).to.equal(null);
-    expect(place(long('manual'))?.holder).to.not.equal('10.9.0.1:9000');
+  it('given a store whose events are not followed, when a prompt is placed, then it is neither pulled from nor uploaded to', () => {
+    const { place } = setUp();
+    expect(place(longPrompt('manual'))?.store).to.equal(null);
+    expect(place(longPrompt('manual'))?.holder).to.not.equal('10.9.0.1:9000');
   });
 });
 
-describe("the edge's index", () => {
-  it('given a part that is dropped, when the news comes, then it counts no more, also where this edge saw it itself', () => {
-    const { prefixCaches } = office();
-    const news = (isKept: boolean, tokens: number) =>
+describe("the edge's prefix index", () => {
+  it('given a part that is evicted, when the event arrives, then it no longer counts, even where this edge observed it itself', () => {
+    const { prefixCaches } = setUp();
+    const applyEvent = (isKept: boolean, tokens: number) =>
       prefixCaches.apply([
         { address: 'x', isWhole: false, isHeard: true, events: [{ isKept, salt: 's', part: 'p', tokens }] },
       ]);
     prefixCaches.recordObserved('x', 's', 'p');
     expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(true);
-    news(false, 0);
+    applyEvent(false, 0);
     expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(false);
-    news(true, 500);
+    applyEvent(true, 500);
     expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(true);
-    news(false, 128);
+    applyEvent(false, 128);
     expect(prefixCaches.isCached('x', 's', 'p', 500)).to.equal(false);
   });
 
-  it('given memory that goes by blocks of sixteen, when a part of 13,300 tokens is told as 13,296, then it counts as kept', () => {
-    const { prefixCaches } = office();
+  it('given memory allocated in blocks of sixteen tokens, when a part of 13,300 tokens is reported as 13,296, then it counts as cached', () => {
+    const { prefixCaches } = setUp();
     prefixCaches.apply([
       { address: 'x', isWhole: false, isHeard: true, events: [{ isKept: true, salt: 's', part: 'p', tokens: 13_296 }] },
     ]);
@@ -381,8 +387,8 @@
     expect(prefixCaches.isCached('x', 's', 'p', 20_000)).to.equal(false);
   });
 
-  it('given what this edge saw itself, when no news ever tells of it, then it is trusted for a while only', async () => {
-    const { prefixCaches, world } = office();
+  it('given an own observation, when no event confirms it, then it is trusted for a limited time only', async () => {
+    const { prefixCaches, world } = setUp();
     prefixCaches.recordObserved('x', 's', 'p');
     await world.run(2_900);
     expect(prefixCaches.isCached('x', 's', 'p', 1)).to.equal(true);
--- a/packages/edge-proxy/test/replicaConnections.test.ts
+++ b/packages/edge-proxy/test/replicaConnections.test.ts
@@ -2,36 +2,37 @@
 import { expect } from 'chai';
 import {
   RawReplica,
-  WireStage,
-  answerHead,
+  EdgeFixture,
+  responseHead,
   bodyKinds,
-  chunk,
+  encodeChunk,
   eventCount,
-  impatient,
-  patient,
+  shortTimeouts,
+  longTimeouts,
   pathOf,
-  piecesOf,
-  properAnswer,
+  expectedChunks,
+  validResponse,
   routeKinds,
 } from './edgeHarness.js';
-import type { BodyKind, CallerAnswer, ReplicaRequest, RouteKind } from './edgeHarness.js';
+import type { BodyKind, CallerResponse, ReplicaRequest, RouteKind } from './edgeHarness.js';
 
 /**
- * What a fault does to the first arrival of a request:
- * `harmless`: its answer still comes whole; `not run`: the replica says that it did not run, or nothing was sent;
- * `no answer`: it may have run, nothing of an answer is usable; `cut`: its head and a part of its body came.
+ * What a fault does to the first attempt of a request:
+ * `harmless`: the response still arrives complete; `not run`: the replica reports that it did not run, or nothing was
+ * sent; `no response`: it may have run, and nothing usable of a response arrives; `truncated`: the head and a part of the
+ * body arrive.
  */
-type Harm = 'harmless' | 'not run' | 'no answer' | 'cut';
+type FaultEffect = 'harmless' | 'not run' | 'no response' | 'truncated';
 
 interface Fault {
   readonly name: string;
-  readonly harm: Harm;
+  readonly effect: FaultEffect;
   readonly act: (request: ReplicaRequest) => void;
-  /** Answers the request before on the same connection. */
-  readonly onWarm?: (request: ReplicaRequest) => void;
-  readonly isSilent?: boolean;
+  /** Responds to the previous request on the same connection. */
+  readonly onWarmUp?: (request: ReplicaRequest) => void;
+  readonly isUnresponsive?: boolean;
   readonly hasNoBody?: boolean;
-  /** Whether it rests on a time of the real clock that must stay below one of the edge's timeouts. */
+  /** Whether it includes a real-time delay that must stay below one of the edge's timeouts. */
   readonly isTimed?: boolean;
 }
 
@@ -41,328 +42,346 @@
 const sendThen = (request: ReplicaRequest, text: string, then: () => void): void =>
   void request.socket.write(text, 'latin1', () => setImmediate(then));
 
-/** An answer to a request that the replica was never sent, or was sent long before. */
-const foreign = (id: string | null): string =>
-  `${answerHead('200 OK', id, [seal(id ?? 'nobody'), 'Content-Length: 7'])}foreign`;
+/** A response to a request that the replica was never sent, or was sent long ago. */
+const foreignResponse = (id: string | null): string =>
+  `${responseHead('200 OK', id, [seal(id ?? 'nobody'), 'Content-Length: 7'])}foreign`;
 const notRunFor = (status: string, id: string | null): string =>
-  answerHead(status, id, ['Not-Run: 1', 'Retry-After: 0.01', 'Content-Length: 0']);
+  responseHead(status, id, ['Not-Run: 1', 'Retry-After: 0.01', 'Content-Length: 0']);
 const lengthHead = (request: ReplicaRequest, size: number): string =>
-  answerHead('200 OK', request.tryId, [seal(request.tryId), `Content-Length: ${size}`]);
+  responseHead('200 OK', request.tryId, [seal(request.tryId), `Content-Length: ${size}`]);
 const chunkedHead = (request: ReplicaRequest): string =>
-  answerHead('200 OK', request.tryId, [seal(request.tryId), 'Transfer-Encoding: chunked']);
-const openHead = (request: ReplicaRequest): string => answerHead('200 OK', request.tryId, [seal(request.tryId)]);
-const firstPiece = (request: ReplicaRequest): string => piecesOf(request)[0] ?? '';
-const wholeBody = (request: ReplicaRequest): string => piecesOf(request).join('');
+  responseHead('200 OK', request.tryId, [seal(request.tryId), 'Transfer-Encoding: chunked']);
+const undelimitedHead = (request: ReplicaRequest): string =>
+  responseHead('200 OK', request.tryId, [seal(request.tryId)]);
+const firstChunk = (request: ReplicaRequest): string => expectedChunks(request)[0] ?? '';
+const completeBody = (request: ReplicaRequest): string => expectedChunks(request).join('');
 
 const faults: readonly Fault[] = [
-  { name: 'a reset as the request arrives', harm: 'no answer', act: reset },
-  { name: 'a close as the request arrives', harm: 'no answer', act: ({ socket }) => void socket.end() },
+  { name: 'a reset when the request arrives', effect: 'no response', act: reset },
+  { name: 'a close when the request arrives', effect: 'no response', act: ({ socket }) => void socket.end() },
   {
     name: 'a reset within the head',
-    harm: 'no answer',
+    effect: 'no response',
     act: (request) => sendThen(request, 'HTTP/1.1 200 OK\r\nTry-', () => reset(request)),
   },
   {
     name: 'a close within the head',
-    harm: 'no answer',
+    effect: 'no response',
     act: (request) => sendThen(request, `HTTP/1.1 200 OK\r\nTry-Id: ${request.tryId}\r\n`, () => request.socket.end()),
   },
   {
     name: 'a close within a body with a length',
-    harm: 'cut',
+    effect: 'truncated',
     hasNoBody: true,
     act: (request) =>
-      sendThen(request, `${lengthHead(request, wholeBody(request).length)}${firstPiece(request)}`, () =>
+      sendThen(request, `${lengthHead(request, completeBody(request).length)}${firstChunk(request)}`, () =>
         request.socket.end(),
       ),
   },
   {
     name: 'a reset within a body with a length',
-    harm: 'cut',
+    effect: 'truncated',
     hasNoBody: true,
     act: (request) =>
-      sendThen(request, `${lengthHead(request, wholeBody(request).length)}${firstPiece(request)}`, () =>
+      sendThen(request, `${lengthHead(request, completeBody(request).length)}${firstChunk(request)}`, () =>
         reset(request),
       ),
   },
   {
-    name: 'a close within a body in chunks',
-    harm: 'cut',
+    name: 'a close within a chunked body',
+    effect: 'truncated',
     hasNoBody: true,
     act: (request) =>
-      sendThen(request, `${chunkedHead(request)}${chunk(firstPiece(request))}`, () => request.socket.end()),
+      sendThen(request, `${chunkedHead(request)}${encodeChunk(firstChunk(request))}`, () => request.socket.end()),
   },
   {
-    name: 'a reset within a body in chunks',
-    harm: 'cut',
+    name: 'a reset within a chunked body',
+    effect: 'truncated',
     hasNoBody: true,
-    act: (request) => sendThen(request, `${chunkedHead(request)}${chunk(firstPiece(request))}`, () => reset(request)),
+    act: (request) =>
+      sendThen(request, `${chunkedHead(request)}${encodeChunk(firstChunk(request))}`, () => reset(request)),
   },
   {
-    name: 'a close within a body that only its connection delimits',
-    harm: 'no answer',
+    name: 'a close within a body that is delimited only by connection close',
+    effect: 'no response',
     hasNoBody: true,
-    act: (request) => sendThen(request, `${openHead(request)}${firstPiece(request)}`, () => request.socket.end()),
+    act: (request) =>
+      sendThen(request, `${undelimitedHead(request)}${firstChunk(request)}`, () => request.socket.end()),
   },
   {
-    name: 'a reset within a body that only its connection delimits',
-    harm: 'no answer',
+    name: 'a reset within a body that is delimited only by connection close',
+    effect: 'no response',
     hasNoBody: true,
-    act: (request) => sendThen(request, `${openHead(request)}${firstPiece(request)}`, () => reset(request)),
+    act: (request) => sendThen(request, `${undelimitedHead(request)}${firstChunk(request)}`, () => reset(request)),
+  },
+  { name: 'no response', effect: 'no response', isUnresponsive: true, act: () => {} },
+  {
+    name: 'a pause, then a reset',
+    effect: 'no response',
+    act: (request) => void setTimeout(() => reset(request), 150),
   },
-  { name: 'silence', harm: 'no answer', isSilent: true, act: () => {} },
-  { name: 'silence, then a reset', harm: 'no answer', act: (request) => void setTimeout(() => reset(request), 150) },
-  { name: 'bytes that form no answer', harm: 'no answer', act: (request) => send(request, 'no answer at all\r\n\r\n') },
   {
-    name: 'an answer with another Try-Id in its place',
-    harm: 'no answer',
-    act: (request) => send(request, foreign('another')),
+    name: 'bytes that form no response',
+    effect: 'no response',
+    act: (request) => send(request, 'no answer at all\r\n\r\n'),
   },
   {
-    name: 'an answer without a Try-Id in its place',
-    harm: 'no answer',
-    act: (request) => send(request, foreign(null)),
+    name: 'a response with another Try-Id in its place',
+    effect: 'no response',
+    act: (request) => send(request, foreignResponse('another')),
   },
   {
-    name: 'an answer with another Try-Id in its place, then its own',
-    harm: 'no answer',
-    act: (request) => send(request, `${foreign('another')}${properAnswer(request)}`),
+    name: 'a response without a Try-Id in its place',
+    effect: 'no response',
+    act: (request) => send(request, foreignResponse(null)),
   },
   {
-    name: 'a refusal with another Try-Id in its place, then its own answer',
-    harm: 'no answer',
-    act: (request) => send(request, `${notRunFor('503 Full', 'another')}${properAnswer(request)}`),
+    name: 'a response with another Try-Id in its place, then its own',
+    effect: 'no response',
+    act: (request) => send(request, `${foreignResponse('another')}${validResponse(request)}`),
   },
   {
-    name: 'a refusal without a Try-Id in its place, then its own answer',
-    harm: 'no answer',
-    act: (request) => send(request, `${notRunFor('503 Full', null)}${properAnswer(request)}`),
+    name: 'a rejection with another Try-Id in its place, then its own response',
+    effect: 'no response',
+    act: (request) => send(request, `${notRunFor('503 Full', 'another')}${validResponse(request)}`),
   },
   {
-    name: 'a 421 without a Try-Id in its place, then its own answer',
-    harm: 'no answer',
-    act: (request) => send(request, `${answerHead('421 Other', null, ['Content-Length: 0'])}${properAnswer(request)}`),
+    name: 'a rejection without a Try-Id in its place, then its own response',
+    effect: 'no response',
+    act: (request) => send(request, `${notRunFor('503 Full', null)}${validResponse(request)}`),
+  },
+  {
+    name: 'a 421 without a Try-Id in its place, then its own response',
+    effect: 'no response',
+    act: (request) =>
+      send(request, `${responseHead('421 Other', null, ['Content-Length: 0'])}${validResponse(request)}`),
   },
   {
     name: 'a success without a seal',
-    harm: 'no answer',
-    act: (request) => send(request, `${answerHead('200 OK', request.tryId, ['Content-Length: 2'])}ok`),
+    effect: 'no response',
+    act: (request) => send(request, `${responseHead('200 OK', request.tryId, ['Content-Length: 2'])}ok`),
   },
   {
-    name: 'a 503 that does not say that it was not run',
-    harm: 'no answer',
+    name: 'a 503 that does not state that the request was not run',
+    effect: 'no response',
     act: (request) =>
-      send(request, answerHead('503 Unwell', request.tryId, [seal(request.tryId), 'Content-Length: 0'])),
+      send(request, responseHead('503 Unwell', request.tryId, [seal(request.tryId), 'Content-Length: 0'])),
   },
   {
     name: 'its own 503 with Not-Run',
-    harm: 'not run',
+    effect: 'not run',
     act: (request) => send(request, notRunFor('503 Full', request.tryId)),
   },
   {
     name: 'its own 429 with Not-Run',
-    harm: 'not run',
+    effect: 'not run',
     act: (request) => send(request, notRunFor('429 Full', request.tryId)),
   },
   {
     name: 'its own 421',
-    harm: 'not run',
-    act: (request) => send(request, answerHead('421 Other', request.tryId, ['Server-Id: x', 'Content-Length: 0'])),
+    effect: 'not run',
+    act: (request) => send(request, responseHead('421 Other', request.tryId, ['Server-Id: x', 'Content-Length: 0'])),
   },
   {
     name: 'its own 503 with Not-Run, then a reset',
-    harm: 'not run',
+    effect: 'not run',
     act: (request) => sendThen(request, notRunFor('503 Full', request.tryId), () => reset(request)),
   },
   {
-    name: 'an interim 103, then its answer',
-    harm: 'harmless',
-    act: (request) => send(request, `HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n${properAnswer(request)}`),
+    name: 'an interim 103, then its response',
+    effect: 'harmless',
+    act: (request) => send(request, `HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n${validResponse(request)}`),
   },
   {
-    name: 'its answer and an extra one in one packet',
-    harm: 'harmless',
-    act: (request) => send(request, `${properAnswer(request)}${foreign('another')}`),
+    name: 'its response and an extra one in one packet',
+    effect: 'harmless',
+    act: (request) => send(request, `${validResponse(request)}${foreignResponse('another')}`),
   },
   {
-    name: 'its answer, then bytes that form none',
-    harm: 'harmless',
-    act: (request) => send(request, `${properAnswer(request)}no answer at all\r\n\r\n`),
+    name: 'its response, then bytes that form none',
+    effect: 'harmless',
+    act: (request) => send(request, `${validResponse(request)}no answer at all\r\n\r\n`),
   },
   {
-    name: 'its answer, then a reset',
-    harm: 'harmless',
-    act: (request) => sendThen(request, properAnswer(request), () => setImmediate(() => reset(request))),
+    name: 'its response, then a reset',
+    effect: 'harmless',
+    act: (request) => sendThen(request, validResponse(request), () => setImmediate(() => reset(request))),
   },
   {
-    name: 'an extra answer in the packet of the answer before',
-    harm: 'harmless',
-    act: (request) => send(request, properAnswer(request)),
-    onWarm: (request) => send(request, `${properAnswer(request)}${foreign('another')}`),
+    name: 'an extra response in the packet of the previous response',
+    effect: 'harmless',
+    act: (request) => send(request, validResponse(request)),
+    onWarmUp: (request) => send(request, `${validResponse(request)}${foreignResponse('another')}`),
   },
   {
-    name: 'half of an extra answer in the packet of the answer before, the rest in its place',
-    harm: 'harmless',
-    act: (request) => send(request, properAnswer(request)),
-    onWarm: (request) => send(request, `${properAnswer(request)}HTTP/1.1 200 OK\r\nTry-Id: anot`),
+    name: 'half of an extra response in the packet of the previous response, the rest in its place',
+    effect: 'harmless',
+    act: (request) => send(request, validResponse(request)),
+    onWarmUp: (request) => send(request, `${validResponse(request)}HTTP/1.1 200 OK\r\nTry-Id: anot`),
   },
   {
-    name: 'an extra answer on the idle connection',
-    harm: 'harmless',
-    act: (request) => send(request, properAnswer(request)),
-    onWarm: (request) => sendThen(request, properAnswer(request), () => send(request, foreign('another'))),
+    name: 'an extra response on the idle connection',
+    effect: 'harmless',
+    act: (request) => send(request, validResponse(request)),
+    onWarmUp: (request) => sendThen(request, validResponse(request), () => send(request, foreignResponse('another'))),
   },
   {
     name: 'a reset of the idle connection',
-    harm: 'harmless',
-    act: (request) => send(request, properAnswer(request)),
-    onWarm: (request) => sendThen(request, properAnswer(request), () => setImmediate(() => reset(request))),
+    effect: 'harmless',
+    act: (request) => send(request, validResponse(request)),
+    onWarmUp: (request) => sendThen(request, validResponse(request), () => setImmediate(() => reset(request))),
   },
   {
     name: 'a close of the idle connection',
-    harm: 'harmless',
-    act: (request) => send(request, properAnswer(request)),
-    onWarm: (request) => sendThen(request, properAnswer(request), () => request.socket.end()),
+    effect: 'harmless',
+    act: (request) => send(request, validResponse(request)),
+    onWarmUp: (request) => sendThen(request, validResponse(request), () => request.socket.end()),
   },
   {
-    name: 'silence, then its answer',
+    name: 'a pause, then its response',
     isTimed: true,
-    harm: 'harmless',
-    act: (request) => void setTimeout(() => send(request, properAnswer(request)), 150),
+    effect: 'harmless',
+    act: (request) => void setTimeout(() => send(request, validResponse(request)), 150),
   },
-  /** 150 ms of silence against a gap timeout of 250 ms, on the real clock. */
+  /** A pause of 150 ms against an idle timeout of 250 ms, on the real clock. */
   {
-    name: 'a silence within the body',
-    harm: 'harmless',
+    name: 'a pause within the body',
+    effect: 'harmless',
     isTimed: true,
     hasNoBody: true,
     act: (request) => {
-      const answer = properAnswer(request);
-      const half = answer.length - 5;
-      send(request, answer.slice(0, half));
-      setTimeout(() => send(request, answer.slice(half)), 150);
+      const response = validResponse(request);
+      const half = response.length - 5;
+      send(request, response.slice(0, half));
+      setTimeout(() => send(request, response.slice(half)), 150);
     },
   },
 ];
 
 const methods = ['GET', 'HEAD', 'POST', 'PUT', 'DELETE'] as const;
 
-interface Cell {
+interface TestCase {
   readonly kind: RouteKind;
   readonly method: string;
   readonly body: BodyKind;
-  readonly isWarm: boolean;
+  readonly isWarmedUp: boolean;
 }
 
-const cellsOf = (fault: Fault): Cell[] =>
+const testCasesOf = (fault: Fault): TestCase[] =>
   routeKinds.flatMap((kind) =>
     methods
       .filter((method) => method !== 'HEAD' || fault.hasNoBody !== true)
       .flatMap((method) =>
         bodyKinds.flatMap((body) =>
-          (fault.onWarm === undefined ? [false, true] : [true]).map((isWarm) => ({ kind, method, body, isWarm })),
+          (fault.onWarmUp === undefined ? [false, true] : [true]).map((isWarmedUp) => ({
+            kind,
+            method,
+            body,
+            isWarmedUp,
+          })),
         ),
       ),
   );
 
-interface Seen {
-  readonly answer: CallerAnswer | null;
-  readonly begun: readonly ReplicaRequest[];
+interface Observation {
+  readonly response: CallerResponse | null;
+  readonly requests: readonly ReplicaRequest[];
 }
 
-const tried = 'the-try';
+const testedId = 'the-try';
 
-const play = async (fault: Fault, { kind, method, body, isWarm }: Cell): Promise<Seen> => {
+const runCase = async (fault: Fault, { kind, method, body, isWarmedUp }: TestCase): Promise<Observation> => {
   let hasActed = false;
   const script = (request: ReplicaRequest): void => {
     if (request.tryId.startsWith('warm')) {
-      if (fault.onWarm === undefined) send(request, properAnswer(request));
-      else fault.onWarm(request);
+      if (fault.onWarmUp === undefined) send(request, validResponse(request));
+      else fault.onWarmUp(request);
       return;
     }
     if (hasActed) {
-      send(request, properAnswer(request));
+      send(request, validResponse(request));
       return;
     }
     hasActed = true;
     fault.act(request);
   };
-  const stage = await WireStage.open(
+  const fixture = await EdgeFixture.open(
     [new RawReplica('r1', script), new RawReplica('r2', script)],
-    fault.isSilent === true ? impatient : patient,
+    fault.isUnresponsive === true ? shortTimeouts : longTimeouts,
   );
   try {
-    if (isWarm) await stage.warm();
-    const answer = await stage.ask(kind, method, tried, body);
-    return { answer, begun: stage.begun(tried) };
+    if (isWarmedUp) await fixture.warmUp();
+    const response = await fixture.ask(kind, method, testedId, body);
+    return { response, requests: fixture.requestsOf(testedId) };
   } finally {
-    await stage.close();
+    await fixture.close();
   }
 };
 
-const stagesAtOnce = 12;
-const silentStagesAtOnce = 60;
+const concurrentCases = 12;
+const concurrentUnresponsiveCases = 60;
 
-/** Shorter than the margin between a timed fault's silence and the timeout that it must stay below. */
-const longestStandstillMs = 60;
-const mostPlays = 40;
+/** Shorter than the margin between a timed fault's pause and the timeout that it must stay below. */
+const maxEventLoopDelayMs = 60;
+const maxRuns = 40;
 const nanosecondsPerMs = 1e6;
 
 /**
- * Plays cells at once. A timed fault means its silence only while this process runs on: replicas and edge share its event
- * loop, and after a standstill the edge's timeout is due before the replica's bytes are read. Such a play says nothing of
- * the edge and is done again.
+ * Runs test cases concurrently. The pause of a timed fault has the intended length only if the event loop is not blocked:
+ * replicas and edge share it, and after a long block the edge's timeout is due before the replica's bytes are read. Such a
+ * run says nothing about the edge and is repeated.
  */
-const playTogether = async (fault: Fault, cells: readonly Cell[]): Promise<Seen[]> => {
-  for (let plays = 1; ; plays += 1) {
+const runTogether = async (fault: Fault, cases: readonly TestCase[]): Promise<Observation[]> => {
+  for (let runs = 1; ; runs += 1) {
     const delays = monitorEventLoopDelay({ resolution: 5 });
     delays.enable();
-    const seen = await Promise.all(cells.map((cell) => play(fault, cell)));
+    const observations = await Promise.all(cases.map((testCase) => runCase(fault, testCase)));
     delays.disable();
-    if (fault.isTimed !== true || delays.max / nanosecondsPerMs <= longestStandstillMs || plays === mostPlays)
-      return seen;
+    if (fault.isTimed !== true || delays.max / nanosecondsPerMs <= maxEventLoopDelayMs || runs === maxRuns)
+      return observations;
   }
 };
 
-const playAll = async (fault: Fault, cells: readonly Cell[]): Promise<Seen[]> => {
-  const seen: Seen[] = [];
-  const count = fault.isSilent === true ? silentStagesAtOnce : stagesAtOnce;
-  for (let at = 0; at < cells.length; at += count)
-    seen.push(...(await playTogether(fault, cells.slice(at, at + count))));
-  return seen;
+const runAll = async (fault: Fault, cases: readonly TestCase[]): Promise<Observation[]> => {
+  const observations: Observation[] = [];
+  const count = fault.isUnresponsive === true ? concurrentUnresponsiveCases : concurrentCases;
+  for (let at = 0; at < cases.length; at += count)
+    observations.push(...(await runTogether(fault, cases.slice(at, at + count))));
+  return observations;
 };
 
 const mayRepeat = (kind: RouteKind): boolean => kind === 'repeatable' || kind === 'resumable stream';
 
-/** How often a replica began it, and what its caller got: `200` whole, `cut` (a broken 200) or a status that promises nothing. */
-const expected = (harm: Harm, kind: RouteKind): { begun: number; outcome: string } => {
-  if (harm === 'harmless') return { begun: 1, outcome: 'whole 200' };
-  if (harm === 'not run') return { begun: 2, outcome: 'whole 200' };
-  if (harm === 'no answer')
-    return mayRepeat(kind) ? { begun: 2, outcome: 'whole 200' } : { begun: 1, outcome: 'no promise' };
-  return kind === 'resumable stream' ? { begun: 2, outcome: 'whole 200' } : { begun: 1, outcome: 'cut 200' };
+/** Expected number of starts, and outcome: a complete 200, a truncated 200, or an error that leaves the outcome open. */
+const expected = (effect: FaultEffect, kind: RouteKind): { starts: number; outcome: string } => {
+  if (effect === 'harmless') return { starts: 1, outcome: 'complete 200' };
+  if (effect === 'not run') return { starts: 2, outcome: 'complete 200' };
+  if (effect === 'no response')
+    return mayRepeat(kind) ? { starts: 2, outcome: 'complete 200' } : { starts: 1, outcome: 'outcome unknown' };
+  return kind === 'resumable stream' ? { starts: 2, outcome: 'complete 200' } : { starts: 1, outcome: 'truncated 200' };
 };
 
-const outcomeOf = (seen: Seen, cell: Cell): string => {
-  const { answer, begun } = seen;
-  if (answer === null) return 'no promise';
-  if (answer.status === 502 || answer.status === 504)
-    return /server-seal/i.test(answer.head) ? 'sealed failure' : 'no promise';
-  if (answer.status !== 200) return `status ${answer.status}`;
-  const head = answer.head.toLowerCase();
-  if (!head.includes(seal(tried).toLowerCase()) || !head.includes(`try-id: ${tried}`)) return 'another head';
-  const right = cell.method === 'HEAD' ? '' : piecesOf({ ...(begun[0] as ReplicaRequest), lastEventId: 0 }).join('');
-  if (!right.startsWith(answer.body)) return 'other bytes';
-  if (!answer.isWhole) return 'cut 200';
-  return answer.body === right ? 'whole 200' : 'a part that looks whole';
+const outcomeOf = (observation: Observation, testCase: TestCase): string => {
+  const { response, requests } = observation;
+  if (response === null) return 'outcome unknown';
+  if (response.status === 502 || response.status === 504)
+    return /server-seal/i.test(response.head) ? 'sealed failure' : 'outcome unknown';
+  if (response.status !== 200) return `status ${response.status}`;
+  const head = response.head.toLowerCase();
+  if (!head.includes(seal(testedId).toLowerCase()) || !head.includes(`try-id: ${testedId}`)) return 'another head';
+  const expectedBody =
+    testCase.method === 'HEAD' ? '' : expectedChunks({ ...(requests[0] as ReplicaRequest), lastEventId: 0 }).join('');
+  if (!expectedBody.startsWith(response.body)) return 'other bytes';
+  if (!response.isComplete) return 'truncated 200';
+  return response.body === expectedBody ? 'complete 200' : 'truncated body that looks complete';
 };
 
 const callers = 8;
 const requestsEach = 25;
-const drawn = faults.filter(({ onWarm, hasNoBody }) => onWarm === undefined && hasNoBody !== true);
+const randomFaults = faults.filter(({ onWarmUp, hasNoBody }) => onWarmUp === undefined && hasNoBody !== true);
 
-/** Draws whole numbers below a limit, the same for the same seed. */
-const drawer = (seed: number): ((limit: number) => number) => {
+/** Returns a seeded generator of integers from 0 to below a limit. */
+const randomIntegers = (seed: number): ((limit: number) => number) => {
   let state = seed;
   return (limit) => {
     state = (Math.imul(state, 1_664_525) + 1_013_904_223) >>> 0;
@@ -370,94 +389,95 @@
   };
 };
 
-describe('one connection to a replica, over real sockets', function () {
+describe('a replica connection, over real sockets', function () {
   this.timeout(60_000);
 
   for (const fault of faults)
-    it(`given ${fault.name}, when a request of any route kind, method and body meets it, then none gets another's answer or a part that looks whole, and what may not be repeated is begun once`, async () => {
-      const cells = cellsOf(fault);
-      const seen = await playAll(fault, cells);
-      const wrong = cells.flatMap((cell, at) => {
-        const one = seen[at] as Seen;
-        const wanted = expected(fault.harm, cell.kind);
-        const got = { begun: one.begun.length, outcome: outcomeOf(one, cell) };
-        return got.begun === wanted.begun && got.outcome === wanted.outcome
+    it(`given ${fault.name}, when it hits a request of any route kind, method and body, then no caller gets a foreign response or a truncated one that looks complete, and a request that may not be repeated starts once`, async () => {
+      const cases = testCasesOf(fault);
+      const observations = await runAll(fault, cases);
+      const wrong = cases.flatMap((testCase, at) => {
+        const one = observations[at] as Observation;
+        const wanted = expected(fault.effect, testCase.kind);
+        const got = { starts: one.requests.length, outcome: outcomeOf(one, testCase) };
+        return got.starts === wanted.starts && got.outcome === wanted.outcome
           ? []
-          : [`${JSON.stringify(cell)}: wanted ${JSON.stringify(wanted)}, got ${JSON.stringify(got)}`];
+          : [`${JSON.stringify(testCase)}: wanted ${JSON.stringify(wanted)}, got ${JSON.stringify(got)}`];
       });
       if (wrong.length > 0) expect.fail(wrong.join('\n'));
-      for (const { begun } of seen)
-        for (const request of begun) {
-          expect(request.target.endsWith(`/${tried}`)).to.equal(true);
-          expect(['', `body of ${tried}`]).to.include(request.body);
+      for (const { requests } of observations)
+        for (const request of requests) {
+          expect(request.target.endsWith(`/${testedId}`)).to.equal(true);
+          expect(['', `body of ${testedId}`]).to.include(request.body);
           expect(request.lastEventId).to.be.below(eventCount);
         }
     });
 
-  it('given an extra answer in the place of one, whose own comes when the next request is on its way, then the next gets its own answer all the same', async () => {
-    let owed: ReplicaRequest | null = null;
+  it('given a foreign response in the place of a response, when the right one arrives during the next request, then the next request still gets its own response', async () => {
+    let pendingRequest: ReplicaRequest | null = null;
     const replica = new RawReplica('r1', (request) => {
       if (request.tryId === 'one') {
-        owed = request;
-        send(request, foreign('another'));
+        pendingRequest = request;
+        send(request, foreignResponse('another'));
       } else {
-        if (owed?.socket === request.socket) send(owed, properAnswer(owed));
-        send(request, properAnswer(request));
+        if (pendingRequest?.socket === request.socket) send(pendingRequest, validResponse(pendingRequest));
+        send(request, validResponse(request));
       }
     });
-    const stage = await WireStage.open([replica]);
+    const fixture = await EdgeFixture.open([replica]);
     try {
-      const first = await stage.ask('once', 'POST', 'one', 'with length');
-      const next = await stage.ask('once', 'POST', 'two', 'with length');
+      const first = await fixture.ask('once', 'POST', 'one', 'with length');
+      const next = await fixture.ask('once', 'POST', 'two', 'with length');
       expect([first?.status, next?.status]).to.deep.equal([502, 200]);
-      expect(replica.begun.map(({ tryId }) => tryId)).to.deep.equal(['one', 'two']);
+      expect(replica.requests.map(({ tryId }) => tryId)).to.deep.equal(['one', 'two']);
     } finally {
-      await stage.close();
+      await fixture.close();
     }
   });
 
   for (const seed of [1, 2, 3])
-    it(`given replicas that meet requests with any of these faults (seed ${seed}), when callers keep asking on kept connections, then none gets another's answer, and whoever is told that it did not run was run by nobody`, async () => {
-      const draw = drawer(seed);
-      const declaredNotRun = new Set<ReplicaRequest>();
+    it(`given replicas that inject any of these faults (seed ${seed}), when callers send requests over reused connections, then no caller gets a foreign response, and no request reported as not run was run`, async () => {
+      const randomBelow = randomIntegers(seed);
+      const reportedNotRun = new Set<ReplicaRequest>();
       const script = (request: ReplicaRequest): void => {
-        const fault = drawn[draw(drawn.length)] as Fault;
-        if (draw(2) === 0) send(request, properAnswer(request));
+        const fault = randomFaults[randomBelow(randomFaults.length)] as Fault;
+        if (randomBelow(2) === 0) send(request, validResponse(request));
         else {
-          if (fault.harm === 'not run') declaredNotRun.add(request);
+          if (fault.effect === 'not run') reportedNotRun.add(request);
           fault.act(request);
         }
       };
       const replicas = ['r1', 'r2', 'r3', 'r4'].map((id) => new RawReplica(id, script));
-      const stage = await WireStage.open(replicas, { deadlineMs: 1_500, targetMs: 300 });
+      const fixture = await EdgeFixture.open(replicas, { timeoutMs: 1_500, targetMs: 300 });
       const wrong: string[] = [];
-      let served = 0;
-      const callOn = async (caller: number): Promise<void> => {
+      let completed = 0;
+      const sendRequests = async (caller: number): Promise<void> => {
         for (let at = 0; at < requestsEach; at += 1) {
-          const kind = routeKinds[draw(routeKinds.length)] as RouteKind;
-          const method = ['GET', 'POST', 'PUT', 'DELETE'][draw(4)] as string;
+          const kind = routeKinds[randomBelow(routeKinds.length)] as RouteKind;
+          const method = ['GET', 'POST', 'PUT', 'DELETE'][randomBelow(4)] as string;
           const tryId = `c${caller}-${at}`;
-          const answer = await stage.ask(kind, method, tryId, bodyKinds[draw(bodyKinds.length)] as BodyKind);
-          const begun = stage.begun(tryId);
-          const ran = begun.filter((request) => !declaredNotRun.has(request));
-          const right = piecesOf({ target: pathOf(kind), tryId, lastEventId: 0 }).join('');
-          if (answer?.status === 200 && answer.isWhole && answer.body === right) served += 1;
-          if (!mayRepeat(kind) && ran.length > 1) wrong.push(`${tryId} (${kind} ${method}) began ${ran.length} times`);
-          if (answer === null) continue;
-          if (answer.status === 200 && !right.startsWith(answer.body)) wrong.push(`${tryId}: other bytes`);
-          if (answer.status === 200 && answer.isWhole && answer.body !== right)
-            wrong.push(`${tryId}: a part looks whole`);
-          if (answer.status === 200 && !answer.head.includes(tryId)) wrong.push(`${tryId}: another head`);
-          if ([408, 421, 429, 503].includes(answer.status) && ran.length > 0)
-            wrong.push(`${tryId} (${kind} ${method}) got ${answer.status}, and began ${ran.length} times`);
+          const response = await fixture.ask(kind, method, tryId, bodyKinds[randomBelow(bodyKinds.length)] as BodyKind);
+          const requests = fixture.requestsOf(tryId);
+          const ran = requests.filter((request) => !reportedNotRun.has(request));
+          const expectedBody = expectedChunks({ target: pathOf(kind), tryId, lastEventId: 0 }).join('');
+          if (response?.status === 200 && response.isComplete && response.body === expectedBody) completed += 1;
+          if (!mayRepeat(kind) && ran.length > 1)
+            wrong.push(`${tryId} (${kind} ${method}) started ${ran.length} times`);
+          if (response === null) continue;
+          if (response.status === 200 && !expectedBody.startsWith(response.body)) wrong.push(`${tryId}: other bytes`);
+          if (response.status === 200 && response.isComplete && response.body !== expectedBody)
+            wrong.push(`${tryId}: a truncated body looks complete`);
+          if (response.status === 200 && !response.head.includes(tryId)) wrong.push(`${tryId}: another head`);
+          if ([408, 421, 429, 503].includes(response.status) && ran.length > 0)
+            wrong.push(`${tryId} (${kind} ${method}) got ${response.status}, and started ${ran.length} times`);
         }
       };
       try {
-        await Promise.all(Array.from({ length: callers }, (_, caller) => callOn(caller)));
+        await Promise.all(Array.from({ length: callers }, (_, caller) => sendRequests(caller)));
       } finally {
-        await stage.close();
+        await fixture.close();
       }
       if (wrong.length > 0) expect.fail(wrong.join('\n'));
-      expect(served).to.be.above((callers * requestsEach) / 10);
+      expect(completed).to.be.above((callers * requestsEach) / 10);
     });
 });
