--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -49,7 +49,7 @@
   private readonly receiver: StateReceiver;
   private readonly timers: RepeatingTimer[];
   private source: PeerConnection | null = null;
-  /** -Infinity until the first contact, so that an edge that has just started is not ready. */
+  /** -Infinity until a pong reports a majority: an edge that has just started has had no contact yet. */
   private lastMajorityContactAt = Number.NEGATIVE_INFINITY;
   private edgeCountReport = { edges: 1, at: 0 };
 
