--- a/packages/cli/src/commandArgs.ts
+++ b/packages/cli/src/commandArgs.ts
@@ -1,6 +1,6 @@
-/** Reads a command's arguments. */
+/** Parsing of command arguments. */
 
-/** What `parse` returns; null, with the cause on stderr, when it finds an argument that the command does not know. */
+/** Returns the result of `parse`; if it throws on an unknown argument, prints the error to stderr and returns null. */
 export const parseCommandArgs = <T>(parse: () => T): T | null => {
   try {
     return parse();
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** The command `check`: checks a settings or configuration file without a fleet. */
+/** The command `check`: validates a settings or configuration file offline. */
 import { parseArgs } from 'node:util';
 import { gatewayConfigs, gatewaySettings } from '@martenworks/settings';
 import type { ValidationIssue } from '@martenworks/settings';
@@ -16,7 +16,7 @@
 
 const readArgs = (args: string[]) => parseArgs({ args, allowPositionals: true, options: { as: { type: 'string' } } });
 
-/** A file's kind by the fields that only this kind has. */
+/** Guesses the kind of a file from fields that only this kind has. */
 const guessKind = (fields: Fields): Kind => {
   if ('tiers' in fields || 'lanes' in fields) return 'configuration';
   return 'data' in fields ? 'gateway-control' : 'gateway';
@@ -29,14 +29,14 @@
 
 const isKind = (name: string): name is Kind => (kinds as readonly string[]).includes(name);
 
-const checkFile = (path: string, givenKind: Kind | undefined): ExitCode => {
+const checkFile = (path: string, requestedKind: Kind | undefined): ExitCode => {
   const read = readJson(path);
   if (read.isErr()) {
     printIssues(read.error);
     return exitCodes.invalidSettings;
   }
   const fields = (read.value ?? {}) as Fields;
-  const kind = givenKind ?? guessKind(fields);
+  const kind = requestedKind ?? guessKind(fields);
   const issues = issuesOf(kind, fields);
   if (issues.length > 0) {
     printIssues(issues);
@@ -46,7 +46,7 @@
   return exitCodes.success;
 };
 
-/** Prints whether the file is valid, or what is wrong with it. */
+/** Prints that the file is valid, or its issues; returns the exit code. */
 export const check = (args: string[]): ExitCode => {
   const parsed = parseCommandArgs(() => readArgs(args));
   const path = parsed?.positionals[0];
--- a/packages/cli/src/commands/recover.ts
+++ b/packages/cli/src/commands/recover.ts
@@ -1,4 +1,4 @@
-/** The command `recover`: gives the state on a surviving disk new members, after most control nodes lost theirs. */
+/** The command `recover`: sets new members in the state on a surviving disk, after most control nodes lost theirs. */
 import { parseArgs } from 'node:util';
 import { recovery } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
@@ -8,7 +8,7 @@
 import type { ExitCode } from '../exitCodes.js';
 import { recoverUsage } from '../usage.js';
 
-const smallestMembership = 3;
+const minMembers = 3;
 
 const readArgs = (args: string[]) =>
   parseArgs({
@@ -25,23 +25,21 @@
   return { name, address, incarnation };
 };
 
-const isMembership = (members: readonly Member[]): boolean =>
-  members.length >= smallestMembership &&
-  members.length % 2 === 1 &&
-  members.every((member) => member.incarnation !== '');
+const isValidMembership = (members: readonly Member[]): boolean =>
+  members.length >= minMembers && members.length % 2 === 1 && members.every((member) => member.incarnation !== '');
 
-const recoverIn = async (dataFolder: string, members: readonly Member[]): Promise<ExitCode> => {
+const recoverDirectory = async (dataDirectory: string, members: readonly Member[]): Promise<ExitCode> => {
   const log = logs.named('martenworks', { role: 'recover' });
-  const outcome = await recovery.recover(machine.disk(dataFolder), machine.clock, machine.random, log, members);
+  const outcome = await recovery.recover(machine.disk(dataDirectory), machine.clock, machine.random, log, members);
   if (outcome.isErr()) {
-    process.stderr.write(`not recovered: ${JSON.stringify(outcome.error)}\n`);
+    process.stderr.write(`recovery failed: ${JSON.stringify(outcome.error)}\n`);
     return exitCodes.failed;
   }
   process.stdout.write(`recovered at log index ${outcome.value.logIndex}; start this control node again\n`);
   return exitCodes.success;
 };
 
-/** Resolves with the exit code; prints the usage page when the members do not form a membership. */
+/** Resolves with the exit code; prints the usage page if the members are too few, even in number or incomplete. */
 export const recover = async (args: string[]): Promise<ExitCode> => {
   const values = parseCommandArgs(() => readArgs(args))?.values;
   if (values?.help === true) {
@@ -49,9 +47,9 @@
     return exitCodes.success;
   }
   const members = (values?.member ?? []).map(memberOf);
-  if (values?.data === undefined || !isMembership(members)) {
+  if (values?.data === undefined || !isValidMembership(members)) {
     process.stderr.write(recoverUsage);
     return exitCodes.invalidSettings;
   }
-  return recoverIn(values.data, members);
+  return recoverDirectory(values.data, members);
 };
--- a/packages/cli/src/commands/runGateway.ts
+++ b/packages/cli/src/commands/runGateway.ts
@@ -22,7 +22,7 @@
   return [forCallers, { address: operators, handler: operatorPages(gateway, watchProcessMetrics()).fetch }];
 };
 
-/** Opens the endpoints in turn; null when one could not be opened. */
+/** Opens the endpoints one after another; null if one could not be opened. */
 const listenOn = async (endpoints: readonly Endpoint[], log: Log): Promise<Listener[] | null> => {
   const listeners: Listener[] = [];
   for (const { address, handler } of endpoints) {
@@ -36,7 +36,7 @@
   return listeners;
 };
 
-/** Resolves with the exit code once the gateway has drained and stopped, or has failed to start. */
+/** Resolves with the exit code once the gateway has drained and stopped, or failed to start. */
 export const runGateway = async (settings: GatewaySettings, log: Log): Promise<ExitCode> => {
   const stopSignal = shutdownSignal();
   const started = await gateways.start(settings, portsFor(settings, log));
--- a/packages/cli/src/commands/runGatewayControl.ts
+++ b/packages/cli/src/commands/runGatewayControl.ts
@@ -9,7 +9,7 @@
 import { shutdownSignal } from '../shutdownSignal.js';
 import { watchProcessMetrics } from '../processMetrics.js';
 
-/** Resolves with the exit code once the node has stopped, or has failed to start. */
+/** Resolves with the exit code once the node has stopped, or failed to start. */
 export const runGatewayControl = async (settings: GatewaySettings, log: Log): Promise<ExitCode> => {
   const stopSignal = shutdownSignal();
   const started = await gatewayControlNodes.start(settings, portsFor(settings, log));
--- a/packages/cli/src/commands/runRole.ts
+++ b/packages/cli/src/commands/runRole.ts
@@ -8,7 +8,7 @@
 import { runGateway } from './runGateway.js';
 import { runGatewayControl } from './runGatewayControl.js';
 
-/** Resolves with the exit code once the role has stopped; prints the usage page or what is wrong with the settings. */
+/** Resolves with the exit code once the role has stopped; prints the usage page on request, or the settings' issues. */
 export const runRole = async (role: Role, args: string[]): Promise<ExitCode> => {
   const { isHelp, settings: checked } = flags.read(role, args);
   if (isHelp) {
--- a/packages/cli/src/currentName.ts
+++ b/packages/cli/src/currentName.ts
@@ -1,13 +1,13 @@
-/** Names of roles and file kinds in earlier releases, which are still taken with a warning. */
+/** Names of roles and file kinds in earlier releases, which are still accepted with a warning. */
 
-/** Former name to present name, as given on the command line. */
+/** Maps each deprecated name to the current one. */
 const currentNames: ReadonlyMap<string, string> = new Map([
   ['counter', 'gateway'],
   ['postmaster', 'gateway-control'],
   ['layout', 'configuration'],
 ]);
 
-/** The present name for a former one, with a warning on stderr; any other name as it is. */
+/** Returns the current name for a deprecated one, with a warning on stderr, and any other name unchanged. */
 export const currentName = (name: string | undefined): string | undefined => {
   const current = name === undefined ? undefined : currentNames.get(name);
   if (current === undefined) return name;
--- a/packages/cli/src/flags.ts
+++ b/packages/cli/src/flags.ts
@@ -1,4 +1,4 @@
-/** The flags of a role: one for each settings field, and the settings file that they override. */
+/** The flags of a role: one per settings field, and the settings file that they override. */
 import { parseArgs } from 'node:util';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -6,14 +6,14 @@
 import type { ValidationIssue, GatewaySettings, Role } from '@martenworks/settings';
 import { readJson } from './jsonFile.js';
 
-const kebabCase = (field: string): string => field.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
+const toKebabCase = (field: string): string => field.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 const currentFields = Object.keys(settingsFields) as (keyof typeof settingsFields)[];
 const allFields = [...currentFields, ...Object.keys(deprecatedSettings)];
 
 const options = Object.fromEntries([
-  ...allFields.map((field) => [kebabCase(field), { type: 'string' as const }]),
+  ...allFields.map((field) => [toKebabCase(field), { type: 'string' as const }]),
   ['settings', { type: 'string' as const }],
-  /** What earlier releases called `settings`. */
+  /** The name of `settings` in earlier releases. */
   ['env', { type: 'string' as const }],
   ['help', { type: 'boolean' as const, short: 'h' }],
 ]);
@@ -21,9 +21,9 @@
 type FlagValues = Readonly<Record<string, string | boolean | undefined>>;
 type Issues = ValidationIssue[];
 
-/** What a role's command line asks for. */
+/** The parsed command line of a role. */
 export interface ParsedFlags {
-  /** Whether the usage page is asked for; the settings are then no more than an empty error. */
+  /** Whether the usage page was requested; `settings` is then an error without issues. */
   readonly isHelp: boolean;
   readonly settings: Result<GatewaySettings, Issues>;
 }
@@ -36,48 +36,52 @@
   }
 };
 
-const givenFields = (values: FlagValues): Record<string, string> => {
-  const given: Record<string, string> = {};
+const flagFields = (values: FlagValues): Record<string, string> => {
+  const fields: Record<string, string> = {};
   for (const field of allFields) {
-    const value = values[kebabCase(field)];
-    if (typeof value === 'string') given[field] = value;
+    const value = values[toKebabCase(field)];
+    if (typeof value === 'string') fields[field] = value;
   }
-  return given;
+  return fields;
 };
 
-const isFields = (value: unknown): value is Record<string, unknown> =>
+const isObject = (value: unknown): value is Record<string, unknown> =>
   value !== null && typeof value === 'object' && !Array.isArray(value);
 
 const fileFields = (values: FlagValues): Result<Record<string, unknown>, Issues> => {
   const path = values.settings ?? values.env;
   if (typeof path !== 'string') return ok({});
   return readJson(path).andThen((value) =>
-    isFields(value) ? ok(value) : err([{ path, message: 'must hold one JSON object' }]),
+    isObject(value) ? ok(value) : err([{ path, message: 'must be a JSON object' }]),
   );
 };
 
-const warnOfDeprecated = (values: FlagValues, file: Record<string, unknown>, given: Record<string, string>): void => {
-  const notes = [...gatewaySettings.deprecatedIn(file), ...gatewaySettings.deprecatedIn(given)];
-  if (values.env !== undefined) notes.push('env: use settings');
-  for (const note of notes) process.stderr.write(`martenworks: deprecated setting ${note}\n`);
+const warnOfDeprecatedKeys = (
+  values: FlagValues,
+  file: Record<string, unknown>,
+  fromFlags: Record<string, string>,
+): void => {
+  const warnings = [...gatewaySettings.deprecatedIn(file), ...gatewaySettings.deprecatedIn(fromFlags)];
+  if (values.env !== undefined) warnings.push('env: use settings');
+  for (const warning of warnings) process.stderr.write(`martenworks: deprecated setting ${warning}\n`);
 };
 
 const settingsOf = (role: Role, values: FlagValues): Result<GatewaySettings, Issues> => {
-  const given = givenFields(values);
+  const fromFlags = flagFields(values);
   return fileFields(values).andThen((file) => {
-    warnOfDeprecated(values, file, given);
-    return gatewaySettings.check(role, file, given);
+    warnOfDeprecatedKeys(values, file, fromFlags);
+    return gatewaySettings.check(role, file, fromFlags);
   });
 };
 
 const roleSummaries: Record<Role, string> = {
-  gateway: "takes callers' requests",
-  'gateway-control': 'keeps the agreed state',
+  gateway: 'serves client requests',
+  'gateway-control': 'stores the replicated state',
 };
 
-/** The flags of the roles of the product's own wire. */
+/** The flags of the gateway roles. */
 export const flags = {
-  /** Reads a role's arguments and its settings file; fields of earlier releases are taken with a warning on stderr. */
+  /** Reads a role's arguments and settings file; fields of earlier releases are accepted with a warning on stderr. */
   read: (role: Role, args: string[]): ParsedFlags => {
     const values = parse(args);
     if (values.isErr()) return { isHelp: false, settings: err(values.error) };
@@ -85,11 +89,11 @@
     return { isHelp: false, settings: settingsOf(role, values.value) };
   },
 
-  /** A role's usage page. */
+  /** Returns the usage page of a role. */
   help: (role: Role): string => {
     const lines = currentFields
       .filter((field) => (role === 'gateway-control' ? field !== 'operators' : field !== 'data'))
-      .map((field) => `  --${kebabCase(field).padEnd(18)} ${settingsFields[field].help}`);
+      .map((field) => `  --${toKebabCase(field).padEnd(18)} ${settingsFields[field].help}`);
     return [
       `martenworks ${role}: ${roleSummaries[role]}`,
       '',
--- a/packages/cli/src/httpServer.ts
+++ b/packages/cli/src/httpServer.ts
@@ -1,17 +1,17 @@
-/** The real HTTP server of a role. */
+/** The HTTP server of a role on real sockets. */
 import { createAdaptorServer } from '@hono/node-server';
 import type { Server } from 'node:http';
 import { err, ok } from 'neverthrow';
 import { addresses } from '@martenworks/core-types';
 import type { HttpServer } from '@martenworks/core-types';
 
-/** Longer than the idle time of usual load balancers, so that they close first. */
+/** Longer than the idle timeout of common load balancers, so that these close the connection first. */
 const keepAliveMs = 65_000;
 const backlog = 1024;
-/** How long open connections may go on after closing began. */
+/** Connections still open this long after `close` are destroyed. */
 const closeTimeoutMs = 1_000;
 
-/** Opens node's HTTP server on an address; the listener's `close` resolves once every connection is closed. */
+/** Opens an HTTP server of Node.js; the listener's `close` resolves once every connection is closed. */
 export const realHttpServer: HttpServer = {
   open: (address, handler) =>
     new Promise((resolve) => {
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The command line of the product's own roles, and what other programs share with it. */
+/** The command line of the gateway roles, and the parts that other programs share. */
 export * from './exitCodes.js';
 export * from './httpServer.js';
 export * from './main.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** Chooses the command by the first argument. */
+/** Dispatches to the command named by the first argument. */
 import { runInspector } from '@martenworks/inspector';
 import { check } from './commands/check.js';
 import { recover } from './commands/recover.js';
@@ -7,7 +7,7 @@
 import { currentName } from './currentName.js';
 import { mainUsage } from './usage.js';
 
-/** Runs one command with its arguments; resolves with the exit code. */
+/** Runs a command with its arguments; resolves with the exit code. */
 export const run = async (args: string[]): Promise<number> => {
   const [name, ...rest] = args;
   const command = currentName(name);
--- a/packages/cli/src/ports.ts
+++ b/packages/cli/src/ports.ts
@@ -1,11 +1,11 @@
-/** The real clock, network, disk and HTTP of a role of the product's own wire. */
+/** The clock, network, disk and HTTP of the machine, for a gateway role. */
 import { addresses, machine } from '@martenworks/core-types';
 import type { Log, Ports } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
 import { httpClients } from '@martenworks/upstream';
 import { realHttpServer } from './httpServer.js';
 
-/** Outgoing connections leave from the addresses that the settings name, so that a host may hold several nodes. */
+/** Outgoing connections are bound to the configured addresses, so that several nodes can run on one host. */
 export const portsFor = (settings: GatewaySettings, log: Log): Ports => {
   const { host } = addresses.split(settings.peerListenAddress);
   return {
--- a/packages/cli/src/processMetrics.ts
+++ b/packages/cli/src/processMetrics.ts
@@ -1,11 +1,11 @@
-/** Vital signs of this process for a node's metrics page: event loop delay, processor time, memory. */
+/** Metrics of this process for the metrics page of a node: event loop delay, CPU time, resident memory. */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 
 const nanosecondsPerMs = 1e6;
 const microsecondsPerSecond = 1e6;
 const samplingMs = 10;
 
-/** Starts to sample the event loop's delay; the returned function gives the present lines of the metrics page. */
+/** Starts sampling the event loop delay; the returned function reads the current lines of the metrics page. */
 export const watchProcessMetrics = (): (() => string[]) => {
   const delay = monitorEventLoopDelay({ resolution: samplingMs });
   delay.enable();
--- a/packages/cli/src/shutdownSignal.ts
+++ b/packages/cli/src/shutdownSignal.ts
@@ -1,8 +1,8 @@
-/** The signals by which an operator or a service manager stops a role. */
+/** The signals that stop a role. */
 
 /**
- * Resolves with the name of the first SIGTERM or SIGINT. A SIGTERM that comes again changes nothing: requests that are
- * being drained would be cut. After the first signal, SIGINT ends the process at once, for whoever sits at a terminal.
+ * Resolves with the first SIGTERM or SIGINT. Further SIGTERMs are ignored, so that they do not interrupt requests that
+ * are being drained. After the first signal, SIGINT ends the process at once, for use at a terminal.
  */
 export const shutdownSignal = (): Promise<NodeJS.Signals> =>
   new Promise((resolve) => {
--- a/packages/cli/src/validationOutput.ts
+++ b/packages/cli/src/validationOutput.ts
@@ -1,7 +1,7 @@
-/** Prints what is wrong with a file or with flags. */
+/** Output of validation issues. */
 import type { ValidationIssue } from '@martenworks/settings';
 
-/** Writes one line for each issue to stderr: its path and what is wrong there. */
+/** Writes one line per issue to stderr: its path and message. */
 export const printIssues = (issues: readonly ValidationIssue[]): void => {
   for (const issue of issues) process.stderr.write(`${issue.path}: ${issue.message}\n`);
 };
--- a/packages/cli/test/openHandles.test.ts
+++ b/packages/cli/test/openHandles.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { setTimeout as after } from 'node:timers/promises';
+import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import { realHttpServer } from '@martenworks/cli';
 import { controlNodes, gatewayControlNodes, operatorApi, replicaApi } from '@martenworks/control-plane';
@@ -18,10 +18,10 @@
 import { freeAddresses } from './program.js';
 
 const host = '127.0.0.1';
-const releaseTimeoutMs = 15_000;
-const meetTimeoutMs = 5_000;
+const closeTimeoutMs = 15_000;
+const connectTimeoutMs = 5_000;
 const pollMs = 20;
-/** Long enough that each role has dialled, pinged and listed at least once. */
+/** Long enough for each role to connect, ping and list at least once. */
 const runMs = 600;
 
 const portsIn = (data: string | null): Ports => ({
@@ -34,16 +34,16 @@
   log: logs.silent(),
 });
 
-/** What keeps this process's event loop alive, by kind. */
+/** Counts the resources that keep the event loop of this process alive, by kind. */
 const activeResources = (): Map<string, number> => {
   const counts = new Map<string, number>();
   for (const kind of process.getActiveResourcesInfo()) counts.set(kind, (counts.get(kind) ?? 0) + 1);
   return counts;
 };
 
-/** The same once the test framework has started its own timer for the test, which it does after the first turn. */
+/** Counts them after the test framework has started its own timer for the test, which it does after the first turn. */
 const activeResourcesBefore = async (): Promise<Map<string, number>> => {
-  await after(pollMs);
+  await sleep(pollMs);
   return activeResources();
 };
 
@@ -65,10 +65,10 @@
     .map(linkOf)
     .filter((path) => path.startsWith(folder));
 
-/** What is left of a stopped role, once nothing is or the time is up. */
-const leftovers = async (before: ReadonlyMap<string, number>, folder: string): Promise<string[]> => {
+/** Waits until a stopped role has released all its resources, or the timeout; returns the remaining ones. */
+const openHandlesAfter = async (before: ReadonlyMap<string, number>, folder: string): Promise<string[]> => {
   const read = (): string[] => [...addedTo(before), ...openFilesUnder(folder)];
-  for (let waitedMs = 0; waitedMs < releaseTimeoutMs && read().length > 0; waitedMs += pollMs) await after(pollMs);
+  for (let waitedMs = 0; waitedMs < closeTimeoutMs && read().length > 0; waitedMs += pollMs) await sleep(pollMs);
   return read();
 };
 
@@ -80,15 +80,15 @@
     }).on('error', reject);
   });
 
-/** Serves a role's pages and asks for one of them; the result ends the serving. */
-const servedPage = async (address: string, handler: WebHandler, path: string): Promise<() => Promise<void>> => {
+/** Serves the pages of a role and requests one of them; the returned function closes the server. */
+const servePages = async (address: string, handler: WebHandler, path: string): Promise<() => Promise<void>> => {
   const listener = (await realHttpServer.open(address, handler))._unsafeUnwrap();
   expect(await statusOf(address, path)).to.equal(200);
   return listener.close;
 };
 
-const gatewaySettingsOf = (role: Role, own: readonly string[], data: string | null): GatewaySettings => {
-  const [peerAddress, http, ...seeds] = own;
+const gatewaySettingsOf = (role: Role, addresses: readonly string[], data: string | null): GatewaySettings => {
+  const [peerAddress, http, ...seeds] = addresses;
   const fields = { name: role, zone: 'a', peerAddress, http, seeds, drainMs: 100, ...(data === null ? {} : { data }) };
   return gatewaySettings.check(role, fields, {})._unsafeUnwrap();
 };
@@ -123,19 +123,19 @@
     })
     ._unsafeUnwrap();
 
-/** A running role: whether it is connected to a peer, and how to stop it, as its command does. */
+/** A running role; `stop` stops it as its command does. */
 interface RunningRole {
   readonly hasPeer: () => boolean;
   readonly stop: () => Promise<void>;
 }
 
-/** Starts a role on its own two addresses, with its data in the folder; the third and further ones are seeds. */
+/** Starts a role on the first two addresses, with the others as seeds and its data in the folder. */
 type StartRole = (addresses: readonly string[], folder: string) => Promise<RunningRole>;
 
 const startGateway: StartRole = async (addresses) => {
   const settings = gatewaySettingsOf('gateway', addresses, null);
   const gateway = (await gateways.start(settings, portsIn(null)))._unsafeUnwrap();
-  const closePages = await servedPage(settings.http, callerApi(gateway).fetch, '/healthz');
+  const closePages = await servePages(settings.http, callerApi(gateway).fetch, '/healthz');
   return {
     hasPeer: () => gateway.peerPool.open().length > 0,
     stop: async () => {
@@ -150,7 +150,7 @@
   const settings = gatewaySettingsOf('gateway-control', addresses, folder);
   const node = (await gatewayControlNodes.start(settings, portsIn(folder)))._unsafeUnwrap();
   const app = operatorApi(node, () => []).route('/', replicaApi(node));
-  const closePages = await servedPage(settings.http, app.fetch, '/healthz');
+  const closePages = await servePages(settings.http, app.fetch, '/healthz');
   return {
     hasPeer: () => true,
     stop: async () => {
@@ -174,7 +174,7 @@
   };
 };
 
-/** Stands in for the platform's API and refuses every call. */
+/** Starts a stub of the platform's API that rejects every call. */
 const startPlatform = async (): Promise<{ address: string; close: () => Promise<unknown> }> => {
   const server = createServer((_request, response) => response.writeHead(503).end());
   await new Promise<void>((resolve) => server.listen(0, host, resolve));
@@ -205,28 +205,28 @@
   };
 };
 
-/** Runs the first role, then the second with the first as its seed; stops them in that order, or the other way round. */
+/** Runs the first role, then the second with the first as its seed; stops them in the order that `stopsFirst` selects. */
 const runPair = async (start: readonly [StartRole, StartRole], folder: string, stopsFirst: 0 | 1): Promise<void> => {
   const [peerOfFirst = '', httpOfFirst = '', peer = '', http = '', ...others] = freeAddresses(6);
   const first = await start[0]([peerOfFirst, httpOfFirst, peerOfFirst, ...others], folder);
   const second = await start[1]([peer, http, peerOfFirst, ...others], folder);
-  for (let waitedMs = 0; waitedMs < meetTimeoutMs && !second.hasPeer(); waitedMs += pollMs) await after(pollMs);
-  expect(second.hasPeer(), 'the second role reached the first').to.equal(true);
-  await after(runMs);
+  for (let waitedMs = 0; waitedMs < connectTimeoutMs && !second.hasPeer(); waitedMs += pollMs) await sleep(pollMs);
+  expect(second.hasPeer(), 'the second role is connected to the first').to.equal(true);
+  await sleep(runMs);
   const roles = [first, second] as const;
   await roles[stopsFirst].stop();
-  await after(runMs);
+  await sleep(runMs);
   await roles[1 - stopsFirst]?.stop();
 };
 
-describe('what a stopped role leaves behind', () => {
+describe('open handles of a stopped role', () => {
   let folder = '';
   beforeEach(() => {
     folder = mkdtempSync(join(tmpdir(), 'martenworks-handles-'));
   });
   afterEach(() => rmSync(folder, { recursive: true }));
 
-  it('given a timer, a socket and a file that stay open, when leftovers are read, then each is found', async () => {
+  it('given a timer, a socket and a file that stay open, when open handles are read, then each is found', async () => {
     const before = await activeResourcesBefore();
     const timer = setInterval(() => {}, 60_000);
     const server = createServer();
@@ -237,7 +237,7 @@
     await new Promise((resolve) => server.close(resolve));
     await file._unsafeUnwrap().close();
     expect(found).to.include.members(['Timeout 1', 'TCPServerWrap 1', join(folder, 'file')]);
-    expect((await leftovers(before, folder)).join(', ')).to.equal('');
+    expect((await openHandlesAfter(before, folder)).join(', ')).to.equal('');
   });
 
   for (const [role, start] of [
@@ -246,13 +246,13 @@
     ['an edge', startEdge],
     ['a control node', startControl],
   ] as const)
-    it(`given ${role} alone on loopback, when it has run for a moment and stopped, then no timer, socket or file is left`, async () => {
+    it(`given ${role} alone on loopback, when it has run for a moment and stopped, then no timer, socket or file stays open`, async () => {
       const before = await activeResourcesBefore();
       const [peerAddress = '', http = '', ...others] = freeAddresses(4);
       const running = await start([peerAddress, http, peerAddress, ...others], folder);
-      await after(runMs);
+      await sleep(runMs);
       await running.stop();
-      expect((await leftovers(before, folder)).join(', ')).to.equal('');
+      expect((await openHandlesAfter(before, folder)).join(', ')).to.equal('');
     });
 
   for (const [pair, start] of [
@@ -260,9 +260,9 @@
     ['a control node and an edge', [startControl, startEdge]],
   ] as const)
     for (const stopsFirst of [0, 1] as const)
-      it(`given ${pair} that are connected, when the ${stopsFirst === 0 ? 'first' : 'second'} and then the other has stopped, then no timer, socket or file is left`, async () => {
+      it(`given ${pair} that are connected, when the ${stopsFirst === 0 ? 'first' : 'second'} and then the other has stopped, then no timer, socket or file stays open`, async () => {
         const before = await activeResourcesBefore();
         await runPair(start, folder, stopsFirst);
-        expect((await leftovers(before, folder)).join(', ')).to.equal('');
+        expect((await openHandlesAfter(before, folder)).join(', ')).to.equal('');
       });
 });
--- a/packages/cli/test/program.ts
+++ b/packages/cli/test/program.ts
@@ -1,19 +1,19 @@
-/** Runs the real program `martenworks` in a process of its own. */
+/** Runs the program `martenworks` in a separate process. */
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
 const programPath = fileURLToPath(new URL('martenworks.js', import.meta.resolve('@martenworks/cli')));
-/** Ends a program that hangs; far over the time that a start takes on a machine under several times its load. */
+/** Kills a program that hangs; far longer than a start takes on a heavily overloaded machine. */
 const timeoutMs = 90_000;
 
-/** How a run ended; `code` is null when it had to be killed. */
+/** The result of a run; `code` is null if the program was killed. */
 export interface ProgramRun {
   readonly code: number | null;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs the program to its end; it gets a SIGTERM once stdout holds `stopAt`, and is killed when it does not end in time. */
+/** Runs the program to its end. Sends SIGTERM once stdout contains `stopAt`, and SIGKILL after the timeout. */
 export const runProgram = (args: readonly string[], stopAt?: string): Promise<ProgramRun> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, [programPath, ...args], { stdio: ['ignore', 'pipe', 'pipe'] });
@@ -37,14 +37,14 @@
   });
 
 const port = 7_100;
-const anyByte = (): number => 1 + Math.floor(Math.random() * 250);
+const randomByte = (): number => 1 + Math.floor(Math.random() * 250);
 
 /**
- * This many different loopback addresses. Each has a host of its own and a port below those that systems hand out, so
- * that neither another test nor an outgoing connection takes it.
+ * Returns this many distinct loopback addresses. Each has its own random host and a port below the ephemeral range, so
+ * that neither another test nor an outgoing connection uses it.
  */
 export const freeAddresses = (count: number): string[] => {
   const hosts = new Set<string>();
-  while (hosts.size < count) hosts.add(`127.${anyByte()}.${anyByte()}.${anyByte()}`);
+  while (hosts.size < count) hosts.add(`127.${randomByte()}.${randomByte()}.${randomByte()}`);
   return [...hosts].map((host) => `${host}:${port}`);
 };
--- a/packages/prefix-index/src/placement.ts
+++ b/packages/prefix-index/src/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses a replica for a prompt by the estimated milliseconds to its first token, after "A System for Microserving of
- * LLMs".
+ * Chooses a replica for a prompt by the estimated time to first token in milliseconds, after the paper "A System for
+ * Microserving of LLMs".
  */
 import type { Pool, ReplicaRecord } from '@martenworks/core-types';
 import { prompts, RendezvousHash } from '@martenworks/core-types';
@@ -13,8 +13,9 @@
 }
 
 /**
- * One prompt with the replicas that may run it. `tieBreak` is a random number from 0 to below 1; `pullExcessMs` is what
- * transfers between two replicas lately took beyond the estimate.
+ * One prompt and the replicas that may run it. `holders` are the replicas from which its cached blocks may be pulled;
+ * `tieBreak` is a random number in [0, 1); `pullExcessMs` is the time by which recent transfers between two replicas
+ * exceeded the estimate.
  */
 export interface PlacementQuery {
   readonly pool: Pool;
@@ -30,7 +31,10 @@
   readonly pullExcessMs: (holder: string, receiver: string) => number;
 }
 
-/** A replica with what it would prefill, pull and have cached, in tokens, and the estimated cost in milliseconds. */
+/**
+ * A replica with the tokens that it has cached (`localTokens`), would pull from `holder` and would prefill, and the
+ * estimated cost in milliseconds.
+ */
 export interface Placement {
   readonly record: ReplicaRecord;
   readonly holder: ReplicaRecord | null;
@@ -40,15 +44,20 @@
   readonly costMs: number;
 }
 
-const runCostMs = 15;
-const leastPulledBlocks = 2;
-const leastColdBlocks = 8;
-const affinityDiscount = 0.5;
-const heavyTokens = 1_000;
-const unburdenedShare = 0.5;
-const reluctance = 2;
+const runningRequestCostMs = 15;
+const minPulledBlocks = 2;
+/** Prompts with the same first blocks share a preferred replica; shorter prompts have none. */
+const affinityBlocks = 8;
+const affinityBonusShare = 0.5;
+const longPrefillTokens = 1_000;
+/**
+ * Once no more than this share of the candidates is lightly loaded, long prefills on these cost more, so that short
+ * prompts still find a replica without a queue.
+ */
+const reservedShare = 0.5;
+const reservePenaltyFactor = 2;
 
-interface HolderKept {
+interface HolderMatch {
   readonly record: ReplicaRecord;
   readonly blockCount: number;
 }
@@ -56,7 +65,7 @@
 const affinityHash = new RendezvousHash({ algorithm: 'sha256', separator: '' });
 
 const preferredReplicaOf = (blocks: readonly string[], candidates: readonly Candidate[]): string | null => {
-  const affinityBlock = blocks[leastColdBlocks - 1];
+  const affinityBlock = blocks[affinityBlocks - 1];
   if (affinityBlock === undefined) return null;
   return affinityHash.highest(
     affinityBlock,
@@ -72,15 +81,15 @@
 
 const bestPull = (
   { pool, pullExcessMs }: PlacementQuery,
-  holders: readonly HolderKept[],
+  holders: readonly HolderMatch[],
   receiver: string,
-  local: number,
+  cachedBlocks: number,
 ): Pull | null => {
   let best: Pull | null = null;
   let bestGainMs = 0;
   for (const { record, blockCount } of holders) {
-    if (record.name === receiver || blockCount - local < leastPulledBlocks) continue;
-    const tokens = (blockCount - local) * prompts.blockTokens;
+    if (record.name === receiver || blockCount - cachedBlocks < minPulledBlocks) continue;
+    const tokens = (blockCount - cachedBlocks) * prompts.blockTokens;
     const costMs = tokens / pool.pullTokensPerMs + pullExcessMs(record.name, receiver);
     const gainMs = tokens / pool.prefillTokensPerMs - costMs;
     if (gainMs <= bestGainMs) continue;
@@ -90,55 +99,58 @@
   return best;
 };
 
-/** The placements on all candidates with their costs, in an order turned by `tieBreak` so that equal costs spread. */
-export const estimatePlacements = (index: PrefixIndex, question: PlacementQuery): Placement[] => {
-  const { pool, blocks, now, isolatedTenant } = question;
-  const keptBy = (record: ReplicaRecord) => index.match(record.name, blocks, isolatedTenant, now);
-  const holders: HolderKept[] = [];
-  if (question.useIndex && blocks.length > 0) {
-    for (const record of question.holders) {
-      const kept = keptBy(record);
-      if (kept.canBeSource) holders.push({ record, blockCount: kept.blockCount });
+/**
+ * Returns the placement on each candidate with its cost. The order is rotated by `tieBreak`, so that candidates of equal
+ * cost take turns.
+ */
+export const estimatePlacements = (index: PrefixIndex, query: PlacementQuery): Placement[] => {
+  const { pool, blocks, now, isolatedTenant } = query;
+  const matchFor = (record: ReplicaRecord) => index.match(record.name, blocks, isolatedTenant, now);
+  const holders: HolderMatch[] = [];
+  if (query.useIndex && blocks.length > 0) {
+    for (const record of query.holders) {
+      const match = matchFor(record);
+      if (match.canBeSource) holders.push({ record, blockCount: match.blockCount });
     }
   }
-  const home = question.useIndex && holders.length === 0 ? preferredReplicaOf(blocks, question.candidates) : null;
-  const isUnburdened = (candidate: Candidate): boolean => candidate.pendingTokens < heavyTokens;
-  const unburdened = question.candidates.filter(isUnburdened).length;
-  const isLastUnburdened =
-    question.candidates.length > 1 &&
-    unburdened <= Math.max(1, Math.floor(question.candidates.length * unburdenedShare));
-  const weighed: Placement[] = [];
-  const offset = question.candidates.length === 0 ? 0 : Math.floor(question.tieBreak * question.candidates.length);
-  for (let step = 0; step < question.candidates.length; step += 1) {
-    const candidate = question.candidates[(step + offset) % question.candidates.length] as Candidate;
-    const local = question.useIndex ? keptBy(candidate.record).blockCount : 0;
-    const pull = bestPull(question, holders, candidate.record.name, local);
+  const preferredReplica = query.useIndex && holders.length === 0 ? preferredReplicaOf(blocks, query.candidates) : null;
+  const isLightlyLoaded = (candidate: Candidate): boolean => candidate.pendingTokens < longPrefillTokens;
+  const lightlyLoadedCount = query.candidates.filter(isLightlyLoaded).length;
+  const isReserveLow =
+    query.candidates.length > 1 &&
+    lightlyLoadedCount <= Math.max(1, Math.floor(query.candidates.length * reservedShare));
+  const placements: Placement[] = [];
+  const offset = query.candidates.length === 0 ? 0 : Math.floor(query.tieBreak * query.candidates.length);
+  for (let step = 0; step < query.candidates.length; step += 1) {
+    const candidate = query.candidates[(step + offset) % query.candidates.length] as Candidate;
+    const cachedBlocks = query.useIndex ? matchFor(candidate.record).blockCount : 0;
+    const pull = bestPull(query, holders, candidate.record.name, cachedBlocks);
     const holder = pull?.record ?? null;
     const pulledTokens = pull?.tokens ?? 0;
-    const localTokens = local * prompts.blockTokens;
-    const prefilledTokens = Math.max(0, question.promptTokens - localTokens - pulledTokens);
-    const isMakingLikely = candidate.pendingTokens >= prefilledTokens;
+    const localTokens = cachedBlocks * prompts.blockTokens;
+    const prefilledTokens = Math.max(0, query.promptTokens - localTokens - pulledTokens);
+    const isPrefillLikelyRunning = candidate.pendingTokens >= prefilledTokens;
     const affinityBonusMs =
-      candidate.record.name === home && local === 0
-        ? (prefilledTokens / pool.prefillTokensPerMs) * (isMakingLikely ? 1 : affinityDiscount)
+      candidate.record.name === preferredReplica && cachedBlocks === 0
+        ? (prefilledTokens / pool.prefillTokensPerMs) * (isPrefillLikelyRunning ? 1 : affinityBonusShare)
         : 0;
-    const isBurden = isLastUnburdened && prefilledTokens >= heavyTokens && isUnburdened(candidate);
-    const burdenMs = isBurden ? (reluctance * prefilledTokens) / pool.prefillTokensPerMs : 0;
+    const usesReserve = isReserveLow && prefilledTokens >= longPrefillTokens && isLightlyLoaded(candidate);
+    const reservePenaltyMs = usesReserve ? (reservePenaltyFactor * prefilledTokens) / pool.prefillTokensPerMs : 0;
     const costMs =
-      burdenMs +
+      reservePenaltyMs +
       candidate.pendingTokens / pool.prefillTokensPerMs +
-      candidate.running * runCostMs +
+      candidate.running * runningRequestCostMs +
       prefilledTokens / pool.prefillTokensPerMs +
       (pull?.costMs ?? 0) -
       affinityBonusMs;
-    weighed.push({ record: candidate.record, holder, localTokens, pulledTokens, prefilledTokens, costMs });
+    placements.push({ record: candidate.record, holder, localTokens, pulledTokens, prefilledTokens, costMs });
   }
-  return weighed;
+  return placements;
 };
 
-/** The placement with the lowest cost; null where there is no candidate. */
-export const choosePlacement = (index: PrefixIndex, question: PlacementQuery): Placement | null =>
-  estimatePlacements(index, question).reduce<Placement | null>(
-    (best, one) => (best === null || one.costMs < best.costMs ? one : best),
+/** Returns the placement of lowest cost; null if there is no candidate. */
+export const choosePlacement = (index: PrefixIndex, query: PlacementQuery): Placement | null =>
+  estimatePlacements(index, query).reduce<Placement | null>(
+    (best, placement) => (best === null || placement.costMs < best.costMs ? placement : best),
     null,
   );
--- a/packages/prefix-index/src/prefixIndex.ts
+++ b/packages/prefix-index/src/prefixIndex.ts
@@ -1,34 +1,35 @@
-/** Which blocks of which prompts each replica has cached, by its cache events. */
+/** Tracks which prompt blocks each replica has cached, from the replicas' cache events. */
 import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
 import { DenseIndex } from '@martenworks/core-types';
 
-const wildTenant = -2;
+/** Matches no tenant: the event named none, or two tenants stored the same block. */
+const unknownTenant = -2;
 const sharedTenant = -1;
 
 interface Entry {
   tenant: number;
-  bornAt: number;
+  storedAt: number;
 }
 
 interface StoredPrefixes {
   incarnation: number;
   seq: number;
-  era: number;
-  isWhole: boolean;
+  epoch: number;
+  isComplete: boolean;
   scopes: Set<number>;
   blocks: Map<string, Entry>;
 }
 
-/**
- * How many leading blocks of a prompt a replica has cached, and whether it may be named as a source of them to another
- * replica.
- */
+/** The number of leading blocks of a prompt that a replica has cached, and whether another replica may pull them. */
 export interface PrefixMatch {
   readonly blockCount: number;
   readonly canBeSource: boolean;
 }
 
-/** One replica's entries as they are handed to a gateway that starts; ages are in milliseconds. */
+/**
+ * One replica's entries as sent to a gateway that starts. Each block is a tuple of block, tenant and age in
+ * milliseconds.
+ */
 export interface PrefixIndexSnapshot {
   readonly replica: string;
   readonly incarnation: number;
@@ -38,11 +39,11 @@
   readonly blocks: readonly (readonly [string, string, number])[];
 }
 
-const keptMaximum = 200_000;
+const maxBlocksPerReplica = 200_000;
 
 /**
- * Follows the cache events of replicas by sequence number. After a gap the entries of a replica are dropped and not
- * trusted as a source until it clears its cache or another gateway's entries repair the gap.
+ * Applies the cache events of replicas in sequence order. After a gap, the entries of the replica are dropped and it is
+ * no longer used as a source until it clears its cache or the snapshot of another node fills the gap.
  */
 export class PrefixIndex {
   private readonly prefixCaches = new Map<string, StoredPrefixes>();
@@ -50,82 +51,80 @@
 
   constructor(private readonly ageLimitMs: number) {}
 
-  private readonly tenantIndex = (tenant: string | null | undefined): number => {
-    if (tenant === undefined) return wildTenant;
+  private readonly tenantId = (tenant: string | null | undefined): number => {
+    if (tenant === undefined) return unknownTenant;
     return tenant === null ? sharedTenant : this.tenants.indexOf(tenant);
   };
 
-  /**
-   * Aligns the index with the replica records: entries of former incarnations, eras and absent replicas are dropped.
-   */
-  readonly reconcile = (records: Iterable<ReplicaRecord>, eraOf: (record: ReplicaRecord) => number): void => {
-    const seen = new Set<string>();
+  /** Drops entries of previous incarnations, of previous epochs and of replicas that are not among the records. */
+  readonly reconcile = (records: Iterable<ReplicaRecord>, epochOf: (record: ReplicaRecord) => number): void => {
+    const present = new Set<string>();
     for (const record of records) {
       if (record.state === 'gone') continue;
-      seen.add(record.name);
-      const era = eraOf(record);
+      present.add(record.name);
+      const epoch = epochOf(record);
       const stored = this.prefixCaches.get(record.name);
       if (stored === undefined || stored.incarnation < record.incarnation) {
         this.prefixCaches.set(record.name, {
           incarnation: record.incarnation,
           seq: 0,
-          era,
-          isWhole: true,
+          epoch,
+          isComplete: true,
           scopes: new Set(),
           blocks: new Map(),
         });
         continue;
       }
-      if (stored.era === era) continue;
-      stored.era = era;
+      if (stored.epoch === epoch) continue;
+      stored.epoch = epoch;
       stored.blocks.clear();
     }
-    for (const name of [...this.prefixCaches.keys()]) if (!seen.has(name)) this.prefixCaches.delete(name);
+    for (const name of [...this.prefixCaches.keys()]) if (!present.has(name)) this.prefixCaches.delete(name);
   };
 
-  /** Takes one cache event at the time `now`; events of other incarnations and repeated ones are ignored. */
-  readonly apply = (update: KvCacheEvent, now: number): void => {
-    const stored = this.prefixCaches.get(update.replica);
-    if (stored === undefined || update.incarnation !== stored.incarnation) return;
-    if (update.kind === 'hello') {
-      if (update.seq >= stored.seq) return;
+  /** Applies one cache event received at `now`; ignores duplicates and events of other incarnations. */
+  readonly apply = (event: KvCacheEvent, now: number): void => {
+    const stored = this.prefixCaches.get(event.replica);
+    if (stored === undefined || event.incarnation !== stored.incarnation) return;
+    if (event.kind === 'hello') {
+      if (event.seq >= stored.seq) return;
       stored.blocks.clear();
       stored.seq = 0;
-      stored.isWhole = false;
+      stored.isComplete = false;
       return;
     }
-    if (update.seq <= stored.seq) return;
-    if (update.seq !== stored.seq + 1) {
+    if (event.seq <= stored.seq) return;
+    if (event.seq !== stored.seq + 1) {
       stored.blocks.clear();
-      stored.isWhole = false;
+      stored.isComplete = false;
     }
-    stored.seq = update.seq;
-    if (update.kind === 'cleared') {
+    stored.seq = event.seq;
+    if (event.kind === 'cleared') {
       stored.blocks.clear();
       stored.scopes.clear();
-      stored.isWhole = true;
+      stored.isComplete = true;
       return;
     }
-    if (update.kind === 'removed') {
-      for (const block of update.blocks) stored.blocks.delete(block);
+    if (event.kind === 'removed') {
+      for (const block of event.blocks) stored.blocks.delete(block);
       return;
     }
-    const tenant = this.tenantIndex(update.tenant);
+    const tenant = this.tenantId(event.tenant);
     stored.scopes.add(tenant);
-    for (const block of update.blocks) {
-      const held = stored.blocks.get(block);
-      if (held !== undefined && held.tenant !== tenant) held.tenant = wildTenant;
-      else stored.blocks.set(block, { tenant, bornAt: now });
+    for (const block of event.blocks) {
+      const entry = stored.blocks.get(block);
+      if (entry !== undefined && entry.tenant !== tenant) entry.tenant = unknownTenant;
+      else stored.blocks.set(block, { tenant, storedAt: now });
     }
-    if (stored.blocks.size > keptMaximum) {
+    if (stored.blocks.size > maxBlocksPerReplica) {
       stored.blocks.clear();
-      stored.isWhole = false;
+      stored.isComplete = false;
     }
   };
 
   /**
-   * The leading blocks that the replica has cached for the tenant (null: shared); blocks older than the age limit don't
-   * count.
+   * Counts the leading blocks that the replica has cached for the isolated tenant (null: shared between tenants). Blocks
+   * older than the age limit are not counted.
    */
   readonly match = (
     replica: string,
@@ -135,54 +134,57 @@
   ): PrefixMatch => {
     const stored = this.prefixCaches.get(replica);
     if (stored === undefined) return { blockCount: 0, canBeSource: false };
-    const tenant = this.tenantIndex(isolatedTenant);
+    const tenant = this.tenantId(isolatedTenant);
     let blockCount = 0;
     for (const block of blocks) {
       const entry = stored.blocks.get(block);
       if (entry === undefined || entry.tenant !== tenant) break;
-      if (now - entry.bornAt > this.ageLimitMs) {
+      if (now - entry.storedAt > this.ageLimitMs) {
         stored.blocks.delete(block);
         break;
       }
       blockCount += 1;
     }
-    const isUnmixed = stored.isWhole && [...stored.scopes].every((scope) => scope === tenant);
-    return { blockCount, canBeSource: blockCount > 0 && isUnmixed };
+    const isSingleScope = stored.isComplete && [...stored.scopes].every((scope) => scope === tenant);
+    return { blockCount, canBeSource: blockCount > 0 && isSingleScope };
   };
 
-  /** The entries of all replicas, for a gateway that starts. */
+  /** Returns the entries of all replicas, to be sent to a gateway that starts. */
   readonly snapshot = (now: number): PrefixIndexSnapshot[] =>
     [...this.prefixCaches].map(([replica, stored]) => ({
       replica,
       incarnation: stored.incarnation,
       seq: stored.seq,
-      isWhole: stored.isWhole,
+      isWhole: stored.isComplete,
       scopes: [...stored.scopes].map(this.tenantName),
-      blocks: [...stored.blocks].map(([block, entry]) => [block, this.tenantName(entry.tenant), now - entry.bornAt]),
+      blocks: [...stored.blocks].map(([block, entry]) => [block, this.tenantName(entry.tenant), now - entry.storedAt]),
     }));
 
-  /** Takes another gateway's entries of a replica where they are newer or repair a gap; tells whether it did. */
+  /** Replaces a replica's entries by a snapshot that is newer or fills a gap; returns whether it was applied. */
   readonly restore = (snapshot: PrefixIndexSnapshot, now: number): boolean => {
     const stored = this.prefixCaches.get(snapshot.replica);
     if (stored === undefined || stored.incarnation !== snapshot.incarnation) return false;
-    const isRepair = snapshot.isWhole && !stored.isWhole && snapshot.seq >= stored.seq;
+    const isRepair = snapshot.isWhole && !stored.isComplete && snapshot.seq >= stored.seq;
     if (snapshot.seq <= stored.seq && !isRepair) return false;
     stored.seq = snapshot.seq;
-    stored.isWhole = snapshot.isWhole;
-    stored.scopes = new Set(snapshot.scopes.map(this.tenantNumber));
+    stored.isComplete = snapshot.isWhole;
+    stored.scopes = new Set(snapshot.scopes.map(this.tenantIdFromName));
     stored.blocks = new Map(
-      snapshot.blocks.map(([block, tenant, age]) => [block, { tenant: this.tenantNumber(tenant), bornAt: now - age }]),
+      snapshot.blocks.map(([block, tenant, age]) => [
+        block,
+        { tenant: this.tenantIdFromName(tenant), storedAt: now - age },
+      ]),
     );
     return true;
   };
 
   private readonly tenantName = (tenant: number): string =>
-    tenant === wildTenant ? '?' : tenant === sharedTenant ? '' : this.tenants.nameOf(tenant);
+    tenant === unknownTenant ? '?' : tenant === sharedTenant ? '' : this.tenants.nameOf(tenant);
 
-  private readonly tenantNumber = (name: string): number =>
-    name === '?' ? wildTenant : name === '' ? sharedTenant : this.tenants.indexOf(name);
+  private readonly tenantIdFromName = (name: string): number =>
+    name === '?' ? unknownTenant : name === '' ? sharedTenant : this.tenants.indexOf(name);
 
-  /** Entries per replica, for the operators' pages. */
+  /** Returns the number of entries per replica, for the operator pages. */
   readonly sizes = (): {
     replica: string;
     incarnation: number;
@@ -196,21 +198,21 @@
       incarnation: stored.incarnation,
       seq: stored.seq,
       blocks: stored.blocks.size,
-      isWhole: stored.isWhole,
+      isWhole: stored.isComplete,
       scopes: [...stored.scopes].map(this.tenantName),
     }));
 
-  /** Names of the replicas whose events had a gap. */
+  /** Returns the names of the replicas whose events had a gap. */
   readonly incompleteReplicas = (): string[] =>
-    [...this.prefixCaches].filter(([, stored]) => !stored.isWhole).map(([name]) => name);
+    [...this.prefixCaches].filter(([, stored]) => !stored.isComplete).map(([name]) => name);
 
   /** Whether the replica may have anything cached. */
   readonly mayHaveEntries = (replica: string): boolean => {
     const stored = this.prefixCaches.get(replica);
-    return stored === undefined || !stored.isWhole || stored.seq > 0;
+    return stored === undefined || !stored.isComplete || stored.seq > 0;
   };
 
-  /** The last sequence number that was taken of the incarnation, after which its events are followed; 0 for none. */
+  /** Returns the last sequence number applied for this incarnation; 0 if none. */
   readonly lastSeqOf = (replica: string, incarnation: number): number => {
     const stored = this.prefixCaches.get(replica);
     return stored !== undefined && stored.incarnation === incarnation ? stored.seq : 0;
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -1,14 +1,14 @@
-/** Divides the replicas of a pool between single isolated tenants, all shared tenants, and mixed use. */
+/** Divides the replicas of a pool between the isolated tenants, all shared tenants, and mixed use. */
 import { RendezvousHash } from '@martenworks/core-types';
 import type { CommittedState, ReplicaRecord, IsolationClaim, IsolationStatus } from '@martenworks/core-types';
 
-const usedGraceMs = 9_000;
-const unusedGraceMs = 3_000;
-const steadyMs = 1_000;
+const usedReplicaGraceMs = 9_000;
+const unusedReplicaGraceMs = 3_000;
+const reassignmentDelayMs = 1_000;
 const mixed = '*mixed*';
 const shared = '*shared*';
 
-interface Seat {
+interface Assignment {
   readonly incarnation: number;
   role: string;
   roleSince: number;
@@ -23,16 +23,16 @@
     if (isolatedTenants.length === 0) return roles;
     const count = replicaNames.length;
     const free = new Set(replicaNames);
-    const seat = (label: string, role: string): void => {
+    const assign = (label: string, role: string): void => {
       const name = partitionHash.highest(label, free);
       if (name === null) return;
       free.delete(name);
       roles.set(name, role);
     };
     const hasOwnPartition = isolatedTenants.length <= Math.floor(count / 4);
-    if (hasOwnPartition) for (const tenant of [...isolatedTenants].sort()) seat(`own:${tenant}`, tenant);
+    if (hasOwnPartition) for (const tenant of [...isolatedTenants].sort()) assign(`own:${tenant}`, tenant);
     const mixedCount = hasOwnPartition ? Math.ceil(free.size / 4) : Math.ceil(count / 2);
-    for (let at = 0; at < mixedCount; at += 1) seat('mixed', mixed);
+    for (let at = 0; at < mixedCount; at += 1) assign('mixed', mixed);
     return roles;
   },
 };
@@ -41,15 +41,15 @@
   role === mixed || role === (isolatedTenant ?? shared);
 
 /**
- * Assigns replicas to tenants by rendezvous hashing (Thaler and Ravishankar), alike at every gateway; a replica changes
- * over only once it was claimed.
+ * Assigns replicas to tenants by rendezvous hashing (Thaler and Ravishankar, 1998), with the same result on every
+ * gateway. A replica serves its new tenant only once the claim on it is granted.
  */
 export class TenantPartitions {
-  private readonly seats = new Map<string, Seat>();
+  private readonly assignments = new Map<string, Assignment>();
 
   /**
-   * Assigns the ready replicas by the tenants of the committed state. Replicas keep their time of assignment while it
-   * stays the same.
+   * Assigns the ready replicas to the tenants of the committed state. While a replica's assignment is unchanged, it keeps
+   * the time at which it was made.
    */
   readonly align = (records: Iterable<ReplicaRecord>, state: CommittedState | null, now: number): void => {
     if (state === null) return;
@@ -62,66 +62,75 @@
       present.add(record.name);
       byPool.set(record.pool, [...(byPool.get(record.pool) ?? []), record]);
     }
-    for (const [pool, some] of byPool) {
+    for (const [pool, poolRecords] of byPool) {
       const tenants = isolated
         .filter(([, tenant]) => tenant.lanes.some((lane) => state.config.lanes[lane]?.pool === pool))
         .map(([name]) => name);
-      const roles = tenantPartitionPlan.roles(some.map((record) => record.name).sort(), tenants);
-      for (const record of some) this.seat(record, roles.get(record.name) ?? mixed, now);
+      const roles = tenantPartitionPlan.roles(poolRecords.map((record) => record.name).sort(), tenants);
+      for (const record of poolRecords) this.assign(record, roles.get(record.name) ?? mixed, now);
     }
-    for (const name of [...this.seats.keys()]) if (!present.has(name)) this.seats.delete(name);
+    for (const name of [...this.assignments.keys()]) if (!present.has(name)) this.assignments.delete(name);
   };
 
-  private readonly seat = (record: ReplicaRecord, role: string, now: number): void => {
-    const held = this.seats.get(record.name);
-    if (held === undefined || held.incarnation !== record.incarnation)
-      this.seats.set(record.name, { incarnation: record.incarnation, role, roleSince: now, openAt: new Map() });
-    else if (held.role !== role) Object.assign(held, { role, roleSince: now });
+  private readonly assign = (record: ReplicaRecord, role: string, now: number): void => {
+    const assignment = this.assignments.get(record.name);
+    if (assignment === undefined || assignment.incarnation !== record.incarnation)
+      this.assignments.set(record.name, { incarnation: record.incarnation, role, roleSince: now, openAt: new Map() });
+    else if (assignment.role !== role) Object.assign(assignment, { role, roleSince: now });
   };
 
-  /** Claims that this gateway has to make before it may send requests to replicas by their new assignments. */
+  /** Returns the claims that must be granted before this gateway may send requests by the new assignments. */
   readonly pendingClaims = (now: number): IsolationClaim[] =>
-    [...this.seats].flatMap(([replica, { incarnation, role, roleSince, openAt }]) =>
-      openAt.has(role) || (openAt.size > 0 && now - roleSince < steadyMs) ? [] : [{ replica, incarnation, side: role }],
+    [...this.assignments].flatMap(([replica, { incarnation, role, roleSince, openAt }]) =>
+      openAt.has(role) || (openAt.size > 0 && now - roleSince < reassignmentDelayMs)
+        ? []
+        : [{ replica, incarnation, side: role }],
     );
 
   /**
-   * A claim was granted: the replica opens to its tenant at once where it served no other, else after the time that
-   * earlier requests and cache entries may last.
+   * Applies a granted claim: the replica opens to the tenant at once if it has served no other tenant, otherwise after a
+   * grace period for earlier requests and cache entries to end.
    */
   readonly applyGrantedClaim = (
     { replica, incarnation, side, sides, ageMs }: IsolationStatus,
     isUsed: boolean,
     now: number,
   ): void => {
-    const seat = this.seats.get(replica);
-    if (seat === undefined || seat.incarnation !== incarnation) return;
-    const isSole = sides.every((one) => one === side);
-    seat.openAt.set(side, isSole ? now : now + Math.max(0, (isUsed ? usedGraceMs : unusedGraceMs) - ageMs));
+    const assignment = this.assignments.get(replica);
+    if (assignment === undefined || assignment.incarnation !== incarnation) return;
+    const isOnlySide = sides.every((one) => one === side);
+    assignment.openAt.set(
+      side,
+      isOnlySide ? now : now + Math.max(0, (isUsed ? usedReplicaGraceMs : unusedReplicaGraceMs) - ageMs),
+    );
   };
 
-  /** Whether a request of the tenant (null: any that isn't isolated) may run on the replica now. */
+  /** Whether a request of the isolated tenant (null: of any shared tenant) may run on the replica now. */
   readonly mayRun = (record: ReplicaRecord, isolatedTenant: string | null, now: number): boolean => {
-    const seat = this.seats.get(record.name);
-    if (seat === undefined || seat.incarnation !== record.incarnation || !admits(seat.role, isolatedTenant))
+    const assignment = this.assignments.get(record.name);
+    if (
+      assignment === undefined ||
+      assignment.incarnation !== record.incarnation ||
+      !admits(assignment.role, isolatedTenant)
+    )
       return false;
-    return [...seat.openAt].some(([role, openAt]) => admits(role, isolatedTenant) && now >= openAt);
+    return [...assignment.openAt].some(([role, openAt]) => admits(role, isolatedTenant) && now >= openAt);
   };
 
-  /** Whether the replica may be named as a source of cache entries for the tenant. */
+  /** Whether cached blocks may be pulled from the replica for the isolated tenant (null: for any shared tenant). */
   readonly mayBeSource = (record: ReplicaRecord, isolatedTenant: string | null): boolean => {
     if (record.kind === 'store') return isolatedTenant === null;
     const side = isolatedTenant ?? shared;
-    const seat = this.seats.get(record.name);
+    const assignment = this.assignments.get(record.name);
     return (
-      seat?.role === side &&
-      seat.incarnation === record.incarnation &&
+      assignment?.role === side &&
+      assignment.incarnation === record.incarnation &&
       record.sides.length === 1 &&
       record.sides[0] === side
     );
   };
 
-  /** Each replica's assignment, for the operators' pages. */
+  /** Returns each replica's assignment, for the operator pages. */
   readonly roles = (): { replica: string; role: string }[] =>
-    [...this.seats].map(([replica, seat]) => ({ replica, role: seat.role }));
+    [...this.assignments].map(([replica, assignment]) => ({ replica, role: assignment.role }));
 }
--- a/packages/prefix-index/test/cacheSources.test.ts
+++ b/packages/prefix-index/test/cacheSources.test.ts
@@ -16,7 +16,7 @@
   ),
 });
 
-const ask = (tenant: string, prompt: string): SampleRequest => ({
+const requestFor = (tenant: string, prompt: string): SampleRequest => ({
   kind: 'diagnose',
   tenant,
   key: keyOf(tenant),
@@ -25,7 +25,7 @@
   tier: 'prompt',
 });
 
-const raised = async (
+const startedFleet = async (
   seed: number,
   replicas: number,
   config: Record<string, unknown>,
@@ -36,32 +36,32 @@
   return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const waves = async (
+const sendWave = async (
   fleet: SimFleet,
   checker: InvariantChecker,
   tenant: string,
   name: string,
   count: number,
 ): Promise<void> => {
-  for (let at = 0; at < count; at += 1) checker.send(ask(tenant, `${manual(name)} question ${at}`), at % 2);
+  for (let at = 0; at < count; at += 1) checker.send(requestFor(tenant, `${manual(name)} question ${at}`), at % 2);
   await fleet.world.run(6_000);
 };
 
-const named = (checker: InvariantChecker): (Run & { replica: string })[] =>
+const runsWithSource = (checker: InvariantChecker): (Run & { replica: string })[] =>
   checker.allRuns().filter((run) => run.cacheFrom !== null);
 
-describe('who is named in Cache-From', () => {
-  it('given a manual kept by one replica, when more ask for it than that one takes, then others are sent with it as their holder and pull it', async () => {
-    const { fleet, checker } = await raised(31, 4, configOf([]));
-    await waves(fleet, checker, 'north', 'alpha', 1);
-    const keeper = checker.allRuns()[0]?.replica ?? '';
-    await waves(fleet, checker, 'south', 'alpha', 6);
-    const pulls = named(checker);
+describe('cache sources named in Cache-From', () => {
+  it('given a prompt cached by one replica, when more requests for it arrive than that replica can run, then the others run elsewhere and pull the blocks from it', async () => {
+    const { fleet, checker } = await startedFleet(31, 4, configOf([]));
+    await sendWave(fleet, checker, 'north', 'alpha', 1);
+    const sourceReplica = checker.allRuns()[0]?.replica ?? '';
+    await sendWave(fleet, checker, 'south', 'alpha', 6);
+    const pulls = runsWithSource(checker);
     expect(pulls.length).to.be.greaterThan(0);
     expect(
       pulls.some(
         (run) =>
-          run.cacheFrom === `${fleet.hostOfReplica(keeper)}:8000` &&
+          run.cacheFrom === `${fleet.hostOfReplica(sourceReplica)}:8000` &&
           run.pulledTokens > 2_000 &&
           run.prefilledTokens < 200,
       ),
@@ -69,29 +69,29 @@
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it("given isolated tenants with the same manual, when all ask, then no isolated tenant's parts reach another, and the others still pull", async () => {
-    const { fleet, checker } = await raised(32, 12, configOf(['depot', 'mill']));
+  it("given isolated tenants with the same prompt, when all tenants send requests, then no isolated tenant's blocks reach another tenant, and shared tenants still pull", async () => {
+    const { fleet, checker } = await startedFleet(32, 12, configOf(['depot', 'mill']));
     for (let round = 0; round < 3; round += 1)
       for (const tenant of ['depot', 'mill', 'north', 'south'])
-        for (const count of [1, 10]) await waves(fleet, checker, tenant, `beta-${round}`, count);
+        for (const count of [1, 10]) await sendWave(fleet, checker, tenant, `beta-${round}`, count);
     expect(checker.violations()).to.deep.equal([]);
-    expect(named(checker).filter((run) => !run.isIsolated).length).to.be.greaterThan(0);
-    const homes = new Set(
+    expect(runsWithSource(checker).filter((run) => !run.isIsolated).length).to.be.greaterThan(0);
+    const isolatedReplicas = new Set(
       checker
         .allRuns()
         .filter((run) => run.isIsolated)
         .map((run) => run.replica),
     );
-    for (const run of named(checker))
+    for (const run of runsWithSource(checker))
       if (!run.isIsolated)
-        expect([...homes].map((name) => `${fleet.hostOfReplica(name)}:8000`)).to.not.include(run.cacheFrom);
+        expect([...isolatedReplicas].map((name) => `${fleet.hostOfReplica(name)}:8000`)).to.not.include(run.cacheFrom);
   });
 
-  it("given new weights, when the old ones' parts are still kept, then they are named to nobody, until replicas born under the new ones keep some", async () => {
-    const { fleet, checker } = await raised(33, 4, configOf([]));
-    await waves(fleet, checker, 'north', 'gamma', 6);
-    const before = named(checker).length;
-    const put = await fleet.finish(
+  it('given new weights, when blocks of the old weights are still cached, then no source is named until replicas started under the new weights have cached some', async () => {
+    const { fleet, checker } = await startedFleet(33, 4, configOf([]));
+    await sendWave(fleet, checker, 'north', 'gamma', 6);
+    const before = runsWithSource(checker).length;
+    const reply = await fleet.finish(
       fleet.onControlNode(
         0,
         'PATCH',
@@ -100,48 +100,48 @@
         { 'if-match': '"1"' },
       ),
     );
-    expect(put.status).to.equal(200);
+    expect(reply.status).to.equal(200);
     checker.weightsChanges.push({ offeredAt: 0, at: fleet.world.time, pool: 'main', weights: 'weights-2' });
     await fleet.world.run(2_000);
-    await waves(fleet, checker, 'north', 'gamma', 8);
-    await waves(fleet, checker, 'north', 'gamma', 8);
-    expect(named(checker).length).to.equal(before);
+    await sendWave(fleet, checker, 'north', 'gamma', 8);
+    await sendWave(fleet, checker, 'north', 'gamma', 8);
+    expect(runsWithSource(checker).length).to.equal(before);
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4']) {
       fleet.killReplica(name);
       fleet.bootReplica(name);
       await fleet.finish(fleet.announce(name));
     }
     await fleet.world.run(8_000);
-    await waves(fleet, checker, 'north', 'gamma', 1);
-    await waves(fleet, checker, 'north', 'gamma', 8);
-    expect(named(checker).length).to.be.greaterThan(before);
+    await sendWave(fleet, checker, 'north', 'gamma', 1);
+    await sendWave(fleet, checker, 'north', 'gamma', 8);
+    expect(runsWithSource(checker).length).to.be.greaterThan(before);
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given pulls that take longer than a prefill would, when that was seen, then that holder is named no more; and again when it has passed', async () => {
-    const { fleet, checker } = await raised(34, 4, configOf([]));
-    for (const standIn of fleet.runningReplicas.values()) standIn.faults.pullDelayMs = 1_500;
-    let afterLearning = 0;
+  it('given pulls that take longer than a prefill, when the gateway has measured it, then no source is named; and sources are named again once pulls are fast', async () => {
+    const { fleet, checker } = await startedFleet(34, 4, configOf([]));
+    for (const replica of fleet.runningReplicas.values()) replica.faults.pullDelayMs = 1_500;
+    let pullsAfterLearning = 0;
     for (let round = 0; round < 8; round += 1) {
-      await waves(fleet, checker, 'north', `delta-${round}`, 1);
-      const before = named(checker).length;
-      await waves(fleet, checker, 'south', `delta-${round}`, 5);
-      if (round >= 4) afterLearning += named(checker).length - before;
+      await sendWave(fleet, checker, 'north', `delta-${round}`, 1);
+      const before = runsWithSource(checker).length;
+      await sendWave(fleet, checker, 'south', `delta-${round}`, 5);
+      if (round >= 4) pullsAfterLearning += runsWithSource(checker).length - before;
     }
-    expect(named(checker).length).to.be.greaterThan(0);
-    expect(afterLearning).to.equal(0);
-    for (const standIn of fleet.runningReplicas.values()) standIn.faults.pullDelayMs = 0;
+    expect(runsWithSource(checker).length).to.be.greaterThan(0);
+    expect(pullsAfterLearning).to.equal(0);
+    for (const replica of fleet.runningReplicas.values()) replica.faults.pullDelayMs = 0;
     await fleet.world.run(120_000);
-    const before = named(checker).length;
-    await waves(fleet, checker, 'north', 'delta-last', 1);
-    await waves(fleet, checker, 'south', 'delta-last', 5);
-    expect(named(checker).length).to.be.greaterThan(before);
+    const before = runsWithSource(checker).length;
+    await sendWave(fleet, checker, 'north', 'delta-last', 1);
+    await sendWave(fleet, checker, 'south', 'delta-last', 5);
+    expect(runsWithSource(checker).length).to.be.greaterThan(before);
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given a cache store, when it goes down and returns empty, then it is named while it keeps parts, and every call is still answered whole', async () => {
+  it('given a cache store, when it crashes and restarts empty, then it is named only while it has blocks, and every request is answered in full', async () => {
     const storeHost = '10.4.0.1';
-    const { fleet, checker } = await raised(35, 3, configOf([], { store: 'store-1' }), {
+    const { fleet, checker } = await startedFleet(35, 3, configOf([], { store: 'store-1' }), {
       replicaSettings: { decodeMs: 20, store: `${storeHost}:8000`, capacityBlocks: 60 },
     });
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000 });
@@ -154,11 +154,11 @@
     expect((await announce(1)).status).to.equal(200);
     const rounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
-        for (const name of ['e-1', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, checker, 'north', name, 1);
+        for (const name of ['e-1', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await sendWave(fleet, checker, 'north', name, 1);
     };
     await rounds();
     const fromStore = (): number =>
-      named(checker).filter((run) => run.cacheFrom === `${storeHost}:8000` && run.pulledTokens > 1_000).length;
+      runsWithSource(checker).filter((run) => run.cacheFrom === `${storeHost}:8000` && run.pulledTokens > 1_000).length;
     expect(fromStore()).to.be.greaterThan(0);
     fleet.world.machine(storeHost).kill();
     await rounds();
@@ -169,29 +169,29 @@
       0,
     );
     await announce(2);
-    const back = fromStore();
+    const runsBeforeRestart = fromStore();
     fleet.world.machine(storeHost).kill();
     fleet.world.machine(storeHost).boot();
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 2 });
     await fleet.world.run(5_000);
     await rounds();
-    expect(fromStore()).to.be.greaterThan(back);
+    expect(fromStore()).to.be.greaterThan(runsBeforeRestart);
     expect(checker.violations()).to.deep.equal([]);
     expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
   });
 
-  it('given a replica that served an isolated tenant and told nothing of it, when its quarter becomes shared and every gateway starts anew, then it is named to nobody', async () => {
-    const { fleet, checker } = await raised(36, 4, configOf(['depot']));
-    const own =
+  it('given a replica that served an isolated tenant and sent no events about it, when its partition becomes shared and every gateway restarts, then it is never named as a source', async () => {
+    const { fleet, checker } = await startedFleet(36, 4, configOf(['depot']));
+    const isolatedReplica =
       fleet.gateways[0]?.stateView.tenantPartitions.roles().find(({ role }) => role === 'depot')?.replica ?? '';
-    const hide = (hidesEvents: boolean): void => {
-      for (const standIn of fleet.runningReplicas.values()) standIn.faults.hidesEvents = hidesEvents;
+    const setHidesEvents = (hidesEvents: boolean): void => {
+      for (const replica of fleet.runningReplicas.values()) replica.faults.hidesEvents = hidesEvents;
     };
-    hide(true);
-    await waves(fleet, checker, 'depot', 'zeta', 2);
-    hide(false);
-    expect(checker.allRuns().some((run) => run.replica === own && run.isIsolated)).to.equal(true);
-    const put = await fleet.finish(
+    setHidesEvents(true);
+    await sendWave(fleet, checker, 'depot', 'zeta', 2);
+    setHidesEvents(false);
+    expect(checker.allRuns().some((run) => run.replica === isolatedReplica && run.isIsolated)).to.equal(true);
+    const reply = await fleet.finish(
       fleet.onControlNode(
         0,
         'PATCH',
@@ -200,43 +200,46 @@
         { 'if-match': '"1"' },
       ),
     );
-    expect(put.status).to.equal(200);
+    expect(reply.status).to.equal(200);
     await fleet.world.run(20_000);
-    await waves(fleet, checker, 'north', 'zeta', 10);
-    expect(checker.allRuns().some((run) => run.replica === own && !run.isIsolated)).to.equal(true);
+    await sendWave(fleet, checker, 'north', 'zeta', 10);
+    expect(checker.allRuns().some((run) => run.replica === isolatedReplica && !run.isIsolated)).to.equal(true);
     for (const at of [0, 1]) {
       fleet.killCounter(at);
       await fleet.bootCounter(at);
     }
-    for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'].filter((one) => one !== own)) {
+    for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'].filter((one) => one !== isolatedReplica)) {
       fleet.killReplica(name);
       fleet.bootReplica(name);
       await fleet.finish(fleet.announce(name));
     }
     await fleet.world.run(6_000);
-    await waves(fleet, checker, 'south', 'zeta', 10);
-    expect(checker.allRuns().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(own)}:8000`).length).to.equal(0);
+    await sendWave(fleet, checker, 'south', 'zeta', 10);
+    expect(
+      checker.allRuns().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(isolatedReplica)}:8000`).length,
+    ).to.equal(0);
     expect(checker.violations()).to.deep.equal([]);
     expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
   });
 
-  it("given a store that keeps an isolated tenant's parts and told nothing of them, when others ask for the same prefix, then it is named to nobody until it is announced anew without isolated tenants", async () => {
-    const { fleet, checker } = await raised(37, 3, configOf(['depot'], { store: 'store-1' }), {
+  it("given a store that has an isolated tenant's blocks and sent no events about them, when others request the same prefix, then it is not named as a source until it is announced again without isolated tenants", async () => {
+    const { fleet, checker } = await startedFleet(37, 3, configOf(['depot'], { store: 'store-1' }), {
       hasStore: true,
       replicaSettings: { decodeMs: 20, capacityBlocks: 60 },
     });
-    const store = (): void => fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: true });
-    store();
-    await waves(fleet, checker, 'depot', 'eta', 1);
+    const hideStoreEvents = (): void => fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: true });
+    hideStoreEvents();
+    await sendWave(fleet, checker, 'depot', 'eta', 1);
     fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: false });
     const rounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
-        for (const name of ['eta', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await waves(fleet, checker, 'north', name, 1);
+        for (const name of ['eta', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await sendWave(fleet, checker, 'north', name, 1);
     };
-    const fromStore = (): number => named(checker).filter((run) => run.cacheFrom === `${fleet.storeHost}:8000`).length;
+    const fromStore = (): number =>
+      runsWithSource(checker).filter((run) => run.cacheFrom === `${fleet.storeHost}:8000`).length;
     await rounds();
     expect(fromStore()).to.equal(0);
-    const put = await fleet.finish(
+    const reply = await fleet.finish(
       fleet.onControlNode(
         0,
         'PATCH',
@@ -245,7 +248,7 @@
         { 'if-match': '"1"' },
       ),
     );
-    expect(put.status).to.equal(200);
+    expect(reply.status).to.equal(200);
     await fleet.world.run(20_000);
     await rounds();
     expect(fromStore()).to.equal(0);
@@ -258,7 +261,7 @@
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given notices with a gap, when the replica tells that its cache is cleared, then it may be named again', () => {
+  it('given events with a gap, when the replica reports that its cache is cleared, then it can be a source again', () => {
     const index = new PrefixIndex(60_000);
     index.reconcile(
       [
@@ -277,14 +280,14 @@
       ],
       () => 0,
     );
-    const told = (seq: number, kind: 'stored' | 'cleared', blocks: string[]): void =>
+    const applyEvent = (seq: number, kind: 'stored' | 'cleared', blocks: string[]): void =>
       index.apply({ replica: 'r', incarnation: 1, seq, kind, tenant: null, blocks }, 0);
-    told(1, 'stored', ['a']);
+    applyEvent(1, 'stored', ['a']);
     expect(index.match('r', ['a'], null, 0)).to.deep.equal({ blockCount: 1, canBeSource: true });
-    told(3, 'stored', ['b']);
+    applyEvent(3, 'stored', ['b']);
     expect(index.match('r', ['b'], null, 0).canBeSource).to.equal(false);
-    told(4, 'cleared', []);
-    told(5, 'stored', ['c']);
+    applyEvent(4, 'cleared', []);
+    applyEvent(5, 'stored', ['c']);
     expect(index.match('r', ['c'], null, 0)).to.deep.equal({ blockCount: 1, canBeSource: true });
   });
 });
--- a/packages/route-table/src/index.ts
+++ b/packages/route-table/src/index.ts
@@ -1,4 +1,4 @@
-/** Routing tables: checks, lookup, patches and the form in which they travel. */
+/** Routing tables: validation, lookup, patches and the packed form that is sent to edges. */
 export * from './routingTables.js';
 export * from './routeLookup.js';
 export * from './salts.js';
--- a/packages/route-table/src/patches.ts
+++ b/packages/route-table/src/patches.ts
@@ -1,4 +1,4 @@
-/** Differences between routing tables of routes: made, joined, applied. */
+/** Differences between routing tables. */
 import type { RoutingTablePatch, Customer, ListPatch, RoutingTable } from '@martenworks/core-types';
 
 interface Named {
@@ -8,23 +8,23 @@
 const byName = <T extends Named>(entries: readonly T[]): Map<string, T> =>
   new Map(entries.map((entry) => [entry.name, entry]));
 
-const lists = {
-  between: <T extends Named>(before: readonly T[], after: readonly T[]): ListPatch<T> => {
-    const held = byName(before);
+const listPatches = {
+  diff: <T extends Named>(before: readonly T[], after: readonly T[]): ListPatch<T> => {
+    const previous = byName(before);
     const next = byName(after);
     const isChanged = (entry: T): boolean => {
-      const was = held.get(entry.name);
-      return was === undefined || (was !== entry && JSON.stringify(was) !== JSON.stringify(entry));
+      const old = previous.get(entry.name);
+      return old === undefined || (old !== entry && JSON.stringify(old) !== JSON.stringify(entry));
     };
-    return { put: after.filter(isChanged), gone: [...held.keys()].filter((name) => !next.has(name)) };
+    return { put: after.filter(isChanged), gone: [...previous.keys()].filter((name) => !next.has(name)) };
   },
-  apply: <T extends Named>(held: readonly T[], { put, gone }: ListPatch<T>): T[] => {
-    const next = byName(held);
+  apply: <T extends Named>(entries: readonly T[], { put, gone }: ListPatch<T>): T[] => {
+    const next = byName(entries);
     for (const name of gone) next.delete(name);
     for (const entry of put) next.set(entry.name, entry);
     return [...next.values()];
   },
-  joined: <T extends Named>(first: ListPatch<T>, second: ListPatch<T>): ListPatch<T> => {
+  merge: <T extends Named>(first: ListPatch<T>, second: ListPatch<T>): ListPatch<T> => {
     const put = byName(first.put);
     for (const name of second.gone) put.delete(name);
     for (const entry of second.put) put.set(entry.name, entry);
@@ -35,34 +35,34 @@
   },
 };
 
-const customersBetween = (before: RoutingTable, after: RoutingTable): ListPatch<Customer> | null =>
-  after.customers === null ? null : lists.between(before.customers ?? [], after.customers);
+const diffCustomers = (before: RoutingTable, after: RoutingTable): ListPatch<Customer> | null =>
+  after.customers === null ? null : listPatches.diff(before.customers ?? [], after.customers);
 
-/** Makes, joins and applies patches. Entries are compared by name and JSON text. */
+/** Computes, merges and applies patches. Entries are matched by name and compared by their JSON text. */
 export const patches = {
   diff: (from: number, before: RoutingTable, after: RoutingTable): RoutingTablePatch => {
     const { routes, customers: _, ...rest } = after;
-    return { from, ...lists.between(before.routes, routes), customers: customersBetween(before, after), rest };
+    return { from, ...listPatches.diff(before.routes, routes), customers: diffCustomers(before, after), rest };
   },
-  apply: (held: RoutingTable, { put, gone, customers, rest }: RoutingTablePatch): RoutingTable => ({
+  apply: (base: RoutingTable, { put, gone, customers, rest }: RoutingTablePatch): RoutingTable => ({
     ...rest,
-    routes: lists.apply(held.routes, { put, gone }),
-    customers: customers === null ? null : lists.apply(held.customers ?? [], customers),
+    routes: listPatches.apply(base.routes, { put, gone }),
+    customers: customers === null ? null : listPatches.apply(base.customers ?? [], customers),
   }),
-  /** One patch in place of two, of which the second builds on what the first makes. */
+  /** Merges two patches, of which the second is based on the result of the first. */
   merge: (first: RoutingTablePatch, second: RoutingTablePatch): RoutingTablePatch => ({
     from: first.from,
-    ...lists.joined(first, second),
+    ...listPatches.merge(first, second),
     customers:
       first.customers === null || second.customers === null
         ? second.customers
-        : lists.joined(first.customers, second.customers),
+        : listPatches.merge(first.customers, second.customers),
     rest: second.rest,
   }),
-  /** How many routes and customers the patch names. */
+  /** Returns the number of routes and customers that the patch changes. */
   size: (patch: RoutingTablePatch): number =>
     patch.put.length + patch.gone.length + (patch.customers?.put.length ?? 0) + (patch.customers?.gone.length ?? 0),
-  /** Whether the patch is worth sending in place of the whole table. */
+  /** Whether the patch has fewer entries than the full table. */
   isSmaller: (patch: RoutingTablePatch, routingTable: RoutingTable): boolean =>
     patches.size(patch) < routingTable.routes.length + (routingTable.customers?.length ?? 0),
 };
--- a/packages/route-table/src/routeLookup.ts
+++ b/packages/route-table/src/routeLookup.ts
@@ -1,8 +1,8 @@
-/** Lookup of routes, customers and pools in a routing table that is in force. */
+/** Lookup of routes, customers and pools in the active routing table. */
 import { DenseIndex } from '@martenworks/core-types';
 import type { Customer, Route, RoutingTable, ReplicaPool } from '@martenworks/core-types';
 
-/** A route with its stable number and whether its requests may be sent again. */
+/** A route with its stable index, and whether a request that may have run can be sent again. */
 export interface RouteView {
   readonly index: number;
   readonly route: Route;
@@ -10,7 +10,7 @@
 }
 
 /**
- * A routing table indexed for lookup. A route matches by host, without port or case, and by the longest path prefix.
+ * A routing table indexed for lookup. Routes match by host, ignoring port and case, and by the longest path prefix.
  */
 export interface RoutingTableView {
   readonly routingTable: RoutingTable;
@@ -23,11 +23,11 @@
 
 const hostNameOf = (host: string): string => host.toLowerCase().replace(/:\d+$/, '');
 
-/** Indexes routing tables; a route's name keeps its number across versions. */
+/** Indexes routing tables; a route name keeps its index across versions. */
 export class RoutingTableIndexer {
   private readonly routeNames = new DenseIndex();
 
-  /** The indexed form of one version; cost grows with its routes and key hashes. */
+  /** Returns the indexed form of one version, in time linear in its key hashes and n log n in its routes. */
   readonly view = (configVersion: number, routingTable: RoutingTable): RoutingTableView => {
     const byHost = new Map<string, RouteView[]>();
     for (const route of routingTable.routes) {
@@ -41,9 +41,9 @@
       byHost.set(host, views);
     }
     for (const views of byHost.values()) views.sort((a, b) => b.route.pathPrefix.length - a.route.pathPrefix.length);
-    const holders = new Map<string, Customer>();
+    const customersByKeyHash = new Map<string, Customer>();
     for (const customer of routingTable.customers ?? [])
-      for (const hash of customer.keyHashes) holders.set(hash, customer);
+      for (const hash of customer.keyHashes) customersByKeyHash.set(hash, customer);
     const pools = new Map(routingTable.pools.map((pool) => [pool.name, pool]));
     return {
       routingTable,
@@ -51,22 +51,22 @@
       requiresApiKey: routingTable.customers !== null,
       match: (host, path) =>
         byHost.get(hostNameOf(host))?.find((view) => path.startsWith(view.route.pathPrefix)) ?? null,
-      customerOf: (keyHash) => holders.get(keyHash) ?? null,
+      customerOf: (keyHash) => customersByKeyHash.get(keyHash) ?? null,
       pool: (name) => pools.get(name) ?? null,
     };
   };
 }
 
-/** Draws a pool by the shares of a route; `fraction` is a random number from 0 to below 1. */
+/** Picks a pool at random by the weights of a route; `fraction` is a random number in [0, 1). */
 export const shares = {
   draw: (route: Route, fraction: number): string => {
-    const total = route.shares.reduce((sum, one) => sum + one.share, 0);
-    let left = fraction * total;
+    const total = route.shares.reduce((sum, weighted) => sum + weighted.share, 0);
+    let remaining = fraction * total;
     for (const { pool, share } of route.shares) {
       if (share <= 0) continue;
-      left -= share;
-      if (left < 0) return pool;
+      remaining -= share;
+      if (remaining < 0) return pool;
     }
-    return route.shares.findLast((one) => one.share > 0)?.pool ?? '';
+    return route.shares.findLast((weighted) => weighted.share > 0)?.pool ?? '';
   },
 };
--- a/packages/route-table/src/routingTables.ts
+++ b/packages/route-table/src/routingTables.ts
@@ -1,15 +1,15 @@
-/** Validity of routing tables beyond their shape. */
+/** Validation of routing tables beyond their schema. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { RoutingTable } from '@martenworks/core-types';
 
-/** One error with the JSON pointer of the entry that has it. */
+/** One error, with the JSON pointer of the faulty entry. */
 export interface RoutingTableError {
   readonly path: string;
   readonly message: string;
 }
 
-const repeated = (labels: readonly string[]): { label: string; at: number }[] => {
+const duplicatesOf = (labels: readonly string[]): { label: string; at: number }[] => {
   const seen = new Set<string>();
   return labels.flatMap((label, at) => {
     if (!seen.has(label)) {
@@ -20,65 +20,65 @@
   });
 };
 
-const routingErrorsOf = ({ routes, pools }: RoutingTable): RoutingTableError[] => {
-  const known = new Set(pools.map((pool) => pool.name));
+const routeErrorsOf = ({ routes, pools }: RoutingTable): RoutingTableError[] => {
+  const poolNames = new Set(pools.map((pool) => pool.name));
   return routes.flatMap((route, at) => {
     const path = `/ways/${at}`;
-    const faults: RoutingTableError[] = [];
+    const errors: RoutingTableError[] = [];
     if (!route.pathPrefix.startsWith('/') || !route.pathPrefix.endsWith('/'))
-      faults.push({ path: `${path}/pathStart`, message: 'must begin and end with a slash' });
-    if (!(route.timeoutMs > 0)) faults.push({ path: `${path}/horizonMs`, message: 'must be above 0' });
-    if (!(route.maxAttempts >= 1)) faults.push({ path: `${path}/shots`, message: 'must be 1 or more' });
+      errors.push({ path: `${path}/pathStart`, message: 'must begin and end with a slash' });
+    if (!(route.timeoutMs > 0)) errors.push({ path: `${path}/horizonMs`, message: 'must be above 0' });
+    if (!(route.maxAttempts >= 1)) errors.push({ path: `${path}/shots`, message: 'must be 1 or more' });
     if (route.shares.some((one) => !(one.share >= 0)) || !(route.shares.reduce((sum, one) => sum + one.share, 0) > 0))
-      faults.push({ path: `${path}/shares`, message: 'must hold weights that sum to more than 0' });
+      errors.push({ path: `${path}/shares`, message: 'must have weights that sum to more than 0' });
     for (const { pool } of route.shares)
-      if (!known.has(pool)) faults.push({ path: `${path}/shares`, message: `names the absent pool ${pool}` });
-    return faults;
+      if (!poolNames.has(pool)) errors.push({ path: `${path}/shares`, message: `refers to unknown pool ${pool}` });
+    return errors;
   });
 };
 
-const keyFaults = ({ customers }: RoutingTable): RoutingTableError[] => {
-  const holders = new Map<string, string>();
+const keyErrorsOf = ({ customers }: RoutingTable): RoutingTableError[] => {
+  const customersByKeyHash = new Map<string, string>();
   return (customers ?? []).flatMap((customer, at) =>
     customer.keyHashes.flatMap((hash) => {
-      const holder = holders.get(hash);
-      holders.set(hash, customer.name);
-      return holder === undefined || holder === customer.name
+      const otherCustomer = customersByKeyHash.get(hash);
+      customersByKeyHash.set(hash, customer.name);
+      return otherCustomer === undefined || otherCustomer === customer.name
         ? []
-        : [{ path: `/customers/${at}`, message: `shares a key with ${holder}` }];
+        : [{ path: `/customers/${at}`, message: `shares a key with ${otherCustomer}` }];
     }),
   );
 };
 
 /**
- * What makes a routing table invalid beyond its shape: absent pools, two routes with one host and prefix, shares that
- * sum to 0, no deadline, shared keys. Source: PROTOCOL's list of invalid configurations, in the product's terms.
+ * Returns what makes a routing table invalid beyond its schema: unknown pools, two routes with the same host and prefix,
+ * weights that sum to 0, no timeout, a key of two customers. Source: PROTOCOL's list of invalid configurations.
  */
-const faultsOf = (routingTable: RoutingTable): RoutingTableError[] => [
-  ...routingErrorsOf(routingTable),
-  ...repeated(routingTable.routes.map((route) => route.name)).map(({ label, at }) => ({
+const errorsOf = (routingTable: RoutingTable): RoutingTableError[] => [
+  ...routeErrorsOf(routingTable),
+  ...duplicatesOf(routingTable.routes.map((route) => route.name)).map(({ label, at }) => ({
     path: `/ways/${at}/name`,
-    message: `${label} is the name of another way`,
+    message: `${label} is the name of another route`,
   })),
-  ...repeated(routingTable.routes.map((route) => `${route.host} ${route.pathPrefix}`)).map(({ label, at }) => ({
+  ...duplicatesOf(routingTable.routes.map((route) => `${route.host} ${route.pathPrefix}`)).map(({ label, at }) => ({
     path: `/ways/${at}`,
-    message: `${label} is the place of another way`,
+    message: `${label} is the host and path prefix of another route`,
   })),
-  ...repeated([...routingTable.pools, ...routingTable.stores].map((pool) => pool.name)).map(({ label, at }) => ({
+  ...duplicatesOf([...routingTable.pools, ...routingTable.stores].map((pool) => pool.name)).map(({ label, at }) => ({
     path: `/pools/${at}/name`,
     message: `${label} is the name of another pool`,
   })),
-  ...repeated((routingTable.customers ?? []).map((customer) => customer.name)).map(({ label, at }) => ({
+  ...duplicatesOf((routingTable.customers ?? []).map((customer) => customer.name)).map(({ label, at }) => ({
     path: `/customers/${at}/name`,
     message: `${label} is the name of another customer`,
   })),
-  ...keyFaults(routingTable),
+  ...keyErrorsOf(routingTable),
 ];
 
-/** Checks a routing table and returns it, or all errors that it has. */
+/** Checks a routing table; returns it, or all of its errors. */
 export const routingTables = {
   check: (routingTable: RoutingTable): Result<RoutingTable, RoutingTableError[]> => {
-    const faults = faultsOf(routingTable);
-    return faults.length === 0 ? ok(routingTable) : err(faults);
+    const errors = errorsOf(routingTable);
+    return errors.length === 0 ? ok(routingTable) : err(errors);
   },
 };
--- a/packages/route-table/src/salts.ts
+++ b/packages/route-table/src/salts.ts
@@ -1,9 +1,9 @@
-/** Scopes of prefix cache keys, which keep tenants and weights versions apart. */
+/** Salts of prefix cache keys, which keep isolated customers and weights versions apart. */
 import type { Customer } from '@martenworks/core-types';
 
 /**
- * The text under which parts are kept: one for each model, version of its weights and, for an isolated customer, its
- * name. Parts under another text are never found, so no holder can hand over a wrong part.
+ * The salt under which prompt parts are cached: one per model, weights version and isolated customer. A lookup never
+ * finds parts under another salt, so a source cannot serve a part of other weights or of another isolated customer.
  */
 export const salts = {
   of: (model: string, version: number, customer: Customer | null): string =>
--- a/packages/route-table/test/routingTables.test.ts
+++ b/packages/route-table/test/routingTables.test.ts
@@ -27,20 +27,20 @@
   ...more,
 });
 
-const faultsOf = (given: RoutingTable): string[] =>
-  routingTables.check(given).match(
+const errorPathsOf = (table: RoutingTable): string[] =>
+  routingTables.check(table).match(
     () => [],
-    (faults) => faults.map((fault) => fault.path),
+    (errors) => errors.map((error) => error.path),
   );
 
-describe('the routing table', () => {
-  it('given a sound routing table, when it is checked, then nothing is wrong with it', () => {
-    expect(faultsOf(routingTable())).to.deep.equal([]);
+describe('routing tables', () => {
+  it('given a valid routing table, when it is checked, then there are no errors', () => {
+    expect(errorPathsOf(routingTable())).to.deep.equal([]);
   });
 
-  const broken: [string, RoutingTable, string][] = [
+  const invalidTables: [string, RoutingTable, string][] = [
     [
-      'a way to an absent pool',
+      'a route to an unknown pool',
       routingTable({ routes: [route({ shares: [{ pool: 'q', share: 1 }] })] }),
       '/ways/0/shares',
     ],
@@ -58,10 +58,18 @@
       }),
       '/ways/0/shares',
     ],
-    ['no weight at all', routingTable({ routes: [route({ shares: [] })] }), '/ways/0/shares'],
-    ['no horizon', routingTable({ routes: [route({ timeoutMs: 0 })] }), '/ways/0/horizonMs'],
-    ['two ways in one place', routingTable({ routes: [route(), route({ name: 'v' })] }), '/ways/1'],
-    ['two ways of one name', routingTable({ routes: [route(), route({ pathPrefix: '/y/' })] }), '/ways/1/name'],
+    ['a route without weights', routingTable({ routes: [route({ shares: [] })] }), '/ways/0/shares'],
+    ['a route without a timeout', routingTable({ routes: [route({ timeoutMs: 0 })] }), '/ways/0/horizonMs'],
+    [
+      'two routes with the same host and path prefix',
+      routingTable({ routes: [route(), route({ name: 'v' })] }),
+      '/ways/1',
+    ],
+    [
+      'two routes with the same name',
+      routingTable({ routes: [route(), route({ pathPrefix: '/y/' })] }),
+      '/ways/1/name',
+    ],
     [
       'a key of two customers',
       routingTable({
@@ -73,18 +81,18 @@
       '/customers/1',
     ],
     [
-      'a path start without a slash at its end',
+      'a path prefix without a trailing slash',
       routingTable({ routes: [route({ pathPrefix: '/x' })] }),
       '/ways/0/pathStart',
     ],
   ];
-  for (const [what, given, path] of broken) {
-    it(`given ${what}, when it is checked, then it is refused with its path`, () => {
-      expect(faultsOf(given)).to.include(path);
+  for (const [title, table, path] of invalidTables) {
+    it(`given ${title}, when the table is checked, then the error names its path`, () => {
+      expect(errorPathsOf(table)).to.include(path);
     });
   }
 
-  it('given nested path starts, when a path is matched, then the longest that begins it wins, on its host only', () => {
+  it('given nested path prefixes, when a path is matched, then the route with the longest prefix on that host is returned', () => {
     const view = new RoutingTableIndexer().view(
       1,
       routingTable({
@@ -101,30 +109,30 @@
     expect(view.match('b.example', '/x/y/z')).to.equal(null);
   });
 
-  it('given kinds of routes, when they are viewed, then only repeatable ones and resumable streams may repeat', () => {
-    const mayRepeat = (more: Partial<Route>): boolean | undefined =>
+  it('given routes of each kind, when they are indexed, then only repeatable routes and resumable streams are retryable', () => {
+    const isRetryable = (more: Partial<Route>): boolean | undefined =>
       new RoutingTableIndexer().view(1, routingTable({ routes: [route(more)] })).match('a.example', '/x/')?.isRetryable;
-    expect(mayRepeat({ kind: 'repeatable' })).to.equal(true);
-    expect(mayRepeat({ kind: 'once', isResumable: true })).to.equal(false);
-    expect(mayRepeat({ kind: 'stream' })).to.equal(false);
-    expect(mayRepeat({ kind: 'stream', isResumable: true })).to.equal(true);
+    expect(isRetryable({ kind: 'repeatable' })).to.equal(true);
+    expect(isRetryable({ kind: 'once', isResumable: true })).to.equal(false);
+    expect(isRetryable({ kind: 'stream' })).to.equal(false);
+    expect(isRetryable({ kind: 'stream', isResumable: true })).to.equal(true);
   });
 
-  it('given shares of 90, 0 and 10, when pools are drawn evenly, then each gets its share and the one of 0 none', () => {
-    const split = route({
+  it('given weights of 90, 0 and 10, when pools are drawn with evenly spaced fractions, then each pool gets its share and the pool of weight 0 gets none', () => {
+    const weightedRoute = route({
       shares: [
         { pool: 'a', share: 90 },
         { pool: 'b', share: 0 },
         { pool: 'c', share: 10 },
       ],
     });
-    const drawn = Array.from({ length: 1_000 }, (_, at) => shares.draw(split, at / 1_000));
+    const drawn = Array.from({ length: 1_000 }, (_, at) => shares.draw(weightedRoute, at / 1_000));
     expect(drawn.filter((pool) => pool === 'a').length).to.equal(900);
     expect(drawn.filter((pool) => pool === 'b').length).to.equal(0);
     expect(drawn.filter((pool) => pool === 'c').length).to.equal(100);
   });
 
-  it('given a routing table and the next one, when the patch between them is applied, then the next one is what is held, whatever was put, changed or taken away', () => {
+  it('given two routing tables with added, changed and removed entries, when the patch between them is applied to the first, then the result is the second', () => {
     const before = routingTable({
       routes: [
         route({ name: 'a', pathPrefix: '/a/' }),
@@ -144,17 +152,17 @@
     const patch = patches.diff(3, before, after);
     expect(patch.put.map((one) => one.name)).to.deep.equal(['b', 'd']);
     expect(patch.gone).to.deep.equal(['a']);
-    const held = patches.apply(before, patch);
-    expect({ ...held, routes: [...held.routes].sort((x, y) => (x.name < y.name ? -1 : 1)) }).to.deep.equal(after);
+    const patched = patches.apply(before, patch);
+    expect({ ...patched, routes: [...patched.routes].sort((x, y) => (x.name < y.name ? -1 : 1)) }).to.deep.equal(after);
     expect(patches.isSmaller(patch, after)).to.equal(false);
     expect(patches.isSmaller(patches.diff(3, after, after), after)).to.equal(true);
   });
 
-  it('given models, versions and tenants, when salts are made, then any two that must not share differ and the others are one', () => {
+  it('given models, versions and customers, when their salts are compared, then those that must not share a cache differ and those that may are equal', () => {
     const isolated = { name: 'n', keyHashes: [], rank: null, isIsolated: true };
     const shared = { name: 's', keyHashes: [], rank: null, isIsolated: false };
     expect(salts.of('m', 1, shared)).to.equal(salts.of('m', 1, null));
-    const texts = [
+    const allSalts = [
       salts.of('m', 1, null),
       salts.of('m', 2, null),
       salts.of('o', 1, null),
@@ -162,6 +170,6 @@
       salts.of('m', 1, { ...isolated, name: 'o' }),
       salts.of('m', 2, isolated),
     ];
-    expect(new Set(texts).size).to.equal(texts.length);
+    expect(new Set(allSalts).size).to.equal(allSalts.length);
   });
 });
--- a/packages/settings/src/gatewayConfigCheck.ts
+++ b/packages/settings/src/gatewayConfigCheck.ts
@@ -1,42 +1,42 @@
-/** Checks the configurations that operators of a gateway send. */
+/** Validation of the gateway configurations that operators send. */
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { GatewayConfig } from '@martenworks/core-types';
 
-/** One problem, and where it is: a JSON pointer. */
+/** One problem, with the JSON pointer of the value. */
 export interface ValidationIssue {
   readonly path: string;
   readonly message: string;
 }
 
-const name = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
-const count = (low: number, high: number) => type(`${low} <= number.integer <= ${high}`);
+const entryName = type(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/);
+const integerBetween = (low: number, high: number) => type(`${low} <= number.integer <= ${high}`);
 
 const tier = type({
   '+': 'reject',
-  rank: count(0, 100),
+  rank: integerBetween(0, 100),
   'share?': type('0 < number <= 1'),
-  'horizonMs?': count(100, 600_000),
+  'horizonMs?': integerBetween(100, 600_000),
 });
 
 const pool = type({
   '+': 'reject',
-  weights: name,
-  'slots?': count(1, 4096),
-  'extraAllowance?': count(0, 1000),
+  weights: entryName,
+  'slots?': integerBetween(1, 4096),
+  'extraAllowance?': integerBetween(0, 1000),
   'prefillTokensPerMs?': type('0 < number <= 100000'),
   'pullTokensPerMs?': type('0 < number <= 1000000'),
   'store?': type('string | null'),
 });
 
-const lane = type({ '+': 'reject', pool: name, repeat: "'once' | 'freely'" });
+const lane = type({ '+': 'reject', pool: entryName, repeat: "'once' | 'freely'" });
 
 const tenant = type({
   '+': 'reject',
-  tier: name,
+  tier: entryName,
   'isolated?': 'boolean',
-  'lanes?': name.array(),
+  'lanes?': entryName.array(),
   'ratePerSecond?': type('0 < number <= 1000000 | null'),
 });
 
@@ -51,22 +51,22 @@
 const issuesOf = (problems: type.errors): ValidationIssue[] =>
   problems.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }));
 
-const tenantWithDefaults = (given: typeof tenant.infer): GatewayConfig['tenants'][string] => ({
-  tier: given.tier,
-  isolated: given.isolated ?? false,
-  lanes: given.lanes ?? [],
-  ratePerSecond: given.ratePerSecond ?? null,
+const tenantWithDefaults = (tenantInput: typeof tenant.infer): GatewayConfig['tenants'][string] => ({
+  tier: tenantInput.tier,
+  isolated: tenantInput.isolated ?? false,
+  lanes: tenantInput.lanes ?? [],
+  ratePerSecond: tenantInput.ratePerSecond ?? null,
 });
 
-const withDefaults = (given: typeof gatewayConfigSchema.infer): GatewayConfig => ({
+const withDefaults = (input: typeof gatewayConfigSchema.infer): GatewayConfig => ({
   tiers: Object.fromEntries(
-    Object.entries(given.tiers).map(([key, one]) => [
+    Object.entries(input.tiers).map(([key, one]) => [
       key,
       { rank: one.rank, share: one.share ?? 1, horizonMs: one.horizonMs ?? 30_000 },
     ]),
   ),
   pools: Object.fromEntries(
-    Object.entries(given.pools).map(([key, one]) => [
+    Object.entries(input.pools).map(([key, one]) => [
       key,
       {
         weights: one.weights,
@@ -78,45 +78,50 @@
       },
     ]),
   ),
-  lanes: given.lanes,
-  tenants: Object.fromEntries(Object.entries(given.tenants).map(([key, one]) => [key, tenantWithDefaults(one)])),
+  lanes: input.lanes,
+  tenants: Object.fromEntries(Object.entries(input.tenants).map(([key, one]) => [key, tenantWithDefaults(one)])),
 });
 
-const nameIssues = (table: Record<string, unknown>, at: string): ValidationIssue[] =>
-  Object.keys(table)
-    .filter((key) => !name.allows(key))
-    .map((key) => ({ path: `/${at}/${key}`, message: 'must be a name of letters, digits, dots, dashes, at most 64' }));
+const nameIssues = (entries: Record<string, unknown>, section: string): ValidationIssue[] =>
+  Object.keys(entries)
+    .filter((key) => !entryName.allows(key))
+    .map((key) => ({
+      path: `/${section}/${key}`,
+      message: 'must be a name of letters, digits, dots and dashes, at most 64',
+    }));
 
-/** A store keeps parts of one kind of weights only. */
+/** A cache store holds blocks of a single version of the weights. */
 const storeIssues = ({ pools }: GatewayConfig): ValidationIssue[] =>
   Object.entries(pools).flatMap(([key, { store, weights }]) => {
-    const first = Object.entries(pools).find(([, other]) => store !== null && other.store === store);
-    if (first === undefined || first[1].weights === weights) return [];
-    return [{ path: `/pools/${key}/store`, message: `is the store of pool ${first[0]} too, which has other weights` }];
+    const firstUser = Object.entries(pools).find(([, other]) => store !== null && other.store === store);
+    if (firstUser === undefined || firstUser[1].weights === weights) return [];
+    return [
+      { path: `/pools/${key}/store`, message: `is also the store of pool ${firstUser[0]}, which has other weights` },
+    ];
   });
 
 const laneIssues = ({ lanes, pools }: GatewayConfig): ValidationIssue[] =>
   Object.entries(lanes)
     .filter(([, { pool }]) => !Object.hasOwn(pools, pool))
-    .map(([key, { pool }]) => ({ path: `/lanes/${key}/pool`, message: `names the absent pool ${pool}` }));
+    .map(([key, { pool }]) => ({ path: `/lanes/${key}/pool`, message: `refers to unknown pool ${pool}` }));
 
 const tierIssues = ({ tenants, tiers }: GatewayConfig): ValidationIssue[] =>
   Object.entries(tenants)
     .filter(([, { tier }]) => !Object.hasOwn(tiers, tier))
-    .map(([key, { tier }]) => ({ path: `/tenants/${key}/tier`, message: `names the absent tier ${tier}` }));
+    .map(([key, { tier }]) => ({ path: `/tenants/${key}/tier`, message: `refers to unknown tier ${tier}` }));
 
 const tenantLaneIssues = ({ tenants, lanes }: GatewayConfig): ValidationIssue[] =>
   Object.entries(tenants).flatMap(([key, tenant]) =>
     tenant.lanes.flatMap((lane, at) =>
       Object.hasOwn(lanes, lane)
         ? []
-        : [{ path: `/tenants/${key}/lanes/${at}`, message: `names the absent lane ${lane}` }],
+        : [{ path: `/tenants/${key}/lanes/${at}`, message: `refers to unknown lane ${lane}` }],
     ),
   );
 
-/** What the schema can't express: forms of names, and names of entries that are absent. */
+/** Checks that the schema cannot express: the syntax of names, and references between entries. */
 const referenceIssues = (config: GatewayConfig): ValidationIssue[] => [
-  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((at) => nameIssues(config[at], at)),
+  ...(['tiers', 'pools', 'lanes', 'tenants'] as const).flatMap((section) => nameIssues(config[section], section)),
   ...storeIssues(config),
   ...laneIssues(config),
   ...tierIssues(config),
@@ -137,21 +142,21 @@
   return next;
 };
 
-/** Checks and merges configurations. */
+/** Validates and merges configurations. */
 export const gatewayConfigs = {
-  /** Checks a whole configuration, the names in it too, and fills in its defaults. */
-  check: (given: unknown): Result<GatewayConfig, ValidationIssue[]> => {
-    const shaped = gatewayConfigSchema(given);
-    if (shaped instanceof type.errors) return err(issuesOf(shaped));
-    const config = withDefaults(shaped);
+  /** Checks a full configuration, including its references, and fills in the defaults. */
+  check: (input: unknown): Result<GatewayConfig, ValidationIssue[]> => {
+    const parsed = gatewayConfigSchema(input);
+    if (parsed instanceof type.errors) return err(issuesOf(parsed));
+    const config = withDefaults(parsed);
     const issues = referenceIssues(config);
     return issues.length === 0 ? ok(config) : err(issues);
   },
-  /** Checks one tenant and fills in its defaults. */
-  tenant: (given: unknown): Result<GatewayConfig['tenants'][string], ValidationIssue[]> => {
-    const shaped = tenant(given);
-    return shaped instanceof type.errors ? err(issuesOf(shaped)) : ok(tenantWithDefaults(shaped));
+  /** Checks one tenant and fills in the defaults. */
+  tenant: (input: unknown): Result<GatewayConfig['tenants'][string], ValidationIssue[]> => {
+    const parsed = tenant(input);
+    return parsed instanceof type.errors ? err(issuesOf(parsed)) : ok(tenantWithDefaults(parsed));
   },
-  /** A configuration with a partial change laid over it (RFC 7396); not checked. */
+  /** Returns the configuration with a JSON merge patch (RFC 7396) applied; the result is not checked. */
   merge: (current: GatewayConfig, patch: unknown): unknown => mergePatch(current, patch),
 };
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -1,16 +1,13 @@
-/** The settings of the gateway roles, from a file and from flags. */
+/** The settings of the gateway roles, read from a file and from flags. */
 import { type } from 'arktype';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { ValidationIssue } from './gatewayConfigCheck.js';
 
-/** The roles that read these settings. */
+/** The roles with these settings. */
 export type Role = 'gateway' | 'gateway-control';
 
-/**
- * The settings of a gateway or gateway control node; what each means is the `help` of its field. Times are in
- * milliseconds.
- */
+/** The settings of a gateway or gateway control node. Each is described by the `help` of its field in `settingsFields`. */
 export interface GatewaySettings {
   readonly role: Role;
   readonly name: string;
@@ -32,9 +29,9 @@
 }
 
 const isAddress = (text: string): boolean => {
-  const found = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/.exec(text);
-  if (found === null) return false;
-  return found.slice(1, 5).every((part) => Number(part) <= 255) && Number(found[5]) >= 1 && Number(found[5]) <= 65535;
+  const match = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/.exec(text);
+  if (match === null) return false;
+  return match.slice(1, 5).every((part) => Number(part) <= 255) && Number(match[5]) >= 1 && Number(match[5]) <= 65535;
 };
 
 const address = type('string').narrow(
@@ -62,43 +59,43 @@
   'index?': 'boolean',
 });
 
-const forms = {
+const parsers = {
   text: (raw: string): unknown => raw,
   list: (raw: string): unknown => raw.split(',').filter((part) => part !== ''),
   count: (raw: string): unknown => (/^\d+$/.test(raw) ? Number(raw) : raw),
   switch: (raw: string): unknown => (raw === 'on' ? true : raw === 'off' ? false : raw),
 };
 
-/** Each field: how its flag is read, and its line in the help, with the default in brackets. */
+/** For each field, how its flag is parsed and its line in the usage page, with the default in parentheses. */
 export const settingsFields = {
-  name: { parse: forms.text, help: "this node's name, unlike any other node's" },
-  zone: { parse: forms.text, help: 'the zone this machine stands in' },
-  peerAddress: { parse: forms.text, help: "IP:PORT for the fleet's own connections" },
-  peerListenAddress: { parse: forms.text, help: 'IP:PORT to listen on where others dial another (connection)' },
-  http: { parse: forms.text, help: 'IP:PORT for HTTP (callers, or operators and platform)' },
-  operators: { parse: forms.text, help: "IP:PORT for operators' pages, on a private network (gateway only; none)" },
-  seeds: { parse: forms.list, help: 'three IP:PORT of other nodes, parted by commas' },
-  data: { parse: forms.text, help: 'data folder (control node only)' },
-  gatewayCount: { parse: forms.count, help: 'how many gateways share the retry budget (9)' },
-  bodyLimitBytes: { parse: forms.count, help: 'largest request body (4194304)' },
-  queueLimit: { parse: forms.count, help: 'most requests waiting in one stage (512)' },
-  drainMs: { parse: forms.count, help: 'longest wait for running requests on SIGTERM (25000)' },
-  claimRetentionMs: { parse: forms.count, help: 'how long an Idempotency-Key is remembered (600000)' },
-  stallMs: { parse: forms.count, help: 'longest silence within a running stream before it is cut (20000)' },
-  logs: { parse: forms.switch, help: 'on or off: JSON lines on stdout (on)' },
-  index: { parse: forms.switch, help: 'on or off: use the index of kept prompts (on)' },
+  name: { parse: parsers.text, help: 'name of this node, unique in the fleet' },
+  zone: { parse: parsers.text, help: 'zone of this machine' },
+  peerAddress: { parse: parsers.text, help: 'IP:PORT at which other nodes connect to this one' },
+  peerListenAddress: { parse: parsers.text, help: 'IP:PORT to listen on for other nodes, if different (peer-address)' },
+  http: { parse: parsers.text, help: 'IP:PORT for HTTP: clients, or operators and the platform' },
+  operators: { parse: parsers.text, help: 'IP:PORT for operator pages, on a private network (none)' },
+  seeds: { parse: parsers.list, help: 'IP:PORT of three other nodes, separated by commas' },
+  data: { parse: parsers.text, help: 'data directory' },
+  gatewayCount: { parse: parsers.count, help: 'number of gateways that share the retry budget (9)' },
+  bodyLimitBytes: { parse: parsers.count, help: 'maximum size of a request body (4194304)' },
+  queueLimit: { parse: parsers.count, help: 'maximum number of requests queued in one stage (512)' },
+  drainMs: { parse: parsers.count, help: 'maximum wait for running requests on SIGTERM (25000)' },
+  claimRetentionMs: { parse: parsers.count, help: 'how long an Idempotency-Key is stored (600000)' },
+  stallMs: { parse: parsers.count, help: 'idle time after which a running stream is ended (20000)' },
+  logs: { parse: parsers.switch, help: 'on or off: JSON lines on stdout (on)' },
+  index: { parse: parsers.switch, help: 'on or off: place requests by the prefix index (on)' },
 } as const;
 
-/** Keys of earlier releases and the keys that replaced them; a file or flag with an old key is taken with a warning. */
+/** Keys of earlier releases with the keys that replaced them; old keys are accepted with a warning. */
 export const deprecatedSettings: Readonly<Record<string, keyof typeof settingsFields>> = {
   coach: 'peerAddress',
   coachListen: 'peerListenAddress',
   fronts: 'gatewayCount',
 };
 
-const withCurrentKeys = <T>(given: Readonly<Record<string, T>>): Record<string, T> =>
+const withCurrentKeys = <T>(fields: Readonly<Record<string, T>>): Record<string, T> =>
   Object.fromEntries(
-    Object.entries(given).map(([key, value]) => [
+    Object.entries(fields).map(([key, value]) => [
       Object.hasOwn(deprecatedSettings, key) ? (deprecatedSettings[key] as string) : key,
       value,
     ]),
@@ -109,60 +106,63 @@
   return Object.fromEntries(Object.entries(flags).map(([key, raw]) => [key, fields[key]?.parse(raw) ?? raw]));
 };
 
-/** The rules that join several fields, which the schema can't express. */
+/** Rules over several fields, which the schema cannot express. */
 const roleIssues = (role: Role, { data, operators, http, peerAddress }: Record<string, unknown>): ValidationIssue[] => {
   const issues: ValidationIssue[] = [];
   if (role === 'gateway-control' && data === undefined)
-    issues.push({ path: '/data', message: 'a control node needs a data folder' });
+    issues.push({ path: '/data', message: 'is required for a control node' });
   if (role === 'gateway-control' && operators !== undefined)
-    issues.push({ path: '/operators', message: "is for gateways; a control node's http is the operators' already" });
+    issues.push({
+      path: '/operators',
+      message: 'is for gateways only; a control node serves operators at its http address',
+    });
   if (operators !== undefined && [http, peerAddress].includes(operators))
-    issues.push({ path: '/operators', message: 'must be another address than http and peerAddress' });
+    issues.push({ path: '/operators', message: 'must differ from http and peerAddress' });
   return issues;
 };
 
-const withDefaults = (role: Role, given: typeof gatewaySettingsSchema.infer): GatewaySettings => ({
+const withDefaults = (role: Role, input: typeof gatewaySettingsSchema.infer): GatewaySettings => ({
   role,
-  name: given.name,
-  zone: given.zone,
-  peerAddress: given.peerAddress,
-  peerListenAddress: given.peerListenAddress ?? given.peerAddress,
-  http: given.http,
-  operators: given.operators ?? null,
-  seeds: given.seeds,
-  data: given.data ?? null,
-  gatewayCount: given.gatewayCount ?? 9,
-  bodyLimitBytes: given.bodyLimitBytes ?? 4 * 1024 * 1024,
-  queueLimit: given.queueLimit ?? 512,
-  drainMs: given.drainMs ?? 25_000,
-  claimRetentionMs: given.claimRetentionMs ?? 600_000,
-  stallMs: given.stallMs ?? 20_000,
-  logs: given.logs ?? true,
-  index: given.index ?? true,
+  name: input.name,
+  zone: input.zone,
+  peerAddress: input.peerAddress,
+  peerListenAddress: input.peerListenAddress ?? input.peerAddress,
+  http: input.http,
+  operators: input.operators ?? null,
+  seeds: input.seeds,
+  data: input.data ?? null,
+  gatewayCount: input.gatewayCount ?? 9,
+  bodyLimitBytes: input.bodyLimitBytes ?? 4 * 1024 * 1024,
+  queueLimit: input.queueLimit ?? 512,
+  drainMs: input.drainMs ?? 25_000,
+  claimRetentionMs: input.claimRetentionMs ?? 600_000,
+  stallMs: input.stallMs ?? 20_000,
+  logs: input.logs ?? true,
+  index: input.index ?? true,
 });
 
-/** Reads the settings of the gateway roles. */
+/** Validates the settings of the gateway roles. */
 export const gatewaySettings = {
-  /** One note for each key of an earlier release among these, for a warning. */
-  deprecatedIn: (given: Readonly<Record<string, unknown>>): string[] =>
-    Object.keys(given)
+  /** Returns one warning for each key of an earlier release. */
+  deprecatedIn: (fields: Readonly<Record<string, unknown>>): string[] =>
+    Object.keys(fields)
       .filter((key) => Object.hasOwn(deprecatedSettings, key))
       .map((key) => `${key}: use ${deprecatedSettings[key]}`),
 
-  /** The settings of a file with flags laid over it, or all that is wrong with them by path. */
+  /** Returns the settings of the file with the flags taking precedence, or all of their issues. */
   check: (
     role: Role,
     file: Record<string, unknown>,
     flags: Record<string, string>,
   ): Result<GatewaySettings, ValidationIssue[]> => {
-    const given = { ...withCurrentKeys(file), ...parseFlags(withCurrentKeys(flags)) };
-    const shaped = gatewaySettingsSchema(given);
+    const input = { ...withCurrentKeys(file), ...parseFlags(withCurrentKeys(flags)) };
+    const parsed = gatewaySettingsSchema(input);
     const schemaIssues: ValidationIssue[] =
-      shaped instanceof type.errors
-        ? shaped.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }))
+      parsed instanceof type.errors
+        ? parsed.map((problem) => ({ path: `/${problem.path.join('/')}`, message: problem.message }))
         : [];
-    const issues = [...schemaIssues, ...roleIssues(role, given)];
-    if (shaped instanceof type.errors || issues.length > 0) return err(issues);
-    return ok(withDefaults(role, shaped));
+    const issues = [...schemaIssues, ...roleIssues(role, input)];
+    if (parsed instanceof type.errors || issues.length > 0) return err(issues);
+    return ok(withDefaults(role, parsed));
   },
 };
--- a/packages/settings/test/gatewaySettings.test.ts
+++ b/packages/settings/test/gatewaySettings.test.ts
@@ -2,7 +2,7 @@
 import { gatewaySettings } from '@martenworks/settings';
 import type { Role } from '@martenworks/settings';
 
-const sound = {
+const validSettings = {
   name: 'n-1',
   zone: 'a',
   peerAddress: '10.0.0.1:7100',
@@ -11,22 +11,22 @@
 };
 
 const pathsOf = (role: Role, more: Record<string, unknown>): string[] =>
-  gatewaySettings.check(role, { ...sound, ...more }, {}).match(
+  gatewaySettings.check(role, { ...validSettings, ...more }, {}).match(
     () => [],
-    (faults) => faults.map((fault) => fault.path),
+    (issues) => issues.map((issue) => issue.path),
   );
 
-describe('settings', () => {
-  it('given each faulty setting, when an env is checked, then its path is named; and a sound one passes', () => {
+describe('gateway settings', () => {
+  it('given an invalid setting, when the settings are checked, then its path is reported; and valid settings pass', () => {
     const cases: [Role, Record<string, unknown>, string[]][] = [
       ['gateway', {}, []],
       ['gateway', { operators: '10.0.0.1:7102', peerListenAddress: '10.0.0.9:7100' }, []],
       ['gateway', { operators: 'nowhere' }, ['/operators']],
-      ['gateway', { operators: sound.http }, ['/operators']],
-      ['gateway', { operators: sound.peerAddress }, ['/operators']],
+      ['gateway', { operators: validSettings.http }, ['/operators']],
+      ['gateway', { operators: validSettings.peerAddress }, ['/operators']],
       ['gateway', { peerListenAddress: '10.0.0.1' }, ['/peerListenAddress']],
       ['gateway', { unheardOf: 1 }, ['/unheardOf']],
-      ['gateway', { seeds: sound.seeds.slice(1) }, ['/seeds']],
+      ['gateway', { seeds: validSettings.seeds.slice(1) }, ['/seeds']],
       ['gateway-control', {}, ['/data']],
       ['gateway-control', { data: 'd', operators: '10.0.0.1:7102' }, ['/operators']],
       ['gateway-control', { data: 'd' }, []],
@@ -36,20 +36,20 @@
   });
 });
 
-describe('settings of earlier releases', () => {
-  const former = { coach: sound.peerAddress, coachListen: '10.0.0.9:7100', fronts: 4 };
-  const current = { peerAddress: sound.peerAddress, peerListenAddress: '10.0.0.9:7100', gatewayCount: 4 };
-  const { peerAddress: _, ...others } = sound;
+describe('gateway settings of earlier releases', () => {
+  const deprecated = { coach: validSettings.peerAddress, coachListen: '10.0.0.9:7100', fronts: 4 };
+  const current = { peerAddress: validSettings.peerAddress, peerListenAddress: '10.0.0.9:7100', gatewayCount: 4 };
+  const { peerAddress: _, ...others } = validSettings;
 
-  it('given each old key, in a file or as a flag, when the settings are checked, then they are those of the new key', () => {
+  it('given old keys in a file or as flags, when the settings are checked, then the result equals that of the new keys', () => {
     const expected = gatewaySettings.check('gateway', { ...others, ...current }, {})._unsafeUnwrap();
-    const asFlags = { coach: former.coach, coachListen: former.coachListen, fronts: String(former.fronts) };
-    expect(gatewaySettings.check('gateway', { ...others, ...former }, {})._unsafeUnwrap()).to.deep.equal(expected);
+    const asFlags = { coach: deprecated.coach, coachListen: deprecated.coachListen, fronts: String(deprecated.fronts) };
+    expect(gatewaySettings.check('gateway', { ...others, ...deprecated }, {})._unsafeUnwrap()).to.deep.equal(expected);
     expect(gatewaySettings.check('gateway', others, asFlags)._unsafeUnwrap()).to.deep.equal(expected);
   });
 
-  it('given old keys, when they are looked for, then one note for each names the new key; and new keys give none', () => {
-    expect(gatewaySettings.deprecatedIn(former)).to.deep.equal([
+  it('given old keys, when deprecation warnings are requested, then there is one for each old key with the new key, and none for new keys', () => {
+    expect(gatewaySettings.deprecatedIn(deprecated)).to.deep.equal([
       'coach: use peerAddress',
       'coachListen: use peerListenAddress',
       'fronts: use gatewayCount',
--- a/packages/upstream/src/gatedAgent.ts
+++ b/packages/upstream/src/gatedAgent.ts
@@ -1,35 +1,35 @@
-/** An undici agent that asks before a request's first byte is written and as its response head arrives. */
+/** An undici agent with a check before a request is written and another when its response head arrives. */
 import { Agent, type Dispatcher } from 'undici';
 import type { AnswerHead } from '@martenworks/core-types';
 
 const noContentStatuses = new Set([204, 304]);
 const firstFinalStatus = 200;
 
-/** Asked as a request is written to its connection, and as the head of its answer is there. */
-export interface Gates {
+/** The checks of one request: before it is written to its connection, and when the head of its response arrives. */
+export interface RequestGates {
   readonly mayWrite: () => boolean;
   readonly accepts: (head: AnswerHead) => boolean;
 }
 
-/** Why the agent ended a request by itself. */
+/** Why the agent aborted a request. */
 type GateCode = 'GATED' | 'WRITTEN_BEFORE' | 'HEAD_REFUSED';
 
 class GateError extends Error {
   constructor(readonly code: GateCode) {
-    super(`the request was ended: ${code}`);
+    super(`request aborted: ${code}`);
   }
 }
 
-type GatedOptions = Dispatcher.DispatchOptions & { readonly gates?: Gates };
+type GatedOptions = Dispatcher.DispatchOptions & { readonly gates?: RequestGates };
 type Abort = (cause?: Error) => void;
 
-/** The callbacks of undici's own request handler that the gates come before. */
+/** The callbacks of undici's request handler that the checks are put in front of. */
 interface RequestHandler {
   onConnect: (abort: Abort, context: unknown) => void;
   onHeaders: (status: number, headers: readonly Buffer[], resume: () => void, text: string) => boolean;
 }
 
-const isDelimited = (method: string, status: number, headers: readonly string[]): boolean =>
+const isBodyDelimited = (method: string, status: number, headers: readonly string[]): boolean =>
   method === 'HEAD' ||
   noContentStatuses.has(status) ||
   headers.some((name, at) => {
@@ -40,37 +40,36 @@
   });
 
 /**
- * An agent that asks before it writes: `mayWrite` within the turn in which the request's first byte goes to the socket,
- * for requests with and without a body alike, and once only. A second write of the same request, which the library
- * would make to retry it, is refused.
+ * An agent that calls `mayWrite` in the same event loop turn in which the first byte of the request is written to the
+ * socket, with or without a body, and once only: a retry by undici, which would write the request again, is aborted.
  */
 export class GatedAgent extends Agent {
   override dispatch(options: GatedOptions, handler: Dispatcher.DispatchHandler): boolean {
     const { gates } = options;
-    if (gates !== undefined) this.guard(handler as unknown as RequestHandler, options.method, gates);
+    if (gates !== undefined) this.addGates(handler as unknown as RequestHandler, options.method, gates);
     return super.dispatch(options, handler);
   }
 
-  private readonly guard = (handler: RequestHandler, method: string, gates: Gates): void => {
-    const connected = handler.onConnect.bind(handler);
-    const headed = handler.onHeaders.bind(handler);
+  private readonly addGates = (handler: RequestHandler, method: string, gates: RequestGates): void => {
+    const originalOnConnect = handler.onConnect.bind(handler);
+    const originalOnHeaders = handler.onHeaders.bind(handler);
     let isWritten = false;
-    let end: Abort = () => {};
+    let abortRequest: Abort = () => {};
     handler.onConnect = (abort, context) => {
-      end = abort;
+      abortRequest = abort;
       if (isWritten) return abort(new GateError('WRITTEN_BEFORE'));
       if (!gates.mayWrite()) return abort(new GateError('GATED'));
       isWritten = true;
-      connected(abort, context);
+      originalOnConnect(abort, context);
     };
-    handler.onHeaders = (status, raw, resume, text) => {
-      const headers = raw.map((bytes) => bytes.toString('latin1'));
+    handler.onHeaders = (status, rawHeaders, resume, statusText) => {
+      const headers = rawHeaders.map((bytes) => bytes.toString('latin1'));
       if (
         status < firstFinalStatus ||
-        gates.accepts({ status, headers, isDelimited: isDelimited(method, status, headers) })
+        gates.accepts({ status, headers, isDelimited: isBodyDelimited(method, status, headers) })
       )
-        return headed(status, raw, resume, text);
-      end(new GateError('HEAD_REFUSED'));
+        return originalOnHeaders(status, rawHeaders, resume, statusText);
+      abortRequest(new GateError('HEAD_REFUSED'));
       return false;
     };
   };
--- a/packages/upstream/src/kvEvents.ts
+++ b/packages/upstream/src/kvEvents.ts
@@ -1,19 +1,19 @@
-/** Follows the stream of cache events of one replica and reconnects where it breaks. */
+/** Subscribes to the cache event stream of a replica. */
 import { background, pause } from '@martenworks/core-types';
 import type { HttpClient, Clock, KvCacheEvent, Log, Random } from '@martenworks/core-types';
 import { replicaProtocol } from './replicaProtocol.js';
 
-const newsKinds = new Set(['hello', 'stored', 'removed', 'cleared']);
+const eventKinds = new Set(['hello', 'stored', 'removed', 'cleared']);
 
-const newsOf = (replica: string, data: string): KvCacheEvent | null => {
-  let told: Record<string, unknown>;
+const parseEvent = (replica: string, data: string): KvCacheEvent | null => {
+  let fields: Record<string, unknown>;
   try {
-    told = JSON.parse(data) as Record<string, unknown>;
+    fields = JSON.parse(data) as Record<string, unknown>;
   } catch {
     return null;
   }
-  const { incarnation, seq, kind, tenant, blocks } = told;
-  if (!Number.isInteger(incarnation) || !Number.isInteger(seq) || typeof kind !== 'string' || !newsKinds.has(kind))
+  const { incarnation, seq, kind, tenant, blocks } = fields;
+  if (!Number.isInteger(incarnation) || !Number.isInteger(seq) || typeof kind !== 'string' || !eventKinds.has(kind))
     return null;
   return {
     replica,
@@ -25,14 +25,14 @@
   };
 };
 
-/** A running subscription; `stop` ends it for good. */
+/** A running subscription; `stop` ends it. */
 export interface KvEventSubscription {
   readonly stop: () => void;
 }
 
 /**
- * Subscribes to `/kv-events`. Reconnects after the last sequence number with a doubling pause of 100 ms to 2 s;
- * malformed events are skipped.
+ * Subscribes to `/kv-events` (server-sent events). When the stream breaks, it resumes after `lastSeq`, with exponential
+ * backoff from 100 ms to 2 s and jitter. Malformed events are skipped.
  */
 export const kvEvents = {
   subscribe: (
@@ -42,38 +42,38 @@
     log: Log,
     replica: string,
     address: string,
-    after: () => number,
-    take: (update: KvCacheEvent) => void,
+    lastSeq: () => number,
+    onEvent: (event: KvCacheEvent) => void,
   ): KvEventSubscription => {
-    const quit = new AbortController();
+    const stopped = new AbortController();
     const run = async (): Promise<void> => {
-      let waitMs = 100;
-      while (!quit.signal.aborted) {
+      let backoffMs = 100;
+      while (!stopped.signal.aborted) {
         const response = await httpClient.send({
           method: 'GET',
-          url: `http://${address}/kv-events?after=${after()}`,
+          url: `http://${address}/kv-events?after=${lastSeq()}`,
           headers: { accept: 'text/event-stream' },
           body: null,
-          signal: quit.signal,
+          signal: stopped.signal,
           gate: () => true,
         });
         if (response.isOk() && response.value.status === 200) {
-          waitMs = 100;
+          backoffMs = 100;
           try {
             for await (const data of replicaProtocol.events(response.value.body)) {
-              const update = newsOf(replica, data);
-              if (update !== null) take(update);
+              const event = parseEvent(replica, data);
+              if (event !== null) onEvent(event);
             }
           } catch {
             log.info('kv-events stream broke', { replica });
           }
         }
-        if (quit.signal.aborted) return;
-        await pause.for(clock, waitMs * (0.5 + random.fraction()));
-        waitMs = Math.min(waitMs * 2, 2_000);
+        if (stopped.signal.aborted) return;
+        await pause.for(clock, backoffMs * (0.5 + random.fraction()));
+        backoffMs = Math.min(backoffMs * 2, 2_000);
       }
     };
     background.run('follow cache events', run());
-    return { stop: () => quit.abort() };
+    return { stop: () => stopped.abort() };
   },
 };
--- a/packages/upstream/src/replicaProtocol.ts
+++ b/packages/upstream/src/replicaProtocol.ts
@@ -1,15 +1,15 @@
-/** The completion protocol between a gateway and a replica: one attempt, its event stream and its errors. */
+/** The completion protocol between a gateway and a replica: the request, its event stream and its errors. */
 import { createParser } from 'eventsource-parser';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { HttpClient, HttpClientResponse } from '@martenworks/core-types';
 
-/** The two completion endpoints that are served. */
+/** The supported completion endpoints. */
 export type CompletionPath = '/v1/completions' | '/v1/chat/completions';
 
 /**
- * One attempt at one replica; `weights` is the model version that it has to run, `cacheFrom` the address to pull the
- * prefix from.
+ * One attempt at a replica. `weights` is the weights version that the replica must run, `cacheFrom` the address from
+ * which it pulls the cached prefix.
  */
 export interface ReplicaAttempt {
   readonly requestId: string;
@@ -25,10 +25,7 @@
   readonly gate: () => boolean;
 }
 
-/**
- * One step of a response: a chunk as JSON text, its regular end, a cut stream, or a chunk from other weights than asked
- * for.
- */
+/** One event of a response: a chunk as JSON text, the regular end, a truncated stream, or a chunk of other weights. */
 export type CompletionEvent =
   | { readonly kind: 'chunk'; readonly data: string }
   | { readonly kind: 'done' }
@@ -36,8 +33,8 @@
   | { readonly kind: 'wrongWeights'; readonly cause: string };
 
 /**
- * An attempt that brought no stream; `isUnsent` tells that no byte reached the replica, `status` is null where no
- * response came.
+ * The error of an attempt that did not return a stream. `isUnsent` is true if no byte of the request was written;
+ * `status` is null if there was no response.
  */
 export interface ReplicaAttemptError {
   readonly kind: 'replicaAttempt';
@@ -47,61 +44,64 @@
   readonly retryAfterSeconds: number | null;
 }
 
-const noRetry = { retryAfterSeconds: null };
+const noRetryAfter = { retryAfterSeconds: null };
 
-const retryAfterIn = (response: HttpClientResponse): number | null => {
-  const told = response.header('retry-after');
-  return told !== null && /^\d{1,6}$/.test(told) ? Number(told) : null;
+const retryAfterOf = (response: HttpClientResponse): number | null => {
+  const value = response.header('retry-after');
+  return value !== null && /^\d{1,6}$/.test(value) ? Number(value) : null;
 };
 
-const doneMark = '[DONE]';
+const doneMarker = '[DONE]';
 
-const eventsIn = async function* (body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
-  const ready: string[] = [];
-  const parser = createParser({ onEvent: (event) => void ready.push(event.data) });
+const sseData = async function* (body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
+  const pending: string[] = [];
+  const parser = createParser({ onEvent: (event) => void pending.push(event.data) });
   const decoder = new TextDecoder();
   for await (const bytes of body) {
     parser.feed(decoder.decode(bytes, { stream: true }));
-    while (ready.length > 0) yield ready.shift() as string;
+    while (pending.length > 0) yield pending.shift() as string;
   }
 };
 
-interface ChunkShape {
+interface CompletionChunk {
   readonly id?: unknown;
   readonly model?: unknown;
   readonly error?: unknown;
   readonly choices?: readonly { readonly finish_reason?: unknown }[];
 }
 
-const parsedChunk = (data: string): ChunkShape | null => {
+const parseChunk = (data: string): CompletionChunk | null => {
   try {
     const value: unknown = JSON.parse(data);
-    return value !== null && typeof value === 'object' ? (value as ChunkShape) : null;
+    return value !== null && typeof value === 'object' ? (value as CompletionChunk) : null;
   } catch {
     return null;
   }
 };
 
-const pieces = async function* (body: AsyncIterable<Uint8Array>, weights: string): AsyncGenerator<CompletionEvent> {
-  let runId: unknown;
+const completionEvents = async function* (
+  body: AsyncIterable<Uint8Array>,
+  weights: string,
+): AsyncGenerator<CompletionEvent> {
+  let responseId: unknown;
   let isFinished = false;
   try {
-    for await (const data of eventsIn(body)) {
-      if (data === doneMark) {
+    for await (const data of sseData(body)) {
+      if (data === doneMarker) {
         yield isFinished
           ? { kind: 'done' }
           : { kind: 'truncated', cause: 'the end marker came before a finish reason' };
         return;
       }
-      const chunk = parsedChunk(data);
+      const chunk = parseChunk(data);
       if (chunk === null) return yield { kind: 'truncated', cause: 'a chunk is not a JSON object' };
       if (chunk.error !== undefined)
         return yield { kind: 'truncated', cause: 'the replica reported an error mid-stream' };
       if (chunk.model !== weights)
         return yield { kind: 'wrongWeights', cause: `the replica ran ${String(chunk.model)}` };
-      if (runId === undefined) runId = chunk.id;
-      if (typeof runId !== 'string' || chunk.id !== runId)
-        return yield { kind: 'truncated', cause: 'the run id changed within the stream' };
+      if (responseId === undefined) responseId = chunk.id;
+      if (typeof responseId !== 'string' || chunk.id !== responseId)
+        return yield { kind: 'truncated', cause: 'the response id changed within the stream' };
       if (chunk.choices?.some((choice) => typeof choice.finish_reason === 'string') === true) isFinished = true;
       yield { kind: 'chunk', data };
     }
@@ -111,7 +111,7 @@
   }
 };
 
-const drainQuietly = async (response: HttpClientResponse): Promise<void> => {
+const discardBody = async (response: HttpClientResponse): Promise<void> => {
   let size = 0;
   try {
     for await (const bytes of response.body) {
@@ -123,35 +123,35 @@
   }
 };
 
-interface ChoiceShape {
+interface CompletionChoice {
   readonly index?: number;
   readonly text?: string;
   readonly delta?: { readonly content?: string };
   readonly finish_reason?: string | null;
 }
 
-const assembleResponse = (path: CompletionPath, datas: readonly string[]): Record<string, unknown> => {
-  const chunks = datas.map((data) => JSON.parse(data) as Record<string, unknown>);
-  const texts = new Map<number, { text: string; finish: string | null }>();
+const assembleResponse = (path: CompletionPath, chunkTexts: readonly string[]): Record<string, unknown> => {
+  const chunks = chunkTexts.map((data) => JSON.parse(data) as Record<string, unknown>);
+  const choicesByIndex = new Map<number, { text: string; finish: string | null }>();
   for (const chunk of chunks) {
-    for (const choice of (chunk.choices as ChoiceShape[] | undefined) ?? []) {
+    for (const choice of (chunk.choices as CompletionChoice[] | undefined) ?? []) {
       const index = choice.index ?? 0;
-      const held = texts.get(index) ?? { text: '', finish: null };
-      texts.set(index, {
-        text: held.text + (choice.text ?? choice.delta?.content ?? ''),
-        finish: choice.finish_reason ?? held.finish,
+      const collected = choicesByIndex.get(index) ?? { text: '', finish: null };
+      choicesByIndex.set(index, {
+        text: collected.text + (choice.text ?? choice.delta?.content ?? ''),
+        finish: choice.finish_reason ?? collected.finish,
       });
     }
   }
   const first = chunks[0] ?? {};
-  const usage = chunks.map((chunk) => chunk.usage).findLast((held) => held !== undefined && held !== null);
+  const usage = chunks.map((chunk) => chunk.usage).findLast((value) => value !== undefined && value !== null);
   const isChat = path === '/v1/chat/completions';
   return {
     id: first.id,
     object: isChat ? 'chat.completion' : 'text_completion',
     created: first.created,
     model: first.model,
-    choices: [...texts].map(([index, { text, finish }]) => ({
+    choices: [...choicesByIndex].map(([index, { text, finish }]) => ({
       index,
       ...(isChat ? { message: { role: 'assistant', content: text } } : { text }),
       finish_reason: finish,
@@ -189,31 +189,31 @@
         isUnsent: response.error.isUnsent,
         status: null,
         cause: response.error.code,
-        ...noRetry,
+        ...noRetryAfter,
       });
     if (response.value.status !== 200) {
-      await drainQuietly(response.value);
+      await discardBody(response.value);
       return err({
         kind: 'replicaAttempt',
         isUnsent: false,
         status: response.value.status,
         cause: `status ${response.value.status}`,
-        retryAfterSeconds: retryAfterIn(response.value),
+        retryAfterSeconds: retryAfterOf(response.value),
       });
     }
     if (!(response.value.header('content-type') ?? '').startsWith('text/event-stream')) {
-      await drainQuietly(response.value);
+      await discardBody(response.value);
       return err({
         kind: 'replicaAttempt',
         isUnsent: false,
         status: 200,
-        cause: 'the receipt is no event stream',
-        ...noRetry,
+        cause: 'the response is not an event stream',
+        ...noRetryAfter,
       });
     }
-    return ok(pieces(response.value.body, attempt.weights));
+    return ok(completionEvents(response.value.body, attempt.weights));
   },
-  events: eventsIn,
+  events: sseData,
   promptOf: (path: CompletionPath, body: Record<string, unknown>): string | null => {
     if (path === '/v1/completions') return typeof body.prompt === 'string' ? body.prompt : null;
     const messages = body.messages;
--- a/packages/upstream/test/httpClient.test.ts
+++ b/packages/upstream/test/httpClient.test.ts
@@ -6,7 +6,7 @@
 import type { HttpClientResponse, NetworkError } from '@martenworks/core-types';
 import type { Result } from 'neverthrow';
 
-const opened = (
+const openServer = (
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<{ server: Server; url: string }> =>
   new Promise((resolve) => {
@@ -16,7 +16,7 @@
     );
   });
 
-const closed = (server: Server): Promise<void> =>
+const closeServer = (server: Server): Promise<void> =>
   new Promise((resolve) => {
     server.close(() => resolve());
     server.closeAllConnections();
@@ -29,7 +29,7 @@
 };
 
 const httpClient = httpClients.real(null);
-const ask = (
+const sendRequest = (
   method: string,
   url: string,
   more: { body?: string | null; gate?: () => boolean; accepts?: () => boolean } = {},
@@ -43,7 +43,7 @@
     gate: more.gate ?? (() => true),
     ...(more.accepts === undefined ? {} : { accepts: more.accepts }),
   });
-const carry = (url: string, gate: () => boolean = () => true): Promise<Result<HttpClientResponse, NetworkError>> =>
+const sendText = (url: string, gate: () => boolean = () => true): Promise<Result<HttpClientResponse, NetworkError>> =>
   httpClient.send({
     method: 'POST',
     url,
@@ -53,101 +53,103 @@
     gate,
   });
 
-describe('the carriage to back ends, over real sockets', () => {
+describe('the HTTP client on real sockets', () => {
   after(() => httpClient.close());
 
-  it('given a port that refuses, when a request is carried, then it is known to be unsent', async () => {
-    const { server, url } = await opened(() => {});
-    await closed(server);
-    expect((await carry(url))._unsafeUnwrapErr()).to.deep.include({ code: 'ECONNREFUSED', isUnsent: true });
+  it('given a port that refuses connections, when a request is sent, then it is reported as unsent', async () => {
+    const { server, url } = await openServer(() => {});
+    await closeServer(server);
+    expect((await sendText(url))._unsafeUnwrapErr()).to.deep.include({ code: 'ECONNREFUSED', isUnsent: true });
   });
 
-  it('given a server that breaks off once the request came, when it is carried, then it is not held to be unsent', async () => {
-    const { server, url } = await opened((request) => request.socket.destroy());
-    expect((await carry(url))._unsafeUnwrapErr().isUnsent).to.equal(false);
-    await closed(server);
+  it('given a server that closes the connection when the request arrives, when a request is sent, then it is not reported as unsent', async () => {
+    const { server, url } = await openServer((request) => request.socket.destroy());
+    expect((await sendText(url))._unsafeUnwrapErr().isUnsent).to.equal(false);
+    await closeServer(server);
   });
 
-  it('given a pooled connection that the server closes as the next request arrives on it, when that is carried, then it is not held to be unsent, nor sent again', async () => {
-    let count = 0;
-    const { server, url } = await opened((request, response) => {
-      count += 1;
-      if (count === 1) {
+  it('given a pooled connection that the server closes when the next request arrives, when that request is sent, then it is neither reported as unsent nor sent again', async () => {
+    let requestCount = 0;
+    const { server, url } = await openServer((request, response) => {
+      requestCount += 1;
+      if (requestCount === 1) {
         request.resume();
         response.end('first');
       } else request.socket.destroy();
     });
-    expect(await textOf((await carry(url))._unsafeUnwrap())).to.equal('first');
-    expect((await carry(url))._unsafeUnwrapErr().isUnsent).to.equal(false);
-    expect(count).to.equal(2);
-    await closed(server);
+    expect(await textOf((await sendText(url))._unsafeUnwrap())).to.equal('first');
+    expect((await sendText(url))._unsafeUnwrapErr().isUnsent).to.equal(false);
+    expect(requestCount).to.equal(2);
+    await closeServer(server);
   });
 
-  it('given a gate that is shut when the connection is there, when a request is carried, then no whole body leaves and it is known to be unsent', async () => {
-    const wholes: string[] = [];
-    const { server, url } = await opened((request, response) => {
+  it('given a gate that returns false once the connection is open, when a request is sent, then no full body is received and it is reported as unsent', async () => {
+    const receivedBodies: string[] = [];
+    const { server, url } = await openServer((request, response) => {
       let text = '';
       request.on('data', (bytes: Buffer) => (text += bytes.toString()));
       request.on('end', () => {
-        wholes.push(text);
+        receivedBodies.push(text);
         response.end('ok');
       });
     });
-    expect((await carry(url, () => false))._unsafeUnwrapErr()).to.deep.include({ code: 'GATED', isUnsent: true });
-    expect(await textOf((await carry(url))._unsafeUnwrap())).to.equal('ok');
-    expect(wholes).to.deep.equal(['a body']);
-    await closed(server);
+    expect((await sendText(url, () => false))._unsafeUnwrapErr()).to.deep.include({ code: 'GATED', isUnsent: true });
+    expect(await textOf((await sendText(url))._unsafeUnwrap())).to.equal('ok');
+    expect(receivedBodies).to.deep.equal(['a body']);
+    await closeServer(server);
   });
 
   for (const body of [null, 'a body'])
-    it(`given a gate that is shut, when a request ${body === null ? 'without' : 'with'} a body is carried, then the server gets no byte of it and it is known to be unsent`, async () => {
-      const { server, url } = await opened((_, response) => response.end('ok'));
+    it(`given a gate that returns false, when a request ${body === null ? 'without' : 'with'} a body is sent, then the server receives no byte and it is reported as unsent`, async () => {
+      const { server, url } = await openServer((_, response) => response.end('ok'));
       let bytesRead = 0;
       server.on('connection', (socket) => socket.on('close', () => (bytesRead += socket.bytesRead)));
-      expect((await ask('PUT', url, { body, gate: () => false }))._unsafeUnwrapErr()).to.deep.include({
+      expect((await sendRequest('PUT', url, { body, gate: () => false }))._unsafeUnwrapErr()).to.deep.include({
         code: 'GATED',
         isUnsent: true,
       });
-      await closed(server);
+      await closeServer(server);
       expect(bytesRead).to.equal(0);
     });
 
-  it('given a port that refuses, when a request without a body is carried, then its gate is not asked, since it is asked only as the first byte is to be written', async () => {
-    const { server, url } = await opened(() => {});
-    await closed(server);
-    let asked = 0;
-    const gate = (): boolean => ++asked > 0;
-    expect((await ask('GET', url, { gate }))._unsafeUnwrapErr()).to.deep.include({ isUnsent: true });
-    expect(asked).to.equal(0);
+  it('given a port that refuses connections, when a request without a body is sent, then its gate is not called, as no byte is written', async () => {
+    const { server, url } = await openServer(() => {});
+    await closeServer(server);
+    let gateCalls = 0;
+    const gate = (): boolean => ++gateCalls > 0;
+    expect((await sendRequest('GET', url, { gate }))._unsafeUnwrapErr()).to.deep.include({ isUnsent: true });
+    expect(gateCalls).to.equal(0);
   });
 
   for (const method of ['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
-    it(`given a kept connection that is reset as a ${method} without a body arrives, when it is carried, then the library does not send it again and it may have run`, async () => {
+    it(`given a keep-alive connection that is reset when a ${method} without a body arrives, when the request is sent, then undici does not retry it and it is not reported as unsent`, async () => {
       const methods: string[] = [];
-      const { server, url } = await opened((request, response) => {
+      const { server, url } = await openServer((request, response) => {
         methods.push(request.method ?? '');
         if (methods.length === 1) response.end('first');
         else request.socket.resetAndDestroy();
       });
-      let asked = 0;
-      expect(await textOf((await ask('POST', url))._unsafeUnwrap())).to.equal('first');
-      expect((await ask(method, url, { gate: () => ++asked > 0 }))._unsafeUnwrapErr().isUnsent).to.equal(false);
-      expect([methods, asked]).to.deep.equal([['POST', method], 1]);
-      await closed(server);
+      let gateCalls = 0;
+      expect(await textOf((await sendRequest('POST', url))._unsafeUnwrap())).to.equal('first');
+      expect((await sendRequest(method, url, { gate: () => ++gateCalls > 0 }))._unsafeUnwrapErr().isUnsent).to.equal(
+        false,
+      );
+      expect([methods, gateCalls]).to.deep.equal([['POST', method], 1]);
+      await closeServer(server);
     });
 
-  it('given an answer whose head is not accepted, when the next request is carried, then the connection that brought it is not used again', async () => {
+  it('given a response whose head is not accepted, when the next request is sent, then its connection is not reused', async () => {
     const sockets: unknown[] = [];
-    const { server, url } = await opened((request, response) => {
+    const { server, url } = await openServer((request, response) => {
       sockets.push(request.socket);
       response.end('whole');
     });
-    expect((await ask('GET', url, { accepts: () => false }))._unsafeUnwrapErr()).to.deep.include({
+    expect((await sendRequest('GET', url, { accepts: () => false }))._unsafeUnwrapErr()).to.deep.include({
       code: 'HEAD_REFUSED',
       isUnsent: false,
     });
-    expect(await textOf((await ask('GET', url))._unsafeUnwrap())).to.equal('whole');
+    expect(await textOf((await sendRequest('GET', url))._unsafeUnwrap())).to.equal('whole');
     expect(new Set(sockets).size).to.equal(2);
-    await closed(server);
+    await closeServer(server);
   });
 });
