--- a/packages/cluster-membership/src/leaseTerms.ts
+++ b/packages/cluster-membership/src/leaseTerms.ts
@@ -1,4 +1,7 @@
-/** The messages and terms of leases. The lease of a duty is held by the node to which a majority of voters granted it. */
+/**
+ * The messages and terms of leases. A duty is a task that only one node may perform at a time; its lease is held by the
+ * node to which a majority of the voters granted it.
+ */
 
 /** The duration of a grant that is not renewed, in milliseconds. */
 export const leaseMs = 3_000;
--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -120,7 +120,7 @@
     const third = followersOf(fleet, 'replica-3')[0] as number;
     fleet.world.isolate(fleet.controlNodeHosts[third] as string);
     await runAndCountOverlaps(8_000);
-    for (const name of names) expect(followersOf(fleet, name).length, `${name} during a cut`).to.equal(1);
+    for (const name of names) expect(followersOf(fleet, name).length, `${name} while isolated`).to.equal(1);
     fleet.world.healAll();
     fleet.machineOf('control', followersOf(fleet, 'replica-4')[0] as number).wallClockOffset += 3_600_000;
     await runAndCountOverlaps(6_000);
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -140,7 +140,7 @@
 /**
  * A report of cache misses that contradict the prefix index: the index has these parts at the address, but a response
  * shows that they were not cached. With `isDecided` there were enough misses to remove the parts from the index. With
- * `quarantineMs` the address does not count as caching them for that long, whatever its events say.
+ * `quarantineMs` the address does not count as caching them for that long, regardless of its events.
  */
 export interface CacheMissReport {
   readonly address: string;
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -78,7 +78,7 @@
   };
 
   readonly pause = (forMs: number): Promise<void> =>
-    new Promise((wake) => void this.world.machine(farHost).clock().after(forMs, wake));
+    new Promise((resolve) => void this.world.machine(farHost).clock().after(forMs, resolve));
 
   readonly droppedConnections = (): unknown[] =>
     this.world.logLines.filter(({ message }) => message === 'connection dropped');
@@ -141,7 +141,7 @@
   it('given a peer that reads as fast as its link allows, when more than 8 MB are queued for it, then the connection stays open and everything arrives', async () => {
     const { pair, connection } = await connectedPair();
     pair.world.limitBandwidth(farHost, slowLinkBytesPerSecond);
-    for (const mark of [3, 5, 9]) connection.send('prefixCaches', bytesOf(4_000_000, mark));
+    for (const multiplier of [3, 5, 9]) connection.send('prefixCaches', bytesOf(4_000_000, multiplier));
     for (let count = 0; count < 16; count += 1) {
       connection.send('stateAnnounced', count);
       await pair.world.run(1_000);
--- a/packages/write-ahead-log/src/logReader.ts
+++ b/packages/write-ahead-log/src/logReader.ts
@@ -11,7 +11,7 @@
 import type { FileScan } from './fileScan.js';
 import { recordBatches } from './recordBatch.js';
 import { snapshotFiles } from './snapshotFile.js';
-import type { ReadSnapshot } from './snapshotFile.js';
+import type { StoredSnapshot } from './snapshotFile.js';
 
 /** The end of the last segment, which may be torn or not synced if the process that wrote it was killed. */
 interface LogEnd {
@@ -22,7 +22,7 @@
 }
 
 /** The contents of a log, read without changing anything on disk. */
-export interface ReadLog {
+export interface LogContents {
   readonly snapshot: unknown;
   readonly records: readonly unknown[];
   readonly firstSegment: number;
@@ -54,7 +54,7 @@
 
   constructor(
     private readonly prefix: string,
-    base: ReadSnapshot | null,
+    base: StoredSnapshot | null,
     isTrimmed: boolean,
   ) {
     this.tip = base === null ? null : base.tip;
@@ -94,7 +94,7 @@
   disk: Disk,
   prefix: string,
   { isTrimmed = false }: LogOptions,
-): Promise<Result<ReadLog, WriteAheadLogError>> => {
+): Promise<Result<LogContents, WriteAheadLogError>> => {
   const listed = await disk.list();
   if (listed.isErr()) return err(listed.error);
   const newestSnapshot = fileNames.numbers(prefix, listed.value, 'checkpoint').at(-1);
--- a/packages/write-ahead-log/src/openLog.ts
+++ b/packages/write-ahead-log/src/openLog.ts
@@ -5,7 +5,7 @@
 import type { WriteAheadLogError } from './errors.js';
 import { fileNames } from './fileNames.js';
 import { readLog } from './logReader.js';
-import type { LogOptions, ReadLog } from './logReader.js';
+import type { LogOptions, LogContents } from './logReader.js';
 import { WriteAheadLog } from './writeAheadLog.js';
 
 /** An open log and its contents. `snapshot` is null if there is none; `cutBytes` is the size of a truncated torn tail. */
@@ -20,7 +20,7 @@
  * Truncates a torn tail, or makes the end of the log durable before it is used: a process that was killed between a write
  * and its sync leaves records that can be read but would be lost at a power failure.
  */
-const repairEnd = async (disk: Disk, { end }: ReadLog): Promise<Result<void, WriteAheadLogError>> => {
+const repairEnd = async (disk: Disk, { end }: LogContents): Promise<Result<void, WriteAheadLogError>> => {
   if (end === null) return ok(undefined);
   return end.tornBytes > 0 ? disk.truncate(end.file, end.validSize) : disk.sync(end.file);
 };
--- a/packages/write-ahead-log/src/snapshotFile.ts
+++ b/packages/write-ahead-log/src/snapshotFile.ts
@@ -11,14 +11,18 @@
 import { recordBatches } from './recordBatch.js';
 
 /** A snapshot read from its file. */
-export interface ReadSnapshot {
+export interface StoredSnapshot {
   readonly state: unknown;
   readonly tip: Tip;
   /** The tips to which the first segment after the snapshot may be linked. */
   readonly allowedPredecessors: readonly (Tip | null)[];
 }
 
-const read = async (disk: Disk, prefix: string, number: number): Promise<Result<ReadSnapshot, WriteAheadLogError>> => {
+const read = async (
+  disk: Disk,
+  prefix: string,
+  number: number,
+): Promise<Result<StoredSnapshot, WriteAheadLogError>> => {
   const name = fileNames.of(prefix, 'checkpoint', number);
   const bytes = await disk.read(name);
   if (bytes.isErr()) return err(bytes.error);
--- a/packages/write-ahead-log/test/killedProcess.test.ts
+++ b/packages/write-ahead-log/test/killedProcess.test.ts
@@ -109,9 +109,9 @@
       await log.open();
       await log.append();
       await log.killBeforeSync();
-      const held = (await log.open())._unsafeUnwrap().records.length;
+      const recordCount = (await log.open())._unsafeUnwrap().records.length;
       log.losePower(share);
-      expect((await log.open())._unsafeUnwrap().records.length, `share kept: ${share}`).to.equal(held);
+      expect((await log.open())._unsafeUnwrap().records.length, `share kept: ${share}`).to.equal(recordCount);
     }
   });
 
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -52,10 +52,10 @@
     const segments = filesOfKind(disk, 'segment');
     expect(segments.length).to.be.at.least(4);
     expect(storedNumbers(await opened(disk.copy()))).to.deep.equal(numbersBelow(11));
-    for (const [at, lost] of segments.slice(0, -1).entries()) {
-      const fault = (await open(without(disk, [lost])))._unsafeUnwrapErr();
+    for (const [at, missing] of segments.slice(0, -1).entries()) {
+      const fault = (await open(without(disk, [missing])))._unsafeUnwrapErr();
       expect(fault).to.include({ kind: 'corrupt', file: segments[at + 1], offset: 0 });
-      expect(fault.detail).to.include(lost);
+      expect(fault.detail).to.include(missing);
     }
   });
 
@@ -68,11 +68,11 @@
     const [snapshot] = filesOfKind(disk, 'checkpoint') as [string];
     const segments = filesOfKind(disk, 'segment');
     expect(storedNumbers(await opened(disk.copy()))).to.deep.equal(numbersBelow(11));
-    for (const [lost, next] of [
+    for (const [missing, next] of [
       [snapshot, segments[0]],
       ...segments.slice(0, -1).map((name, at) => [name, segments[at + 1]]),
     ] as [string, string][])
-      expect((await open(without(disk, [lost])))._unsafeUnwrapErr()).to.include({ kind: 'corrupt', file: next });
+      expect((await open(without(disk, [missing])))._unsafeUnwrapErr()).to.include({ kind: 'corrupt', file: next });
   });
 
   it('given files that a snapshot has replaced, when any subset of their removals is undone, then the log opens with all records', async () => {
