--- a/packages/cluster-membership/src/failureDetector.ts
+++ b/packages/cluster-membership/src/failureDetector.ts
@@ -10,8 +10,8 @@
 const maxTickGapMs = 1_200;
 
 /**
- * Detects failed nodes; runs on every node. A tick that is more than 1.2 s after the previous one means that this process
- * itself was paused: heartbeats that it did not receive meanwhile do not count against their senders.
+ * Detects failed nodes; runs on every node. A tick that is more than 1.2 s after the previous one means that this
+ * process itself was paused: heartbeats that it did not receive meanwhile do not count against their senders.
  */
 export class FailureDetector {
   /** The monitor of the heartbeats that this node receives. */
--- a/packages/cluster-membership/src/leaseManager.ts
+++ b/packages/cluster-membership/src/leaseManager.ts
@@ -23,8 +23,8 @@
 
 /**
  * The holder's side of the leases: acquires and renews the leases of the wanted duties. To be safe against delays and
- * clock drift, a lease counts from before the request was sent and expires a margin early for its holder, and it is void
- * after a clock jump.
+ * clock drift, a lease counts from before the request was sent and expires a margin early for its holder, and it is
+ * void after a clock jump.
  */
 export class LeaseManager {
   private readonly leases = new Map<string, HeldLease>();
@@ -64,8 +64,8 @@
   };
 
   /**
-   * Drops leases that have expired or are no longer wanted, renews the others, and requests the missing ones. No request
-   * is sent while an earlier one is pending.
+   * Drops leases that have expired or are no longer wanted, renews the others, and requests the missing ones. No
+   * request is sent while an earlier one is pending.
    */
   readonly tick = async (): Promise<void> => {
     const wanted = new Set(this.wantedDuties());
--- a/packages/cluster-membership/src/leaseTable.ts
+++ b/packages/cluster-membership/src/leaseTable.ts
@@ -23,7 +23,10 @@
 export class LeaseTable {
   private readonly grants = new Map<string, Grant>();
   private readonly pending = new Map<string, PendingGrant>();
-  /** No new grants before this time: after a restart, the voter does not know which of its earlier grants are still valid. */
+  /**
+   * No new grants before this time: after a restart, the voter does not know which of its earlier grants are still
+   * valid.
+   */
   private readonly grantsBlockedUntil: number;
 
   constructor(
--- a/packages/cluster-membership/src/peerPool.ts
+++ b/packages/cluster-membership/src/peerPool.ts
@@ -84,8 +84,8 @@
   private readonly isEnded = (pooled: PooledPeer): boolean => pooled.isStopped || this.isStopped;
 
   /**
-   * Dials until the peer is no longer wanted, with exponential backoff up to the maximum; a connection that lasted longer
-   * than the maximum resets the backoff.
+   * Dials until the peer is no longer wanted, with exponential backoff up to the maximum; a connection that lasted
+   * longer than the maximum resets the backoff.
    */
   private readonly keepConnected = async (address: string, pooled: PooledPeer): Promise<void> => {
     const { clock, random } = this.ports;
--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -45,7 +45,10 @@
   readonly held: readonly PrefixCacheEvent[];
 }
 
-/** Calls of control nodes to the platform and its replicas. Each call has a timeout of its own; times are in milliseconds. */
+/**
+ * Calls of control nodes to the platform and its replicas. Each call has a timeout of its own; times are in
+ * milliseconds.
+ */
 export interface BackendClient {
   readonly listReplicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
   readonly requestWeightsLoad: (endpoint: ReplicaEndpoint, order: WeightsLoadRequest) => Promise<WeightsLoadOutcome>;
@@ -73,10 +76,10 @@
 }
 
 /**
- * What one attempt passes to its replica in headers: `remainingMs` is the milliseconds until the deadline, `urgency` the
- * rank (0 is the most urgent), `salt` the cache namespace, `version` the weights version that it must run on, `holder`
- * the address to fetch cached prompt parts from, `store` the address to store them at, and `resumeAfter` the id of the
- * last event that the caller received.
+ * What one attempt passes to its replica in headers: `remainingMs` is the milliseconds until the deadline, `urgency`
+ * the rank (0 is the most urgent), `salt` the cache namespace, `version` the weights version that it must run on,
+ * `holder` the address to fetch cached prompt parts from, `store` the address to store them at, and `resumeAfter` the
+ * id of the last event that the caller received.
  */
 export interface AttemptPlan {
   readonly replica: string;
--- a/packages/core-types/src/background.ts
+++ b/packages/core-types/src/background.ts
@@ -23,8 +23,8 @@
 /**
  * Runs work that nobody awaits.
  *
- * A rejection is rethrown as a {@link BackgroundTaskError}, which Node turns into an uncaught exception: the process logs
- * it and exits, because its state can no longer be trusted.
+ * A rejection is rethrown as a {@link BackgroundTaskError}, which Node turns into an uncaught exception: the process
+ * logs it and exits, because its state can no longer be trusted.
  *
  * @param task a short description of the work
  */
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -58,8 +58,8 @@
 }
 
 /**
- * The contents of a change. `base` is the configuration that it builds on; the change has no effect where another one is
- * active.
+ * The contents of a change. `base` is the configuration that it builds on; the change has no effect where another one
+ * is active.
  */
 export type ChangeBody =
   | { readonly kind: 'config'; readonly config: GatewayConfig; readonly base: number }
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -76,7 +76,9 @@
   readonly wantsContent: boolean;
 }
 
-/** Endpoints added or replaced (`put`), and ids of removed ones (`gone`); with `isWhole`, `put` is the complete list. */
+/**
+ * Endpoints added or replaced (`put`), and ids of removed ones (`gone`); with `isWhole`, `put` is the complete list.
+ */
 export interface EndpointListUpdate {
   readonly isWhole: boolean;
   readonly put: readonly ReplicaEndpoint[];
@@ -114,8 +116,8 @@
 /**
  * A control node's reply to an edge's heartbeat. `hasMajority` is whether it is in contact with a majority of the
  * members; `majorityHeardMs` is the milliseconds since it last received bytes from every member of a majority, null
- * where it is not connected to one. `edgeCount` is the number of connected edges, and `listAgeMs` the age of its
- * replica list.
+ * where it is not connected to one. `edgeCount` is the number of edges in contact with it, and `listAgeMs` the age of
+ * its replica list.
  */
 export interface EdgePong {
   readonly logIndex: number;
--- a/packages/core-types/src/errors.ts
+++ b/packages/core-types/src/errors.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * A failed connection or request. With `isUnsent` no byte of it reached the network, so that it is safe to retry. `code`
- * is that of the operating system or of the HTTP client.
+ * A failed connection or request. With `isUnsent` no byte of it reached the network, so that it is safe to retry.
+ * `code` is that of the operating system or of the HTTP client.
  */
 export interface NetworkError {
   readonly kind: 'net';
--- a/packages/core-types/src/gatewayMessages.ts
+++ b/packages/core-types/src/gatewayMessages.ts
@@ -47,7 +47,9 @@
 /** By pool: the number of other gateways with queued requests, and the running requests of those without any. */
 export type Contention = Record<string, readonly [contenders: number, calmRunning: number]>;
 
-/** A control node's reply to a gateway's heartbeat: how current it is, and the load that the other gateways reported. */
+/**
+ * A control node's reply to a gateway's heartbeat: how current it is, and the load that the other gateways reported.
+ */
 export interface Pong {
   readonly logIndex: number;
   readonly acceptedSlot: number | null;
--- a/packages/core-types/src/hashes.ts
+++ b/packages/core-types/src/hashes.ts
@@ -5,9 +5,9 @@
 const bytesPerToken = 4;
 
 /**
- * Splits a prompt into blocks of 256 bytes and estimates its tokens. The hash of a block (24 hex digits) covers all text
- * up to its end, so that equal hashes mean an equal prefix; a partial block at the end has no hash. A token counts as
- * four bytes.
+ * Splits a prompt into blocks of 256 bytes and estimates its tokens. The hash of a block (24 hex digits) covers all
+ * text up to its end, so that equal hashes mean an equal prefix; a partial block at the end has no hash. A token counts
+ * as four bytes.
  */
 export const prompts = {
   blocks: (prompt: string): string[] => {
--- a/packages/core-types/src/incarnationMatcher.ts
+++ b/packages/core-types/src/incarnationMatcher.ts
@@ -4,8 +4,8 @@
 const matchWindowMs = 10_000;
 
 /**
- * Pairs the two signals of one restart of the replica at an address: the replica list shows a new id, and the event feed
- * shows a new epoch, in either order. What is known about the address must be cleared at the first signal only.
+ * Pairs the two signals of one restart of the replica at an address: the replica list shows a new id, and the event
+ * feed shows a new epoch, in either order. What is known about the address must be cleared at the first signal only.
  */
 export class IncarnationMatcher {
   private newIdAt: number | null = null;
--- a/packages/core-types/src/ports/ports.ts
+++ b/packages/core-types/src/ports/ports.ts
@@ -46,8 +46,8 @@
 }
 
 /**
- * A byte stream connection. `bufferedBytes` is the number of written bytes that are not sent yet. `listen` must be called
- * once; it calls `onClose` once, after the last bytes.
+ * A byte stream connection. `bufferedBytes` is the number of written bytes that are not sent yet. `listen` must be
+ * called once; it calls `onClose` once, after the last bytes.
  */
 export interface RawConnection {
   readonly remoteAddress: string;
@@ -90,9 +90,9 @@
 }
 
 /**
- * One request to a backend. `gate` is called once, immediately before the first byte is written; where it returns false,
- * the request is not sent. `accepts` is called with the head of the response before its body is read; where it returns
- * false, the request fails with `HEAD_REFUSED` and its connection is closed.
+ * One request to a backend. `gate` is called once, immediately before the first byte is written; where it returns
+ * false, the request is not sent. `accepts` is called with the head of the response before its body is read; where it
+ * returns false, the request fails with `HEAD_REFUSED` and its connection is closed.
  */
 interface HttpClientRequest {
   readonly method: string;
--- a/packages/core-types/src/routing.ts
+++ b/packages/core-types/src/routing.ts
@@ -3,8 +3,8 @@
  */
 
 /**
- * Whether a request may be retried after an attempt with an unknown outcome (`repeatable`), may not be retried (`once`),
- * or is answered by a stream of events (`stream`).
+ * Whether a request may be retried after an attempt with an unknown outcome (`repeatable`), may not be retried
+ * (`once`), or is answered by a stream of events (`stream`).
  */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
@@ -77,8 +77,8 @@
 }
 
 /**
- * Limits on callers: the maximum size of head and body in bytes, the timeout for receiving a complete head, and the idle
- * timeout of a connection, in milliseconds.
+ * Limits on callers: the maximum size of head and body in bytes, the timeout for receiving a complete head, and the
+ * idle timeout of a connection, in milliseconds.
  */
 export interface CallerLimits {
   readonly headerBytes: number;
@@ -104,8 +104,8 @@
 }
 
 /**
- * A replica as the platform lists it; `id` names one run of its process. `weights` has the loaded version of each model;
- * a replica with `isLeaving` accepts no new requests.
+ * A replica as the platform lists it; `id` names one run of its process. `weights` has the loaded version of each
+ * model; a replica with `isLeaving` accepts no new requests.
  */
 export interface ReplicaEndpoint {
   readonly id: string;
--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -168,8 +168,8 @@
 };
 
 /**
- * The state machine. `initialState` is the state of a new cluster, `withDefaults` completes a state of an older release,
- * `apply` returns the state after a change, and `isNoOp` returns whether a change would have no effect.
+ * The state machine. `initialState` is the state of a new cluster, `withDefaults` completes a state of an older
+ * release, `apply` returns the state after a change, and `isNoOp` returns whether a change would have no effect.
  */
 export const stateMachine = {
   servesIsolatedTenants,
--- a/packages/core-types/src/uncaughtExceptions.ts
+++ b/packages/core-types/src/uncaughtExceptions.ts
@@ -21,8 +21,8 @@
     : { code: 'UNCAUGHT_EXCEPTION', task: null, cause: stackOf(failure) };
 
 /**
- * Exits the process with `exitCode` on the first uncaught exception: an invariant is broken, and a restart from the data
- * on disk is safer than continuing. Node reports unhandled rejections by the same event.
+ * Exits the process with `exitCode` on the first uncaught exception: an invariant is broken, and a restart from the
+ * data on disk is safer than continuing. Node reports unhandled rejections by the same event.
  */
 const installHandler = (log: Log, exitCode: number): void => {
   process.on('uncaughtException', (failure) => {
--- a/packages/peer-transport/src/hello.ts
+++ b/packages/peer-transport/src/hello.ts
@@ -5,8 +5,8 @@
 
 /**
  * A node's description of itself. `release` is its protocol version, `address` the address for peer connections, and
- * `http` that of its HTTP pages (empty for none). `incarnation` identifies a run of the process, or the data folder on a
- * node that has one.
+ * `http` that of its HTTP pages (empty for none). `incarnation` identifies a run of the process, or the data folder on
+ * a node that has one.
  */
 export interface Hello {
   readonly release: number;
@@ -55,7 +55,7 @@
   typeof value === 'object' && value !== null ? (value as { release?: unknown }).release : undefined;
 
 /**
- * Builds the hello of a node and validates received ones. `protocolVersionOf` reads the version of a value that need not
- * be a valid hello; it is undefined where there is none.
+ * Builds the hello of a node and validates received ones. `protocolVersionOf` reads the version of a value that need
+ * not be a valid hello; it is undefined where there is none.
  */
 export const hellos = { of, isHello, protocolVersionOf };
--- a/packages/peer-transport/src/messageAssembler.ts
+++ b/packages/peer-transport/src/messageAssembler.ts
@@ -11,7 +11,9 @@
 export class MessageAssembler {
   private readonly partialMessages = new Map<string, PartialMessage>();
 
-  /** Adds a part. Returns the complete message after its last part, null before that, or undefined if it is too large. */
+  /**
+   * Adds a part. Returns the complete message after its last part, null before that, or undefined if it is too large.
+   */
   readonly add = ({ stream, isLast, bytes }: PartFrame): Uint8Array | null | undefined => {
     const message = this.partialMessages.get(stream) ?? { parts: [], bytes: 0 };
     message.parts.push(bytes);
--- a/packages/peer-transport/src/peerConnection.ts
+++ b/packages/peer-transport/src/peerConnection.ts
@@ -170,8 +170,8 @@
     this.handlers.onCall(this, topic, body).then((reply) => this.sendFrame(topic, { f: 'reply', id, body: reply }));
 
   /**
-   * Sends a message. Returns false if the connection is closed, also where this call closed it because the peer reads too
-   * slowly or the message is too large. True does not mean that the message arrives.
+   * Sends a message. Returns false if the connection is closed, also where this call closed it because the peer reads
+   * too slowly or the message is too large. True does not mean that the message arrives.
    */
   readonly send = (topic: string, body: unknown): boolean => this.sendFrame(topic, { f: 'tell', topic, body });
 
--- a/packages/peer-transport/src/peerConnections.ts
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -11,8 +11,8 @@
 const helloTimeoutMs = 2000;
 
 /**
- * Accepts and dials connections. Each side closes the connection if the other's hello does not arrive within the timeout
- * (in milliseconds, 2 s by default). `dial` resolves once the hello has arrived.
+ * Accepts and dials connections. Each side closes the connection if the other's hello does not arrive within the
+ * timeout (in milliseconds, 2 s by default). `dial` resolves once the hello has arrived.
  */
 export const peerConnections = {
   listen: (
--- a/packages/peer-transport/src/sendQueue.ts
+++ b/packages/peer-transport/src/sendQueue.ts
@@ -22,9 +22,9 @@
 }
 
 /**
- * The queue of messages to send on one connection. The number of unacknowledged bytes is limited by a window that adapts
- * to the queueing delay of the connection's own parts (as in LEDBAT, RFC 6817), so that small frames do not wait long
- * behind them in socket and network buffers. Streams are served round-robin, one part at a time.
+ * The queue of messages to send on one connection. The number of unacknowledged bytes is limited by a window that
+ * adapts to the queueing delay of the connection's own parts (as in LEDBAT, RFC 6817), so that small frames do not wait
+ * long behind them in socket and network buffers. Streams are served round-robin, one part at a time.
  */
 export class SendQueue {
   private readonly queued = new Map<string, QueuedMessage[]>();
--- a/packages/peer-transport/src/streams.ts
+++ b/packages/peer-transport/src/streams.ts
@@ -19,9 +19,9 @@
 /** Maps topics to streams. */
 export const streams = {
   /**
-   * Returns the stream of a topic. Messages on one stream arrive in the order in which they were sent; large messages on
-   * different streams share the connection round-robin. A reply uses the stream of its call. Topics without a stream of
-   * their own share one.
+   * Returns the stream of a topic. Messages on one stream arrive in the order in which they were sent; large messages
+   * on different streams share the connection round-robin. A reply uses the stream of its call. Topics without a stream
+   * of their own share one.
    */
   of: (topic: string): string =>
     Object.hasOwn(streamsByTopic, topic) ? (streamsByTopic[topic] as string) : mainStream,
--- a/packages/peer-transport/test/peerConnection.test.ts
+++ b/packages/peer-transport/test/peerConnection.test.ts
@@ -33,7 +33,9 @@
 const bytesOf = (count: number, multiplier = 7): Uint8Array =>
   Uint8Array.from({ length: count }, (_, at) => (at * multiplier + (at >> 8)) & 255);
 
-/** Two machines with a connection between them. The far one records received messages, and `answer` handles its calls. */
+/**
+ * Two machines with a connection between them. The far one records received messages, and `answer` handles its calls.
+ */
 class ConnectedPair {
   readonly world = new SimWorld(11);
   readonly received: ReceivedMessage[] = [];
--- a/packages/write-ahead-log/src/index.ts
+++ b/packages/write-ahead-log/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * A write-ahead log of CBOR records in segments, with snapshots. Torn tails are truncated; missing and damaged files are
- * detected.
+ * A write-ahead log of CBOR records in segments, with snapshots. Torn tails are truncated; missing and damaged files
+ * are detected.
  */
 export { writeAheadLogs } from './openLog.js';
 export type { OpenedLog } from './openLog.js';
--- a/packages/write-ahead-log/src/logReader.ts
+++ b/packages/write-ahead-log/src/logReader.ts
@@ -34,7 +34,10 @@
 
 /** Options of a log. */
 export interface LogOptions {
-  /** Old segments are removed without a snapshot (`removeSegmentsBefore`), so that the first one may have any predecessor. */
+  /**
+   * Old segments are removed without a snapshot (`removeSegmentsBefore`), so that the first one may have any
+   * predecessor.
+   */
   readonly isTrimmed?: boolean;
 }
 
--- a/packages/write-ahead-log/src/openLog.ts
+++ b/packages/write-ahead-log/src/openLog.ts
@@ -8,7 +8,9 @@
 import type { LogOptions, LogContents } from './logReader.js';
 import { WriteAheadLog } from './writeAheadLog.js';
 
-/** An open log and its contents. `snapshot` is null if there is none; `cutBytes` is the size of a truncated torn tail. */
+/**
+ * An open log and its contents. `snapshot` is null if there is none; `cutBytes` is the size of a truncated torn tail.
+ */
 export interface OpenedLog {
   readonly wal: WriteAheadLog;
   readonly snapshot: unknown;
@@ -17,8 +19,8 @@
 }
 
 /**
- * Truncates a torn tail, or makes the end of the log durable before it is used: a process that was killed between a write
- * and its sync leaves records that can be read but would be lost at a power failure.
+ * Truncates a torn tail, or makes the end of the log durable before it is used: a process that was killed between a
+ * write and its sync leaves records that can be read but would be lost at a power failure.
  */
 const repairEnd = async (disk: Disk, { end }: LogContents): Promise<Result<void, WriteAheadLogError>> => {
   if (end === null) return ok(undefined);
@@ -29,8 +31,8 @@
 export const writeAheadLogs = {
   /**
    * Opens the log with this prefix: returns its newest snapshot and the records after it, and truncates a torn tail.
-   * Everything that is returned is durable. Fails with `corrupt` if a file is damaged before its tail or its predecessor
-   * is missing.
+   * Everything that is returned is durable. Fails with `corrupt` if a file is damaged before its tail or its
+   * predecessor is missing.
    */
   open: async (
     disk: Disk,
--- a/packages/write-ahead-log/src/recordBatch.ts
+++ b/packages/write-ahead-log/src/recordBatch.ts
@@ -1,4 +1,6 @@
-/** The format of a batch of records in a file: length and CRC-32 checksum, four bytes each, then the records in CBOR. */
+/**
+ * The format of a batch of records in a file: length and CRC-32 checksum, four bytes each, then the records in CBOR.
+ */
 import { crc32 } from 'node:zlib';
 import { cbor } from '@martenworks/core-types';
 
@@ -50,7 +52,7 @@
 const decodeRecords = (batch: Batch): readonly unknown[] => cbor.decode(batch.body) as readonly unknown[];
 
 /**
- * Encodes and decodes batches. `decodeAt` returns null where no complete batch with a valid checksum starts at the offset;
- * `hasBatchAfter` returns whether one starts at any later byte.
+ * Encodes and decodes batches. `decodeAt` returns null where no complete batch with a valid checksum starts at the
+ * offset; `hasBatchAfter` returns whether one starts at any later byte.
  */
 export const recordBatches = { encode, decodeAt, hasBatchAfter, decodeRecords };
--- a/packages/write-ahead-log/src/snapshotFile.ts
+++ b/packages/write-ahead-log/src/snapshotFile.ts
@@ -45,5 +45,8 @@
   return written.map(() => ({ number, checksum }));
 };
 
-/** Reads and writes snapshots. `write` resolves once the snapshot is durable, with the tip to which the next file is linked. */
+/**
+ * Reads and writes snapshots. `write` resolves once the snapshot is durable, with the tip to which the next file is
+ * linked.
+ */
 export const snapshotFiles = { read, write };
