--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -76,7 +76,9 @@
   readonly wantsContent: boolean;
 }
 
-/** Endpoints added or replaced (`put`), and ids of removed ones (`gone`); with `isWhole`, `put` is the complete list. */
+/**
+ * Endpoints added or replaced (`put`), and ids of removed ones (`gone`); with `isWhole`, `put` is the complete list.
+ */
 export interface EndpointListUpdate {
   readonly isWhole: boolean;
   readonly put: readonly ReplicaEndpoint[];
@@ -114,8 +116,8 @@
 /**
  * A control node's reply to an edge's heartbeat. `hasMajority` is whether it is in contact with a majority of the
  * members; `majorityHeardMs` is the milliseconds since it last received bytes from every member of a majority, null
- * where it is not connected to one. `edgeCount` is the number of connected edges, and `listAgeMs` the age of its
- * replica list.
+ * where it is not connected to one. `edgeCount` is the number of edges in contact with it, and `listAgeMs` the age of
+ * its replica list.
  */
 export interface EdgePong {
   readonly logIndex: number;
@@ -140,7 +142,7 @@
 /**
  * A report of cache misses that contradict the prefix index: the index has these parts at the address, but a response
  * shows that they were not cached. With `isDecided` there were enough misses to remove the parts from the index. With
- * `quarantineMs` the address does not count as caching them for that long, whatever its events say.
+ * `quarantineMs` the address does not count as caching them for that long, regardless of its events.
  */
 export interface CacheMissReport {
   readonly address: string;
