--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -12,6 +12,7 @@
   readonly incarnation: number;
   role: string;
   roleSince: number;
+  /** For each role whose claim was granted, the time from which its requests may be sent to the replica. */
   readonly openAt: Map<string, number>;
 }
 
--- a/packages/prefix-index/test/cacheSources.test.ts
+++ b/packages/prefix-index/test/cacheSources.test.ts
@@ -3,11 +3,14 @@
 import { InvariantChecker, keyOf, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { SampleRequest, Run } from '@martenworks/test-fleet';
 
-const manual = (name: string): string => `${name} `.repeat(3_000).slice(0, 12_000);
+const longPrompt = (name: string): string => `${name} `.repeat(3_000).slice(0, 12_000);
 
-const configOf = (isolated: readonly string[], more: Record<string, unknown> = {}): Record<string, unknown> => ({
+const configOf = (
+  isolated: readonly string[],
+  poolOverrides: Record<string, unknown> = {},
+): Record<string, unknown> => ({
   ...sampleWorkload.config('weights-1'),
-  pools: { main: { weights: 'weights-1', slots: 2, ...more }, app: { weights: 'app-1' } },
+  pools: { main: { weights: 'weights-1', slots: 2, ...poolOverrides }, app: { weights: 'app-1' } },
   tenants: Object.fromEntries(
     sampleWorkload.tenantNames.map((name) => [
       name,
@@ -25,13 +28,13 @@
   tier: 'prompt',
 });
 
-const startedFleet = async (
+const startFleet = async (
   seed: number,
   replicas: number,
   config: Record<string, unknown>,
-  more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
+  options: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
-  const fleet = new SimFleet({ seed, edges: 2, replicas, config, replicaSettings: { decodeMs: 20 }, ...more });
+  const fleet = new SimFleet({ seed, edges: 2, replicas, config, replicaSettings: { decodeMs: 20 }, ...options });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
 };
@@ -43,7 +46,7 @@
   name: string,
   count: number,
 ): Promise<void> => {
-  for (let at = 0; at < count; at += 1) checker.send(requestFor(tenant, `${manual(name)} question ${at}`), at % 2);
+  for (let at = 0; at < count; at += 1) checker.send(requestFor(tenant, `${longPrompt(name)} question ${at}`), at % 2);
   await fleet.world.run(6_000);
 };
 
@@ -52,7 +55,7 @@
 
 describe('cache sources named in Cache-From', () => {
   it('given a prompt cached by one replica, when more requests for it arrive than that replica can run, then the others run elsewhere and pull the blocks from it', async () => {
-    const { fleet, checker } = await startedFleet(31, 4, configOf([]));
+    const { fleet, checker } = await startFleet(31, 4, configOf([]));
     await sendWave(fleet, checker, 'north', 'alpha', 1);
     const sourceReplica = checker.allRuns()[0]?.replica ?? '';
     await sendWave(fleet, checker, 'south', 'alpha', 6);
@@ -70,7 +73,7 @@
   });
 
   it("given isolated tenants with the same prompt, when all tenants send requests, then no isolated tenant's blocks reach another tenant, and shared tenants still pull", async () => {
-    const { fleet, checker } = await startedFleet(32, 12, configOf(['depot', 'mill']));
+    const { fleet, checker } = await startFleet(32, 12, configOf(['depot', 'mill']));
     for (let round = 0; round < 3; round += 1)
       for (const tenant of ['depot', 'mill', 'north', 'south'])
         for (const count of [1, 10]) await sendWave(fleet, checker, tenant, `beta-${round}`, count);
@@ -88,7 +91,7 @@
   });
 
   it('given new weights, when blocks of the old weights are still cached, then no source is named until replicas started under the new weights have cached some', async () => {
-    const { fleet, checker } = await startedFleet(33, 4, configOf([]));
+    const { fleet, checker } = await startFleet(33, 4, configOf([]));
     await sendWave(fleet, checker, 'north', 'gamma', 6);
     const before = runsWithSource(checker).length;
     const reply = await fleet.finish(
@@ -119,7 +122,7 @@
   });
 
   it('given pulls that take longer than a prefill, when the gateway has measured it, then no source is named; and sources are named again once pulls are fast', async () => {
-    const { fleet, checker } = await startedFleet(34, 4, configOf([]));
+    const { fleet, checker } = await startFleet(34, 4, configOf([]));
     for (const replica of fleet.runningReplicas.values()) replica.faults.pullDelayMs = 1_500;
     let pullsAfterLearning = 0;
     for (let round = 0; round < 8; round += 1) {
@@ -141,7 +144,7 @@
 
   it('given a cache store, when it crashes and restarts empty, then it is named only while it has blocks, and every request is answered in full', async () => {
     const storeHost = '10.4.0.1';
-    const { fleet, checker } = await startedFleet(35, 3, configOf([], { store: 'store-1' }), {
+    const { fleet, checker } = await startFleet(35, 3, configOf([], { store: 'store-1' }), {
       replicaSettings: { decodeMs: 20, store: `${storeHost}:8000`, capacityBlocks: 60 },
     });
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000 });
@@ -152,16 +155,16 @@
         ]),
       );
     expect((await announce(1)).status).to.equal(200);
-    const rounds = async (): Promise<void> => {
+    const sendRounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
         for (const name of ['e-1', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await sendWave(fleet, checker, 'north', name, 1);
     };
-    await rounds();
-    const fromStore = (): number =>
+    await sendRounds();
+    const countRunsFromStore = (): number =>
       runsWithSource(checker).filter((run) => run.cacheFrom === `${storeHost}:8000` && run.pulledTokens > 1_000).length;
-    expect(fromStore()).to.be.greaterThan(0);
+    expect(countRunsFromStore()).to.be.greaterThan(0);
     fleet.world.machine(storeHost).kill();
-    await rounds();
+    await sendRounds();
     fleet.world.machine(storeHost).boot();
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 1 });
     await fleet.world.run(5_000);
@@ -169,19 +172,19 @@
       0,
     );
     await announce(2);
-    const runsBeforeRestart = fromStore();
+    const runsBeforeRestart = countRunsFromStore();
     fleet.world.machine(storeHost).kill();
     fleet.world.machine(storeHost).boot();
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000, incarnation: 2 });
     await fleet.world.run(5_000);
-    await rounds();
-    expect(fromStore()).to.be.greaterThan(runsBeforeRestart);
+    await sendRounds();
+    expect(countRunsFromStore()).to.be.greaterThan(runsBeforeRestart);
     expect(checker.violations()).to.deep.equal([]);
     expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it('given a replica that served an isolated tenant and sent no events about it, when its partition becomes shared and every gateway restarts, then it is never named as a source', async () => {
-    const { fleet, checker } = await startedFleet(36, 4, configOf(['depot']));
+    const { fleet, checker } = await startFleet(36, 4, configOf(['depot']));
     const isolatedReplica =
       fleet.gateways[0]?.stateView.tenantPartitions.roles().find(({ role }) => role === 'depot')?.replica ?? '';
     const setHidesEvents = (hidesEvents: boolean): void => {
@@ -223,7 +226,7 @@
   });
 
   it("given a store that has an isolated tenant's blocks and sent no events about them, when others request the same prefix, then it is not named as a source until it is announced again without isolated tenants", async () => {
-    const { fleet, checker } = await startedFleet(37, 3, configOf(['depot'], { store: 'store-1' }), {
+    const { fleet, checker } = await startFleet(37, 3, configOf(['depot'], { store: 'store-1' }), {
       hasStore: true,
       replicaSettings: { decodeMs: 20, capacityBlocks: 60 },
     });
@@ -231,14 +234,14 @@
     hideStoreEvents();
     await sendWave(fleet, checker, 'depot', 'eta', 1);
     fleet.runningReplicas.get('store-1')?.setFaults({ hidesEvents: false });
-    const rounds = async (): Promise<void> => {
+    const sendRounds = async (): Promise<void> => {
       for (let round = 0; round < 2; round += 1)
         for (const name of ['eta', 'e-2', 'e-3', 'e-4', 'e-5', 'e-6']) await sendWave(fleet, checker, 'north', name, 1);
     };
-    const fromStore = (): number =>
+    const countRunsFromStore = (): number =>
       runsWithSource(checker).filter((run) => run.cacheFrom === `${fleet.storeHost}:8000`).length;
-    await rounds();
-    expect(fromStore()).to.equal(0);
+    await sendRounds();
+    expect(countRunsFromStore()).to.equal(0);
     const reply = await fleet.finish(
       fleet.onControlNode(
         0,
@@ -250,14 +253,14 @@
     );
     expect(reply.status).to.equal(200);
     await fleet.world.run(20_000);
-    await rounds();
-    expect(fromStore()).to.equal(0);
+    await sendRounds();
+    expect(countRunsFromStore()).to.equal(0);
     fleet.killReplica('store-1');
     fleet.bootReplica('store-1');
     await fleet.finish(fleet.announce('store-1'));
     await fleet.world.run(2_000);
-    await rounds();
-    expect(fromStore()).to.be.greaterThan(0);
+    await sendRounds();
+    expect(countRunsFromStore()).to.be.greaterThan(0);
     expect(checker.violations()).to.deep.equal([]);
   });
 
--- a/packages/route-table/src/routeLookup.ts
+++ b/packages/route-table/src/routeLookup.ts
@@ -27,7 +27,7 @@
 export class RoutingTableIndexer {
   private readonly routeNames = new DenseIndex();
 
-  /** Returns the indexed form of one version, in time linear in its key hashes and n log n in its routes. */
+  /** Returns the indexed form of one version; the cost grows with its routes and key hashes. */
   readonly view = (configVersion: number, routingTable: RoutingTable): RoutingTableView => {
     const byHost = new Map<string, RouteView[]>();
     for (const route of routingTable.routes) {
--- a/packages/route-table/test/routingTables.test.ts
+++ b/packages/route-table/test/routingTables.test.ts
@@ -2,7 +2,7 @@
 import type { Route, RoutingTable } from '@martenworks/core-types';
 import { RoutingTableIndexer, routingTables, patches, salts, shares } from '@martenworks/route-table';
 
-const route = (more: Partial<Route> = {}): Route => ({
+const route = (overrides: Partial<Route> = {}): Route => ({
   name: 'w',
   host: 'a.example',
   pathPrefix: '/x/',
@@ -15,16 +15,16 @@
   isPublic: false,
   isResumable: false,
   maxEventGapMs: 250,
-  ...more,
+  ...overrides,
 });
 
-const routingTable = (more: Partial<RoutingTable> = {}): RoutingTable => ({
+const routingTable = (overrides: Partial<RoutingTable> = {}): RoutingTable => ({
   routes: [route()],
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
   customers: [{ name: 'north', keyHashes: ['k1'], rank: null, isIsolated: false }],
   limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
-  ...more,
+  ...overrides,
 });
 
 const errorPathsOf = (table: RoutingTable): string[] =>
@@ -110,8 +110,9 @@
   });
 
   it('given routes of each kind, when they are indexed, then only repeatable routes and resumable streams are retryable', () => {
-    const isRetryable = (more: Partial<Route>): boolean | undefined =>
-      new RoutingTableIndexer().view(1, routingTable({ routes: [route(more)] })).match('a.example', '/x/')?.isRetryable;
+    const isRetryable = (overrides: Partial<Route>): boolean | undefined =>
+      new RoutingTableIndexer().view(1, routingTable({ routes: [route(overrides)] })).match('a.example', '/x/')
+        ?.isRetryable;
     expect(isRetryable({ kind: 'repeatable' })).to.equal(true);
     expect(isRetryable({ kind: 'once', isResumable: true })).to.equal(false);
     expect(isRetryable({ kind: 'stream' })).to.equal(false);
--- a/packages/settings/test/gatewaySettings.test.ts
+++ b/packages/settings/test/gatewaySettings.test.ts
@@ -10,8 +10,8 @@
   seeds: ['10.0.0.1:7100', '10.0.0.2:7100', '10.0.0.3:7100'],
 };
 
-const pathsOf = (role: Role, more: Record<string, unknown>): string[] =>
-  gatewaySettings.check(role, { ...validSettings, ...more }, {}).match(
+const pathsOf = (role: Role, overrides: Record<string, unknown>): string[] =>
+  gatewaySettings.check(role, { ...validSettings, ...overrides }, {}).match(
     () => [],
     (issues) => issues.map((issue) => issue.path),
   );
@@ -31,8 +31,8 @@
       ['gateway-control', { data: 'd', operators: '10.0.0.1:7102' }, ['/operators']],
       ['gateway-control', { data: 'd' }, []],
     ];
-    for (const [role, more, paths] of cases)
-      expect(pathsOf(role, more), JSON.stringify([role, more])).to.deep.equal(paths);
+    for (const [role, overrides, paths] of cases)
+      expect(pathsOf(role, overrides), JSON.stringify([role, overrides])).to.deep.equal(paths);
   });
 });
 
--- a/packages/upstream/test/httpClient.test.ts
+++ b/packages/upstream/test/httpClient.test.ts
@@ -32,16 +32,16 @@
 const sendRequest = (
   method: string,
   url: string,
-  more: { body?: string | null; gate?: () => boolean; accepts?: () => boolean } = {},
+  options: { body?: string | null; gate?: () => boolean; accepts?: () => boolean } = {},
 ): Promise<Result<HttpClientResponse, NetworkError>> =>
   httpClient.send({
     method,
     url,
     headers: {},
-    body: more.body ?? null,
+    body: options.body ?? null,
     signal: new AbortController().signal,
-    gate: more.gate ?? (() => true),
-    ...(more.accepts === undefined ? {} : { accepts: more.accepts }),
+    gate: options.gate ?? (() => true),
+    ...(options.accepts === undefined ? {} : { accepts: options.accepts }),
   });
 const sendText = (url: string, gate: () => boolean = () => true): Promise<Result<HttpClientResponse, NetworkError>> =>
   httpClient.send({
