--- a/packages/control-plane/src/endpoints/claimTable.ts
+++ b/packages/control-plane/src/endpoints/claimTable.ts
@@ -169,7 +169,7 @@
       if (now - writtenAt <= this.retentionMs) keepFrom = Math.min(keepFrom, segment);
     for (const segment of [...this.segmentWrittenAt.keys()])
       if (segment < keepFrom) this.segmentWrittenAt.delete(segment);
-    await this.wal.dropBefore(keepFrom);
+    await this.wal.removeSegmentsBefore(keepFrom);
   };
 
   /** Returns the number of claims in memory. */
