--- a/packages/core-types/src/gatewayConfig.ts
+++ b/packages/core-types/src/gatewayConfig.ts
@@ -2,7 +2,7 @@
 
 /**
  * A priority class. `rank` 0 is the most urgent; `share` (0 to 1) is the fraction of a queue that it may fill;
- * `horizonMs` is the deadline of the first piece of a response, in milliseconds.
+ * `horizonMs` is the deadline of the first chunk of a response, in milliseconds.
  */
 export interface Tier {
   readonly rank: number;
