--- a/packages/gateway/src/api/callerApi.ts
+++ b/packages/gateway/src/api/callerApi.ts
@@ -12,7 +12,7 @@
 import type { StreamResponse } from '../gatewayRequest.js';
 
 const maxCollectedBytes = 8 * 1024 * 1024;
-/** Time for the error event to reach the caller before the connection is reset. */
+/** Time allowed for the error event to reach the caller before the connection is reset. */
 const errorFlushMs = 25;
 const requestIdBytes = 12;
 const encoder = new TextEncoder();
@@ -38,10 +38,10 @@
       pull: async (controller) => {
         if (isTruncated) {
           await timing.sleep(gateway.ports.clock, errorFlushMs);
-          return controller.error(new Error('the stream was cut'));
+          return controller.error(new Error('response stream truncated'));
         }
         const next = await response.events.next();
-        if (next.done === true) return controller.error(new Error('the stream was cut'));
+        if (next.done === true) return controller.error(new Error('response stream truncated'));
         const event: CompletionEvent = next.value;
         if (event.kind === 'chunk') return controller.enqueue(encoder.encode(`data: ${event.data}\n\n`));
         if (event.kind === 'done') {
@@ -64,23 +64,27 @@
 };
 
 const collectedReply = async (c: Context, path: CompletionPath, response: StreamResponse): Promise<Response> => {
-  const datas: string[] = [];
+  const chunks: string[] = [];
   let size = 0;
   for await (const event of response.events) {
     if (event.kind === 'done')
-      return c.json(replicaProtocol.assembleResponse(path, datas), 200, { 'x-request-id': response.requestId });
+      return c.json(replicaProtocol.assembleResponse(path, chunks), 200, { 'x-request-id': response.requestId });
     if (event.kind !== 'chunk')
       return rejectionReply(c, rejections.of('cut_stream', 'unknown', event.cause), response.requestId);
-    datas.push(event.data);
+    chunks.push(event.data);
     size += event.data.length;
     if (size > maxCollectedBytes)
       return rejectionReply(
         c,
-        rejections.of('cut_stream', 'unknown', 'the response is too large to collect'),
+        rejections.of('cut_stream', 'unknown', 'the response is too large to buffer'),
         response.requestId,
       );
   }
-  return rejectionReply(c, rejections.of('cut_stream', 'unknown', 'the stream was cut'), response.requestId);
+  return rejectionReply(
+    c,
+    rejections.of('cut_stream', 'unknown', 'the response stream was truncated'),
+    response.requestId,
+  );
 };
 
 const keyOf = (c: Context): string | null => /^Bearer +(\S+)$/i.exec(c.req.header('authorization') ?? '')?.[1] ?? null;
@@ -100,10 +104,10 @@
   try {
     body = await c.req.json();
   } catch {
-    return err(rejections.of('bad_request', 'no', 'the body is not JSON'));
+    return err(rejections.of('bad_request', 'no', 'the body is not valid JSON'));
   }
   return body === null || typeof body !== 'object' || Array.isArray(body)
-    ? err(rejections.of('bad_request', 'no', 'the body must be an object'))
+    ? err(rejections.of('bad_request', 'no', 'the body must be a JSON object'))
     : ok(body as Record<string, unknown>);
 };
 
@@ -133,13 +137,13 @@
     : c.json({ status: 'not ready', voices: gateway.freshness.freshNodeCount() }, 503, { 'retry-after': '1' });
 };
 
-/** The routes of one gateway's caller address. */
+/** Creates the routes of one gateway's caller address. */
 export const callerApi = (gateway: Gateway): Hono => {
   const app = new Hono();
   const limited = bodyLimit({
     maxSize: gateway.settings.bodyLimitBytes,
     onError: (c) =>
-      rejectionReply(c, rejections.of('too_large', 'no', 'the body is over the limit'), requestIdOf(c, gateway)),
+      rejectionReply(c, rejections.of('too_large', 'no', 'the body exceeds the size limit'), requestIdOf(c, gateway)),
   });
   app.post('/v1/completions', limited, completionHandler(gateway, '/v1/completions'));
   app.post('/v1/chat/completions', limited, completionHandler(gateway, '/v1/chat/completions'));
--- a/packages/gateway/src/api/operatorPages.ts
+++ b/packages/gateway/src/api/operatorPages.ts
@@ -1,4 +1,4 @@
-/** The HTTP pages for operators: status, metrics, and how a request would be placed. */
+/** The HTTP API for operators: status, metrics, and placement explanations. */
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
@@ -34,14 +34,14 @@
   const body: unknown = await c.req.json().catch(() => null);
   const { lane, tenant, prompt } = (body ?? {}) as { lane?: unknown; tenant?: unknown; prompt?: unknown };
   if (typeof lane !== 'string' || typeof tenant !== 'string' || typeof prompt !== 'string')
-    return c.json({ detail: 'lane, tenant and prompt must be text' }, 400);
+    return c.json({ detail: 'lane, tenant and prompt must be strings' }, 400);
   const candidates = gateway.stages.placementStage.explain(lane, tenant, prompt);
   return candidates === null
     ? c.json({ detail: 'no such lane or tenant' }, 404)
     : c.json({ counter: gateway.settings.name, candidates });
 };
 
-/** The routes of one gateway's operator address; `vitals` gives further lines for the metrics page. */
+/** Creates the routes of one gateway's operator address; `processMetrics` returns further lines for `/metrics`. */
 export const operatorPages = (gateway: Gateway, processMetrics = noProcessMetrics): Hono => {
   const app = new Hono();
   const limited = bodyLimit({ maxSize: gateway.settings.bodyLimitBytes });
--- a/packages/gateway/src/claims/claimQuorum.ts
+++ b/packages/gateway/src/claims/claimQuorum.ts
@@ -1,4 +1,4 @@
-/** Votes of the control nodes on the claim of one idempotency key. */
+/** Quorum calls to the control nodes about claims on idempotency keys. */
 import { background } from '@martenworks/core-types';
 import type { ClaimVote, Member } from '@martenworks/core-types';
 import type { PeerPool } from '@martenworks/cluster-membership';
@@ -8,16 +8,16 @@
 
 type StateVote = Extract<ClaimVote, { kind: 'state' }>;
 
-/** The votes that came until a majority granted, or until every member voted or failed to. */
+/** The votes received until a majority granted the message, or until every member had voted or failed to. */
 export interface PollResult {
   readonly granted: number;
   readonly states: readonly StateVote[];
 }
 
-/** The messages on which the control nodes vote. */
+/** Topics of the messages on which the control nodes vote. */
 export type ClaimTopic = 'claimPrepare' | 'claimAccept' | 'claimRelease';
 
-/** Collects the votes on one message. */
+/** Collects the votes on one message and resolves once the result is known. */
 class VoteCollector {
   private readonly states: StateVote[] = [];
   private granted = 0;
@@ -39,14 +39,14 @@
   };
 }
 
-/** Asks all members and counts their votes. */
+/** Sends messages to all members and counts their votes. */
 export class ClaimQuorum {
   constructor(
     private readonly members: () => readonly Member[],
     private readonly peerPool: () => PeerPool,
   ) {}
 
-  /** Sends one message to every member; a member that is not reached counts as one that does not vote. */
+  /** Sends one message to every member; a member that cannot be reached counts as not voting. */
   readonly poll = (topic: ClaimTopic, body: unknown): Promise<PollResult> => {
     const members = this.members();
     const majority = Math.floor(members.length / 2) + 1;
@@ -71,6 +71,6 @@
     );
   };
 
-  /** Whether this many votes are a majority of the present members. */
+  /** Whether this many votes are a majority of the current members. */
   readonly isMajority = (votes: number): boolean => votes > this.members().length / 2;
 }
--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -1,7 +1,7 @@
 /**
- * Claims on idempotency keys: of all gateways that receive a key, one runs its request. The claimant is chosen by
- * single-decree Paxos over the control nodes (prepare and accept, with ballots); a claim whose request was not run is
- * released, and the key's next turn is open.
+ * Claims on idempotency keys: of all gateways that receive a request with the same key, one runs it. The claimant is
+ * chosen by single-decree Paxos among the control nodes (Lamport, "Paxos Made Simple", 2001). A claim whose request did
+ * not run is released, which starts the key's next turn.
  */
 import { background, claimBallots, timing } from '@martenworks/core-types';
 import type { Claimant, ClaimAccepted, ClaimBallot, Member, Ports } from '@martenworks/core-types';
@@ -20,16 +20,16 @@
 const backoffStepMs = 10;
 const claimantTokenBytes = 4;
 
-/** A claim that this gateway may act on. */
+/** A claim on an idempotency key. */
 export interface Claim {
   /** Digest of the tenant and its idempotency key. */
   readonly key: string;
-  /** Counts the claims on this key that were released. */
+  /** Number of claims on this key that were released before. */
   readonly turn: number;
   readonly claimant: Claimant;
 }
 
-/** What came of an attempt to claim a key. */
+/** The result of trying to claim a key. The kinds also name metrics. */
 export type ClaimOutcome =
   | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'replay'; readonly datas: readonly string[] }
@@ -44,7 +44,7 @@
 const newestRound = (poll: PollResult, round: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.promised?.[0] ?? 0), round);
 
-/** Paxos: the claimant accepted under the highest ballot among the promises must be proposed again. */
+/** The claimant accepted under the highest ballot among the promises, which Paxos requires to be proposed again. */
 const highestAccepted = (poll: PollResult): ClaimAccepted | null => {
   let highest: ClaimAccepted | null = null;
   for (const { isGranted, state } of poll.states) {
@@ -56,7 +56,7 @@
 
 /** The claims of one gateway. */
 export class Claims {
-  /** What became of the requests that this gateway claimed. */
+  /** Outcomes of the requests that this gateway claimed. */
   readonly responseStore = new ResponseStore();
   private readonly quorum: ClaimQuorum;
   private round = 0;
@@ -70,7 +70,7 @@
     this.quorum = new ClaimQuorum(members, peerPool);
   }
 
-  /** Claims a key for a request; `digest` is the digest of the request's body, to tell a reuse of the key. */
+  /** Claims a key for a request; `digest` is the digest of the request's body, to detect reuse for another request. */
   readonly acquire = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
     const { incarnation, address } = this.hello();
@@ -114,7 +114,7 @@
     return { kind: 'no majority' };
   };
 
-  /** Asks the claimant's gateway what became of its request. */
+  /** Asks the claimant's gateway for the outcome of its request. */
   private readonly fetchState = async (claimant: Claimant): Promise<StoredResponseState> => {
     if (claimant.gateway === this.hello().incarnation) return this.responseStore.stateOf(claimant.id);
     const { net, clock, log } = this.ports;
@@ -139,7 +139,7 @@
     await this.quorum.poll('claimRelease', { key: claim.key, turn: claim.turn });
   };
 
-  /** Notes what became of a claimed request, and releases the claim of one that was not run. */
+  /** Records the outcome of a claimed request, and releases the claim if the request did not run. */
   readonly recordOutcome = (claim: Claim, state: StoredResponseState): void => {
     this.responseStore.recordOutcome(claim.claimant.id, state);
     if (state.kind === 'not run') background.run('release a claim', this.release(claim));
--- a/packages/gateway/src/claims/responseStore.ts
+++ b/packages/gateway/src/claims/responseStore.ts
@@ -1,14 +1,14 @@
 /**
- * What this gateway keeps of the keyed requests it claimed: it alone can tell another gateway what became of one. Kept
- * in memory only; an entry that is gone reads as unknown.
+ * Outcomes of the requests that this gateway claimed, for replays and for other gateways, which cannot get them from
+ * anywhere else. They are stored in memory only; the outcome of a missing entry is unknown.
  */
 
-/** Bounds of the store: entries, their bytes in all, and the bytes of one response. */
+/** Limits of the store: number of entries, total bytes, and bytes of one response. */
 const maxEntries = 4_096;
 const maxBytes = 64 * 1024 * 1024;
 const maxResponseBytes = 256 * 1024;
 
-/** What is known of a claimed request; `datas` are the response's pieces in order. Sent between gateways. */
+/** The outcome of a claimed request, as sent between gateways; `datas` are the response's chunks in order. */
 export type StoredResponseState =
   | { readonly kind: 'running' }
   | { readonly kind: 'done'; readonly datas: readonly string[] }
@@ -23,15 +23,15 @@
 const sizeOf = (state: StoredResponseState): number =>
   state.kind === 'done' ? state.datas.reduce((sum, data) => sum + data.length, 0) : 0;
 
-/** Bounded in entries and bytes; drops the oldest entry whose request has ended. */
+/** Stores outcomes up to the limits, beyond which it evicts the oldest entries whose requests have ended. */
 export class ResponseStore {
   private readonly entries = new Map<string, StoredResponse>();
   private bytes = 0;
 
-  /** Notes that the claimant with this id starts to run. */
+  /** Records that the request of the claimant with this id starts. */
   readonly recordStart = (claimantId: string): void => this.put(claimantId, { state: { kind: 'running' }, bytes: 0 });
 
-  /** Notes what became of it; a response over the size limit is kept as unknown. */
+  /** Records the outcome of the claimant's request; a response over the size limit is stored as unknown. */
   readonly recordOutcome = (claimantId: string, state: StoredResponseState): void => {
     const bytes = sizeOf(state);
     this.put(claimantId, bytes > maxResponseBytes ? { state: { kind: 'unknown' }, bytes: 0 } : { state, bytes });
@@ -49,7 +49,7 @@
     }
   };
 
-  /** What is known of the claimant's request. */
+  /** The outcome of the claimant's request. */
   readonly stateOf = (claimantId: string): StoredResponseState =>
     this.entries.get(claimantId)?.state ?? { kind: 'unknown' };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** The gateway: takes callers' requests and has replicas run them. This module assembles its parts. */
+/** The gateway process: accepts requests from callers and has replicas run them. This module assembles its parts. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, timing } from '@martenworks/core-types';
@@ -22,19 +22,19 @@
 const incarnationBytes = 8;
 const drainPollIntervalMs = 50;
 
-/** One gateway process, as its other modules and its pages see it. */
+/** One gateway process. */
 export class Gateway implements GatewayContext {
   /** Random id of this run of the process. */
   readonly incarnation: string;
-  /** Nodes known by gossip. */
+  /** Nodes known through gossip. */
   readonly memberList: MemberList;
-  /** Held connections to other nodes. */
+  /** Open connections to other nodes. */
   readonly peerPool: PeerPool;
-  /** Watches other nodes by heartbeats. */
+  /** Detects failures of other nodes by their heartbeats. */
   readonly failureDetector: FailureDetector;
-  /** The committed state as this gateway holds it. */
+  /** This gateway's copy of the committed state. */
   readonly stateView: StateView;
-  /** Whether that state is recent enough to serve by. */
+  /** Whether that copy is recent enough to serve requests. */
   readonly freshness: Freshness;
   /** Load and health of the replicas. */
   readonly replicaTracker: ReplicaTracker;
@@ -42,16 +42,16 @@
   readonly metrics = new MetricCounters();
   /** Claims on idempotency keys. */
   readonly claims: Claims;
-  /** The pipeline that requests pass. */
+  /** The pipeline that processes requests. */
   readonly stages: Stages;
   private readonly controlReporter: ControlReporter;
   private readonly isolationAdmission = new IsolationAdmission(this);
   private listener: Listener | null = null;
 
   constructor(
-    /** The settings it was started with. */
+    /** The settings that the process was started with. */
     readonly settings: GatewaySettings,
-    /** Clock, network and the like, real or simulated. */
+    /** Clock, network and other system interfaces, real or simulated. */
     readonly ports: Ports,
   ) {
     const { clock, random } = ports;
@@ -99,10 +99,10 @@
       peerMessageHandlers.of(this, (connection) => this.controlReporter.onConnectionOpen(connection)),
     );
 
-  /** How this node introduces itself to others. */
+  /** The hello message that identifies this node to its peers. */
   readonly hello = (): Hello => hellos.of('edge', this.settings, this.incarnation);
 
-  /** Listens for other nodes. */
+  /** Starts listening for connections of other nodes. */
   readonly listen = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
@@ -121,7 +121,7 @@
   private readonly admitIsolatedTenants = (): void =>
     background.run('admit isolated tenants', this.isolationAdmission.run());
 
-  /** The parts are made one after the other, so some may be absent when the first state comes. */
+  /** May run while the constructor is still creating the parts, so that some may be undefined. */
   private readonly onStateChange = (): void => {
     for (const connection of this.peerPool?.openConnections() ?? []) connection.send('ack', this.stateView.logIndex());
     this.stages?.recheck();
@@ -129,11 +129,11 @@
     this.peerPool?.reconcile();
   };
 
-  /** Serves one request; resolves with a rejection or once the first piece came. */
+  /** Serves one request; resolves with a rejection, or with a stream once its first chunk has arrived. */
   readonly serve = (completion: CompletionRequest): Promise<GatewayResponse> =>
     new Promise((resolve) => this.stages.accept(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
 
-  /** Rejects new requests and waits for the live ones, for `settings.drainMs` at most. */
+  /** Rejects new requests and waits at most `settings.drainMs` for the active ones to end. */
   readonly drain = async (): Promise<void> => {
     this.stages.drain();
     const { clock } = this.ports;
@@ -141,21 +141,21 @@
     while (this.stages.live.size > 0 && clock.now() < drainDeadlineAt) await timing.sleep(clock, drainPollIntervalMs);
   };
 
-  /** Rejects the requests still live and closes all connections. */
+  /** Rejects the requests that are still active and closes all connections. */
   readonly stop = async (): Promise<void> => {
     this.controlReporter.stop();
     this.failureDetector.stop();
     this.peerPool.stop();
     for (const request of [...this.stages.live])
-      this.stages.rejector.reject(request, 'draining', 'this gateway is closing');
+      this.stages.rejector.reject(request, 'draining', 'this gateway is shutting down');
     await this.listener?.close();
     await this.ports.httpClient.close();
   };
 }
 
-/** Gateways on real or simulated ports. */
+/** Starts gateways. */
 export const gateways = {
-  /** Makes a gateway and opens it; the error tells why its peer address could not be listened on. */
+  /** Creates a gateway and listens on its peer address; returns the error if listening fails. */
   start: async (settings: GatewaySettings, ports: Ports): Promise<Result<Gateway, NetworkError>> => {
     const gateway = new Gateway(settings, ports);
     const opened = await gateway.listen();
--- a/packages/gateway/src/gatewayContext.ts
+++ b/packages/gateway/src/gatewayContext.ts
@@ -1,4 +1,4 @@
-/** The parts of a gateway that its modules for peers use of each other. */
+/** The parts of a gateway that its peer modules share. */
 import type { FailureDetector, MemberList, PeerPool } from '@martenworks/cluster-membership';
 import type { Ports } from '@martenworks/core-types';
 import type { Claims } from './claims/claims.js';
@@ -7,7 +7,7 @@
 import type { Freshness } from './state/freshness.js';
 import type { StateView } from './state/stateView.js';
 
-/** Implemented by the gateway; its comments are there. */
+/** Implemented by `Gateway`, where each part is documented. */
 export interface GatewayContext {
   readonly ports: Ports;
   readonly memberList: MemberList;
--- a/packages/gateway/src/gatewayRequest.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -1,4 +1,4 @@
-/** One caller's request on its way through the gateway, with its state machine. */
+/** One caller's request in the gateway, and its state machine. */
 import type { Rejection } from '@martenworks/core-types';
 import type { CompletionPath, CompletionEvent } from '@martenworks/upstream';
 import type { Claim } from './claims/claims.js';
@@ -8,101 +8,102 @@
 /** A completion request as the caller sent it. */
 export interface CompletionRequest {
   readonly requestId: string;
-  /** The bearer key, or null when none was given. */
+  /** The bearer key; null if the caller sent none. */
   readonly key: string | null;
   readonly path: CompletionPath;
   readonly body: Record<string, unknown>;
-  /** The caller's own deadline in milliseconds, or null for the tier's. */
+  /** Deadline that the caller asked for, in milliseconds from the arrival; null for the tier's default. */
   readonly deadlineMs: number | null;
   readonly idempotencyKey: string | null;
-  /** Aborted when the caller closes the connection. */
+  /** Aborts when the caller closes the connection. */
   readonly signal: AbortSignal;
 }
 
-/** A response whose pieces come as the replica makes them. */
+/** A streamed response; `events` are its chunks, as the replica sends them, and how it ended. */
 export interface StreamResponse {
   readonly kind: 'stream';
   readonly requestId: string;
   readonly events: AsyncGenerator<CompletionEvent>;
 }
 
-/** What a caller gets: a rejection or a stream. */
+/** The response to a caller: a rejection or a stream. */
 export type GatewayResponse = Rejection | StreamResponse;
 
-/** The attempt at a replica that a request is waiting for. */
+/** The attempt at a replica whose response a request is waiting for. */
 export interface ActiveAttempt {
   readonly replica: string;
   readonly incarnation: number;
-  /** Called when the replica is gone or was started anew. */
+  /** Called when the replica was removed or restarted. */
   readonly onReplicaRemoved: () => void;
 }
 
-type RequestState = 'entered' | 'waiting' | 'out' | 'relaying' | 'ended';
+/** `unplaced`: in the first stages, or between two attempts; `attempting`: waiting for a replica's first chunk. */
+type RequestState = 'unplaced' | 'queued' | 'attempting' | 'relaying' | 'ended';
 
 const transitions: Record<RequestState, readonly RequestState[]> = {
-  entered: ['waiting', 'relaying', 'ended'],
-  waiting: ['waiting', 'out', 'ended'],
-  out: ['entered', 'relaying', 'ended'],
+  unplaced: ['queued', 'relaying', 'ended'],
+  queued: ['queued', 'attempting', 'ended'],
+  attempting: ['unplaced', 'relaying', 'ended'],
   relaying: ['ended'],
   ended: [],
 };
 
-/** The isolation scope of cached prompts: the tenant's name if it is isolated, null for the shared scope. */
+/** Isolation scopes of cached prompts: the tenant's name if it is isolated, null for the scope that the others share. */
 export const isolationScopes = {
   /** The scope of a tenant. */
   ofTenant: (tenant: TenantView): string | null => (tenant.tenant.isolated ? tenant.name : null),
 
-  /** The scope of a request; null as long as it has no tenant. */
+  /** The scope of a request; null while its tenant is not known. */
   of: (request: GatewayRequest): string | null =>
     request.tenant === null ? null : isolationScopes.ofTenant(request.tenant),
 };
 
-/** Filled by the stages in turn; moves between its states only along `transitions`. */
+/** A request, filled in by one stage after another; changes its state only as `transitions` allows. */
 export class GatewayRequest {
-  /** Hash of the bearer key, once admitted. */
+  /** Hash of the bearer key; empty until the request is admitted. */
   keyHash = '';
-  /** The lane that the caller named as its model. */
+  /** The lane, which the caller names in the `model` field. */
   laneName = '';
   /** Estimated length of the prompt in tokens. */
   promptTokens = 0;
-  /** Hashes of the prompt's blocks, for the prefix index. */
+  /** Hashes of the prompt's blocks, for lookups in the prefix index. */
   blocks: readonly string[] = [];
-  /** The key's tenant, as of the configuration that the request last passed. */
+  /** The key's tenant, as of the configuration that the request was last checked against. */
   tenant: TenantView | null = null;
-  /** The lane, as of the configuration that the request last passed. */
+  /** The lane, as of the configuration that the request was last checked against. */
   lane: LaneView | null = null;
-  /** When the caller gets a rejection at the latest, unless a first piece came. */
+  /** Time at which the request is rejected if no first chunk has arrived. */
   deadlineAt = Number.POSITIVE_INFINITY;
-  /** Attempts made at replicas, the first included. */
+  /** Attempts made at replicas, including the first. */
   attempts = 0;
-  /** Attempts paid by the retry budget. */
+  /** Attempts charged to the retry budget. */
   retries = 0;
-  /** Whether the lane forbids to run the request twice. */
+  /** Whether the request must not run twice; once true, it stays true if the lane's configuration changes. */
   isAtMostOnce = false;
-  /** The `retry-after` of the last busy replica, in seconds. */
+  /** The `retry-after` of the last replica that rejected the request as full, in seconds. */
   retryAfterSeconds: number | null = null;
-  /** Whether a replica may have started to run it. */
+  /** Whether a replica may have started to run the request. */
   mayHaveRun = false;
-  /** Whether the whole response was relayed. */
+  /** Whether the response was relayed to its end. */
   isComplete = false;
-  /** The claim on its idempotency key, if it holds one. */
+  /** The request's claim on its idempotency key; null if it has none. */
   claim: Claim | null = null;
-  /** The pieces relayed so far, kept only for a claimed request. */
+  /** Chunks relayed so far, stored only for a request with a claim. */
   relayedChunks: string[] = [];
-  /** Why the relay was cut, if it was. */
+  /** Why the gateway truncated the response; null if it did not. */
   truncationCause: string | null = null;
-  /** Names of replicas that failed this request; it does not go there again. */
+  /** Names of the replicas that failed or rejected the request, which it is not sent to again. */
   readonly avoided = new Set<string>();
-  /** Aborted when the request ends or its relay is cut. */
+  /** Aborted when the request ends or its response is truncated. */
   readonly abortController = new AbortController();
-  private state: RequestState = 'entered';
+  private state: RequestState = 'unplaced';
   private attempt: ActiveAttempt | null = null;
   private readonly endListeners: (() => void)[] = [];
 
   constructor(
-    /** What the caller sent. */
+    /** The request as the caller sent it. */
     readonly completion: CompletionRequest,
-    /** When it arrived, on this process's monotonic clock in milliseconds. */
+    /** Time of arrival on this process's monotonic clock, in milliseconds. */
     readonly arrivedAt: number,
     private readonly respond: (response: GatewayResponse) => void,
   ) {}
@@ -112,22 +113,22 @@
     this.state = next;
   };
 
-  /** Whether nothing more will be sent to the caller. */
+  /** Whether the request has ended: nothing more is sent to the caller. */
   get isEnded(): boolean {
     return this.state === 'ended';
   }
 
-  /** Whether the caller is receiving a stream. */
+  /** Whether a response is being streamed to the caller. */
   get isRelaying(): boolean {
     return this.state === 'relaying';
   }
 
-  /** Whether the caller got a response, at least its start. */
+  /** Whether the caller has received a response or the start of one. */
   get hasResponseStarted(): boolean {
     return this.isEnded || this.isRelaying;
   }
 
-  /** The attempt that is out, if any. */
+  /** The current attempt, if any. */
   get activeAttempt(): ActiveAttempt | null {
     return this.attempt;
   }
@@ -135,35 +136,35 @@
   /** Calls the listener when the request ends. */
   readonly onEnd = (listener: () => void): void => void this.endListeners.push(listener);
 
-  /** The request is put into a pool's queue. */
-  readonly markQueued = (): void => this.moveTo('waiting');
+  /** Records that the request was added to a pool's queue. */
+  readonly markQueued = (): void => this.moveTo('queued');
 
-  /** The request is sent to a replica. */
+  /** Records that an attempt at a replica starts. */
   readonly startAttempt = (attempt: ActiveAttempt): void => {
-    this.moveTo('out');
+    this.moveTo('attempting');
     this.attempt = attempt;
   };
 
-  /** The attempt came to nothing; another may follow. */
+  /** Records that the attempt ended without a response; another may follow. */
   readonly endAttempt = (): void => {
-    if (this.state === 'out') this.moveTo('entered');
+    if (this.state === 'attempting') this.moveTo('unplaced');
     this.attempt = null;
   };
 
-  /** The caller gets these pieces. */
+  /** Responds to the caller with a stream of these events. */
   readonly startRelay = (events: AsyncGenerator<CompletionEvent>): void => {
     this.moveTo('relaying');
     this.respond({ kind: 'stream', requestId: this.completion.requestId, events });
   };
 
-  /** The caller gets this rejection, unless it got a response already. */
+  /** Responds with a rejection and ends the request, unless a response has started. */
   readonly reject = (rejection: Rejection): void => {
     if (this.hasResponseStarted) return;
     this.respond(rejection);
     this.end();
   };
 
-  /** Ends the request and calls the listeners, once. */
+  /** Ends the request and calls the listeners; does nothing if it has ended. */
   readonly end = (): void => {
     if (this.isEnded) return;
     this.moveTo('ended');
@@ -171,7 +172,7 @@
     for (const listener of this.endListeners) listener();
   };
 
-  /** Cuts the relay: the caller's stream ends with an error event that tells the cause. */
+  /** Truncates the response: the caller's stream ends with an error event that contains the cause. */
   readonly truncate = (cause: string): void => {
     this.truncationCause ??= cause;
     this.abortController.abort();
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway package: the product's own data-plane node. */
+/** The gateway: the data-plane node that serves completion requests. */
 export * from './gateway.js';
 export * from './api/callerApi.js';
 export * from './api/operatorPages.js';
--- a/packages/gateway/src/peers/controlReporter.ts
+++ b/packages/gateway/src/peers/controlReporter.ts
@@ -1,4 +1,4 @@
-/** Pings the control nodes: reports this gateway's load and learns how recent its committed state is. */
+/** Pings the control nodes, to report this gateway's load and to check that its committed state is recent. */
 import { background, RepeatingTimer } from '@martenworks/core-types';
 import type { LoadReport } from '@martenworks/core-types';
 import type { PeerConnection } from '@martenworks/peer-transport';
@@ -10,7 +10,7 @@
 const minIntervalFactor = 0.9;
 const intervalFactorJitter = 0.2;
 
-/** Pings each connected control node, one ping at a time. */
+/** Pings each connected control node periodically, with at most one outstanding ping per connection. */
 export class ControlReporter {
   private readonly timer: RepeatingTimer;
   private readonly pending = new Set<PeerConnection>();
@@ -29,7 +29,7 @@
     pools: this.gateway.stages.placementStage.demands(),
   });
 
-  /** Reports the load at once, for a long prompt that other gateways should know of. */
+  /** Reports the load immediately after a long prompt changed it, so that other gateways take that into account. */
   readonly reportLongPrompt = (): void => {
     const report = this.report();
     for (const connection of this.gateway.peerPool.openConnections())
@@ -61,13 +61,13 @@
     stages.placementStage.placeAllQueued();
   };
 
-  /** Subscribes to a newly connected control node's changes and pings it. */
+  /** Subscribes to the changes of a newly connected control node and pings it. */
   readonly onConnectionOpen = (connection: PeerConnection): void => {
     if (connection.peer?.role !== 'control') return;
     connection.send('subscribe', this.gateway.stateView.logIndex());
     background.run('report load to a control node', this.ping(connection));
   };
 
-  /** Ends the pings. */
+  /** Stops pinging. */
   readonly stop = (): void => this.timer.stop();
 }
--- a/packages/gateway/src/peers/isolationAdmission.ts
+++ b/packages/gateway/src/peers/isolationAdmission.ts
@@ -1,4 +1,4 @@
-/** Asks the control nodes to admit isolated tenants to replicas, as the tenant partitions want it. */
+/** Asks the control nodes to admit isolated tenants to replicas, as the tenant partitions require. */
 import { background } from '@martenworks/core-types';
 import type { IsolationClaim, IsolationStatus, Member } from '@martenworks/core-types';
 import type { GatewayContext } from '../gatewayContext.js';
@@ -6,14 +6,17 @@
 
 const admitTimeoutMs = 1_000;
 
-/** What a majority knows of one replica: every tenant that any of them names, and the majority's smallest age. */
+/**
+ * Merges the control nodes' statuses of one replica: all tenants that any of them lists, and the largest age that a
+ * majority confirms.
+ */
 const mergeStatuses = (statuses: readonly IsolationStatus[], majority: number): IsolationStatus => ({
   ...(statuses[0] as IsolationStatus),
   sides: [...new Set(statuses.flatMap((status) => status.sides))],
   ageMs: statuses.map((status) => status.ageMs).sort((a, b) => b - a)[majority - 1] as number,
 });
 
-/** Collects the members' answers by replica until a majority answered on every claim. */
+/** Collects the members' replies by replica, until a majority replied on every claim or all members replied. */
 class StatusCollector {
   private readonly byReplica = new Map<string, IsolationStatus[]>();
 
@@ -34,13 +37,13 @@
   };
 }
 
-/** Runs one round of requests at a time. */
+/** Requests admissions in rounds, one round at a time. */
 export class IsolationAdmission {
   private isRunning = false;
 
   constructor(private readonly gateway: GatewayContext) {}
 
-  /** Asks for all claims that are open, if no round is running. */
+  /** Requests all pending claims, unless a round is running. */
   readonly run = async (): Promise<void> => {
     const claims = this.gateway.stateView.pendingIsolationClaims();
     if (this.isRunning || claims.length === 0) return;
--- a/packages/gateway/src/peers/peerMessageHandlers.ts
+++ b/packages/gateway/src/peers/peerMessageHandlers.ts
@@ -1,11 +1,11 @@
-/** What a gateway does with the messages and questions of other nodes. */
+/** Handles the messages and calls of other nodes. */
 import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import type { GatewayContext } from '../gatewayContext.js';
 import { peerMessages } from './peerMessages.js';
 
 type MessageHandler = (gateway: GatewayContext, body: unknown, connection: PeerConnection) => void;
 
-/** Ignores a message that its reader finds malformed. */
+/** Creates a handler that ignores malformed messages. */
 const handler =
   <T>(
     read: (body: unknown) => T | null,
@@ -16,7 +16,7 @@
     if (message !== null) apply(gateway, message, connection);
   };
 
-/** Tells a control node which state is held, so that it sends what is missing. */
+/** Sends a control node this gateway's log index, so that it sends the missing changes. */
 const acknowledge = (gateway: GatewayContext, connection: PeerConnection): void => {
   connection.send('ack', gateway.stateView.logIndex());
 };
@@ -68,9 +68,9 @@
   }
 };
 
-/** The handlers of a gateway's peer connections; `onOpen` is called once the other side has introduced itself. */
+/** Handlers of a gateway's peer connections. */
 export const peerMessageHandlers = {
-  /** Makes them for one gateway. */
+  /** Creates the handlers of one gateway; `onOpen` is called once the peer has sent its hello. */
   of: (gateway: GatewayContext, onOpen: (connection: PeerConnection) => void): PeerHandlers => ({
     onOpen: (connection) => {
       if (connection.peer === null) return;
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -1,6 +1,6 @@
 /**
- * Checks on what other nodes send to a gateway. Each reader returns the typed message, or null when the body does not
- * have the fields that the gateway reads; a malformed message is then ignored, as if it had not come.
+ * Validates the messages that other nodes send to a gateway. Each reader returns the typed message, or null if the body
+ * lacks fields that the gateway uses; such a malformed message is ignored.
  */
 import type {
   Change,
@@ -16,7 +16,7 @@
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
 import type { StoredResponseState } from '../claims/responseStore.js';
 
-/** A committed change at its place in the log. */
+/** A committed change and its log index. */
 export interface ChangeMessage {
   readonly logIndex: number;
   readonly change: Change;
@@ -108,7 +108,7 @@
   (body: unknown): T | null =>
     isValid(body) ? (body as T) : null;
 
-/** One reader for each topic that a gateway receives, and for each reply to what it asks. */
+/** One reader for each topic that a gateway receives, and for each reply to a call that it makes. */
 export const peerMessages = {
   /** Topic `heartbeat`: the sender's incarnation. */
   heartbeat: reader<string>(isText),
@@ -116,7 +116,7 @@
   /** Topic `change`. */
   change: reader<ChangeMessage>(isChangeMessage),
 
-  /** Topic `checkpoint`: the committed state as a whole. */
+  /** Topic `checkpoint`: the complete committed state. */
   committedState: reader<CommittedState>(isCommittedState),
 
   /** Topic `replicas`. */
--- a/packages/gateway/src/pipeline/admissionStage.ts
+++ b/packages/gateway/src/pipeline/admissionStage.ts
@@ -1,13 +1,13 @@
-/** First stage: admits a request if this gateway may serve and the caller's key is granted. */
+/** First stage: admits a request if the gateway's state is fresh and the caller's key is granted. */
 import { apiKeys } from '@martenworks/core-types';
 import type { StageContext } from './stageContext.js';
 import type { Rejector } from './rejector.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 import { grants } from '../state/grants.js';
 
-/** Finds the tenant of the request's key. */
+/** Checks the request's key and finds its tenant. */
 export class AdmissionStage {
-  /** Set once the gateway closes; every new request is then rejected. */
+  /** Set when the gateway shuts down; all new requests are then rejected. */
   isDraining = false;
 
   constructor(
@@ -16,20 +16,24 @@
     private readonly next: (request: GatewayRequest) => void,
   ) {}
 
-  /** Admits the request to the next stage or rejects it. */
+  /** Passes the request to the next stage or rejects it. */
   readonly handle = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     if (this.isDraining) {
-      this.rejector.reject(request, 'draining', 'this gateway is closing');
+      this.rejector.reject(request, 'draining', 'this gateway is shutting down');
       return;
     }
     const view = this.context.stateView.view();
     if (view === null || !this.context.freshness.isFresh()) {
-      this.rejector.reject(request, 'not_fresh', 'this gateway has not heard a majority of control nodes lately');
+      this.rejector.reject(
+        request,
+        'not_fresh',
+        'no majority of control nodes has recently confirmed the state of this gateway',
+      );
       return;
     }
     if (request.completion.key === null) {
-      this.rejector.reject(request, 'unknown_key', 'no bearer key was given');
+      this.rejector.reject(request, 'unknown_key', 'the request has no bearer key');
       return;
     }
     request.keyHash = apiKeys.hash(request.completion.key);
--- a/packages/gateway/src/pipeline/boundedQueue.ts
+++ b/packages/gateway/src/pipeline/boundedQueue.ts
@@ -1,17 +1,17 @@
-/** A bounded priority queue: the hand-over between two stages of the gateway's pipeline. */
+/** A bounded priority queue between two stages of the pipeline. */
 import { Heap } from 'heap-js';
 
 interface QueueEntry<T> {
   readonly item: T;
   readonly priority: number;
-  /** Order of arrival, which decides between equal priorities. */
+  /** Order of arrival, which breaks ties between equal priorities. */
   readonly sequence: number;
 }
 
 const compareEntries = <T>(a: QueueEntry<T>, b: QueueEntry<T>): number =>
   a.priority - b.priority || a.sequence - b.sequence;
 
-/** Holds at most `limit` items and hands out the one with the lowest priority number first. */
+/** Holds at most `limit` items; the item with the lowest priority number comes first. */
 export class BoundedQueue<T> {
   private readonly heap = new Heap<QueueEntry<T>>(compareEntries);
   private readonly entries = new Map<T, QueueEntry<T>>();
@@ -19,7 +19,7 @@
 
   constructor(private readonly limit: number) {}
 
-  /** Adds an item. A full queue drops its last item, which may be the new one, and returns it. */
+  /** Adds an item. If the queue is full, removes and returns its last item, which may be the new one; else null. */
   readonly put = (item: T, priority: number): T | null => {
     const entry = { item, priority, sequence: ++this.sequence };
     this.heap.push(entry);
@@ -36,7 +36,7 @@
     return last;
   };
 
-  /** Removes and returns the first item, if any. */
+  /** Removes and returns the first item; undefined if the queue is empty. */
   readonly take = (): T | undefined => {
     const entry = this.heap.pop();
     if (entry !== undefined) this.entries.delete(entry.item);
--- a/packages/gateway/src/pipeline/fairQueue.ts
+++ b/packages/gateway/src/pipeline/fairQueue.ts
@@ -1,31 +1,31 @@
 /**
- * The queue of one replica pool: strict priority between tiers, an equal share between the tenants of a tier, and now
- * and then the oldest request of all, so that no tier starves.
+ * The queue of one replica pool: strict priority between tiers and fair queueing between the tenants of a tier. At
+ * regular intervals the oldest request goes first, whatever its tier, so that no tier starves.
  */
 
-/** The waiting items of one tenant, in order of arrival. */
+/** The queued items of one tenant, in order of arrival. */
 interface TenantQueue<T> {
   /** Rank of the tenant's tier; a lower rank is served first. */
   readonly rank: number;
-  /** Waiting items with the time at which each was queued, in milliseconds. */
+  /** Queued items with the time at which each was queued, in milliseconds. */
   readonly items: Map<T, number>;
-  /** Items served, on a scale shared by the active tenants of a rank. */
+  /** Items dispatched, on a scale that the active tenants of a rank share; the lowest is served first. */
   virtualTime: number;
-  /** Items granted since `ratedAt`. */
+  /** Items dispatched since `measuredAt`. */
   dispatched: number;
-  /** Measured service rate, in items a millisecond; 0 before the first measurement. */
+  /** Measured dispatch rate, in items per millisecond; 0 before the first measurement. */
   ratePerMs: number;
   measuredAt: number;
 }
 
-/** One grant in this many goes by age instead of by rank. */
+/** One dispatch in this many goes by age instead of by rank. */
 const dispatchesPerAgeTurn = 8;
 const minRateWindowMs = 2_000;
 const minFirstRateWindowMs = 500;
-/** Queues shorter than this get no forecast: their rate says too little. */
+/** Shorter tenant queues get no forecast, since their measured rate says too little. */
 const minForecastItems = 2;
 
-/** Holds at most `limit` items over all tenants. All times are in milliseconds. */
+/** Holds at most `limit` items of all tenants. All times are in milliseconds. */
 export class FairQueue<T> {
   private readonly tenantQueues = new Map<string, TenantQueue<T>>();
   private readonly tenantQueueOf = new Map<T, TenantQueue<T>>();
@@ -51,7 +51,10 @@
     return created;
   };
 
-  /** Adds an item. A full queue drops the newest item of the lowest tier's longest tenant queue and returns it. */
+  /**
+   * Adds an item. If the queue is full, removes and returns the newest item of the longest tenant queue in the lowest
+   * tier; else returns null.
+   */
   readonly put = (tenantName: string, rank: number, item: T, now: number): T | null => {
     const queue = this.tenantQueue(tenantName, rank, now);
     if (queue.items.size === 0) this.advanceVirtualTime(queue);
@@ -64,14 +67,14 @@
     return displaced;
   };
 
-  /** A tenant that waited for nothing gets no credit for that time. */
+  /** Advances a tenant that becomes active, so that it gets no credit for the time in which it had no items. */
   private readonly advanceVirtualTime = (queue: TenantQueue<T>): void => {
     const others = this.active().filter((other) => other.rank === queue.rank);
     if (others.length > 0)
       queue.virtualTime = Math.max(queue.virtualTime, Math.min(...others.map((other) => other.virtualTime)));
   };
 
-  /** The first item of each active tenant, in the order in which they should be tried. */
+  /** The first item of each active tenant, in the order in which they should be dispatched. */
   readonly heads = (): T[] => {
     const oldest = (queue: TenantQueue<T>): number => queue.items.values().next().value as number;
     const byRank = (a: TenantQueue<T>, b: TenantQueue<T>): number =>
@@ -83,7 +86,7 @@
       .map((queue) => queue.items.keys().next().value as T);
   };
 
-  /** Removes an item that is served now, and counts it for its tenant's share and rate. */
+  /** Removes an item that is dispatched, and counts it towards its tenant's share and rate. */
   readonly dispatch = (item: T, now: number): void => {
     const queue = this.tenantQueueOf.get(item);
     if (queue === undefined) return;
@@ -103,7 +106,7 @@
     queue.measuredAt = now;
   };
 
-  /** The expected wait of a new item of this tenant, in milliseconds; 0 when nothing is known. */
+  /** Expected wait of a new item of this tenant, in milliseconds; 0 if there is no forecast. */
   readonly expectedWaitMs = (tenantName: string, now: number): number => {
     const queue = this.tenantQueues.get(tenantName);
     if (queue === undefined || queue.items.size < minForecastItems) return 0;
@@ -111,7 +114,7 @@
     return queue.ratePerMs === 0 ? 0 : queue.items.size / queue.ratePerMs;
   };
 
-  /** The items that will miss their deadline at the measured rates. */
+  /** The items that would miss their deadline at the measured rates. */
   readonly predictedDeadlineMisses = (now: number, deadlineOf: (item: T) => number): T[] =>
     this.active().flatMap((queue) => {
       this.measureRate(queue, now);
@@ -128,7 +131,7 @@
     return found;
   };
 
-  /** Removes an item that is not served; false when it does not wait here. */
+  /** Removes an item without dispatching it; returns false if it is not queued. */
   readonly remove = (item: T): boolean => {
     const queue = this.tenantQueueOf.get(item);
     if (queue === undefined) return false;
@@ -136,9 +139,9 @@
     return queue.items.delete(item);
   };
 
-  /** All waiting items, in order of arrival. */
+  /** All queued items, in order of arrival. */
   readonly items = (): T[] => [...this.tenantQueueOf.keys()];
 
-  /** The number of waiting items. */
+  /** Number of queued items. */
   readonly size = (): number => this.tenantQueueOf.size;
 }
--- a/packages/gateway/src/pipeline/lookupStage.ts
+++ b/packages/gateway/src/pipeline/lookupStage.ts
@@ -1,4 +1,4 @@
-/** Second stage: looks up the request's lane and prompt, checks the tenant's rate and claims the idempotency key. */
+/** Second stage: looks up the request's lane and prompt, checks the tenant's rate, and claims the idempotency key. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, digests, prompts } from '@martenworks/core-types';
@@ -21,14 +21,14 @@
   readonly prompt: string;
 }
 
-/** Outcomes after which another request under the same key may have run. */
+/** Outcomes that mean that another request with the same key may have run. */
 const mayHaveRunElsewhere: ReadonlySet<ClaimOutcome['kind']> = new Set(['replay', 'running', 'unknown']);
 
 const claimRejections: Record<Exclude<ClaimOutcome['kind'], 'claimed' | 'replay'>, ClaimRejection> = {
-  running: { code: 'in_progress', detail: 'this Idempotency-Key is being run' },
+  running: { code: 'in_progress', detail: 'a request with this Idempotency-Key is running' },
   unknown: {
     code: 'outcome_unknown',
-    detail: 'this Idempotency-Key was claimed, and the outcome of its request is not known',
+    detail: 'this Idempotency-Key was claimed and the outcome of its request is unknown',
   },
   reused: { code: 'key_reused', detail: 'this Idempotency-Key was used for another request' },
   'no majority': {
@@ -37,7 +37,7 @@
   },
 };
 
-/** Fills in what the request's body names. */
+/** Fills in the lane, the prompt and the deadline of a request. */
 export class LookupStage {
   private readonly rateLimiters = new Map<number, RateLimiter>();
 
@@ -45,10 +45,10 @@
     private readonly context: StageContext,
     private readonly rejector: Rejector,
     private readonly next: (request: GatewayRequest) => void,
-    private readonly replay: (request: GatewayRequest, datas: readonly string[]) => AsyncGenerator<CompletionEvent>,
+    private readonly replay: (request: GatewayRequest, chunks: readonly string[]) => AsyncGenerator<CompletionEvent>,
   ) {}
 
-  /** Passes the request on, claimed first if it has an idempotency key, or rejects it. */
+  /** Passes the request on, after claiming its idempotency key if it has one, or rejects it. */
   readonly handle = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     const found = this.lookUp(request);
@@ -66,16 +66,21 @@
   private readonly lookUp = (request: GatewayRequest): Result<LookupResult, LookupError> => {
     const { tenant, completion } = request;
     const view = this.context.stateView.view();
-    if (view === null || tenant === null) return err({ code: 'not_fresh', detail: 'no configuration is held' });
+    if (view === null || tenant === null)
+      return err({ code: 'not_fresh', detail: 'no configuration has been received' });
     const laneName = completion.body.model;
-    if (typeof laneName !== 'string') return err({ code: 'bad_request', detail: 'model must name a lane' });
+    if (typeof laneName !== 'string') return err({ code: 'bad_request', detail: 'model must be the name of a lane' });
     const lane = view.lanes.get(laneName);
-    if (lane === undefined) return err({ code: 'unknown_lane', detail: 'no such lane' });
+    if (lane === undefined) return err({ code: 'unknown_lane', detail: 'the lane does not exist' });
     if (!tenant.lanes.has(lane.index))
-      return err({ code: 'lane_not_granted', detail: "the key's holder may not use this lane" });
+      return err({ code: 'lane_not_granted', detail: 'the tenant of this key may not use the lane' });
     const prompt = replicaProtocol.promptOf(completion.path, completion.body);
-    if (prompt === null) return err({ code: 'bad_request', detail: 'the prompt must be text' });
-    if (!this.isWithinRate(tenant)) return err({ code: 'over_share', detail: 'the tenant is over its rate' });
+    if (prompt === null)
+      return err({
+        code: 'bad_request',
+        detail: 'the body must have a string prompt, or messages with a role and string content',
+      });
+    if (!this.isWithinRate(tenant)) return err({ code: 'over_share', detail: 'the tenant is over its rate limit' });
     return ok({ lane, tenant, prompt });
   };
 
@@ -93,7 +98,7 @@
     const { clock } = this.context.ports;
     const timer = clock.after(Math.max(0, request.deadlineAt - clock.now()), () => {
       if (request.hasResponseStarted) return;
-      this.rejector.reject(request, 'horizon_passed', 'the deadline passed before a first piece came');
+      this.rejector.reject(request, 'horizon_passed', 'the deadline passed before the first chunk arrived');
     });
     request.onEnd(timer.cancel);
   };
--- a/packages/gateway/src/pipeline/placementExplanation.ts
+++ b/packages/gateway/src/pipeline/placementExplanation.ts
@@ -1,4 +1,4 @@
-/** Explains to an operator how a request would be placed now. */
+/** Explains to operators how a request would be placed now. */
 import { prompts } from '@martenworks/core-types';
 import type { ReplicaRecord } from '@martenworks/core-types';
 import { estimatePlacements } from '@martenworks/prefix-index';
@@ -8,17 +8,17 @@
 import type { PlacementQueries } from './placementQueries.js';
 import type { StageContext } from './stageContext.js';
 
-/** One replica of the lane's pool, as the placement algorithm sees it. */
+/** One replica of the lane's pool with the inputs and results of its placement estimate; sent in replies to `/why`. */
 export interface ExplainedReplica {
   readonly replica: string;
   readonly state: string;
   readonly tenantPartition: string;
   readonly keptTokens: number;
-  /** Whether it may be named as the holder of the prompt's prefix. */
+  /** Whether other replicas may pull the prompt's prefix from it. */
   readonly mayBeNamed: boolean;
   readonly running: number;
   readonly holder: string | null;
-  /** Null when the replica is no candidate. */
+  /** Null if the replica is not a candidate; so is `costMs`. */
   readonly prefillTokens: number | null;
   readonly costMs: number | null;
 }
@@ -48,14 +48,14 @@
 const cheapestFirst = (a: ExplainedReplica, b: ExplainedReplica): number =>
   (a.costMs ?? Number.POSITIVE_INFINITY) - (b.costMs ?? Number.POSITIVE_INFINITY);
 
-/** Explanations of one gateway. */
+/** Explains placements of one gateway. */
 export class PlacementExplanation {
   constructor(
     private readonly context: StageContext,
     private readonly queries: PlacementQueries,
   ) {}
 
-  /** The replicas of the lane's pool, the cheapest first; null when the lane or the tenant is unknown. */
+  /** The replicas of the lane's pool, the cheapest first; null if the lane or the tenant is unknown. */
   readonly of = (laneName: string, tenantName: string, prompt: string): ExplainedReplica[] | null => {
     const { stateView, ports } = this.context;
     const view = stateView.view();
@@ -68,11 +68,11 @@
     return stateView
       .records()
       .filter((record) => record.pool === lane.poolName)
-      .map((record) => this.explained(record, request, query, estimates))
+      .map((record) => this.explanationOf(record, request, query, estimates))
       .sort(cheapestFirst);
   };
 
-  private readonly explained = (
+  private readonly explanationOf = (
     record: ReplicaRecord,
     request: GatewayRequest,
     query: PlacementQuery | null,
--- a/packages/gateway/src/pipeline/placementQueries.ts
+++ b/packages/gateway/src/pipeline/placementQueries.ts
@@ -1,4 +1,4 @@
-/** Builds the question put to the placement algorithm: which replicas may run a request, and which hold its prefix. */
+/** Builds the input of the placement algorithm: which replicas may run a request, and which may have cached its prefix. */
 import type { Contention, ReplicaRecord } from '@martenworks/core-types';
 import type { PlacementQuery } from '@martenworks/prefix-index';
 import { isolationScopes } from '../gatewayRequest.js';
@@ -6,10 +6,10 @@
 import { TransferTracker } from '../replicas/transferTracker.js';
 import type { StageContext } from './stageContext.js';
 
-/** The most urgent tier may fill a replica over its slots by this share. */
+/** Share of its slots by which the most urgent tier may overcommit a replica; less urgent tiers get less. */
 const urgentHeadroom = 0.5;
 
-/** Questions of one gateway. */
+/** Builds the placement queries of one gateway. */
 export class PlacementQueries {
   /** Measured delays of cache transfers. */
   readonly transferTracker: TransferTracker;
@@ -19,12 +19,12 @@
     this.transferTracker = new TransferTracker(context.ports.clock);
   }
 
-  /** Takes how many gateways have requests waiting for each pool. */
+  /** Replaces the contention of the pools, as the control nodes report it. */
   readonly updateContention = (contention: Contention): void => {
     this.contention = contention;
   };
 
-  /** The question of a request, or null when its pool is no longer configured. */
+  /** Builds the query of a request; null if its pool is no longer configured. */
   readonly of = (request: GatewayRequest): PlacementQuery | null => {
     const { stateView, replicaTracker, settings, ports } = this.context;
     const view = stateView.view();
@@ -62,7 +62,7 @@
     };
   };
 
-  /** The ready replicas that may run the request: those not suspect, or all if every one is. */
+  /** The ready replicas that may run the request: the ones that are not suspect, or all if all are. */
   private readonly usable = (
     request: GatewayRequest,
     poolName: string,
@@ -78,8 +78,8 @@
   };
 
   /**
-   * The replicas with a free slot. While other gateways contend for the pool, this one takes no more than its part of
-   * the slots, and within that part it may use a replica that others have filled.
+   * The replicas with a free slot. While other gateways contend for the pool, this one uses no more than its share of
+   * the slots, but within that share it may use replicas that the others have filled.
    */
   private readonly withFreeSlots = (
     records: readonly ReplicaRecord[],
--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -1,4 +1,4 @@
-/** Third stage: holds admitted requests in their pool's queue and picks a replica for each. */
+/** Third stage: queues admitted requests by pool and chooses a replica for each. */
 import type { PoolDemands } from '@martenworks/core-types';
 import { choosePlacement } from '@martenworks/prefix-index';
 import type { Placement } from '@martenworks/prefix-index';
@@ -12,7 +12,7 @@
 import type { Rejector } from './rejector.js';
 import type { StageContext } from './stageContext.js';
 
-/** A forecast wait over this share of the time left is taken to pass the deadline. */
+/** A request is rejected if its expected wait exceeds this share of the time to its deadline. */
 const maxWaitShare = 0.5;
 
 /** Queues and places the requests of all pools. */
@@ -31,7 +31,7 @@
     this.explanation = new PlacementExplanation(context, this.queries);
   }
 
-  /** Brings the request's lane and tenant up to date; rejects it and returns false if its grant is gone. */
+  /** Updates the request's lane and tenant; rejects it and returns false if it has lost its grant. */
   readonly refreshGrant = (request: GatewayRequest): boolean =>
     grants.of(this.context.stateView.view(), request).match(
       ({ lane, tenant }) => {
@@ -46,7 +46,7 @@
       },
     );
 
-  /** Queues a request, or rejects it at once when it cannot be served in time. */
+  /** Queues a request, or rejects it immediately if it cannot be served in time. */
   readonly enqueue = (request: GatewayRequest): void => {
     if (!this.refreshGrant(request)) return;
     const { lane, tenant } = request;
@@ -65,12 +65,12 @@
     request: GatewayRequest,
   ): void => {
     if (this.queues.isTierFull(queue, tenant)) {
-      this.rejector.reject(request, 'over_share', "the tier's share of the queue is taken");
+      this.rejector.reject(request, 'over_share', "the tier's share of the queue is full");
       return;
     }
     const now = this.context.ports.clock.now();
     if (queue.waiting.expectedWaitMs(tenant.name, now) > (request.deadlineAt - now) * maxWaitShare) {
-      this.rejector.reject(request, 'no_capacity', 'the wait would pass the deadline');
+      this.rejector.reject(request, 'no_capacity', 'the expected wait exceeds the deadline');
       return;
     }
     request.markQueued();
@@ -79,31 +79,31 @@
     this.placeQueued(lane.poolName);
   };
 
-  /** Removes a request from its queue; false when it did not wait. */
+  /** Removes a request from its queue; returns false if it was not queued. */
   readonly removeFromQueue = (request: GatewayRequest): boolean => this.queues.remove(request);
 
-  /** The expected wait of a request in its pool's queue, in milliseconds. */
+  /** Expected wait in the queue of the request's pool, in milliseconds. */
   readonly expectedWaitMs = (request: GatewayRequest): number => this.queues.expectedWaitMs(request);
 
-  /** Rejects every waiting request while the committed state is not fresh. */
+  /** Rejects all queued requests if the committed state is not fresh. */
   readonly rejectQueuedIfNotFresh = (): void => {
     if (this.context.freshness.isFresh()) return;
-    const detail = 'this gateway lost touch with the control nodes while the request waited';
+    const detail = 'this gateway lost contact with the control nodes while the request was queued';
     for (const [, queue] of this.queues.entries())
       for (const request of queue.waiting.items()) this.rejector.reject(request, 'not_fresh', detail);
   };
 
-  /** Rejects the requests that will miss their deadline, then places what can be placed in all pools. */
+  /** Rejects the requests that would miss their deadline, then places queued requests of all pools. */
   readonly placeAllQueued = (): void => {
     const now = this.context.ports.clock.now();
     for (const [, queue] of this.queues.entries()) {
       for (const request of queue.waiting.predictedDeadlineMisses(now, ({ deadlineAt }) => deadlineAt))
-        this.rejector.reject(request, 'no_capacity', 'the wait would pass the deadline');
+        this.rejector.reject(request, 'no_capacity', 'the expected wait exceeds the deadline');
     }
     for (const [poolName] of this.queues.entries()) this.placeQueued(poolName);
   };
 
-  /** For each pool: requests waiting here, and requests of this gateway running there. */
+  /** By pool: this gateway's queued requests and its requests running there. */
   readonly demands = (): PoolDemands =>
     Object.fromEntries(
       this.queues
@@ -116,7 +116,7 @@
       .inPool(poolName)
       .reduce((sum, record) => sum + this.context.replicaTracker.ownRunning(record.name), 0);
 
-  /** Places waiting requests of a pool until none can be placed. */
+  /** Places queued requests of a pool until no more can be placed. */
   readonly placeQueued = (poolName: string): void => {
     const queue = this.queues.of(poolName);
     while (
@@ -125,7 +125,7 @@
     );
   };
 
-  /** False when the request has to wait on. */
+  /** Returns false if the request stays queued. */
   private readonly placeOrReject = (queue: PoolQueue, request: GatewayRequest, poolName: string): boolean => {
     const query = this.queries.of(request);
     const placed = query === null ? null : choosePlacement(this.context.stateView.index, query);
@@ -137,26 +137,26 @@
     if (this.context.stateView.inPool(poolName).some((record) => !request.avoided.has(record.name))) return false;
     const hasFailed = request.attempts > 0 && request.retryAfterSeconds === null;
     const code = hasFailed ? 'replica_failed' : 'no_capacity';
-    this.rejector.reject(request, code, 'the pool has no ready replica left for this request');
+    this.rejector.reject(request, code, 'the pool has no untried ready replica');
     return true;
   };
 
-  /** Explains to an operator how a request would be placed now. */
+  /** Explains to operators how a request would be placed now. */
   readonly explain: PlacementExplanation['of'] = (laneName, tenantName, prompt) =>
     this.explanation.of(laneName, tenantName, prompt);
 
   /** The depths of all queues, by pool. */
   readonly depths: PoolQueues['depths'] = () => this.queues.depths();
 
-  /** Takes how many gateways have requests waiting for each pool. */
+  /** Replaces the contention of the pools, as the control nodes report it. */
   readonly updateContention: PlacementQueries['updateContention'] = (contention) =>
     this.queries.updateContention(contention);
 
-  /** Takes by how many milliseconds a cache transfer took longer than forecast. */
+  /** Records by how many milliseconds a cache transfer exceeded its forecast. */
   readonly recordTransferExcess = (holder: string, receiver: string, excessMs: number): void =>
     this.queries.transferTracker.record(holder, receiver, excessMs);
 
-  /** After a change of the configuration: rejects a request that lost its grant, and requeues one that moved. */
+  /** Called when the state has changed: rejects a request that lost its grant, and requeues one whose pool or tier changed. */
   readonly recheckGrant = (request: GatewayRequest): void => {
     const { lane, tenant } = request;
     if (lane === null || tenant === null) return;
--- a/packages/gateway/src/pipeline/poolQueues.ts
+++ b/packages/gateway/src/pipeline/poolQueues.ts
@@ -1,4 +1,4 @@
-/** The waiting requests of all replica pools, with the count of each tier. */
+/** The queues of all replica pools, with the number of queued requests of each tier. */
 import type { GatewayRequest } from '../gatewayRequest.js';
 import type { TenantView } from '../state/gatewayConfigView.js';
 import type { StageContext } from './stageContext.js';
@@ -7,17 +7,17 @@
 /** The queue of one pool. */
 export interface PoolQueue {
   readonly waiting: FairQueue<GatewayRequest>;
-  /** Waiting requests by tier name. */
+  /** Number of queued requests by tier name. */
   readonly byTier: Map<string, number>;
 }
 
-/** The depth of one pool's queue, for the operators' page. */
+/** The depth of one pool's queue, for the status page. */
 export interface QueueDepth {
   readonly waiting: number;
   readonly byTier: Record<string, number>;
 }
 
-/** One queue for each pool, made on first use. */
+/** One queue per pool, created on first use. */
 export class PoolQueues {
   private readonly queues = new Map<string, PoolQueue>();
 
@@ -32,16 +32,16 @@
     return queue;
   };
 
-  /** All pools that had a waiting request, with their queues. */
+  /** The names and queues of all pools that have had a queued request. */
   readonly entries = (): [string, PoolQueue][] => [...this.queues];
 
-  /** Whether a tier has taken its share of a pool's queue. */
+  /** Whether the tenant's tier has filled its share of a pool's queue. */
   readonly isTierFull = (queue: PoolQueue, tenant: TenantView): boolean => {
     const share = Math.floor(tenant.tier.share * this.context.settings.queueLimit);
     return (queue.byTier.get(tenant.tierName) ?? 0) >= Math.max(1, share);
   };
 
-  /** Queues a request. A full queue drops a request and returns it. */
+  /** Adds a request. If the queue is full, removes and returns a request; else null. */
   readonly put = (
     queue: PoolQueue,
     tenant: TenantView,
@@ -54,7 +54,7 @@
     return displaced;
   };
 
-  /** Removes a request that goes to a replica now. */
+  /** Removes a request that is sent to a replica. */
   readonly dispatch = (queue: PoolQueue, request: GatewayRequest): void => {
     queue.waiting.dispatch(request, this.context.ports.clock.now());
     this.decrementTier(queue, request);
@@ -66,7 +66,7 @@
     queue.byTier.set(tierName, Math.max(0, (queue.byTier.get(tierName) ?? 0) - 1));
   };
 
-  /** Removes a request that waits no longer; false when it did not wait. */
+  /** Removes a request that is not sent; returns false if it was not queued. */
   readonly remove = (request: GatewayRequest): boolean => {
     if (request.lane === null) return false;
     const queue = this.queues.get(request.lane.poolName);
@@ -75,7 +75,7 @@
     return true;
   };
 
-  /** The expected wait of a request in its pool's queue, in milliseconds. */
+  /** Expected wait in the queue of the request's pool, in milliseconds. */
   readonly expectedWaitMs = (request: GatewayRequest): number => {
     const queue = request.lane === null ? undefined : this.queues.get(request.lane.poolName);
     return queue?.waiting.expectedWaitMs(request.tenant?.name ?? '', this.context.ports.clock.now()) ?? 0;
--- a/packages/gateway/src/pipeline/queuedStage.ts
+++ b/packages/gateway/src/pipeline/queuedStage.ts
@@ -1,7 +1,7 @@
-/** A pipeline stage behind a bounded queue, worked off in a microtask. */
+/** A pipeline stage behind a bounded queue, which is drained in a microtask. */
 import { BoundedQueue } from './boundedQueue.js';
 
-/** Runs `work` on each entered item in order of priority, within the same turn of the event loop. */
+/** Calls `handle` for each queued item in order of priority, within the same turn of the event loop. */
 export class QueuedStage<T> {
   private readonly queue: BoundedQueue<T>;
   private isRunning = false;
@@ -15,7 +15,7 @@
     this.queue = new BoundedQueue(limit);
   }
 
-  /** Queues an item; an item that a full queue drops goes to `onDisplaced`. */
+  /** Queues an item; if the queue is full, the item that it displaces is passed to `onDisplaced`. */
   readonly enqueue = (item: T): void => {
     const displaced = this.queue.put(item, this.priorityOf(item));
     if (displaced !== null) this.onDisplaced(displaced);
--- a/packages/gateway/src/pipeline/rejector.ts
+++ b/packages/gateway/src/pipeline/rejector.ts
@@ -1,4 +1,4 @@
-/** Rejects requests: from whatever stage, with what is known of whether they ran, and with a `retry-after`. */
+/** Rejects requests of all stages; the rejection states whether the request may have run and when to retry. */
 import { rejections } from '@martenworks/core-types';
 import type { Rejection, RejectionCode } from '@martenworks/core-types';
 import type { GatewayRequest } from '../gatewayRequest.js';
@@ -8,7 +8,7 @@
 const maxRetryAfterSeconds = 30;
 const msPerSecond = 1_000;
 
-/** What the rejector needs of the placement stage. */
+/** The placement stage, as the rejector uses it. */
 interface QueuedRequests {
   readonly removeFromQueue: (request: GatewayRequest) => boolean;
   readonly expectedWaitMs: (request: GatewayRequest) => number;
@@ -17,7 +17,7 @@
 const withinBounds = (seconds: number): number =>
   Math.min(maxRetryAfterSeconds, Math.max(minRetryAfterSeconds, seconds));
 
-/** One for all stages of a gateway. */
+/** Rejects the requests of one gateway. */
 export class Rejector {
   constructor(
     private readonly context: StageContext,
@@ -31,7 +31,7 @@
     return withinBounds(Math.ceil(waitSeconds + this.context.ports.random.fraction()));
   };
 
-  /** Rejects a request; if the caller is receiving its stream already, cuts the stream. */
+  /** Rejects a request; if its response is being streamed, truncates the stream instead. */
   readonly reject = (request: GatewayRequest, code: RejectionCode, detail: string): void => {
     this.queuedRequests().removeFromQueue(request);
     const isKnownNotRun = !request.mayHaveRun && (request.completion.idempotencyKey === null || request.claim !== null);
@@ -55,12 +55,12 @@
     });
   };
 
-  /** The caller closed the connection: ends the request. */
+  /** Ends a request whose caller closed the connection. */
   readonly onCallerDisconnect = (request: GatewayRequest): void => {
     if (request.isEnded) return;
     this.context.metrics.add('caller_left');
     this.queuedRequests().removeFromQueue(request);
     if (request.isRelaying) request.end();
-    else request.reject(rejections.of('caller_left', 'unknown', 'the caller left'));
+    else request.reject(rejections.of('caller_left', 'unknown', 'the caller disconnected'));
   };
 }
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,32 +1,32 @@
-/** Last stage: relays a replica's pieces to the caller and notices when the stream is cut. */
+/** Last stage: relays a replica's response to the caller and detects truncation. */
 import { background, timing } from '@martenworks/core-types';
 import type { CompletionEvent } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 
-/** Resolves with the piece that ends the relay, once the request ends or is cut. */
+/** Resolves with the event that ends the relay, once the request has ended or its response is truncated. */
 const untilStopped = (request: GatewayRequest): Promise<CompletionEvent> =>
   new Promise((resolve) => {
     const stop = (): void => resolve({ kind: 'truncated', cause: request.truncationCause ?? 'the request ended' });
     request.abortController.signal.addEventListener('abort', stop, { once: true });
   });
 
-/** A response under an idempotency key may be asked for again. */
+/** Stores a chunk of a request with an idempotency key, whose response may be replayed. */
 const storeForReplay = (request: GatewayRequest, event: CompletionEvent): void => {
   if (request.claim !== null && event.kind === 'chunk') request.relayedChunks.push(event.data);
 };
 
-/** Makes the generators from which the callers' responses are read. */
+/** Creates the generators that produce the callers' responses. */
 export class RelayStage {
   constructor(private readonly context: StageContext) {}
 
-  /** The stored pieces of a response that was given before under the same idempotency key. */
+  /** Replays the stored chunks of an earlier response to the same idempotency key. */
   readonly replay = async function* (
     request: GatewayRequest,
-    datas: readonly string[],
+    chunks: readonly string[],
   ): AsyncGenerator<CompletionEvent> {
     try {
-      for (const data of datas) yield { kind: 'chunk', data };
+      for (const data of chunks) yield { kind: 'chunk', data };
       yield { kind: 'done' };
     } finally {
       request.end();
@@ -51,7 +51,7 @@
       Promise.race([next, stopped]),
       () => ({
         kind: 'truncated',
-        cause: 'the replica sent nothing for too long',
+        cause: 'the replica sent nothing within the idle timeout',
       }),
     );
   };
@@ -67,7 +67,7 @@
     if (request.truncationCause === null && !request.isEnded) replicaTracker.recordFailure(replica);
   };
 
-  /** The pieces of a running attempt: the first, then the rest; `release` is called when the relay ends. */
+  /** Relays the events of an attempt: the first chunk, then the rest; calls `release` when the relay ends. */
   readonly relay = async function* (
     this: RelayStage,
     request: GatewayRequest,
--- a/packages/gateway/src/pipeline/replicaAttempt.ts
+++ b/packages/gateway/src/pipeline/replicaAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one replica: what holds while it is out, and what follows when it comes to nothing. */
+/** One attempt of a request at one replica: its state, and what follows if it fails. */
 import type { RejectionCode } from '@martenworks/core-types';
 import type { Placement } from '@martenworks/prefix-index';
 import type { ReplicaAttemptError } from '@martenworks/upstream';
@@ -8,35 +8,35 @@
 import type { Rejector } from './rejector.js';
 import type { StageContext } from './stageContext.js';
 
-/** Statuses that say that the request itself is wrong, so that no other replica would take it. */
+/** Statuses for which the request itself is at fault, so that other replicas would reject it too. */
 const requestErrorStatuses: ReadonlySet<number> = new Set([400, 413, 414, 415, 422]);
-/** Statuses of a replica that is busy, if it says when to come back. */
+/** Statuses of a replica that is full, if the response has a `retry-after` header. */
 const busyStatuses: ReadonlySet<number> = new Set([429, 503]);
 const msPerSecond = 1_000;
 
-/** What was decided when the request was placed. */
+/** The decisions made when the request was placed. */
 export interface AttemptPlan {
   readonly placed: Placement;
   readonly grant: Grant;
-  /** Weights of the pool at the time. */
+  /** Weights of the pool at that time. */
   readonly weights: string;
 }
 
-/** Where a request goes when its attempt comes to nothing. */
+/** Where a request goes if its attempt fails. */
 export interface AttemptFollowUp {
   readonly rejector: Rejector;
   readonly placementStage: PlacementStage;
-  /** Tries another replica if the request and the budget allow, else rejects it. */
+  /** Tries another replica if the request and the retry budget allow it; otherwise rejects the request. */
   readonly retry: (request: GatewayRequest, code: RejectionCode, detail: string) => void;
 }
 
-/** Counts as running at its replica from its making until `release`. */
+/** An attempt, which counts towards its replica's load from its creation until `release`. */
 export class ReplicaAttempt implements ActiveAttempt {
-  /** Name of the replica. */
+  /** The replica's name. */
   readonly replica: string;
-  /** The replica's incarnation when it was chosen. */
+  /** The replica's incarnation at the time of placement. */
   readonly incarnation: number;
-  /** When the attempt was made, in milliseconds. */
+  /** Time at which the attempt was created, in milliseconds. */
   readonly startedAt: number;
   private readonly attemptId: number;
   private readonly abortController = new AbortController();
@@ -47,7 +47,7 @@
   constructor(
     private readonly context: StageContext,
     private readonly request: GatewayRequest,
-    /** What was decided when the request was placed. */
+    /** The decisions made when the request was placed. */
     readonly plan: AttemptPlan,
     private readonly followUp: AttemptFollowUp,
   ) {
@@ -62,30 +62,30 @@
 
   private readonly abort = (): void => this.abortController.abort();
 
-  /** Aborted when the attempt comes to nothing or the request ends. */
+  /** Aborts when the attempt is abandoned or the request ends. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
 
-  /** Whether the request still waits for this attempt. */
+  /** Whether this is still the request's current attempt. */
   get isActive(): boolean {
     return this.request.activeAttempt === this;
   }
 
-  /** Called as the body is about to be sent: from then on the request may have run. */
+  /** Called just before the body is sent; if it returns true, the body is sent and the request may have run. */
   readonly gate = (isSendable: boolean): boolean => {
     this.isSent = this.isActive && isSendable;
     this.request.mayHaveRun ||= this.isSent;
     return this.isSent;
   };
 
-  /** The first piece came. */
+  /** Records that the first chunk arrived. */
   readonly recordFirstChunk = (): void => {
     this.context.replicaTracker.recordFirstChunk(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
     this.hasFirstChunk = true;
   };
 
-  /** The attempt no longer runs at its replica. */
+  /** Releases the attempt's slot at its replica and places queued requests. */
   readonly release = (): void => {
     const { replicaTracker } = this.context;
     this.request.abortController.signal.removeEventListener('abort', this.abort);
@@ -101,15 +101,15 @@
     this.abort();
   };
 
-  /** The replica is gone. */
+  /** Ends the attempt because its replica was removed or restarted. */
   readonly onReplicaRemoved = (): void => {
-    const detail = 'the replica is gone';
+    const detail = 'the replica was removed or restarted';
     if (this.request.isRelaying) this.request.truncate(detail);
     else if (this.isSent) this.handleFailure('replica_failed', detail);
     else this.requeue();
   };
 
-  /** Sending came to nothing, with this error of the HTTP client or of the replica. */
+  /** Handles an error of the HTTP client or an error status of the replica. */
   readonly handleSendError = (error: ReplicaAttemptError): void => {
     if (error.isUnsent) this.request.mayHaveRun = this.mightHaveRunBefore;
     if (this.request.isEnded) this.release();
@@ -117,7 +117,7 @@
     else this.handleErrorStatus(error);
   };
 
-  /** Nothing was sent: the request is queued anew without a retry being counted. */
+  /** Queues a request that was not sent again, without counting a retry. */
   private readonly requeue = (): void => {
     this.abandon();
     if (this.request.isEnded) return;
@@ -125,11 +125,11 @@
       this.followUp.placementStage.enqueue(this.request);
       return;
     }
-    const detail = 'this gateway lost touch with the control nodes before the attempt';
+    const detail = 'this gateway lost contact with the control nodes before the attempt';
     this.followUp.rejector.reject(this.request, 'not_fresh', detail);
   };
 
-  /** The replica failed: it is suspect, and the request does not go there again. */
+  /** Handles a failure of the replica: it becomes suspect, and the request is not sent to it again. */
   readonly handleFailure = (code: RejectionCode, detail: string): void => {
     if (!this.isActive) return;
     this.context.replicaTracker.recordFailure(this.replica);
@@ -148,7 +148,7 @@
   private readonly handleErrorStatus = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
     if (status !== null && requestErrorStatuses.has(status)) {
       this.abandon();
-      this.followUp.rejector.reject(this.request, 'bad_request', `the replica refused the request: ${cause}`);
+      this.followUp.rejector.reject(this.request, 'bad_request', `the replica rejected the request: ${cause}`);
       return;
     }
     if (status === null || !busyStatuses.has(status) || retryAfterSeconds === null) {
--- a/packages/gateway/src/pipeline/sendCheck.ts
+++ b/packages/gateway/src/pipeline/sendCheck.ts
@@ -1,4 +1,4 @@
-/** The last check before a body is sent: whether everything that the placement stood on still holds. */
+/** The last check before a body is sent: whether the assumptions of the placement still hold. */
 import type { ReplicaRecord } from '@martenworks/core-types';
 import { isolationScopes } from '../gatewayRequest.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
@@ -27,7 +27,7 @@
   );
 };
 
-/** Whether the request may be sent as planned, at this moment. */
+/** Whether the request may still be sent as planned. */
 export const isSendable = (context: StageContext, request: GatewayRequest, plan: AttemptPlan): boolean => {
   const view = context.stateView.view();
   const current = grants.of(view, request);
--- a/packages/gateway/src/pipeline/sendStage.ts
+++ b/packages/gateway/src/pipeline/sendStage.ts
@@ -1,4 +1,4 @@
-/** Fourth stage: sends placed requests to their replicas, and tries again where that is safe and paid for. */
+/** Fourth stage: sends placed requests to their replicas, and retries where that is safe and within the budget. */
 import type { RejectionCode } from '@martenworks/core-types';
 import type { Placement } from '@martenworks/prefix-index';
 import { replicaProtocol } from '@martenworks/upstream';
@@ -13,7 +13,7 @@
 import { isSendable } from './sendCheck.js';
 import type { StageContext } from './stageContext.js';
 
-/** Time over the forecast that a cache transfer may take without being held against the holder. */
+/** Time by which a cache transfer may exceed its forecast without counting as slow. */
 const transferSlackMs = 100;
 const maxRetries = 2;
 
@@ -41,7 +41,7 @@
     return budget;
   };
 
-  /** The tokens left in each pool's retry budget, for the operators' page. */
+  /** Remaining tokens of each pool's retry budget, for the status page. */
   readonly remainingBudgets = (): Record<string, number> =>
     Object.fromEntries([...this.budgets].map(([poolName, budget]) => [poolName, budget.remaining()]));
 
@@ -53,7 +53,7 @@
       return;
     }
     if (!this.budgetOf(request.lane.poolName).trySpend()) {
-      this.rejector.reject(request, code, `${detail}; the retry budget is spent`);
+      this.rejector.reject(request, code, `${detail}; the retry budget is exhausted`);
       return;
     }
     request.retries += 1;
@@ -81,7 +81,7 @@
     return { placed, grant: { lane, tenant }, weights: view.pools.get(lane.poolName)?.weights ?? '' };
   };
 
-  /** Sends a placed request and has its response relayed; resolves when the first piece came or the attempt ended. */
+  /** Sends a placed request and starts the relay; resolves once the first chunk has arrived or the attempt has ended. */
   readonly send = async (request: GatewayRequest, placed: Placement): Promise<void> => {
     const plan = this.planOf(request, placed);
     if (plan === null) return;
@@ -89,7 +89,7 @@
     const attempt = new ReplicaAttempt(this.context, request, plan, {
       rejector: this.rejector,
       placementStage: this.placementStage(),
-      retry: (...refusal) => this.retry(...refusal),
+      retry: (...args) => this.retry(...args),
     });
     request.startAttempt(attempt);
     const response = await this.sendBody(request, attempt);
@@ -101,7 +101,7 @@
     const first = await response.value.next();
     if (!attempt.isActive) return;
     if (request.isEnded) attempt.release();
-    else if (first.done === true) attempt.handleFailure('cut_stream', 'the stream was empty');
+    else if (first.done === true) attempt.handleFailure('cut_stream', 'the response stream was empty');
     else if (first.value.kind === 'chunk')
       this.startRelay(request, attempt, first.value, response.value as AsyncGenerator<CompletionEvent>);
     else this.handleFirstEventFailure(attempt, first.value);
@@ -129,7 +129,7 @@
     attempt: ReplicaAttempt,
     event: Exclude<CompletionEvent, { kind: 'chunk' }>,
   ): void => {
-    const detail = event.kind === 'done' ? 'the stream held no piece' : event.cause;
+    const detail = event.kind === 'done' ? 'the response stream had no chunks' : event.cause;
     attempt.handleFailure(event.kind === 'wrongWeights' ? 'wrong_weights' : 'cut_stream', detail);
   };
 
--- a/packages/gateway/src/pipeline/stageContext.ts
+++ b/packages/gateway/src/pipeline/stageContext.ts
@@ -1,4 +1,4 @@
-/** What all stages of the pipeline share. */
+/** Dependencies that all stages of the pipeline share. */
 import type { MetricCounters, Ports } from '@martenworks/core-types';
 import type { GatewaySettings } from '@martenworks/settings';
 import type { StateView } from '../state/stateView.js';
--- a/packages/gateway/src/pipeline/stages.ts
+++ b/packages/gateway/src/pipeline/stages.ts
@@ -11,7 +11,7 @@
 import { SendStage } from './sendStage.js';
 import { grants } from '../state/grants.js';
 
-/** The pipeline of one gateway and the requests in it. */
+/** The pipeline of one gateway, and its active requests. */
 export class Stages {
   /** Requests that have not ended. */
   readonly live = new Set<GatewayRequest>();
@@ -30,7 +30,7 @@
   constructor(private readonly context: StageContext) {
     const arrivedAt = (request: GatewayRequest): number => request.arrivedAt;
     const rejectDisplaced = (request: GatewayRequest): void =>
-      this.rejector.reject(request, 'no_capacity', 'the stage is full');
+      this.rejector.reject(request, 'no_capacity', 'the queue of the stage is full');
     this.rejector = new Rejector(context, () => this.placementStage);
     this.relayStage = new RelayStage(context);
     this.sendStage = new SendStage(
@@ -64,7 +64,7 @@
     );
   }
 
-  /** Takes a new request. */
+  /** Accepts a new request. */
   readonly accept = (request: GatewayRequest): void => {
     this.live.add(request);
     request.onEnd(() => this.live.delete(request));
@@ -77,17 +77,20 @@
     this.queuedAdmission.enqueue(request);
   };
 
-  /** Whether new requests are rejected because the gateway closes. */
+  /** Whether new requests are rejected because the gateway is shutting down. */
   get isDraining(): boolean {
     return this.admissionStage.isDraining;
   }
 
-  /** Rejects new requests from now on. */
+  /** Starts rejecting new requests. */
   readonly drain = (): void => {
     this.admissionStage.isDraining = true;
   };
 
-  /** After a change of the state: ends what lost its grant or its replica, and places what can be placed. */
+  /**
+   * Called when the state has changed: ends requests that lost their grant and attempts that lost their replica, then
+   * places queued requests.
+   */
   readonly recheck = (): void => {
     const view = this.context.stateView.view();
     if (view === null) return;
--- a/packages/gateway/src/replicas/replicaTracker.ts
+++ b/packages/gateway/src/replicas/replicaTracker.ts
@@ -1,12 +1,12 @@
-/** What one gateway knows of each replica's load and health: its own attempts, and what others report. */
+/** Tracks the load and health of each replica, by this gateway's own attempts and by the load of the other gateways. */
 import type { Clock, Loads } from '@martenworks/core-types';
 
 const initialSuspicionMs = 500;
 const maxSuspicionMs = 5_000;
-/** A replica is silent when a first piece is this late, on top of `forecastSlack` times the forecast. */
+/** A replica is unresponsive if a first chunk takes longer than this plus `forecastFactor` times its forecast. */
 const firstChunkSlackMs = 1_500;
 const forecastFactor = 3;
-/** Prompts of at least this many tokens are told to the control nodes at once. */
+/** Prompts of at least this many tokens are reported to the control nodes immediately. */
 const minLongPromptTokens = 1_000;
 
 interface TrackedReplica {
@@ -15,22 +15,22 @@
   otherGatewaysRunning: number;
   otherGatewaysTokens: number;
   suspectUntil: number;
-  /** Length of the next suspicion; doubles with each failure. */
+  /** Duration of the next suspicion; doubles with each failure. */
   suspicionMs: number;
-  /** Attempts without a first piece, by id, with the time at which it is overdue. */
+  /** Attempts without a first chunk, by id, with the time at which it becomes overdue. */
   readonly awaitingFirstChunk: Map<number, number>;
 }
 
-/** One replica on the operators' page. */
+/** One replica on the status page. */
 export interface ReplicaStatus {
   readonly replica: string;
   readonly running: number;
-  /** Attempts that other gateways have running there. */
+  /** Running attempts of the other gateways. */
   readonly others: number;
   readonly isSuspect: boolean;
 }
 
-/** One record for each replica name, made on first use. */
+/** Tracks replicas by name; a record is created on first use. */
 export class ReplicaTracker {
   private readonly replicas = new Map<string, TrackedReplica>();
   private lastAttemptId = 0;
@@ -56,7 +56,10 @@
     return tracked;
   };
 
-  /** An attempt starts: tokens to prefill and the forecast of its first piece in milliseconds. Returns its id. */
+  /**
+   * Records the start of an attempt with `tokens` tokens to prefill, whose first chunk is expected after
+   * `expectedFirstChunkMs`; returns its id.
+   */
   readonly recordStart = (replica: string, tokens: number, expectedFirstChunkMs: number): number => {
     const tracked = this.of(replica);
     tracked.running += 1;
@@ -70,7 +73,7 @@
     return attemptId;
   };
 
-  /** The attempt's tokens no longer wait to be prefilled. */
+  /** Records that the prompt is prefilled, or won't be: its tokens are no longer pending. */
   readonly recordPrefilled = (replica: string, attemptId: number, tokens: number): void => {
     const tracked = this.of(replica);
     tracked.pendingTokens = Math.max(0, tracked.pendingTokens - tokens);
@@ -78,7 +81,7 @@
     if (wasAwaited && tokens >= minLongPromptTokens) this.onLongPrompt();
   };
 
-  /** The attempt's first piece came: the replica is well. */
+  /** Records the first chunk of an attempt, which ends the suspicion. */
   readonly recordFirstChunk = (replica: string, attemptId: number, tokens: number): void => {
     this.recordPrefilled(replica, attemptId, tokens);
     const tracked = this.of(replica);
@@ -86,25 +89,25 @@
     tracked.suspectUntil = 0;
   };
 
-  /** An attempt ended, in whatever way. */
+  /** Records the end of an attempt, whatever its outcome. */
   readonly recordEnd = (replica: string): void => {
     this.of(replica).running -= 1;
   };
 
-  /** An attempt failed: the replica is suspect for a while, longer each time. */
+  /** Records a failed attempt: the replica becomes suspect, for twice as long after each failure in a row. */
   readonly recordFailure = (replica: string): void => {
     const tracked = this.of(replica);
     tracked.suspectUntil = this.clock.now() + tracked.suspicionMs;
     tracked.suspicionMs = Math.min(tracked.suspicionMs * 2, maxSuspicionMs);
   };
 
-  /** The replica asked to be left alone for this many milliseconds. */
+  /** Records a rejection because the replica is full: it is suspect for `forMs` milliseconds, up to a limit. */
   readonly recordFull = (replica: string, forMs: number): void => {
     const tracked = this.of(replica);
     tracked.suspectUntil = Math.max(tracked.suspectUntil, this.clock.now() + Math.min(forMs, maxSuspicionMs));
   };
 
-  /** Takes the loads that other gateways put on the replicas; a replica not named has none. */
+  /** Replaces the other gateways' loads on the replicas; a replica that is not listed has none. */
   readonly applyOtherLoads = (loads: Loads): void => {
     for (const [replica, tracked] of this.replicas) {
       if (loads[replica] !== undefined) continue;
@@ -118,13 +121,13 @@
     }
   };
 
-  /** Attempts running at the replica, of all gateways. */
+  /** Running attempts of all gateways at the replica. */
   readonly running = (replica: string): number => this.of(replica).running + this.of(replica).otherGatewaysRunning;
 
-  /** Attempts running at the replica, of this gateway. */
+  /** Running attempts of this gateway at the replica. */
   readonly ownRunning = (replica: string): number => this.of(replica).running;
 
-  /** Prompt tokens that wait to be prefilled there, of all gateways. */
+  /** Prompt tokens of all gateways that are not yet prefilled there. */
   readonly pendingTokens = (replica: string): number =>
     this.of(replica).pendingTokens + this.of(replica).otherGatewaysTokens;
 
@@ -134,13 +137,13 @@
     return false;
   };
 
-  /** Whether the replica failed lately, asked for a pause or is overdue with a first piece. */
+  /** Whether the replica recently failed or reported that it is full, or a first chunk is overdue. */
   readonly isSuspect = (replica: string): boolean => {
     const tracked = this.of(replica);
     return tracked.suspectUntil > this.clock.now() || this.isUnresponsive(tracked);
   };
 
-  /** This gateway's own load on each replica, for the control nodes. */
+  /** This gateway's load on each replica, for the control nodes. */
   readonly report = (): Loads =>
     Object.fromEntries(
       [...this.replicas]
@@ -148,7 +151,7 @@
         .map(([replica, tracked]) => [replica, [tracked.running, Math.round(tracked.pendingTokens)] as const]),
     );
 
-  /** Every tracked replica, for the operators' page. */
+  /** All tracked replicas, for the status page. */
   readonly all = (): ReplicaStatus[] =>
     [...this.replicas].map(([replica, tracked]) => ({
       replica,
--- a/packages/gateway/src/replicas/transferTracker.ts
+++ b/packages/gateway/src/replicas/transferTracker.ts
@@ -1,10 +1,10 @@
-/** Measured delays of cache transfers between replicas, for the cost of naming a holder. */
+/** Tracks delays of cache transfers between replicas, for the cost of pulling a prefix from another replica. */
 import type { Clock } from '@martenworks/core-types';
 
 const halfLifeMs = 20_000;
-/** Weight of a new measurement against the held one. */
+/** Weight of a new measurement in the moving average. */
 const newSampleWeight = 0.5;
-/** How far a slow holder speaks against its links to other receivers. */
+/** A holder's average over all its links, divided by this, is the least excess expected on each of them. */
 const otherLinksDivisor = 2;
 
 interface MeasuredTransfer {
@@ -14,13 +14,13 @@
 
 const linkOf = (holder: string, receiver: string): string => `${holder}>${receiver}`;
 
-/** Holds, by link and by holder, by how much transfers took longer than forecast; it decays with time. */
+/** Averages, by link and by holder, by how much transfers exceeded their forecast; the averages decay over time. */
 export class TransferTracker {
   private readonly measured = new Map<string, MeasuredTransfer>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes a measurement: the time over the forecast, in milliseconds. */
+  /** Records by how many milliseconds a transfer exceeded its forecast. */
   readonly record = (holder: string, receiver: string, excessMs: number): void => {
     for (const link of [holder, linkOf(holder, receiver)]) {
       const previous = this.excess(link);
@@ -35,7 +35,7 @@
     return measured.excessMs * 0.5 ** ((this.clock.now() - measured.measuredAt) / halfLifeMs);
   };
 
-  /** The time over the forecast to expect of a transfer, in milliseconds. */
+  /** Expected excess of a transfer over its forecast, in milliseconds. */
   readonly excessMs = (holder: string, receiver: string): number =>
     Math.max(this.excess(linkOf(holder, receiver)), this.excess(holder) / otherLinksDivisor);
 }
--- a/packages/gateway/src/state/freshness.ts
+++ b/packages/gateway/src/state/freshness.ts
@@ -1,11 +1,11 @@
-/** Whether this gateway's committed state is recent enough to serve by: a majority of control nodes said so lately. */
+/** Tracks whether a majority of control nodes has recently confirmed that this gateway's committed state is current. */
 import type { Clock, Member, Pong } from '@martenworks/core-types';
 
-/** How long a pong counts. */
+/** Maximum age of a pong, counted from when its ping was sent. */
 const maxPongAgeMs = 1_500;
-/** How long an accepted but uncommitted change may be outstanding. */
+/** How long a control node may report an accepted change that is not committed here. */
 const maxPendingMs = 500;
-/** A wall clock that moved by more than this against the monotonic one means that the machine was suspended. */
+/** If the wall clock moved by more than this relative to the monotonic clock, the machine may have been suspended. */
 const maxClockJumpMs = 1_000;
 
 interface ReceivedPong {
@@ -15,13 +15,13 @@
   pendingSince: number | null;
 }
 
-/** When a ping was sent, by the monotonic clock and by its distance to the wall clock, in milliseconds. */
+/** When a ping was sent on the monotonic clock, and the wall clock's offset from that clock, in milliseconds. */
 export interface PingTimestamp {
   readonly sentAt: number;
   readonly wallClockOffsetMs: number;
 }
 
-/** Keeps the newest pong of each control node. */
+/** Tracks freshness by the newest pong of each control node. */
 export class Freshness {
   private readonly pongs = new Map<string, ReceivedPong>();
 
@@ -33,16 +33,16 @@
 
   private readonly wallClockOffsetMs = (): number => this.clock.wall() - this.clock.now();
 
-  /** The stamp of a ping that is sent now. */
+  /** Timestamp of a ping that is sent now. */
   readonly timestamp = (): PingTimestamp => ({ sentAt: this.clock.now(), wallClockOffsetMs: this.wallClockOffsetMs() });
 
-  /** Takes the reply to a ping; it counts from when the ping was sent. */
-  readonly recordPong = (stamp: PingTimestamp, pong: Pong): void => {
+  /** Records the reply to a ping; its age counts from when the ping was sent. */
+  readonly recordPong = (timestamp: PingTimestamp, pong: Pong): void => {
     const previous = this.pongs.get(pong.incarnation);
-    if (previous !== undefined && previous.sentAt > stamp.sentAt) return;
+    if (previous !== undefined && previous.sentAt > timestamp.sentAt) return;
     const isPending = pong.acceptedSlot !== null && pong.acceptedSlot > this.ownLogIndex();
     this.pongs.set(pong.incarnation, {
-      ...stamp,
+      ...timestamp,
       logIndex: pong.logIndex,
       pendingSince: isPending ? (previous?.pendingSince ?? this.clock.now()) : null,
     });
@@ -60,11 +60,11 @@
     return pong.pendingSince === null || now - pong.pendingSince <= maxPendingMs;
   };
 
-  /** The number of control nodes whose newest pong still counts. */
+  /** Number of control nodes that currently confirm this gateway's state. */
   readonly freshNodeCount = (): number =>
     this.members().filter((member) => this.isPongFresh(this.pongs.get(member.incarnation))).length;
 
-  /** Whether a majority of control nodes confirm the held state. */
+  /** Whether a majority of control nodes currently confirms this gateway's state. */
   readonly isFresh = (): boolean => {
     const members = this.members();
     return members.length > 0 && this.freshNodeCount() > members.length / 2;
--- a/packages/gateway/src/state/gatewayConfigView.ts
+++ b/packages/gateway/src/state/gatewayConfigView.ts
@@ -1,8 +1,8 @@
-/** The committed configuration in the form that the pipeline looks things up in. */
+/** The committed configuration, indexed for lookups by the pipeline. */
 import { DenseIndex } from '@martenworks/core-types';
 import type { CommittedState, GatewayConfig, Lane, Pool, Tenant, Tier } from '@martenworks/core-types';
 
-/** A lane with its pool. */
+/** A lane and its pool. */
 export interface LaneView {
   readonly index: number;
   readonly name: string;
@@ -11,7 +11,7 @@
   readonly repeat: Lane['repeat'];
 }
 
-/** A tenant with its tier and the indices of its lanes. */
+/** A tenant, its tier and the indices of its lanes. */
 export interface TenantView {
   readonly index: number;
   readonly name: string;
@@ -21,7 +21,7 @@
   readonly lanes: ReadonlySet<number>;
 }
 
-/** One configuration; `urgencyOf` maps a tier's rank to 0 (least urgent) to 1 (most urgent). */
+/** One configuration; `urgencyOf` maps a tier's rank to an urgency from 0 (least urgent) to 1 (most urgent). */
 export interface GatewayConfigView {
   readonly logIndex: number;
   readonly configLogIndex: number;
@@ -37,14 +37,14 @@
   return (rank) => (ranks.length < 2 ? 0 : Math.max(0, ranks.indexOf(rank)) / (ranks.length - 1));
 };
 
-/** Makes the views; the index of a name stays the same over all of them. */
+/** Creates the views; a name has the same index in all of them. */
 export class GatewayConfigIndexer {
-  /** Indices of the lanes' names. */
+  /** Indices of lane names. */
   readonly laneNames = new DenseIndex();
-  /** Indices of the tenants' names. */
+  /** Indices of tenant names. */
   readonly tenantNames = new DenseIndex();
 
-  /** The view of a committed state's configuration. */
+  /** Creates the view of a committed state's configuration. */
   readonly view = (state: CommittedState): GatewayConfigView => ({
     logIndex: state.logIndex,
     configLogIndex: state.configLogIndex,
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -1,4 +1,4 @@
-/** What a gateway holds of the fleet's state: configuration, replicas, prefix index and tenant partitions. */
+/** A gateway's copy of the fleet's state: configuration, replicas, prefix index and tenant partitions. */
 import { stateMachine, replicaRecords } from '@martenworks/core-types';
 import type {
   CommittedState,
@@ -16,11 +16,11 @@
 
 const maxPrefixAgeMs = 600_000;
 
-/** Follows the control nodes' changes in log order and calls `changed` after each. */
+/** Applies the control nodes' changes in log order, and calls `onChange` after each change of the state or the replicas. */
 export class StateView {
-  /** Which replica keeps which prompt prefixes. */
+  /** Index of the prompt prefixes that each replica has cached. */
   readonly index = new PrefixIndex(maxPrefixAgeMs);
-  /** Which replicas serve which isolated tenant. */
+  /** Assignment of replicas to isolated tenants. */
   readonly tenantPartitions = new TenantPartitions();
   private readonly configIndexer = new GatewayConfigIndexer();
   private readonly replicaRecords = new Map<string, ReplicaRecord>();
@@ -32,15 +32,15 @@
     private readonly onChange: () => void,
   ) {}
 
-  /** The committed state, or null before the first. */
+  /** The committed state; null before the first is received. */
   readonly committedState = (): CommittedState | null => this.state;
-  /** The configuration's view, or null before the first. */
+  /** The view of the configuration; null before the first is received. */
   readonly view = (): GatewayConfigView | null => this.configView;
-  /** The log index of the committed state, or -1 before the first. */
+  /** The log index of the committed state; -1 before the first is received. */
   readonly logIndex = (): number => this.state?.logIndex ?? -1;
-  /** All known replicas and stores. */
+  /** All known replicas and cache stores. */
   readonly records = (): ReplicaRecord[] => [...this.replicaRecords.values()];
-  /** One replica or store by name. */
+  /** The replica or cache store with this name; undefined if it is unknown. */
   readonly record = (name: string): ReplicaRecord | undefined => this.replicaRecords.get(name);
 
   private readonly replaceState = (state: CommittedState): void => {
@@ -50,7 +50,7 @@
     this.onChange();
   };
 
-  /** Log index since which what a replica or store keeps is valid. */
+  /** Log index since which the cache of a replica or store is valid. */
   private readonly cacheEpochOf = (record: ReplicaRecord): number =>
     (record.kind === 'store' ? this.state?.storeSince[record.name] : this.state?.weightsSince[record.pool]) ?? 0;
 
@@ -59,21 +59,21 @@
     this.tenantPartitions.align(this.replicaRecords.values(), this.state, this.clock.now());
   };
 
-  /** Applies the change that follows the held state; false when it is another. */
+  /** Applies the change that follows the current state; returns false if it has another log index. */
   readonly applyChange = (logIndex: number, change: Change): boolean => {
     if (this.state === null || logIndex !== this.state.logIndex + 1) return false;
     this.replaceState(stateMachine.apply(this.state, change));
     return true;
   };
 
-  /** Takes a whole committed state; false when it is not newer. */
+  /** Replaces the committed state; returns false if the snapshot is not newer. */
   readonly applySnapshot = (state: CommittedState): boolean => {
     if (this.state !== null && state.logIndex <= this.state.logIndex) return false;
     this.replaceState(state);
     return true;
   };
 
-  /** Takes replica records; of two records of a replica the newer one stays. */
+  /** Merges replica records; of two records of a replica, the newer one is kept. */
   readonly applyReplicas = (records: readonly ReplicaRecord[]): void => {
     for (const record of records)
       this.replicaRecords.set(record.name, replicaRecords.merge(this.replicaRecords.get(record.name), record));
@@ -81,11 +81,11 @@
     this.onChange();
   };
 
-  /** Takes the index of one replica as a whole. */
+  /** Replaces the prefix index of one replica. */
   readonly applyIndexSnapshot = (snapshot: PrefixIndexSnapshot): void =>
     void this.index.restore(snapshot, this.clock.now());
 
-  /** Takes events of the replicas' prefix caches. */
+  /** Applies events of the replicas' prefix caches to the index. */
   readonly applyKvEvents = (events: readonly KvCacheEvent[]): void => {
     const now = this.clock.now();
     for (const event of events) this.index.apply(event, now);
@@ -101,7 +101,10 @@
         record.born <= this.logIndex(),
     );
 
-  /** The replicas and the store whose cached prefixes a pool may use: made by its present weights, and no shared store while it serves isolated tenants. */
+  /**
+   * The replicas and the store whose cached prefixes a pool may use: their contents were computed with its current weights.
+   * A store is left out while the pool serves isolated tenants, because it would be shared.
+   */
   readonly holdersIn = (poolName: string, store: string | null): ReplicaRecord[] => {
     const { state } = this;
     if (state === null) return [];
@@ -113,10 +116,10 @@
     );
   };
 
-  /** Isolated tenants to be admitted to replicas. */
+  /** Claims to admit isolated tenants to replicas, which the control nodes have not yet granted. */
   readonly pendingIsolationClaims = (): IsolationClaim[] => this.tenantPartitions.pendingClaims(this.clock.now());
 
-  /** Takes what the control nodes know of the replicas' isolated tenants. */
+  /** Applies what a majority of control nodes has recorded about the isolated tenants of replicas. */
   readonly applyIsolationStatuses = (statuses: readonly IsolationStatus[]): void => {
     for (const status of statuses)
       this.tenantPartitions.applyGrantedClaim(status, this.index.mayHaveEntries(status.replica), this.clock.now());
--- a/packages/gateway/test/fairness.test.ts
+++ b/packages/gateway/test/fairness.test.ts
@@ -25,7 +25,7 @@
   ),
 });
 
-const raised = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
+const startFleet = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 5,
     edges: 3,
@@ -38,7 +38,7 @@
   return { fleet, checker: new InvariantChecker(fleet) };
 };
 
-const flow = (
+const sendAtRate = (
   fleet: SimFleet,
   checker: InvariantChecker,
   tenant: string,
@@ -47,7 +47,7 @@
 ): void => {
   const end = fleet.world.time + forMs;
   let count = 0;
-  const go = (): void => {
+  const sendNext = (): void => {
     if (fleet.world.time >= end) return;
     count += 1;
     checker.send(
@@ -61,59 +61,59 @@
       },
       count % 3,
     );
-    fleet.world.schedule(null, (-Math.log(1 - fleet.world.random()) * 1000) / ratePerSecond, go);
+    fleet.world.schedule(null, (-Math.log(1 - fleet.world.random()) * 1000) / ratePerSecond, sendNext);
   };
-  go();
+  sendNext();
 };
 
-const share = (calls: readonly Call[]): number =>
+const servedShare = (calls: readonly Call[]): number =>
   calls.filter((call) => call.outcome === 'whole').length / calls.length;
-const quantile = (calls: readonly Call[], part: number): number => {
+const quantile = (calls: readonly Call[], fraction: number): number => {
   const waits = calls
     .filter((call) => call.outcome === 'whole')
     .map((call) => call.firstTokenAt - call.sentAt)
     .sort((a, b) => a - b);
-  return waits[Math.floor(waits.length * part)] ?? Number.POSITIVE_INFINITY;
+  return waits[Math.floor(waits.length * fraction)] ?? Number.POSITIVE_INFINITY;
 };
 
-describe('a pool under twice its load', () => {
-  it('given three tiers, when they ask for twice what the pool takes, then the first keeps its latency and share, the last still moves, and the rest is denied with Retry-After', async () => {
-    const { fleet, checker } = await raised({ north: 'first', south: 'second', east: 'third' });
-    flow(fleet, checker, 'north', 50, 20_000);
-    flow(fleet, checker, 'south', 50, 20_000);
-    flow(fleet, checker, 'east', 50, 20_000);
+describe('fairness in an overloaded pool', () => {
+  it('given three tiers, when they send twice the load that the pool can serve, then the first keeps its latency and share, the last is still served, and the rest is rejected with Retry-After', async () => {
+    const { fleet, checker } = await startFleet({ north: 'first', south: 'second', east: 'third' });
+    sendAtRate(fleet, checker, 'north', 50, 20_000);
+    sendAtRate(fleet, checker, 'south', 50, 20_000);
+    sendAtRate(fleet, checker, 'east', 50, 20_000);
     await fleet.world.run(35_000);
-    const of = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
-    const [first, second, third] = [of('north'), of('south'), of('east')];
-    const seen = {
-      shares: [first, second, third].map(share),
+    const callsOf = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
+    const [first, second, third] = [callsOf('north'), callsOf('south'), callsOf('east')];
+    const measured = {
+      shares: [first, second, third].map(servedShare),
       p95: [first, second, third].map((calls) => quantile(calls, 0.95)),
     };
-    expect(seen.shares[0], JSON.stringify(seen)).to.be.greaterThan(0.99);
-    expect(seen.p95[0], JSON.stringify(seen)).to.be.lessThan(1_000);
-    expect(seen.shares[1], JSON.stringify(seen)).to.be.greaterThan(seen.shares[2] ?? 1);
-    expect(seen.shares[2], JSON.stringify(seen)).to.be.greaterThan(0.01);
-    const rejection = checker.calls.filter((call) => call.outcome === 'denied');
-    expect(rejection.length).to.be.greaterThan(500);
+    expect(measured.shares[0], JSON.stringify(measured)).to.be.greaterThan(0.99);
+    expect(measured.p95[0], JSON.stringify(measured)).to.be.lessThan(1_000);
+    expect(measured.shares[1], JSON.stringify(measured)).to.be.greaterThan(measured.shares[2] ?? 1);
+    expect(measured.shares[2], JSON.stringify(measured)).to.be.greaterThan(0.01);
+    const rejected = checker.calls.filter((call) => call.outcome === 'denied');
+    expect(rejected.length).to.be.greaterThan(500);
     expect(
-      rejection.every((call) => (call.ran === 'no' || call.code === 'horizon_passed') && Number(call.retryAfter) >= 1),
+      rejected.every((call) => (call.ran === 'no' || call.code === 'horizon_passed') && Number(call.retryAfter) >= 1),
     ).to.equal(true);
-    const later = (waitMs: number): number =>
-      rejection.filter((call) => call.endedAt - call.sentAt > waitMs).length / rejection.length;
-    expect(later(1_500), 'share of denials told after more than 1.5 s').to.be.lessThan(0.1);
-    expect(later(4_900), 'share of denials that waited out the horizon').to.be.lessThan(0.04);
+    const shareAfter = (waitMs: number): number =>
+      rejected.filter((call) => call.endedAt - call.sentAt > waitMs).length / rejected.length;
+    expect(shareAfter(1_500), 'share of rejections after more than 1.5 s').to.be.lessThan(0.1);
+    expect(shareAfter(4_900), 'share of rejections at the deadline').to.be.lessThan(0.04);
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given one large tenant and three small ones of a tier, when the large one floods, then the small ones are served', async () => {
-    const { fleet, checker } = await raised({});
-    flow(fleet, checker, 'north', 150, 15_000);
-    for (const tenant of ['south', 'east', 'west']) flow(fleet, checker, tenant, 8, 15_000);
+  it('given one large tenant and three small ones of the same tier, when the large one overloads the pool, then the small ones are served', async () => {
+    const { fleet, checker } = await startFleet({});
+    sendAtRate(fleet, checker, 'north', 150, 15_000);
+    for (const tenant of ['south', 'east', 'west']) sendAtRate(fleet, checker, tenant, 8, 15_000);
     await fleet.world.run(30_000);
-    const of = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
-    const shares = ['south', 'east', 'west'].map((tenant) => share(of(tenant)));
+    const callsOf = (tenant: string): Call[] => checker.calls.filter((call) => call.request.tenant === tenant);
+    const shares = ['south', 'east', 'west'].map((tenant) => servedShare(callsOf(tenant)));
     for (const one of shares) expect(one, JSON.stringify(shares)).to.be.greaterThan(0.97);
-    expect(share(of('north'))).to.be.greaterThan(0.2);
+    expect(servedShare(callsOf('north'))).to.be.greaterThan(0.2);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/gateway/test/grayFailures.test.ts
+++ b/packages/gateway/test/grayFailures.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { InvariantChecker, requestKinds, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 
-describe('replicas in trouble', () => {
-  it('given a replica that takes requests and answers nothing, when the other is sound, then gateways soon send it no more but for one try each of those that had none out, and use it again afterwards', async () => {
+describe('replicas that fail without closing connections', () => {
+  it('given a replica that accepts requests but does not respond, when another is healthy, then each gateway soon sends it at most one more request, and uses it again after it recovers', async () => {
     const fleet = new SimFleet({
       seed: 21,
       edges: 4,
@@ -26,21 +26,22 @@
     machine.thaw();
     const thawedAt = fleet.world.time;
     await fleet.world.run(30_000);
-    const held = checker.calls.filter(
+    const unanswered = checker.calls.filter(
       (call) => call.sentAt > frozenAt && call.sentAt < thawedAt - 1_000 && call.endedAt > thawedAt,
     );
-    expect(held.filter((call) => call.sentAt < frozenAt + 2_500).length).to.be.greaterThan(0);
+    expect(unanswered.filter((call) => call.sentAt < frozenAt + 2_500).length).to.be.greaterThan(0);
     for (const host of fleet.gatewayHosts)
-      expect(held.filter((call) => call.sentAt > frozenAt + 2_500 && call.host === host).length, host).to.be.lessThan(
-        2,
-      );
+      expect(
+        unanswered.filter((call) => call.sentAt > frozenAt + 2_500 && call.host === host).length,
+        host,
+      ).to.be.lessThan(2);
     expect(checker.allRuns().some((run) => run.replica === 'replica-1' && run.startedAt > thawedAt + 2_000)).to.equal(
       true,
     );
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given attempts that wait on a replica which vanished, when the platform tells that it is gone, then they end or are tried elsewhere at once', async () => {
+  it('given attempts waiting for replicas that vanished, when the platform removes these replicas, then the requests end or are retried elsewhere immediately', async () => {
     const fleet = new SimFleet({ seed: 22, edges: 2, replicas: 3, replicaSettings: { decodeMs: 400 } });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
@@ -50,12 +51,12 @@
     await fleet.world.run(500);
     for (const name of ['replica-1', 'replica-2', 'replica-3'])
       await fleet.finish(fleet.onControlNode(0, 'DELETE', `/platform/replicas/${name}`));
-    const toldAt = fleet.world.time;
+    const removedAt = fleet.world.time;
     await fleet.world.run(20_000);
-    const open = checker.calls.filter((call) => call.request.kind !== 'book' && call.endedAt > toldAt - 400);
-    expect(open.length).to.be.greaterThan(3);
-    for (const call of open)
-      expect(call.endedAt - toldAt, `${call.requestId} ${call.outcome} ${call.code}`).to.be.lessThan(500);
+    const pending = checker.calls.filter((call) => call.request.kind !== 'book' && call.endedAt > removedAt - 400);
+    expect(pending.length).to.be.greaterThan(3);
+    for (const call of pending)
+      expect(call.endedAt - removedAt, `${call.requestId} ${call.outcome} ${call.code}`).to.be.lessThan(500);
     expect(checker.violations()).to.deep.equal([]);
   });
 });
--- a/packages/gateway/test/malformedMessages.test.ts
+++ b/packages/gateway/test/malformedMessages.test.ts
@@ -48,7 +48,7 @@
     )
     ._unsafeUnwrap();
 
-/** By topic: bodies that lack what a gateway reads of them. */
+/** By topic: bodies that lack fields that a gateway reads. */
 const malformedMessages: Readonly<Record<string, readonly unknown[]>> = {
   heartbeat: [7, {}],
   change: [
@@ -68,7 +68,7 @@
   kv: [{}, [null], [{ replica: 'replica-1', incarnation: 1 }]],
 };
 
-describe('malformed messages of another node', () => {
+describe('malformed messages from another node', () => {
   let gateway: Gateway;
   let connection: PeerConnection;
 
@@ -94,7 +94,7 @@
     (await connection.call(topic, body, replyTimeoutMs))._unsafeUnwrap();
 
   for (const [topic, bodies] of Object.entries(malformedMessages))
-    it(`given malformed bodies of ${topic}, when a gateway gets them, then it ignores them and answers on the same connection`, async () => {
+    it(`given malformed bodies of ${topic}, when a gateway receives them, then it ignores them and still replies on the same connection`, async () => {
       for (const body of [null, true, ...bodies]) connection.send(topic, body);
       expect(await reply('keepalive', null)).to.equal(true);
       expect(gateway.stateView.logIndex()).to.equal(-1);
@@ -102,7 +102,7 @@
       expect(gateway.replicaTracker.all()).to.deep.equal([]);
     });
 
-  it('given malformed questions, when a gateway is asked them, then it answers none and goes on', async () => {
+  it('given calls with malformed bodies, when a gateway receives them, then it replies null and still handles valid ones', async () => {
     for (const body of [null, 3, {}]) expect(await reply('claimState', body)).to.equal(null);
     for (const body of [null, {}, [{ hello: null, ageMs: 1 }], [{ ageMs: 1 }]])
       expect(await reply('memberList', body)).to.equal(null);
@@ -110,7 +110,7 @@
     expect(await reply('memberList', [])).to.be.an('array');
   });
 
-  it('given whole loads, when a gateway gets them, then it takes them', async () => {
+  it('given a valid loads message, when a gateway receives it, then it applies the loads', async () => {
     connection.send('loads', { 'replica-1': [2, 30] });
     expect(await reply('keepalive', null)).to.equal(true);
     expect(gateway.replicaTracker.all()).to.deep.equal([
--- a/packages/gateway/test/path.test.ts
+++ b/packages/gateway/test/path.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { InvariantChecker, SimFleet } from '@martenworks/test-fleet';
 
-describe('the ordinary path', () => {
-  it('given a whole fleet, when eight tenants ask for ten seconds, then every call is answered whole and no rule is broken', async () => {
+describe('normal operation', () => {
+  it('given a healthy fleet, when eight tenants send requests for ten seconds, then every response is complete and no invariant is violated', async () => {
     const fleet = new SimFleet({ seed: 1, edges: 9, replicas: 13 });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
@@ -14,7 +14,7 @@
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.be.greaterThan(0);
   });
 
-  it('given nine gateways that start together, when they have been up for a second, then each holds all three control nodes', async () => {
+  it('given nine gateways that start together, when they have been up for half a second, then each is confirmed by all three control nodes', async () => {
     for (let seed = 1; seed <= 6; seed += 1) {
       const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
       await fleet.up();
@@ -26,7 +26,7 @@
     }
   });
 
-  it("given eight replicas that keep nothing yet, when short and long prompts come at the users' rate, then the short ones do not wait behind the long ones", async () => {
+  it('given eight replicas with empty caches, when short and long prompts arrive at a typical rate, then the short ones do not wait behind the long ones', async () => {
     for (const seed of [4, 5]) {
       const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
       await fleet.up();
--- a/packages/gateway/test/peerMessages.test.ts
+++ b/packages/gateway/test/peerMessages.test.ts
@@ -32,7 +32,7 @@
 const kvEvent = { replica: 'replica-1', incarnation: 2, seq: 7, kind: 'stored', tenant: null, blocks: ['b1'] };
 const snapshot = { replica: 'replica-1', incarnation: 2, seq: 7, isWhole: true, scopes: [''], blocks: [] };
 
-/** By reader: a body that it takes, and bodies that lack what the gateway reads. */
+/** By reader: bodies that it accepts, and bodies that lack fields that the gateway reads. */
 const cases: Record<keyof typeof peerMessages, { valid: unknown[]; malformed: unknown[] }> = {
   heartbeat: { valid: ['abc'], malformed: [7, {}] },
   change: {
@@ -96,15 +96,15 @@
   },
 };
 
-describe('what other nodes send to a gateway', () => {
+describe('validation of messages from other nodes', () => {
   for (const [name, { valid, malformed }] of Object.entries(cases)) {
     const read = peerMessages[name as keyof typeof peerMessages];
 
-    it(`given whole bodies of ${name}, when they are read, then they are taken as they are`, () => {
+    it(`given valid bodies of ${name}, when they are read, then they are returned unchanged`, () => {
       for (const body of valid) expect(read(body)).to.equal(body);
     });
 
-    it(`given malformed bodies of ${name}, when they are read, then none is taken`, () => {
+    it(`given malformed bodies of ${name}, when they are read, then each is rejected`, () => {
       for (const body of [undefined, null, true, ...malformed]) expect(read(body), JSON.stringify(body)).to.equal(null);
     });
   }
--- a/packages/inspector/src/index.ts
+++ b/packages/inspector/src/index.ts
@@ -1,4 +1,4 @@
-/** The command `martenworks inspector`: asks a running fleet and shows what it tells. */
+/** The command `martenworks inspector`: queries a running fleet and prints the results. */
 import { createInterface } from 'node:readline/promises';
 import { parseArgs } from 'node:util';
 import { print } from './print.js';
@@ -11,8 +11,9 @@
 
 const usage = `martenworks inspector --at IP:PORT[,IP:PORT...] [--json] [QUERY]
 
-Asks the control nodes at these http addresses, and through them the counters. With a query: answers it and ends, with
-0 all reached, 1 some nodes not reached, 2 wrong words, 3 nothing reached, 4 refused. Without: a shell; leave with quit.
+Queries the control nodes at these HTTP addresses, and the gateways connected to them. With QUERY, prints the result and
+exits with 0 (all nodes reached), 1 (some nodes not reached), 2 (invalid arguments), 3 (no node reached) or 4 (request
+rejected). Without QUERY, starts a shell; quit leaves it.
 
 ${help}`;
 
@@ -27,7 +28,7 @@
     },
   });
 
-/** Runs the command with its arguments and gives the exit code; without a query it is a shell. */
+/** Runs the command with these arguments, as a shell if they contain no query; returns the exit code. */
 export const runInspector = async (args: string[]): Promise<number> => {
   let parsed: ReturnType<typeof readFlags>;
   try {
@@ -39,7 +40,7 @@
   const { values, positionals } = parsed;
   if (values.help === true) {
     process.stdout.write(usage);
-    return exitCodes.fine;
+    return exitCodes.success;
   }
   const addresses = (values.at ?? '').split(',').filter((part) => part !== '');
   if (addresses.length === 0) {
@@ -48,7 +49,7 @@
   }
   const runQuery = async (words: readonly string[]): Promise<number> => {
     const outcome = await query(httpRequest, addresses, words);
-    if (outcome.rows.length > 0 || outcome.code === exitCodes.fine)
+    if (outcome.rows.length > 0 || outcome.code === exitCodes.success)
       process.stdout.write(values.json ? print.json(outcome.rows) : print.table(outcome.rows));
     if (outcome.note !== null) process.stderr.write(`${outcome.note}\n`);
     return outcome.code;
@@ -66,5 +67,5 @@
     lines.prompt();
   }
   lines.close();
-  return exitCodes.fine;
+  return exitCodes.success;
 };
--- a/packages/inspector/src/print.ts
+++ b/packages/inspector/src/print.ts
@@ -1,10 +1,10 @@
-/** Writes rows for people and for programs. */
+/** Formats rows for people and for programs. */
 import type { Row } from './statusReader.js';
 
 const cell = (value: unknown): string =>
   value === null || value === undefined ? '-' : typeof value === 'object' ? JSON.stringify(value) : String(value);
 
-/** `table` aligns columns, `json` writes a row a line. */
+/** `table` formats rows as aligned columns, `json` as one JSON object per line. */
 export const print = {
   table: (rows: readonly Row[]): string => {
     if (rows.length === 0) return '(nothing)\n';
--- a/packages/inspector/src/queries.ts
+++ b/packages/inspector/src/queries.ts
@@ -1,40 +1,40 @@
-/** The queries of the inspector: tables over the fleet, and requests to one node. */
+/** The queries of the inspector: tables of the whole fleet's status, and requests to one node. */
 import { readFileSync } from 'node:fs';
 import { readFleet, rowsOf } from './statusReader.js';
 import type { NodeRequest, NodeReply, Row } from './statusReader.js';
 import { reachable, unreachable, views } from './views.js';
 import type { View } from './views.js';
 
-/** What a query answers; `note` is for the standard error stream, `code` the exit code. */
+/** The result of a query; `note` is written to the standard error stream, `code` is the exit code. */
 export interface Outcome {
   readonly rows: readonly Row[];
   readonly code: number;
   readonly note: string | null;
 }
 
-/** Exit codes: all reached, some nodes not reached, wrong words, nothing reached, refused. */
-export const exitCodes = { fine: 0, partly: 1, usage: 2, unreachable: 3, refused: 4 } as const;
+/** Exit codes: all nodes reached, some not reached, invalid arguments, no node reached, request rejected. */
+export const exitCodes = { success: 0, partial: 1, usage: 2, unreachable: 3, rejected: 4 } as const;
 
-/** The queries and what each answers. */
+/** Help text on the queries and their results. */
 export const help = `queries:
   nodes                        every node: role, zone, state, generation
-  acks                         what each counter acknowledged to each control node
-  members                      who votes, as each control node holds it
-  replicas                     every replica: state, incarnation, running, suspicion
-  index                        what is known to be kept, by replica
-  leases                       who does which duty, under which number
-  watchers                     whom watchers miss
-  queues | budgets             waiting requests by pool and tier | extra shots left
-  layout                       the layout in force
-  change ID                    what became of a change
-  why LANE TENANT FILE|TEXT    how a request would be placed, and why
-  plan FILE                    what a JSON Patch would change and touch
-  apply FILE PLAN-ID           applies that plan, on the base it was made for
+  acks                         log index that each gateway acknowledged to each control node
+  members                      cluster members, as known to each control node
+  replicas                     every replica: state, incarnation, running requests, suspicions
+  index                        cached prompt blocks, by replica
+  leases                       holder and fencing token of each lease
+  watchers                     nodes that the failure detectors suspect
+  queues | budgets             queued requests by pool and tier | remaining retries by pool
+  layout                       the committed configuration
+  change ID                    the outcome of a change
+  why LANE TENANT FILE|TEXT    how a request with this prompt would be placed, and why
+  plan FILE                    what a JSON Patch would change and affect
+  apply FILE PLAN-ID           applies that plan, if its base is still current
 `;
 
 const patchHeaders = { 'content-type': 'application/json-patch+json' };
 
-/** How one query reaches the fleet. */
+/** Sends the requests of a query: `addresses` are those of the control nodes. */
 interface FleetClient {
   readonly requestNode: NodeRequest;
   readonly addresses: readonly string[];
@@ -47,15 +47,15 @@
 const noneReachable = (role: string): Outcome => ({
   rows: [],
   code: exitCodes.unreachable,
-  note: `no ${role} answers`,
+  note: `no ${role} responded`,
 });
 
 const outcomeOf = (reply: NodeReply | null): Outcome => {
   if (reply === null) return noneReachable('control node');
-  return { rows: [reply.body], code: reply.status < 300 ? exitCodes.fine : exitCodes.refused, note: null };
+  return { rows: [reply.body], code: reply.status < 300 ? exitCodes.success : exitCodes.rejected, note: null };
 };
 
-/** Asks the control nodes in turn until one answers. */
+/** Sends a request to the control nodes in turn until one responds; null if none does. */
 const requestFromAny = async (
   { requestNode, addresses }: FleetClient,
   path: string,
@@ -68,7 +68,7 @@
   return null;
 };
 
-/** The text of the file, or what was given where there is no such file. */
+/** The text of the file; the argument itself if there is no such file. */
 const textOf = (fileOrText: string): string => {
   try {
     return readFileSync(fileOrText, 'utf8');
@@ -77,7 +77,7 @@
   }
 };
 
-/** The JSON in the file; null where it cannot be read. */
+/** The JSON in the file; null if it cannot be read or parsed. */
 const jsonOf = (path: string | undefined): unknown => {
   if (path === undefined) return null;
   try {
@@ -101,12 +101,12 @@
   if (lane === undefined || tenant === undefined || prompt.length === 0) return usageError(help);
   const fleet = await readFleet(requestNode, addresses);
   const [gateway] = fleet === null ? [] : reachable(fleet.gateways);
-  if (gateway === undefined) return noneReachable('counter');
+  if (gateway === undefined) return noneReachable('gateway');
   const [name, status] = gateway;
   const body = { lane, tenant, prompt: textOf(prompt.join(' ')) };
   const reply = await requestNode(String(status.http), '/why', { method: 'POST', body });
-  if (reply?.status !== 200) return { rows: reply === null ? [] : [reply.body], code: exitCodes.refused, note: null };
-  return { rows: rowsOf(reply.body.candidates), code: exitCodes.fine, note: `as ${name} sees it` };
+  if (reply?.status !== 200) return { rows: reply === null ? [] : [reply.body], code: exitCodes.rejected, note: null };
+  return { rows: rowsOf(reply.body.candidates), code: exitCodes.success, note: `as estimated by ${name}` };
 };
 
 const plan: Query = async (client, [file]) => {
@@ -116,18 +116,18 @@
   if (reply?.status !== 200) return outcomeOf(reply);
   const { planId, base, touches, changes } = reply.body;
   const note = `plan ${String(planId)} on generation ${String(base)}; touches ${JSON.stringify(touches)}`;
-  return { rows: rowsOf(changes), code: exitCodes.fine, note };
+  return { rows: rowsOf(changes), code: exitCodes.success, note };
 };
 
-/** Plans again and applies only if that gives the plan that was named, so that nothing changed in between. */
+/** Plans again, and applies only if that returns the plan with this id: nothing has changed in between. */
 const apply: Query = async (client, [file, planId]) => {
   const patch = jsonOf(file);
   if (patch === null || planId === undefined) return usageError('apply FILE PLAN-ID');
   const planned = await requestPlan(client, patch);
   if (planned?.status !== 200) return outcomeOf(planned);
   if (planned.body.planId !== planId) {
-    const note = 'that plan was made for another base or another change; this is the plan now';
-    return { rows: [planned.body], code: exitCodes.refused, note };
+    const note = 'the plan was made for another base generation or another change; the current plan is printed';
+    return { rows: [planned.body], code: exitCodes.rejected, note };
   }
   const headers = {
     ...patchHeaders,
@@ -144,11 +144,11 @@
   const fleet = await readFleet(requestNode, addresses);
   if (fleet === null) return noneReachable('control node');
   const missing = unreachable(fleet);
-  if (missing.length === 0) return { rows: view(fleet), code: exitCodes.fine, note: null };
-  return { rows: view(fleet), code: exitCodes.partly, note: `not reached: ${missing.join(', ')}` };
+  if (missing.length === 0) return { rows: view(fleet), code: exitCodes.success, note: null };
+  return { rows: view(fleet), code: exitCodes.partial, note: `not reached: ${missing.join(', ')}` };
 };
 
-/** Answers the query that the words name, `nodes` where there are none. */
+/** Runs the query in `words`, its name followed by its arguments; `nodes` if there are none. */
 export const query = async (
   requestNode: NodeRequest,
   addresses: readonly string[],
--- a/packages/inspector/src/statusReader.ts
+++ b/packages/inspector/src/statusReader.ts
@@ -1,26 +1,26 @@
-/** Reads the status pages of control nodes, and through them those of gateways, over HTTP. */
+/** Reads the status pages of control nodes and of the gateways connected to them, over HTTP. */
 import { request } from 'undici';
 
-/** One row of an answer: cells by column, as the node told them. */
+/** One row of a result: values by column, as the node returned them. */
 export type Row = Record<string, unknown>;
 
-/** A node's answer; a body that is no JSON object stands under `text`. */
+/** A node's response; a body that is not a JSON object is stored as `text`. */
 export interface NodeReply {
   readonly status: number;
   readonly body: Row;
 }
 
-/** Asks a node at `IP:PORT`; null where it cannot be reached. */
+/** Sends a request to the node at `IP:PORT`; null if it cannot be reached. */
 export type NodeRequest = (
   address: string,
   path: string,
   options?: { method?: 'GET' | 'POST' | 'PATCH'; body?: unknown; headers?: Record<string, string> },
 ) => Promise<NodeReply | null>;
 
-/** Longest wait for the head of an answer, and again for its body. */
+/** Timeout for the head of a response, and again for its body. */
 const timeoutMs = 2_000;
 
-/** The way to ask that the command uses. */
+/** Sends the request over HTTP. */
 export const httpRequest: NodeRequest = async (address, path, options = {}) => {
   try {
     const response = await request(`http://${address}${path}`, {
@@ -37,13 +37,13 @@
   }
 };
 
-/** The status of every node that was found, by name; null where it cannot be reached. */
+/** The status of each known node, by name; null if it cannot be reached. */
 export interface FleetStatus {
   readonly controlNodes: ReadonlyMap<string, Row | null>;
   readonly gateways: ReadonlyMap<string, Row | null>;
 }
 
-/** The value as rows; none where it is no list. */
+/** The value as rows; none if it is not an array. */
 export const rowsOf = (value: unknown): Row[] => (Array.isArray(value) ? (value as Row[]) : []);
 
 const readEach = async (
@@ -58,7 +58,7 @@
   return new Map(await Promise.all([...addresses].sort().map(read)));
 };
 
-/** Finds all nodes from the control nodes at the addresses and reads their status; null where none of them answers. */
+/** Finds all nodes through the control nodes at these addresses and reads their status; null if none of those responds. */
 export const readFleet = async (
   requestNode: NodeRequest,
   addresses: readonly string[],
@@ -66,12 +66,12 @@
   const controlNodeAt = new Map<string, string>();
   const gatewayAt = new Map<string, string>();
   const addGateways = (status: Row | null): void => {
-    for (const one of rowsOf(status?.counters)) gatewayAt.set(String(one.gateway), String(one.http));
+    for (const row of rowsOf(status?.counters)) gatewayAt.set(String(row.gateway), String(row.http));
   };
   for (const address of addresses) {
     const reply = await requestNode(address, '/operator/status');
     if (reply?.status !== 200) continue;
-    for (const one of rowsOf(reply.body.controlNodes)) controlNodeAt.set(String(one.name), String(one.http));
+    for (const row of rowsOf(reply.body.controlNodes)) controlNodeAt.set(String(row.name), String(row.http));
     addGateways(reply.body);
   }
   if (controlNodeAt.size === 0) return null;
--- a/packages/inspector/src/views.ts
+++ b/packages/inspector/src/views.ts
@@ -1,13 +1,14 @@
-/** Tables over the status of the whole fleet. */
+/** Tables of the status of the whole fleet. */
 import { rowsOf } from './statusReader.js';
 import type { FleetStatus, Row } from './statusReader.js';
 
 const table = (value: unknown): [string, Row][] => Object.entries((value ?? {}) as Record<string, Row>);
+
 /** The names of the nodes that cannot be reached. */
 export const unreachable = (fleet: FleetStatus): string[] =>
   [...fleet.controlNodes, ...fleet.gateways].filter(([, status]) => status === null).map(([name]) => name);
 
-/** The nodes that answered. */
+/** The names and status of the nodes that responded. */
 export const reachable = (nodes: ReadonlyMap<string, Row | null>): [string, Row][] =>
   [...nodes].flatMap(([name, status]) => (status === null ? [] : [[name, status] as [string, Row]]));
 
@@ -132,10 +133,10 @@
     })),
   );
 
-/** A table over the status of the fleet. */
+/** Creates the rows of a table from the status of the fleet. */
 export type View = (fleet: FleetStatus) => Row[];
 
-/** The queries that are answered from the status of the fleet. */
+/** The queries whose results are tables of the fleet's status. */
 export const views: ReadonlyMap<string, View> = new Map(
   Object.entries({
     nodes,
