--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -103,7 +103,7 @@
     for (const [poolName] of this.queues.entries()) this.placeQueued(poolName);
   };
 
-  /** By pool: this gateway's queued requests and its requests running there. */
+  /** By pool: number of this gateway's queued requests, and number of its running ones. */
   readonly demands = (): PoolDemands =>
     Object.fromEntries(
       this.queues
--- a/packages/gateway/test/callers.test.ts
+++ b/packages/gateway/test/callers.test.ts
@@ -37,17 +37,17 @@
         lanes: { ...(sampleWorkload.config('weights-1').lanes as object), secret: { pool: 'main', repeat: 'freely' } },
       },
     });
-    const good = { model: 'query', prompt: 'hello', max_tokens: 4 };
+    const validBody = { model: 'query', prompt: 'hello', max_tokens: 4 };
     const key = bearer(keyOf('north'));
     const cases: [string, unknown, Record<string, string>, number, string][] = [
       ['no object', [1], key, 400, 'bad_request'],
       ['no lane', { prompt: 'hello' }, key, 400, 'bad_request'],
       ['no prompt', { model: 'query' }, key, 400, 'bad_request'],
-      ['no key', good, {}, 401, 'unknown_key'],
-      ['unknown key', good, bearer('nobody-knows-it'), 401, 'unknown_key'],
-      ['lane not granted', { ...good, model: 'secret' }, key, 403, 'lane_not_granted'],
-      ['absent lane', { ...good, model: 'absent' }, key, 404, 'unknown_lane'],
-      ['too large', { ...good, prompt: 'x'.repeat(5_000) }, key, 413, 'too_large'],
+      ['no key', validBody, {}, 401, 'unknown_key'],
+      ['unknown key', validBody, bearer('nobody-knows-it'), 401, 'unknown_key'],
+      ['lane not granted', { ...validBody, model: 'secret' }, key, 403, 'lane_not_granted'],
+      ['absent lane', { ...validBody, model: 'absent' }, key, 404, 'unknown_lane'],
+      ['too large', { ...validBody, prompt: 'x'.repeat(5_000) }, key, 413, 'too_large'],
     ];
     for (const [name, body, headers, status, type] of cases) {
       const sentAt = fleet.world.time;
@@ -56,7 +56,7 @@
       expect([name, reply.status, error?.type, error?.ran]).to.deep.equal([name, status, type, 'no']);
       expect(fleet.world.time - sentAt).to.be.lessThan(100);
     }
-    const completion = await post(fleet, good, key);
+    const completion = await post(fleet, validBody, key);
     expect(completion.status).to.equal(200);
     expect((completion.body.choices as { text: string }[])[0]?.text.length).to.be.greaterThan(10);
     const chat = await post(
