--- a/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
+++ b/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
@@ -5,9 +5,9 @@
 export const budget = {
   cpuMs: 30,
   memoryBytes: 256_000_000,
-  wireBytes: 8_000,
-  inForceMs: 3_000,
-  freshMs: 1_500,
+  networkBytes: 8_000,
+  propagationMs: 3_000,
+  freshnessMs: 1_500,
   frameBytes: maxFrameBytes,
 } as const;
 
@@ -21,9 +21,9 @@
   readonly what: string;
   readonly unit: string;
   /** The formula as the page shows it, with the name of each run in backquotes. */
-  readonly from: string;
+  readonly formula: string;
   /** The budget that it counts against, if any. */
-  readonly line: keyof typeof budget | null;
+  readonly budgetItem: keyof typeof budget | null;
   /** The formula scales a run beyond what was measured. */
   readonly isScaled?: true;
   readonly value: (costOf: CostOf) => number;
--- a/packages/test-fleet/src/capacity/estimates/controlNodeEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/controlNodeEstimates.ts
@@ -1,6 +1,6 @@
 /** What one control node of the product's own API spends. */
 import { fleetSize } from '../fleetSize.js';
-import { heavyNotices, traffic } from './assumptions.js';
+import { prefillNoticesPerSecond, traffic } from './assumptions.js';
 import type { CapacityEstimate } from './capacityEstimate.js';
 
 /** In the order of the page. */
@@ -10,8 +10,8 @@
     role: 'core node',
     what: 'pings answered',
     unit: 'cores',
-    line: null,
-    from: '1,600 a second x `pings/core-cpu`',
+    budgetItem: null,
+    formula: '1,600 a second x `pings/core-cpu`',
     value: (costOf) => (fleetSize.nodes * 4 * costOf('pings/core-cpu')) / 1e6,
   },
   {
@@ -19,17 +19,17 @@
     role: 'core node',
     what: 'heavy-prefill notices',
     unit: 'cores',
-    line: null,
-    from: `${heavyNotices} a second x \`heavy/core-cpu\``,
-    value: (costOf) => (heavyNotices * costOf('heavy/core-cpu')) / 1_000,
+    budgetItem: null,
+    formula: `${prefillNoticesPerSecond} a second x \`heavy/core-cpu\``,
+    value: (costOf) => (prefillNoticesPerSecond * costOf('heavy/core-cpu')) / 1_000,
   },
   {
     id: 'C3',
     role: 'follower',
     what: 'events read and kept by one process, told to nobody',
     unit: 'cores',
-    line: null,
-    from: '`relays/follower-busy`',
+    budgetItem: null,
+    formula: '`relays/follower-busy`',
     value: (costOf) => costOf('relays/follower-busy'),
   },
   {
@@ -37,9 +37,9 @@
     role: 'core node',
     what: 'events told to all fronts',
     unit: 'cores',
-    line: null,
-    from: '280,000 a second x `relays/core-cpu-full`',
-    value: (costOf) => (fleetSize.events * costOf('relays/core-cpu-full')) / 1e6,
+    budgetItem: null,
+    formula: '280,000 a second x `relays/core-cpu-full`',
+    value: (costOf) => (fleetSize.eventsPerSecond * costOf('relays/core-cpu-full')) / 1e6,
   },
   {
     id: 'C5',
@@ -47,8 +47,8 @@
     role: 'core node',
     what: 'one layout change told to all fronts',
     unit: 'ms',
-    line: 'inForceMs',
-    from: '4 x `pushes/core-cpu-by-tenants`',
+    budgetItem: 'propagationMs',
+    formula: '4 x `pushes/core-cpu-by-tenants`',
     value: (costOf) => 4 * costOf('pushes/core-cpu-by-tenants'),
   },
   {
@@ -56,8 +56,8 @@
     role: 'core node',
     what: 'one layout change decided',
     unit: 'ms',
-    line: 'inForceMs',
-    from: '`ballots/wall`',
+    budgetItem: 'propagationMs',
+    formula: '`ballots/wall`',
     value: (costOf) => costOf('ballots/wall'),
   },
   {
@@ -65,8 +65,8 @@
     role: 'core node',
     what: 'one front that starts: the index sent in one turn',
     unit: 'ms',
-    line: 'freshMs',
-    from: '`index/shelf-cpu`',
+    budgetItem: 'freshnessMs',
+    formula: '`index/shelf-cpu`',
     value: (costOf) => costOf('index/shelf-cpu'),
   },
   {
@@ -74,8 +74,8 @@
     role: 'core node',
     what: 'one front that starts: bytes from the three',
     unit: 'B',
-    line: null,
-    from: '3 x (`index/shelf-bytes` + `pushes/checkpoint-bytes` + `replicas/bytes`)',
+    budgetItem: null,
+    formula: '3 x (`index/shelf-bytes` + `pushes/checkpoint-bytes` + `replicas/bytes`)',
     value: (costOf) =>
       fleetSize.voters * (costOf('index/shelf-bytes') + costOf('pushes/checkpoint-bytes') + costOf('replicas/bytes')),
   },
@@ -84,18 +84,19 @@
     role: 'core node',
     what: 'rosters answered',
     unit: 'cores',
-    line: null,
-    from: '67 a second x `gossip/core-cpu`',
+    budgetItem: null,
+    formula: '67 a second x `gossip/core-cpu`',
     value: (costOf) =>
-      (((fleetSize.nodes * traffic.rosterShareToCores) / fleetSize.voters) * costOf('gossip/core-cpu')) / 1e6,
+      (((fleetSize.nodes * traffic.exchangesWithControlNodesShare) / fleetSize.voters) * costOf('gossip/core-cpu')) /
+      1e6,
   },
   {
     id: 'C10',
     role: 'core node',
     what: 'leases renewed',
     unit: 'cores',
-    line: null,
-    from: '2.5 a second x `leases/cpu` / 3',
+    budgetItem: null,
+    formula: '2.5 a second x `leases/cpu` / 3',
     value: (costOf) => (2.5 * costOf('leases/cpu')) / fleetSize.voters / 1_000,
   },
   {
@@ -103,8 +104,8 @@
     role: 'core node',
     what: 'leases renewed',
     unit: 'B/s',
-    line: null,
-    from: '2.5 a second x `leases/bytes` / 3',
+    budgetItem: null,
+    formula: '2.5 a second x `leases/bytes` / 3',
     value: (costOf) => (2.5 * costOf('leases/bytes')) / fleetSize.voters,
   },
   {
@@ -112,17 +113,17 @@
     role: 'core node',
     what: 'claims, every request keyed',
     unit: 'cores',
-    line: null,
-    from: '1,500 a second x `claims/core-cpu`',
-    value: (costOf) => (fleetSize.requests * costOf('claims/core-cpu')) / 1e6,
+    budgetItem: null,
+    formula: '1,500 a second x `claims/core-cpu`',
+    value: (costOf) => (fleetSize.requestsPerSecond * costOf('claims/core-cpu')) / 1e6,
   },
   {
     id: 'C13',
     role: 'core node',
     what: 'claims kept for ten minutes',
     unit: 'B',
-    line: null,
-    from: '`claims/memory`',
+    budgetItem: null,
+    formula: '`claims/memory`',
     value: (costOf) => costOf('claims/memory'),
   },
   {
@@ -130,8 +131,8 @@
     role: 'core node',
     what: 'what one that was apart for an hour is sent to catch up',
     unit: 'B',
-    line: 'frameBytes',
-    from: '71 changes by `pushes/since-bytes`',
+    budgetItem: 'frameBytes',
+    formula: '71 changes by `pushes/since-bytes`',
     value: (costOf) => costOf('pushes/since-bytes'),
   },
   {
@@ -139,8 +140,8 @@
     role: 'replica list',
     what: 'a first list of all replicas on disk',
     unit: 'ms',
-    line: null,
-    from: '`replicas/first-list`',
+    budgetItem: null,
+    formula: '`replicas/first-list`',
     value: (costOf) => costOf('replicas/first-list'),
   },
   {
@@ -148,8 +149,8 @@
     role: 'replica list',
     what: 'one record told to all fronts',
     unit: 'ms',
-    line: null,
-    from: '`replicas/news-cpu`',
+    budgetItem: null,
+    formula: '`replicas/news-cpu`',
     value: (costOf) => costOf('replicas/news-cpu') / 1_000,
   },
 ];
--- a/packages/test-fleet/src/capacity/estimates/membershipEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/membershipEstimates.ts
@@ -8,8 +8,8 @@
     role: 'any node',
     what: 'roster exchanges, one begun and one answered a second',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: '2 x `gossip/bytes`',
+    budgetItem: 'networkBytes',
+    formula: '2 x `gossip/bytes`',
     value: (costOf) => 2 * costOf('gossip/bytes'),
   },
   {
@@ -17,8 +17,8 @@
     role: 'watcher',
     what: 'beats',
     unit: 'ms/s',
-    line: 'cpuMs',
-    from: '2 a second x `watch/beat-cpu`',
+    budgetItem: 'cpuMs',
+    formula: '2 a second x `watch/beat-cpu`',
     value: (costOf) => 2 * costOf('watch/beat-cpu'),
   },
 ];
--- a/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/plannedEstimates.ts
@@ -1,15 +1,16 @@
 /** What designs that are not built would spend. */
 import { fleetSize } from '../fleetSize.js';
-import { chainEvents, traffic, requestsPerEdge } from './assumptions.js';
+import { prefixEventsPerSecond, traffic, requestsPerSecondPerEdge } from './assumptions.js';
 import type { CapacityEstimate, CostOf } from './capacityEstimate.js';
 
-const asksPerNode = requestsPerEdge + (3 * fleetSize.requests * traffic.longShare) / fleetSize.nodes;
+const asksPerNode =
+  requestsPerSecondPerEdge + (3 * fleetSize.requestsPerSecond * traffic.longPromptShare) / fleetSize.nodes;
 const askBytes = 300;
 const patchBytes = 1_000;
 const digestBytes = 2 * (13 * 16 + 60);
 
 const ownerBytes = (costOf: CostOf): number =>
-  ((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/bytes') + 2 * asksPerNode * askBytes;
+  ((2 * prefixEventsPerSecond) / fleetSize.nodes) * costOf('way-index/bytes') + 2 * asksPerNode * askBytes;
 
 const loadBytes = 700;
 const heartbeatBytes = 840;
@@ -19,7 +20,7 @@
   ownerBytes(costOf) +
   loadBytes +
   2 * costOf('way-push/ping-bytes') +
-  traffic.changesASecond * patchBytes +
+  traffic.changesPerSecond * patchBytes +
   digestBytes +
   heartbeatBytes;
 
@@ -30,8 +31,8 @@
     role: 'designed: index owner',
     what: 'events of chains to two owners each, and asks',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: '2 x 1,346 / 400 x `way-index/bytes` + 2 x 4.76 asks x 300',
+    budgetItem: 'networkBytes',
+    formula: '2 x 1,346 / 400 x `way-index/bytes` + 2 x 4.76 asks x 300',
     value: (costOf) => ownerBytes(costOf),
   },
   {
@@ -39,10 +40,10 @@
     role: 'designed: index owner',
     what: 'events and asks',
     unit: 'ms/s',
-    line: 'cpuMs',
-    from: '6.7 x `way-index/front-cpu` + 2 x 4.76 x `way-push/ping-cpu`',
+    budgetItem: 'cpuMs',
+    formula: '6.7 x `way-index/front-cpu` + 2 x 4.76 x `way-push/ping-cpu`',
     value: (costOf) =>
-      (((2 * chainEvents) / fleetSize.nodes) * costOf('way-index/front-cpu') +
+      (((2 * prefixEventsPerSecond) / fleetSize.nodes) * costOf('way-index/front-cpu') +
         2 * asksPerNode * costOf('way-push/ping-cpu')) /
       1_000,
   },
@@ -51,26 +52,26 @@
     role: 'designed: follower',
     what: 'a sixth of the events on one control machine',
     unit: 'cores',
-    line: null,
-    from: '`relays/follower-busy` at 46,667 a second',
-    value: (costOf) => costOf('relays/follower-busy', fleetSize.events / fleetSize.controlMachines),
+    budgetItem: null,
+    formula: '`relays/follower-busy` at 46,667 a second',
+    value: (costOf) => costOf('relays/follower-busy', fleetSize.eventsPerSecond / fleetSize.controlMachines),
   },
   {
     id: 'D4',
     role: 'weighed: zone relay on a node',
     what: 'freshness of 31 fronts, changes as patches of 1 KB',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: '(2 x 31 + 4 x 3) x `way-push/ping-bytes` + 31 x 1,700 a day x 1 KB',
-    value: (costOf) => (2 * 31 + 12) * costOf('way-push/ping-bytes') + 31 * traffic.changesASecond * patchBytes,
+    budgetItem: 'networkBytes',
+    formula: '(2 x 31 + 4 x 3) x `way-push/ping-bytes` + 31 x 1,700 a day x 1 KB',
+    value: (costOf) => (2 * 31 + 12) * costOf('way-push/ping-bytes') + 31 * traffic.changesPerSecond * patchBytes,
   },
   {
     id: 'D5',
     role: 'designed: region relay on a control machine',
     what: 'pings of 67 fronts, twice a second, and their streams',
     unit: 'cores',
-    line: null,
-    from: '134 a second x `way-push/ping-cpu` + 67 x 31 tells a second x slope of `replicas/news-cpu`',
+    budgetItem: null,
+    formula: '134 a second x `way-push/ping-cpu` + 67 x 31 tells a second x slope of `replicas/news-cpu`',
     value: (costOf) =>
       (134 * costOf('way-push/ping-cpu') + (67 * 31 * costOf('replicas/news-cpu')) / fleetSize.nodes) / 1e6,
   },
@@ -79,8 +80,8 @@
     role: 'designed: watcher',
     what: 'a ring of 31 nodes, drawn again at each change only',
     unit: 'ms/s',
-    line: 'cpuMs',
-    from: '2 a second x `watch/beat-cpu` at 31',
+    budgetItem: 'cpuMs',
+    formula: '2 a second x `watch/beat-cpu` at 31',
     value: (costOf) => 2 * costOf('watch/beat-cpu', 31),
   },
   {
@@ -88,8 +89,8 @@
     role: 'designed: any node',
     what: 'digests of 13 zones each second, both ways',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: '2 x (13 x 16 + 60)',
+    budgetItem: 'networkBytes',
+    formula: '2 x (13 x 16 + 60)',
     value: () => digestBytes,
   },
   {
@@ -97,8 +98,8 @@
     role: 'designed: front, all of it',
     what: 'owners and asks (D1), loads 700, freshness, patches, digests (D7), beats 840',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: 'D1 + 700 + 2 x `way-push/ping-bytes` + 1,700 a day x 1 KB + D7 + 840',
+    budgetItem: 'networkBytes',
+    formula: 'D1 + 700 + 2 x `way-push/ping-bytes` + 1,700 a day x 1 KB + D7 + 840',
     value: gatewayBytes,
   },
   {
@@ -106,8 +107,8 @@
     role: 'designed: front, all of it',
     what: 'the same with 30 exceptions a second told',
     unit: 'B/s',
-    line: 'wireBytes',
-    from: 'D8 + 30 x `way-index/bytes`',
+    budgetItem: 'networkBytes',
+    formula: 'D8 + 30 x `way-index/bytes`',
     value: (costOf) => gatewayBytes(costOf) + exceptionsASecond * costOf('way-index/bytes'),
   },
 ];
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -11,12 +11,12 @@
   nodes: 400,
   replicas: 1_000,
   blocks: 28_000_000,
-  events: 280_000,
-  requests: 1_500,
+  eventsPerSecond: 280_000,
+  requestsPerSecond: 1_500,
   tenants: 3_100,
   voters: 3,
   controlMachines: 6,
-  changesADay: 1_700,
+  changesPerDay: 1_700,
 };
 
 const firstTokenSeconds = 0.82;
@@ -25,7 +25,7 @@
 
 /** Requests that run at once through one gateway. */
 export const runningPerEdge = Math.round(
-  (fleetSize.requests * (firstTokenSeconds + tokensAfterFirst * secondsPerToken)) / fleetSize.nodes,
+  (fleetSize.requestsPerSecond * (firstTokenSeconds + tokensAfterFirst * secondsPerToken)) / fleetSize.nodes,
 );
 
 /** Sizes that probes measure at, up to that of the planned fleet. */
@@ -45,7 +45,7 @@
 /** The sizes that series run over. */
 export const dimensions = {
   edges: { over: 'fronts', target: fleetSize.nodes },
-  frontsServed: { over: 'fronts it serves', target: fleetSize.nodes / fleetSize.voters },
+  edgesServed: { over: 'fronts it serves', target: fleetSize.nodes / fleetSize.voters },
   nodes: { over: 'nodes', target: fleetSize.nodes },
   replicas: { over: 'replicas', target: fleetSize.replicas },
   replicasInPool: { over: 'replicas in the pool', target: fleetSize.replicas / poolCount },
@@ -53,11 +53,11 @@
   customers: { over: 'customers', target: fleetSize.tenants },
   blocks: { over: 'blocks', target: fleetSize.blocks },
   blocksSent: { over: 'blocks', target: 1_120_000 },
-  blocksAnEvent: { over: 'blocks an event', target: 1 },
-  eventsASecond: { over: 'events a second', target: fleetSize.events },
-  eventsInABundle: { over: 'events in a bundle', target: 1_000 },
-  partsHeld: { over: 'parts held', target: 1_000_000 },
-  claimsAtOnce: { over: 'claims at once', target: fleetSize.requests },
-  claimsKept: { over: 'claims kept', target: fleetSize.requests * 600 },
-  changesBehind: { over: 'changes behind', target: 71 },
+  blocksPerEvent: { over: 'blocks an event', target: 1 },
+  eventsPerSecond: { over: 'events a second', target: fleetSize.eventsPerSecond },
+  eventsPerBatch: { over: 'events in a bundle', target: 1_000 },
+  cachedParts: { over: 'parts held', target: 1_000_000 },
+  concurrentClaims: { over: 'claims at once', target: fleetSize.requestsPerSecond },
+  storedClaims: { over: 'claims kept', target: fleetSize.requestsPerSecond * 600 },
+  missedChanges: { over: 'changes behind', target: 71 },
 } as const satisfies Record<string, Dimension>;
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -15,7 +15,7 @@
   readonly address: string;
   readonly meter: Meter;
   readonly acceptor: Acceptor;
-  readonly push: GatewayPublisher;
+  readonly publisher: GatewayPublisher;
   readonly close: () => Promise<void>;
 }
 
@@ -60,10 +60,10 @@
   const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
   await acceptor.adopt(sampleData.stateOf(tenants, 0, sampleMembers));
   const stoppedClock = { ...ports.clock, now: () => 0 };
-  const push = new GatewayPublisher(acceptor, stoppedClock, () => records, prefixCaches);
+  const publisher = new GatewayPublisher(acceptor, stoppedClock, () => records, prefixCaches);
   const address = await freeAddress();
   const hello = sampleData.helloOf('control', 1, address);
-  const handlers = { ...handlersOf(acceptor, push), ...options.handlers };
+  const handlers = { ...handlersOf(acceptor, publisher), ...options.handlers };
   const listener = (
     await peerConnections.listen(ports.net, ports.clock, ports.log, () => hello, address, handlers)
   )._unsafeUnwrap();
@@ -71,22 +71,22 @@
     await listener.close();
     await acceptor.close();
   };
-  return { address, meter, acceptor, push, close };
+  return { address, meter, acceptor, publisher, close };
 };
 
 /** Runs `work` with a node and `count` peers connected to it, and closes both. */
 export const withConnectedNode = async <T>(
   peers: PeerProcess,
-  connected: { readonly count: number; readonly from?: number; readonly isReal?: boolean },
+  connected: { readonly count: number; readonly firstPeer?: number; readonly appliesUpdates?: boolean },
   options: ControlNodeOptions,
   work: (node: MeasuredControlNode) => Promise<T>,
 ): Promise<T> => {
   const node = await openControlNode(options);
   try {
-    await peers.run({ verb: 'dial', address: node.address, from: 0, ...connected });
+    await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, ...connected });
     return await work(node);
   } finally {
-    await peers.run({ verb: 'hangUp' });
+    await peers.run({ verb: 'closeAll' });
     await node.close();
   }
 };
--- a/packages/test-fleet/src/capacity/measuring.ts
+++ b/packages/test-fleet/src/capacity/measuring.ts
@@ -26,30 +26,30 @@
 export const meanCpuMs = (times: number, work: (at: number) => void): number => meanCpuUs(times, work) / usPerMs;
 
 /** Resolves after real milliseconds. */
-export const pauseMs = (ms: number): Promise<void> => new Promise((wake) => setTimeout(wake, ms));
+export const sleep = (ms: number): Promise<void> => new Promise((wake) => setTimeout(wake, ms));
 
 /** Waits until the condition holds; false where it did not within `limitMs`. */
 export const until = async (isSo: () => boolean, limitMs: number, stepMs = 2): Promise<boolean> => {
   const endAt = performance.now() + limitMs;
   while (!isSo()) {
     if (performance.now() > endAt) return false;
-    await pauseMs(stepMs);
+    await sleep(stepMs);
   }
   return true;
 };
 
 /** What passed between two readings. */
-export interface Spent {
+export interface ResourceUsage {
   readonly cpuUs: number;
   readonly cpuMs: number;
   readonly wallMs: number;
   readonly sentBytes: number;
-  readonly gotBytes: number;
+  readonly receivedBytes: number;
 }
 
 /** Reads clock, processor time and the meter, and gives the difference when called. */
-export const startWatch = (meter: Meter = { sent: 0, got: 0 }): (() => Spent) => {
-  const [beganCpu, sent, got, beganAt] = [cpuUs(), meter.sent, meter.got, performance.now()];
+export const startMeasurement = (meter: Meter = { sent: 0, received: 0 }): (() => ResourceUsage) => {
+  const [beganCpu, sent, got, beganAt] = [cpuUs(), meter.sent, meter.received, performance.now()];
   return () => {
     const spentUs = cpuUs() - beganCpu;
     return {
@@ -57,19 +57,19 @@
       cpuMs: spentUs / usPerMs,
       wallMs: performance.now() - beganAt,
       sentBytes: meter.sent - sent,
-      gotBytes: meter.got - got,
+      receivedBytes: meter.received - got,
     };
   };
 };
 
 /** Runs `work` that many times after `warmUps` runs whose values are thrown away. */
-export const repeated = async (
+export const repeat = async (
   times: number,
   warmUps: number,
-  work: (isKept: boolean, at: number) => Promise<void> | void,
+  work: (isMeasured: boolean, at: number) => Promise<void> | void,
 ): Promise<void> => {
   for (let at = 0; at < warmUps + times; at += 1) await work(at >= warmUps, at);
 };
 
 /** Whole numbers from 0 up to `count`. */
-export const upTo = (count: number): number[] => Array.from({ length: count }, (_, at) => at);
+export const range = (count: number): number[] => Array.from({ length: count }, (_, at) => at);
--- a/packages/test-fleet/src/capacity/meteredNet.ts
+++ b/packages/test-fleet/src/capacity/meteredNet.ts
@@ -7,7 +7,7 @@
   /** Bytes written. */
   sent = 0;
   /** Bytes received. */
-  got = 0;
+  received = 0;
 }
 
 /** A network whose connections add what they send and receive to the meter. */
@@ -20,7 +20,7 @@
     },
     listen: (onBytes, onClose) =>
       wire.listen((bytes) => {
-        meter.got += bytes.length;
+        meter.received += bytes.length;
         onBytes(bytes);
       }, onClose),
   });
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -32,15 +32,15 @@
 
 const planned = new Set(plannedEstimates.map(({ id }) => id));
 
-const verdictOf = ({ line }: CapacityEstimate, value: number): string => {
-  if (line === null) return '';
-  const limit = budget[line];
+const verdictOf = ({ budgetItem }: CapacityEstimate, value: number): string => {
+  if (budgetItem === null) return '';
+  const limit = budget[budgetItem];
   if (value <= limit) return `meets ${tables.figure(limit)}`;
   return `**breaks** ${tables.figure(limit)}, ${tables.figure(value / limit)} times`;
 };
 
-const runsIn = ({ from }: CapacityEstimate): string[] =>
-  [...from.matchAll(/`([a-z-]+\/[a-z-]+)`/g)].map((found) => found[1] as string);
+const runsIn = ({ formula }: CapacityEstimate): string[] =>
+  [...formula.matchAll(/`([a-z-]+\/[a-z-]+)`/g)].map((found) => found[1] as string);
 
 const evaluate = (measured: readonly Measurement[]): EvaluatedEstimate[] => {
   const byRun = new Map(measured.map((one) => [one.run, one]));
@@ -64,9 +64,9 @@
   });
 };
 
-const row = ({ id, role, what, unit, from }: CapacityEstimate, evaluated: EvaluatedEstimate | undefined): string => {
+const row = ({ id, role, what, unit, formula }: CapacityEstimate, evaluated: EvaluatedEstimate | undefined): string => {
   const value = tables.figure(evaluated?.value ?? Number.NaN);
-  return `| ${id} | ${role} | ${what} | ${value} ${unit} | ${from} | ${evaluated?.verdict ?? ''} | ${evaluated?.status ?? ''} |`;
+  return `| ${id} | ${role} | ${what} | ${value} ${unit} | ${formula} | ${evaluated?.verdict ?? ''} | ${evaluated?.status ?? ''} |`;
 };
 
 const markdown = (measured: readonly Measurement[]): string => {
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -5,7 +5,7 @@
 import { peerConnections } from '@martenworks/peer-transport';
 import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import type { PrefixIndexSnapshot } from '@martenworks/prefix-index';
-import { cpuUs, startWatch, until, upTo } from './measuring.js';
+import { cpuUs, startMeasurement, until, range } from './measuring.js';
 import { Meter, metered } from './meteredNet.js';
 import type { PeerCommand, PeerReplies, PingCost, ReportedLoad } from './peerCommands.js';
 import { poolCount } from './fleetSize.js';
@@ -14,19 +14,19 @@
 const ownAddress = '127.0.0.1:1';
 const timeoutMs = 30_000;
 const noticeTimeoutMs = 20_000;
-const dialsAtOnce = 40;
-const pingsAtOnce = 20;
-const tokensARequest = 512;
+const maxConcurrentDials = 40;
+const maxConcurrentPings = 20;
+const tokensPerRequest = 512;
 
 const meter = new Meter();
 const net = metered(machine.net(null), meter);
 const routingTable = new StateView(machine.clock, () => {});
 const replicaTracker = new ReplicaTracker(machine.clock);
 const connections: PeerConnection[] = [];
-const counted = { loads: 0, left: 0 };
-let isReal = false;
+const counters = { loadMessages: 0, closedConnections: 0 };
+let appliesUpdates = false;
 
-const takeAsGateway = (topic: string, body: unknown): void => {
+const applyUpdate = (topic: string, body: unknown): void => {
   if (topic === 'replicas') routingTable.applyReplicas(body as ReplicaRecord[]);
   else if (topic === 'indexSnapshot') routingTable.applyIndexSnapshot(body as PrefixIndexSnapshot);
   else if (topic === 'kv') routingTable.applyKvEvents(body as KvCacheEvent[]);
@@ -35,7 +35,7 @@
 const handlers: PeerHandlers = {
   onOpen: () => {},
   onClose: () => {
-    counted.left += 1;
+    counters.closedConnections += 1;
   },
   onCall: async () => null,
   onMessage: (connection, topic, body) => {
@@ -43,8 +43,8 @@
     else if (topic === 'state') {
       const { logIndex, configVersion } = body as EdgeStateMessage;
       connection.send('ack', { logIndex, configVersion });
-    } else if (topic === 'loads') counted.loads += 1;
-    else if (isReal) takeAsGateway(topic, body);
+    } else if (topic === 'loads') counters.loadMessages += 1;
+    else if (appliesUpdates) applyUpdate(topic, body);
   },
 };
 
@@ -60,32 +60,36 @@
   { running, replicas }: ReportedLoad,
 ): { replicas: Loads; pools: Record<string, [number, number]> } => ({
   replicas: Object.fromEntries(
-    upTo(running).map((one) => [
+    range(running).map((one) => [
       `replica-${String((at * 131 + one * 37) % replicas).padStart(4, '0')}`,
-      [1, tokensARequest],
+      [1, tokensPerRequest],
     ]),
   ),
-  pools: Object.fromEntries(upTo(poolCount).map((pool) => [`model-${pool}`, [0, Math.round(running / poolCount)]])),
+  pools: Object.fromEntries(range(poolCount).map((pool) => [`model-${pool}`, [0, Math.round(running / poolCount)]])),
 });
 
-const atOnce = async (count: number, width: number, work: (at: number) => Promise<unknown>): Promise<void> => {
+const runConcurrently = async (
+  count: number,
+  concurrency: number,
+  work: (at: number) => Promise<unknown>,
+): Promise<void> => {
   let next = 0;
   await Promise.all(
-    upTo(Math.min(width, count)).map(async () => {
+    range(Math.min(concurrency, count)).map(async () => {
       while (next < count) await work(next++);
     }),
   );
 };
 
 const ping = async (count: number, bodies: readonly unknown[], onPong: (pong: unknown) => void): Promise<PingCost> => {
-  const spent = startWatch(meter);
-  await atOnce(count, pingsAtOnce, async (at) => {
+  const spent = startMeasurement(meter);
+  await runConcurrently(count, maxConcurrentPings, async (at) => {
     const index = at % connections.length;
     const pong = await (connections[index] as PeerConnection).call('ping', bodies[index], timeoutMs);
     if (pong.isOk()) onPong(pong.value);
   });
-  const { cpuUs: us, gotBytes, sentBytes } = spent();
-  return { us: us / count, got: gotBytes / count, sent: sentBytes / count };
+  const { cpuUs: us, receivedBytes, sentBytes } = spent();
+  return { cpuUs: us / count, receivedBytes: receivedBytes / count, sentBytes: sentBytes / count };
 };
 
 const pingWithLoad = (count: number, load: ReportedLoad): Promise<PingCost> =>
@@ -96,15 +100,15 @@
   );
 
 const sendHeavyPrefill = async (load: ReportedLoad): Promise<PeerReplies['heavyPrefill']> => {
-  const [loads, got] = [counted.loads, meter.got];
+  const [loadsBefore, receivedBefore] = [counters.loadMessages, meter.received];
   connections[0]?.send('longPrompts', reportOf(0, load));
-  await until(() => counted.loads - loads >= connections.length - 1, noticeTimeoutMs);
-  return { got: meter.got - got };
+  await until(() => counters.loadMessages - loadsBefore >= connections.length - 1, noticeTimeoutMs);
+  return { receivedBytes: meter.received - receivedBefore };
 };
 
-const claim = async (at: number, from: number): Promise<void> => {
+const claim = async (at: number, firstKey: number): Promise<void> => {
   const connection = connections[at % connections.length] as PeerConnection;
-  const key = `tenant-0001/${from + at}`;
+  const key = `tenant-0001/${firstKey + at}`;
   const id = `id-${key}`;
   const claimant = { id, gateway: 'incarnation-00001', address: '10.0.0.1:7100', digest: key.padStart(32, '0') };
   const slot = { key, turn: 0, ballot: [1, id] };
@@ -112,18 +116,18 @@
   await connection.call('claimAccept', { ...slot, claimant }, timeoutMs);
 };
 
-const hangUp = (): void => {
+const closeAll = (): void => {
   for (const connection of connections.splice(0)) connection.close();
-  Object.assign(counted, { loads: 0, left: 0 });
+  Object.assign(counters, { loadMessages: 0, closedConnections: 0 });
 };
 
 const run = async (command: PeerCommand): Promise<PeerReplies[PeerCommand['verb']]> => {
   switch (command.verb) {
     case 'dial':
-      isReal = command.isReal === true;
-      await atOnce(command.count, dialsAtOnce, (at) => dial(command.address, command.from + at));
+      appliesUpdates = command.appliesUpdates === true;
+      await runConcurrently(command.count, maxConcurrentDials, (at) => dial(command.address, command.firstPeer + at));
       return {};
-    case 'tell':
+    case 'send':
       for (const connection of connections) connection.send(command.topic, command.body ?? null);
       return {};
     case 'ping':
@@ -137,17 +141,17 @@
     case 'heavyPrefill':
       return sendHeavyPrefill(command.load);
     case 'claim':
-      await atOnce(command.count, command.width, (at) => claim(at, command.from));
+      await runConcurrently(command.count, command.concurrency, (at) => claim(at, command.firstKey));
       return {};
-    case 'ask':
-      await atOnce(command.count, 1, () =>
+    case 'call':
+      await runConcurrently(command.count, 1, () =>
         (connections[0] as PeerConnection).call(command.topic, command.body, timeoutMs),
       );
       return {};
     case 'readCounters':
-      return { ...counted, got: meter.got, sent: meter.sent, us: cpuUs() };
-    case 'hangUp':
-      hangUp();
+      return { ...counters, receivedBytes: meter.received, sentBytes: meter.sent, cpuUs: cpuUs() };
+    case 'closeAll':
+      closeAll();
       return {};
   }
 };
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -6,14 +6,14 @@
 import { peerConnections } from '@martenworks/peer-transport';
 import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, tenantCounts } from '../fleetSize.js';
-import { repeated, startWatch, until, upTo } from '../measuring.js';
+import { repeat, startMeasurement, until, range } from '../measuring.js';
 import { Meter, freeAddress } from '../meteredNet.js';
 import { probePorts } from '../probePorts.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const changesARepeat = 4;
 const timeoutMs = 5_000;
 
@@ -114,7 +114,7 @@
 const measureTenants = async (series: ReturnType<typeof defineAll>, tenants: number): Promise<void> => {
   const meter = new Meter();
   const nodes: MemberNode[] = [];
-  for (const at of upTo(fleetSize.voters)) nodes.push(await openMember(meter, at));
+  for (const at of range(fleetSize.voters)) nodes.push(await openMember(meter, at));
   const members = nodes.map((node) => node.member);
   for (const { acceptor } of nodes) await acceptor.adopt(sampleData.stateOf(tenants, 0, members));
   const [own, ...others] = nodes as [MemberNode, ...MemberNode[]];
@@ -123,10 +123,10 @@
   const proposer = proposerOf(ports, own.acceptor, connections);
   const isSettled = (): boolean =>
     nodes.every(({ acceptor }) => acceptor.committedState()?.logIndex === own.acceptor.committedState()?.logIndex);
-  await repeated(timers, 1, async (isKept, repeat) => {
-    const spent = startWatch(meter);
-    for (const at of upTo(changesARepeat)) await propose(proposer, tenants, repeat * changesARepeat + at + 1);
-    if (!isKept) return;
+  await repeat(repeats, 1, async (isMeasured, round) => {
+    const spent = startMeasurement(meter);
+    for (const at of range(changesARepeat)) await propose(proposer, tenants, round * changesARepeat + at + 1);
+    if (!isMeasured) return;
     series.wall.add(tenants, spent().wallMs / changesARepeat);
     await until(isSettled, timeoutMs);
     const { cpuMs, sentBytes } = spent();
--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -4,7 +4,7 @@
 import { claimTables } from '@martenworks/control-plane';
 import type { PeerHandlers } from '@martenworks/peer-transport';
 import { withConnectedNode } from '../measuredControlNode.js';
-import { heapBytes, repeated, startWatch, upTo } from '../measuring.js';
+import { heapBytes, repeat, startMeasurement, range } from '../measuring.js';
 import { Meter } from '../meteredNet.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
@@ -17,7 +17,7 @@
 const acceptedAtOnce = 5_000;
 const retentionMs = 3_600_000;
 const connectionCount = 8;
-const timers = 3;
+const repeats = 3;
 const msPerSecond = 1_000;
 
 const defineAll = () =>
@@ -56,18 +56,18 @@
   const claim = (claims: number): Promise<unknown> => {
     const first = next;
     next += claims;
-    return peers.run({ verb: 'claim', width, count: claims, from: first });
+    return peers.run({ verb: 'claim', concurrency: width, count: claims, firstKey: first });
   };
   const options = { handlers: { onCall: answering(table) } };
   await withConnectedNode(peers, { count: connectionCount }, options, async ({ meter }) => {
     await claim(width * 2);
-    await repeated(timers, 0, async () => {
-      const spent = startWatch(meter);
+    await repeat(repeats, 0, async () => {
+      const spent = startMeasurement(meter);
       await claim(count);
-      const { cpuUs, wallMs, sentBytes, gotBytes } = spent();
+      const { cpuUs, wallMs, sentBytes, receivedBytes } = spent();
       series.cpu.add(width, cpuUs / count);
       series.rate.add(width, (count / wallMs) * msPerSecond);
-      series.bytes.add(width, (sentBytes + gotBytes) / count);
+      series.bytes.add(width, (sentBytes + receivedBytes) / count);
     });
   });
   await table.close();
@@ -88,7 +88,7 @@
     return table.accept(key, 0, [1, claimant.id], claimant);
   };
   for (let begin = from; begin < to; begin += acceptedAtOnce)
-    await Promise.all(upTo(Math.min(acceptedAtOnce, to - begin)).map((at) => accept(begin + at)));
+    await Promise.all(range(Math.min(acceptedAtOnce, to - begin)).map((at) => accept(begin + at)));
 };
 
 /** Runs first, on a heap that holds nothing of the other measurements. */
--- a/packages/test-fleet/src/capacity/probes/eventFeed.ts
+++ b/packages/test-fleet/src/capacity/probes/eventFeed.ts
@@ -16,7 +16,7 @@
   private readonly queues = new Map<string, Queue>();
 
   /** Hands bytes to whoever follows the address. */
-  readonly give = (address: string, bytes: Uint8Array): void => {
+  readonly push = (address: string, bytes: Uint8Array): void => {
     const queue = this.queueOf(address);
     queue.parts.push(bytes);
     queue.wake();
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -4,7 +4,7 @@
 import { machine } from '@martenworks/core-types';
 import { nodeCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
-import { heapBytes, meanCpuMs, repeated, startWatch, upTo } from '../measuring.js';
+import { heapBytes, meanCpuMs, repeat, startMeasurement, range } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
 import { sampleData } from '../sampleData.js';
@@ -36,7 +36,7 @@
 
 const fullRoster = (nodes: number): MemberList => {
   const memberList = new MemberList(machine.clock, () => own);
-  for (const at of upTo(nodes - 1)) {
+  for (const at of range(nodes - 1)) {
     const address = `10.0.${(at + 1) >> 8}.${(at + 1) & 255}:7100`;
     memberList.recordContact(structuredClone(sampleData.helloOf('edge', at + 1, address)));
   }
@@ -46,13 +46,13 @@
 const measureWatch = async (series: GossipSeries, memberList: MemberList, nodes: number): Promise<void> => {
   const ringNodes = () => memberList.entries().map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
   const watch = new HeartbeatMonitor(machine.clock, () => ({ name: own.name, zone: own.zone }), ringNodes);
-  await repeated(watchRepeats, 1, (isKept) => {
+  await repeat(watchRepeats, 1, (isMeasured) => {
     const keepaliveIntervalMs = meanCpuMs(nodes > fewNodes ? beatsOfMany : beatsOfFew, () => {
       watch.watchers();
       watch.suspects();
     });
     const watchersMs = meanCpuMs(looksARepeat, () => void hashRing.watchersOf(own.name, ringNodes()));
-    if (!isKept) return;
+    if (!isMeasured) return;
     series.beat.add(nodes, keepaliveIntervalMs);
     series.watchers.add(nodes, watchersMs);
   });
@@ -75,15 +75,15 @@
     memberList.merge(body as MemberEntry[]);
     return memberList.entries();
   };
-  const exchange = { verb: 'ask', topic: 'memberList', body: memberList.entries() } as const;
-  await withConnectedNode(peers, { count: 1, from: 500 }, { handlers: { onCall } }, async ({ meter }) => {
+  const exchange = { verb: 'call', topic: 'memberList', body: memberList.entries() } as const;
+  await withConnectedNode(peers, { count: 1, firstPeer: 500 }, { handlers: { onCall } }, async ({ meter }) => {
     await peers.run({ ...exchange, count: warmUpExchanges });
-    await repeated(exchangeRepeats, 0, async () => {
-      const spent = startWatch(meter);
+    await repeat(exchangeRepeats, 0, async () => {
+      const spent = startMeasurement(meter);
       await peers.run({ ...exchange, count: exchangesARepeat });
-      const { cpuUs, sentBytes, gotBytes } = spent();
+      const { cpuUs, sentBytes, receivedBytes } = spent();
       series.cpu.add(nodes, cpuUs / exchangesARepeat);
-      series.bytes.add(nodes, (sentBytes + gotBytes) / exchangesARepeat);
+      series.bytes.add(nodes, (sentBytes + receivedBytes) / exchangesARepeat);
     });
   });
 };
--- a/packages/test-fleet/src/capacity/probes/joins.ts
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -3,7 +3,7 @@
 import { PrefixIndex } from '@martenworks/prefix-index';
 import { blocksPerReplica } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
-import { pauseMs, repeated, upTo } from '../measuring.js';
+import { sleep, repeat, range } from '../measuring.js';
 import type { PeerCounters } from '../peerCommands.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
@@ -13,7 +13,7 @@
 import type { Probe } from './probe.js';
 
 const blockCounts = [28_000, 280_000, 560_000, 840_000, 1_120_000];
-const timers = 2;
+const repeats = 2;
 const pollMs = 100;
 const mostPolls = 40;
 const suspectMs = 3_600_000;
@@ -28,7 +28,7 @@
   index.reconcile(records, () => 0);
   for (const [at, { name }] of records.entries()) {
     if (index.lastSeqOf(name, 1) > 0) continue;
-    const blocks = upTo(blocksPerReplica).map((block) => sampleData.blockName(at * blocksPerReplica + block));
+    const blocks = range(blocksPerReplica).map((block) => sampleData.blockName(at * blocksPerReplica + block));
     index.apply(sampleData.stored(name, 1, blocks), 0);
   }
 };
@@ -37,10 +37,10 @@
 const untilQuiet = async (peers: PeerProcess): Promise<PeerCounters> => {
   let last = -1;
   for (let poll = 0; poll < mostPolls; poll += 1) {
-    await pauseMs(pollMs);
-    const gateways = await peers.run({ verb: 'readCounters' });
-    if (gateways.got === last && poll > 1) break;
-    last = gateways.got;
+    await sleep(pollMs);
+    const counters = await peers.run({ verb: 'readCounters' });
+    if (counters.receivedBytes === last && poll > 1) break;
+    last = counters.receivedBytes;
   }
   return peers.run({ verb: 'readCounters' });
 };
@@ -57,13 +57,13 @@
         fill(index, records);
         const bytes = snapshotBytes(index);
         const options = { records, prefixCaches: () => index.snapshot(1) };
-        await repeated(timers, 0, () =>
+        await repeat(repeats, 0, () =>
           withConnectedNode(peers, { count: 1 }, options, async () => {
             const before = await peers.run({ verb: 'readCounters' });
-            await peers.run({ verb: 'tell', topic: 'subscribe' });
+            await peers.run({ verb: 'send', topic: 'subscribe' });
             const after = await untilQuiet(peers);
-            series.arrived.add(target, (after.got - before.got) / bytes);
-            series.stays.add(target, after.left > before.left ? 0 : 1);
+            series.arrived.add(target, (after.receivedBytes - before.receivedBytes) / bytes);
+            series.stays.add(target, after.closedConnections > before.closedConnections ? 0 : 1);
           }),
         );
       }
--- a/packages/test-fleet/src/capacity/probes/layout.ts
+++ b/packages/test-fleet/src/capacity/probes/layout.ts
@@ -3,13 +3,13 @@
 import { machine } from '@martenworks/core-types';
 import type { Change, ReplicaRecord } from '@martenworks/core-types';
 import { fleetSize, replicaCounts, tenantCounts } from '../fleetSize.js';
-import { heapBytes, meanCpuMs, repeated, upTo } from '../measuring.js';
+import { heapBytes, meanCpuMs, repeat, range } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
 const isolatedShare = 0.01;
-const timers = 3;
+const repeats = 3;
 const changesARepeat = 3;
 const recordsARepeat = 4;
 
@@ -33,7 +33,7 @@
   if (isolated === 0) series.memory.add(tenants, heapBytes() - empty);
   routingTable.applyReplicas(sampleData.records(fleetSize.replicas));
   const { logIndex } = state;
-  const changes = upTo(changesARepeat).map(
+  const changes = range(changesARepeat).map(
     (at): Change => ({
       id: `view-${at}`,
       digest: '0',
@@ -49,11 +49,11 @@
   routingTable.applySnapshot(sampleData.stateOf(fleetSize.tenants, Math.round(fleetSize.tenants * isolatedShare), []));
   const records = sampleData.records(replicas);
   routingTable.applyReplicas(records);
-  await repeated(timers, 1, (isKept, repeat) => {
+  await repeat(repeats, 1, (isMeasured, round) => {
     const ms = meanCpuMs(recordsARepeat, (at) =>
-      routingTable.applyReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + repeat }]),
+      routingTable.applyReplicas([{ ...(records[at] as ReplicaRecord), incarnation: 2 + round }]),
     );
-    if (isKept) series.replicaRecord.add(replicas, ms);
+    if (isMeasured) series.replicaRecord.add(replicas, ms);
   });
 };
 
@@ -65,7 +65,7 @@
     const kept: StateView[] = [];
     for (const tenants of tenantCounts)
       for (const isolated of [0, Math.round(tenants * isolatedShare)])
-        await repeated(timers, 0, () => measureView(series, kept, tenants, isolated));
+        await repeat(repeats, 0, () => measureView(series, kept, tenants, isolated));
     for (const replicas of replicaCounts) await measureRecord(series, replicas);
     return measurementsOf(series);
   },
--- a/packages/test-fleet/src/capacity/probes/leases.ts
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -7,14 +7,14 @@
 import { peerConnections } from '@martenworks/peer-transport';
 import type { PeerHandlers, PeerConnection } from '@martenworks/peer-transport';
 import { fleetSize, replicaCounts } from '../fleetSize.js';
-import { pauseMs, repeated, startWatch, upTo } from '../measuring.js';
+import { sleep, repeat, startMeasurement, range } from '../measuring.js';
 import { Meter, freeAddress, metered } from '../meteredNet.js';
 import { temporaryDisk } from '../probePorts.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const settleTimeoutMs = 8_000;
 const settlePollMs = 50;
 const askTimeoutMs = 5_000;
@@ -91,11 +91,11 @@
 const tickAll = (duties: readonly LeaseManager[]): Promise<unknown> => Promise.all(duties.map((one) => one.tick()));
 
 const settle = async (duties: readonly LeaseManager[], wanted: number): Promise<number> => {
-  const spent = startWatch();
+  const spent = startMeasurement();
   const heldCount = (): number => duties.reduce((sum, one) => sum + one.status().length, 0);
   while (heldCount() < wanted && spent().wallMs < settleTimeoutMs) {
     await tickAll(duties);
-    await pauseMs(settlePollMs);
+    await sleep(settlePollMs);
   }
   return spent().wallMs;
 };
@@ -103,7 +103,7 @@
 const measureReplicas = async (series: ReturnType<typeof defineAll>, replicas: number): Promise<void> => {
   const meter = new Meter();
   const net = metered(machine.net(null), meter);
-  const nodes = await Promise.all(upTo(fleetSize.voters).map((at) => openLeaseNode(net, at)));
+  const nodes = await Promise.all(range(fleetSize.voters).map((at) => openLeaseNode(net, at)));
   const wanted = sampleData.records(replicas).map((record) => `kv/${record.name}`);
   const dialed: PeerConnection[] = [];
   const duties: LeaseManager[] = [];
@@ -113,10 +113,10 @@
     duties.push(dutiesOf(nodes, node, connections, wanted));
   }
   series.settle.add(replicas, await settle(duties, replicas));
-  await repeated(timers, 1, async (isKept) => {
-    const spent = startWatch(meter);
+  await repeat(repeats, 1, async (isMeasured) => {
+    const spent = startMeasurement(meter);
     await tickAll(duties);
-    if (!isKept) return;
+    if (!isMeasured) return;
     const { cpuMs, sentBytes } = spent();
     series.cpu.add(replicas, cpuMs);
     series.bytes.add(replicas, sentBytes);
--- a/packages/test-fleet/src/capacity/probes/pings.ts
+++ b/packages/test-fleet/src/capacity/probes/pings.ts
@@ -2,7 +2,7 @@
 import { fleetSize, nodeCounts, replicaCounts, runningPerEdge } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
-import { repeated, startWatch } from '../measuring.js';
+import { repeat, startMeasurement } from '../measuring.js';
 import type { ReportedLoad } from '../peerCommands.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
@@ -10,7 +10,7 @@
 import type { Probe } from './probe.js';
 
 const pingCount = 60;
-const timers = 3;
+const repeats = 3;
 const fixedFronts = 100;
 
 const defineAll = () =>
@@ -32,10 +32,10 @@
   edges: number,
   load: ReportedLoad,
 ): Promise<void> => {
-  const spent = startWatch();
+  const spent = startMeasurement();
   const heavy = await peers.run({ verb: 'heavyPrefill', load });
   series.noticeMs.add(edges, spent().cpuMs);
-  series.noticeBytes.add(edges, heavy.got);
+  series.noticeBytes.add(edges, heavy.receivedBytes);
 };
 
 /** Notices to many gateways are dear, so the last repeat leaves them out there. */
@@ -46,28 +46,28 @@
   edges: number,
 ): Promise<void> => {
   const load = { running: runningPerEdge, replicas: fleetSize.replicas };
-  await repeated(timers, 0, async (_isKept, at) => {
-    const spent = startWatch(node.meter);
+  await repeat(repeats, 0, async (_isMeasured, at) => {
+    const spent = startMeasurement(node.meter);
     const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
     series.nodeUs.add(edges, spent().cpuUs / pingCount);
-    series.replyBytes.add(edges, cost.got);
-    series.pingBytes.add(edges, cost.sent);
-    series.edgeUs.add(edges, cost.us);
-    if (edges <= fixedFronts || at < timers - 1) await measureNotice(peers, series, edges, load);
+    series.replyBytes.add(edges, cost.receivedBytes);
+    series.pingBytes.add(edges, cost.sentBytes);
+    series.edgeUs.add(edges, cost.cpuUs);
+    if (edges <= fixedFronts || at < repeats - 1) await measureNotice(peers, series, edges, load);
   });
 };
 
 const measureReplicas = async (peers: PeerProcess, series: PingSeries, replicas: number): Promise<void> => {
   const load = { running: runningPerEdge, replicas };
-  await repeated(timers, 0, async () => {
+  await repeat(repeats, 0, async () => {
     const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
-    series.replyBytesByReplicas.add(replicas, cost.got);
+    series.replyBytesByReplicas.add(replicas, cost.receivedBytes);
   });
 };
 
 /** The first pings tell the node each gateway's load; they are not measured. */
 const subscribeAndWarmUp = async (peers: PeerProcess, edges: number, replicas: number): Promise<void> => {
-  await peers.run({ verb: 'tell', topic: 'subscribe' });
+  await peers.run({ verb: 'send', topic: 'subscribe' });
   await peers.run({ verb: 'pingWithLoad', count: edges, load: { running: runningPerEdge, replicas } });
 };
 
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -1,6 +1,6 @@
 /** The prefix-cache index of a gateway: memory, events, its snapshot on the wire, and choosing a replica. */
 import { blocksPerReplica, poolCount, poolSizes } from '../fleetSize.js';
-import { heapBytes, meanCpuMs, meanCpuUs, repeated, upTo } from '../measuring.js';
+import { heapBytes, meanCpuMs, meanCpuUs, repeat, range } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { KvCacheEvent, ReplicaRecord } from '@martenworks/core-types';
@@ -14,7 +14,7 @@
 const mostBlocksCounted = 500_000;
 const eventsInAFrame = 20;
 const eventsMeasured = 20_000;
-const timers = 3;
+const repeats = 3;
 const suspectMs = 3_600_000;
 const promptBlocks = 266;
 const cachedBlocks = 208;
@@ -47,7 +47,7 @@
 
 const frameOf = (index: PrefixIndex, record: ReplicaRecord, firstBlock: number): Uint8Array => {
   const firstSeq = index.lastSeqOf(record.name, 1) + 1;
-  const body = upTo(eventsInAFrame).map((at) =>
+  const body = range(eventsInAFrame).map((at) =>
     sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
   );
   return frames.encodeFrame({ f: 'tell', topic: 'kv', body });
@@ -88,7 +88,7 @@
 /** Events that store a block and remove it again, spread over the replicas. */
 const storeAndRemoveEvents = (index: PrefixIndex, names: readonly string[]): KvCacheEvent[] => {
   const lastSeqs = new Map<string, number>();
-  return upTo(eventsMeasured / 2).flatMap((pair) => {
+  return range(eventsMeasured / 2).flatMap((pair) => {
     const at = pair * 2;
     const name = names[(at * 7) % names.length] as string;
     const seq = lastSeqs.get(name) ?? index.lastSeqOf(name, 1);
@@ -110,7 +110,7 @@
     held = target;
     series.memory.add(target, heapBytes() - empty);
     const names = recordsFor(target).map((record) => record.name);
-    await repeated(timers, 0, () => {
+    await repeat(repeats, 0, () => {
       const events = storeAndRemoveEvents(index, names);
       series.event.add(
         target,
@@ -118,7 +118,7 @@
       );
     });
     if (target <= mostBlocksPacked)
-      await repeated(timers, 0, () =>
+      await repeat(repeats, 0, () =>
         series.snapshotMs.add(
           target,
           meanCpuMs(1, () => void packed(index)),
@@ -132,7 +132,7 @@
   const [poolName, pool] = Object.entries(sampleData.configOf(1, 0).pools)[0] ?? [];
   if (pool === undefined) return;
   const records = sampleData.records(replicas * poolCount).filter((record) => record.pool === poolName);
-  const blocks = upTo(promptBlocks).map((at) => sampleData.blockName(firstPromptBlock + at));
+  const blocks = range(promptBlocks).map((at) => sampleData.blockName(firstPromptBlock + at));
   const index = newIndex();
   index.reconcile(records, () => 0);
   for (const [at, record] of records.entries())
@@ -150,9 +150,9 @@
     tieBreak: 0.5,
     pullExcessMs: () => 0,
   };
-  await repeated(timers, 1, (isKept) => {
+  await repeat(repeats, 1, (isMeasured) => {
     const us = meanCpuUs(placementsARepeat, () => void choosePlacement(index, question));
-    if (isKept) series.placement.add(replicas, us);
+    if (isMeasured) series.placement.add(replicas, us);
   });
 };
 
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -4,14 +4,14 @@
 import { fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
 import { sampleMembers, withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
-import { repeated, startWatch, until, upTo } from '../measuring.js';
+import { repeat, startMeasurement, until, range } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
 import { sampleData } from '../sampleData.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const fixedFronts = 100;
 const fixedTenants = 1_000;
 const changesBehind = [1, 10, 30, 60];
@@ -37,7 +37,7 @@
   });
 
 const catchUpBytes = (behind: number): number => {
-  const committed = upTo(behind).map((at) => ({
+  const committed = range(behind).map((at) => ({
     logIndex: at,
     change: sampleData.configChange(fleetSize.tenants, at, at),
   }));
@@ -53,9 +53,9 @@
   edges: number,
 ): Promise<PushCost> => {
   const logIndex = (node.acceptor.committedState()?.logIndex ?? 0) + 1;
-  const spent = startWatch(node.meter);
+  const spent = startMeasurement(node.meter);
   await node.acceptor.commit({ logIndex, change });
-  const isAcked = (): boolean => node.push.status().every((ack) => ack.logIndex === logIndex);
+  const isAcked = (): boolean => node.publisher.status().every((ack) => ack.logIndex === logIndex);
   await until(isAcked, ackTimeoutMs, ackPollMs);
   const { cpuMs, wallMs, sentBytes } = spent();
   return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / edges };
@@ -66,13 +66,13 @@
   let configVersion = 0;
   return (edges: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
     withConnectedNode(peers, { count: edges }, { tenants }, async (node) => {
-      await peers.run({ verb: 'tell', topic: 'subscribe' });
-      await until(() => node.push.status().length === edges, subscribeTimeoutMs);
-      await repeated(timers, 1, async (isKept) => {
+      await peers.run({ verb: 'send', topic: 'subscribe' });
+      await until(() => node.publisher.status().length === edges, subscribeTimeoutMs);
+      await repeat(repeats, 1, async (isMeasured) => {
         configVersion += 1;
         const base = node.acceptor.committedState()?.configLogIndex ?? 0;
         const cost = await pushOne(node, sampleData.configChange(tenants, configVersion, base), edges);
-        if (isKept) note(cost);
+        if (isMeasured) note(cost);
       });
     });
 };
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -4,7 +4,7 @@
 import { nodeCounts } from '../fleetSize.js';
 import { openControlNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
-import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { sleep, repeat, startMeasurement, until, range } from '../measuring.js';
 import { Meter } from '../meteredNet.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
@@ -21,7 +21,7 @@
 const followersReadyMs = 50;
 const lastBundleMs = 60;
 const arrivalTimeoutMs = 20_000;
-const timers = 3;
+const repeats = 3;
 const usPerSecond = 1e6;
 
 /** One run of events at a rate; with no gateways the node only follows them. */
@@ -31,7 +31,7 @@
   readonly durationMs: number;
   readonly blocksAnEvent?: number;
   /** The gateways take the events into an index of their own. */
-  readonly isReal?: boolean;
+  readonly appliesUpdates?: boolean;
 }
 
 /** Cost of an event to the node and to each gateway, the node's busy share, and the share delivered in time. */
@@ -66,12 +66,12 @@
   const nextEvent = (replica: number): string => {
     const seq = (seqs[replica] ?? 0) + 1;
     seqs[replica] = seq;
-    const blocks = upTo(blocksAnEvent).map(() => sampleData.blockName(++block));
+    const blocks = range(blocksAnEvent).map(() => sampleData.blockName(++block));
     return eventBytes(sampleData.stored((records[replica] as ReplicaRecord).name, seq, blocks));
   };
-  return upTo(Math.ceil(offered / eventsATick)).map((tick) => {
+  return range(Math.ceil(offered / eventsATick)).map((tick) => {
     const texts = new Array<string>(replicaCount).fill('');
-    for (const at of upTo(eventsATick)) {
+    for (const at of range(eventsATick)) {
       const replica = (tick * eventsATick + at) % replicaCount;
       texts[replica] += nextEvent(replica);
     }
@@ -83,9 +83,9 @@
   const beganAt = performance.now();
   for (const [tick, parts] of ticks.entries()) {
     for (const [replica, part] of parts.entries())
-      if (part.length > 0) feed.give((records[replica] as ReplicaRecord).address, part);
+      if (part.length > 0) feed.push((records[replica] as ReplicaRecord).address, part);
     const earlyMs = beganAt + (tick + 1) * tickMs - performance.now();
-    await (earlyMs > 0 ? pauseMs(earlyMs) : new Promise<void>((wake) => setImmediate(wake)));
+    await (earlyMs > 0 ? sleep(earlyMs) : new Promise<void>((wake) => setImmediate(wake)));
   }
 };
 
@@ -98,12 +98,12 @@
   const ticks = ticksOf(load).map((texts) => texts.map((text) => Buffer.from(text)));
   const events = ticks.length * Math.max(1, Math.round(load.eventsPerSecond / ticksASecond));
   const heard = (): number => desk.sizes().reduce((sum, { seq }) => sum + seq, 0);
-  const spent = startWatch(node.meter);
+  const spent = startMeasurement(node.meter);
   await playTicks(feed, ticks);
   const offeredSoFar = (load.eventsPerSecond * spent().wallMs) / msPerSecond;
   const delivered = heard() / Math.max(events, offeredSoFar);
   await until(() => heard() >= events, arrivalTimeoutMs);
-  await pauseMs(lastBundleMs);
+  await sleep(lastBundleMs);
   const { cpuMs, cpuUs, wallMs, sentBytes } = spent();
   return {
     events,
@@ -118,28 +118,28 @@
   const ports: Ports = { ...probePorts(new Meter()), httpClient: feed.httpClient };
   return new KvEventFollower(
     ports,
-    (events) => node.push.sendCacheEvents(events),
+    (events) => node.publisher.sendCacheEvents(events),
     () => {},
     () => 1,
   );
 };
 
 const play = async (peers: PeerProcess, load: EventLoad): Promise<EventCost> => {
-  const { edges, isReal = false } = load;
+  const { edges, appliesUpdates = false } = load;
   const feed = new EventFeed();
   const node = await openControlNode({ records });
   const desk = follow(node, feed);
-  await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges, isReal });
-  await peers.run({ verb: 'tell', topic: 'subscribe' });
+  await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, count: edges, appliesUpdates });
+  await peers.run({ verb: 'send', topic: 'subscribe' });
   desk.reconcile(records);
-  await pauseMs(followersReadyMs);
+  await sleep(followersReadyMs);
   const before = await peers.run({ verb: 'readCounters' });
   const { events, ...cost } = await measurePlay(node, feed, desk, load);
   const after = await peers.run({ verb: 'readCounters' });
   desk.stop();
-  await peers.run({ verb: 'hangUp' });
+  await peers.run({ verb: 'closeAll' });
   await node.close();
-  return { ...cost, edgeUs: (after.us - before.us) / events / Math.max(1, edges) };
+  return { ...cost, edgeUs: (after.cpuUs - before.cpuUs) / events / Math.max(1, edges) };
 };
 
 const measureByFronts = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
@@ -164,7 +164,7 @@
     series.delivered.add(eventsPerSecond, three.delivered);
     const alone = await play(peers, { ...load, edges: 0 });
     series.followerBusy.add(eventsPerSecond, (alone.us * eventsPerSecond) / usPerSecond);
-    const real = await play(peers, { ...load, edges: 1, isReal: true });
+    const real = await play(peers, { ...load, edges: 1, appliesUpdates: true });
     series.frontBusy.add(eventsPerSecond, (real.edgeUs * eventsPerSecond) / usPerSecond);
   }
 };
@@ -175,9 +175,9 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      await repeated(timers, 0, async (_isKept, repeat) => {
+      await repeat(repeats, 0, async (_isMeasured, round) => {
         await measureByFronts(peers, series);
-        if (repeat === 0) await measureBytes(peers, series);
+        if (round === 0) await measureBytes(peers, series);
         await measureByRate(peers, series);
       });
       return measurementsOf(series);
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -4,7 +4,7 @@
 import { frames } from '@martenworks/peer-transport';
 import { nodeCounts, replicaCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
-import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { sleep, repeat, startMeasurement, until, range } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
 import { temporaryDisk } from '../probePorts.js';
@@ -12,7 +12,7 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const listsARepeat = 10;
 const recordsARepeat = 20;
 const sendMs = 30;
@@ -31,10 +31,10 @@
 const measureTable = async (series: ListSeries, replicas: number): Promise<void> => {
   const table = (await replicaTables.open(temporaryDisk(), logs.silent()))._unsafeUnwrap();
   const records = sampleData.records(replicas);
-  const first = startWatch();
+  const first = startMeasurement();
   await table.merge(records);
   series.firstList.add(replicas, first().wallMs);
-  const unchanged = startWatch();
+  const unchanged = startMeasurement();
   for (let list = 0; list < listsARepeat; list += 1) await table.merge(records);
   series.listCpu.add(replicas, unchanged().cpuMs / listsARepeat);
   series.bytes.add(replicas, frames.encodeFrame({ f: 'tell', topic: 'replicas', body: records }).length);
@@ -42,15 +42,15 @@
 };
 
 const measureRecord = (peers: PeerProcess, series: ListSeries, edges: number): Promise<void> =>
-  withConnectedNode(peers, { count: edges }, {}, async ({ push }) => {
-    await peers.run({ verb: 'tell', topic: 'subscribe' });
-    await until(() => push.status().length === edges, subscribeTimeoutMs);
+  withConnectedNode(peers, { count: edges }, {}, async ({ publisher }) => {
+    await peers.run({ verb: 'send', topic: 'subscribe' });
+    await until(() => publisher.status().length === edges, subscribeTimeoutMs);
     const record = sampleData.records(1);
-    await repeated(timers, 1, async (isKept) => {
-      const spent = startWatch();
-      for (const _ of upTo(recordsARepeat)) push.sendReplicas(record);
-      await pauseMs(sendMs);
-      if (isKept) series.recordCpu.add(edges, spent().cpuUs / recordsARepeat);
+    await repeat(repeats, 1, async (isMeasured) => {
+      const spent = startMeasurement();
+      for (const _ of range(recordsARepeat)) publisher.sendReplicas(record);
+      await sleep(sendMs);
+      if (isMeasured) series.recordCpu.add(edges, spent().cpuUs / recordsARepeat);
     });
   });
 
@@ -60,7 +60,7 @@
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const replicas of replicaCounts) await repeated(timers, 0, () => measureTable(series, replicas));
+      for (const replicas of replicaCounts) await repeat(repeats, 0, () => measureTable(series, replicas));
       for (const edges of nodeCounts) await measureRecord(peers, series, edges);
       return measurementsOf(series);
     }),
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -6,12 +6,12 @@
 import { FrameDecoder, frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
 import { replicaCounts } from '../fleetSize.js';
-import { cpuUs, heapBytes, pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { cpuUs, heapBytes, sleep, repeat, startMeasurement, until, range } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const followMs = 500;
 const msPerSecond = 1_000;
 const replicaCount = 50;
@@ -58,10 +58,10 @@
   const desk = followerOf(idle, () => {});
   const addresses = routeSamples.endpoints(replicas).map(({ address }) => address);
   desk.reconcile(new Set(addresses), () => true);
-  await pauseMs(followMs);
-  await repeated(timers, 0, async () => {
-    const spent = startWatch();
-    await pauseMs(followMs);
+  await sleep(followMs);
+  await repeat(repeats, 0, async () => {
+    const spent = startMeasurement();
+    await sleep(followMs);
     const { cpuMs, wallMs } = spent();
     series.follow.add(replicas, (cpuMs / wallMs) * msPerSecond);
   });
@@ -114,12 +114,12 @@
     for (const [at, address] of addresses.entries())
       pages.set(
         address,
-        upTo(share).map((part) => routeSamples.cacheEvent(held + at * share + part)),
+        range(share).map((part) => routeSamples.cacheEvent(held + at * share + part)),
       );
-    const spent = startWatch();
+    const spent = startMeasurement();
     held += count;
     await until(() => heldParts() >= held, stepTimeoutMs, stepPollMs);
-    await pauseMs(lastBundleMs);
+    await sleep(lastBundleMs);
     series.event.add(target, spent().cpuUs / count);
     for (const bundle of bundles.splice(0))
       sent.push({ frame: packed(bundle), events: bundle.reduce((sum, { events: update }) => sum + update.length, 0) });
@@ -134,7 +134,7 @@
 
 const bundleBytes = (events: number): number => {
   const [endpoint] = routeSamples.endpoints(1);
-  const update = upTo(events).map(routeSamples.cacheEvent);
+  const update = range(events).map(routeSamples.cacheEvent);
   return packed([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: update }]).length;
 };
 
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -6,12 +6,12 @@
 import { frames } from '@martenworks/peer-transport';
 import { ok } from 'neverthrow';
 import { poolCount, replicaCounts } from '../fleetSize.js';
-import { meanCpuMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { meanCpuMs, repeat, startMeasurement, until, range } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const readingsARepeat = 10;
 const clonesTimed = 20;
 const stepsBehind = 10;
@@ -69,10 +69,10 @@
   const { read, stop } = steppedReader(list);
   await read();
   const cloneMs = meanCpuMs(clonesTimed, () => void structuredClone(list));
-  await repeated(timers, 1, async (isKept) => {
-    const spent = startWatch();
-    for (const _ of upTo(readingsARepeat)) await read();
-    if (isKept) series.reading.add(list.length, Math.max(0, spent().cpuMs / readingsARepeat - cloneMs));
+  await repeat(repeats, 1, async (isMeasured) => {
+    const spent = startMeasurement();
+    for (const _ of range(readingsARepeat)) await read();
+    if (isMeasured) series.reading.add(list.length, Math.max(0, spent().cpuMs / readingsARepeat - cloneMs));
   });
   stop();
 };
@@ -83,7 +83,7 @@
     { ...machine.clock, after: () => ({ cancel: () => {} }) },
     logs.silent(),
     () => list,
-    () => upTo(poolCount).map((at) => ({ pool: routeSamples.modelOf(at), model: routeSamples.modelOf(at), version })),
+    () => range(poolCount).map((at) => ({ pool: routeSamples.modelOf(at), model: routeSamples.modelOf(at), version })),
     () => 1,
     () => 'postmaster-1',
     () => {},
@@ -91,7 +91,7 @@
   );
 
 const measureSteps = (series: ListSeries, list: readonly ReplicaEndpoint[]): Promise<void> =>
-  repeated(timers, 1, (isKept) => {
+  repeat(repeats, 1, (isMeasured) => {
     const [behind, done] = [rolloutTo(2, list), rolloutTo(1, list)];
     behind.step();
     const stepMs = meanCpuMs(stepsBehind, () => behind.step());
@@ -105,7 +105,7 @@
         gone: [],
       }),
     );
-    if (!isKept) return;
+    if (!isMeasured) return;
     series.step.add(list.length, stepMs);
     series.idle.add(list.length, idleMs);
     series.edge.add(list.length, edgeMs);
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -5,7 +5,7 @@
 import type { PlacementQuery } from '@martenworks/edge-proxy';
 import { RoutingTableIndexer, salts } from '@martenworks/route-table';
 import { poolCount, poolSizes, tenantCounts } from '../fleetSize.js';
-import { meanCpuMs, meanCpuUs, repeated } from '../measuring.js';
+import { meanCpuMs, meanCpuUs, repeat } from '../measuring.js';
 import { routeSamples } from '../routeSamples.js';
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
@@ -63,18 +63,18 @@
   const selector = selectorFor(replicas);
   const view = new RoutingTableIndexer().view(1, routeSamples.routingTable(fewCustomers));
   const asked = question();
-  return repeated(placementRepeats, 1, (isKept) => {
+  return repeat(placementRepeats, 1, (isMeasured) => {
     const us = meanCpuUs(placementsARepeat, () => void selector.place(asked, view, waitMs));
-    if (isKept) series.placement.add(replicas, us);
+    if (isMeasured) series.placement.add(replicas, us);
   });
 };
 
 const measureView = (series: PlacementSeries, customers: number): Promise<void> => {
   const table = routeSamples.routingTable(customers);
   const door = new RoutingTableIndexer();
-  return repeated(viewRepeats, 1, (isKept) => {
+  return repeat(viewRepeats, 1, (isMeasured) => {
     const ms = meanCpuMs(viewsARepeat, (at) => void door.view(at, table));
-    if (isKept) series.view.add(customers, ms);
+    if (isMeasured) series.view.add(customers, ms);
   });
 };
 
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -6,7 +6,7 @@
 import { nodeCounts, tenantCounts } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
-import { pauseMs, repeated, startWatch, until, upTo } from '../measuring.js';
+import { sleep, repeat, startMeasurement, until, range } from '../measuring.js';
 import { withPeers } from '../peerProcessClient.js';
 import type { PeerProcess } from '../peerProcessClient.js';
 import { routeSamples } from '../routeSamples.js';
@@ -14,7 +14,7 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const timers = 3;
+const repeats = 3;
 const pingCount = 200;
 /** Let the compiler optimize the connections' code before anything is measured. */
 const warmUpPings = 800;
@@ -84,9 +84,9 @@
       new TargetWeightsAges(machine.clock),
     );
     publisher = own;
-    await peers.run({ verb: 'dial', address: node.address, from: 0, count: edges });
+    await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, count: edges });
     const body = { ...heldBy(node), wantsContent };
-    await peers.run({ verb: 'tell', topic: 'subscribe', body });
+    await peers.run({ verb: 'send', topic: 'subscribe', body });
     await until(() => own.status().length === edges, subscribeTimeoutMs);
     await peers.run({ verb: 'ping', count: warmUpPings, body: { ...heldBy(node), isReady: true } });
     await work({ node, publisher: own, edges, wantsContent });
@@ -100,11 +100,11 @@
 
 const measurePings = (peers: PeerProcess, { node }: Scenario, note: Cost): Promise<void> => {
   const body = { ...heldBy(node), isReady: true };
-  return repeated(timers, 1, async (isKept) => {
-    const spent = startWatch(node.meter);
+  return repeat(repeats, 1, async (isMeasured) => {
+    const spent = startMeasurement(node.meter);
     await peers.run({ verb: 'ping', count: pingCount, body });
-    const { cpuUs, sentBytes, gotBytes } = spent();
-    if (isKept) note(cpuUs / pingCount, (sentBytes + gotBytes) / pingCount);
+    const { cpuUs, sentBytes, receivedBytes } = spent();
+    if (isMeasured) note(cpuUs / pingCount, (sentBytes + receivedBytes) / pingCount);
   });
 };
 
@@ -116,19 +116,19 @@
     salt: `${routeSamples.modelOf(1)}@1`,
     part: sampleData.blockName(1),
   };
-  return repeated(timers, 1, async (isKept) => {
-    const spent = startWatch(node.meter);
-    for (const _ of upTo(noticesARepeat)) publisher.sendToContentEdges('prefill', notice);
-    await pauseMs(sendMs);
+  return repeat(repeats, 1, async (isMeasured) => {
+    const spent = startMeasurement(node.meter);
+    for (const _ of range(noticesARepeat)) publisher.sendToContentEdges('prefill', notice);
+    await sleep(sendMs);
     const { cpuUs, sentBytes } = spent();
-    if (isKept) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / edges);
+    if (isMeasured) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / edges);
   });
 };
 
 const measureChanges = (scenario: Scenario, customers: number, note: Cost): Promise<void> => {
   const { node, publisher, edges, wantsContent } = scenario;
   const routingTable = routeSamples.routingTable(customers);
-  return repeated(timers, 1, async (isKept, at) => {
+  return repeat(repeats, 1, async (isMeasured, at) => {
     const logIndex = heldBy(node).logIndex + 1;
     const change: Change = {
       id: `book-${at}`,
@@ -136,12 +136,12 @@
       body: { kind: 'routing', base: at, routing: { configVersion: at + 1, table: routingTable, source: '' } },
     };
     const isAcked = (): boolean => publisher.status().every((line) => line.acked >= logIndex);
-    const spent = startWatch(node.meter);
+    const spent = startMeasurement(node.meter);
     await node.acceptor.commit({ logIndex, change });
     if (wantsContent) await until(isAcked, ackTimeoutMs, ackPollMs);
-    else await pauseMs(sendMs);
+    else await sleep(sendMs);
     const { cpuMs, sentBytes } = spent();
-    if (isKept) note(cpuMs, sentBytes / edges);
+    if (isMeasured) note(cpuMs, sentBytes / edges);
   });
 };
 
--- a/packages/test-fleet/src/capacity/routeSamples.ts
+++ b/packages/test-fleet/src/capacity/routeSamples.ts
@@ -2,7 +2,7 @@
 import type { BackendClient, PrefixCacheEvent, ReplicaEndpoint, RoutingTable } from '@martenworks/core-types';
 import { ok } from 'neverthrow';
 import { poolCount } from './fleetSize.js';
-import { upTo } from './measuring.js';
+import { range } from './measuring.js';
 import { sampleData } from './sampleData.js';
 
 const routeCount = 40;
@@ -12,7 +12,7 @@
 const modelOf = (at: number): string => `model-${at % poolCount}`;
 
 const routes = (): RoutingTable['routes'] =>
-  upTo(routeCount).map((at) => ({
+  range(routeCount).map((at) => ({
     name: `way-${at}`,
     host: `host-${at % 8}.example`,
     pathPrefix: `/v1/${at}/`,
@@ -28,7 +28,7 @@
   }));
 
 const pools = (): RoutingTable['pools'] =>
-  upTo(poolCount).map((at) => ({
+  range(poolCount).map((at) => ({
     name: modelOf(at),
     connectionLimit: 170,
     engine: {
@@ -42,7 +42,7 @@
   }));
 
 const customers = (count: number): RoutingTable['customers'] =>
-  upTo(count).map((at) => ({
+  range(count).map((at) => ({
     name: `tenant-${String(at).padStart(4, '0')}`,
     keyHashes: [at.toString(16).padStart(64, '0')],
     rank: at % 9,
@@ -58,7 +58,7 @@
 });
 
 const endpoints = (count: number): ReplicaEndpoint[] =>
-  upTo(count).map((at) => ({
+  range(count).map((at) => ({
     id: `replica-${String(at).padStart(4, '0')}-1`,
     pool: modelOf(at),
     address: `10.1.${at >> 8}.${at & 255}:8000`,
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -15,18 +15,18 @@
   private delayMs = 0;
 
   /**
-   * @param at the address `IP:PORT` that callers use
+   * @param address the address `IP:PORT` that callers use
    * @param target the address that it passes on to; a change holds for connections opened after it
    */
   constructor(
-    readonly at: string,
+    readonly address: string,
     public target: string,
   ) {}
 
   /** Rejects where the address cannot be bound. */
   readonly open = (): Promise<void> =>
     new Promise((resolve, fail) => {
-      const { host, port } = addresses.split(this.at);
+      const { host, port } = addresses.split(this.address);
       const server = createServer({ allowHalfOpen: false }, this.join);
       server.once('error', fail);
       server.listen(port, host, backlog, () => resolve());
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -42,7 +42,7 @@
   /** A proxy before each replica, by name; empty without proxies. */
   readonly replicaProxies = new Map<string, FaultProxy>();
   /** The control addresses of the processes that serve the replicas. */
-  readonly controls: string[];
+  readonly replicaControlAddresses: string[];
   private readonly incarnations = new Map<string, number>();
   private restarted = 0;
 
@@ -54,7 +54,7 @@
     /** Addresses are 127.NET.x.x. */
     readonly net: number,
     /** How many gateways. */
-    readonly edgeCount = 9,
+    readonly gatewayCount = 9,
     /** Further flags of every gateway. */
     readonly extraFlags: readonly string[] = [],
     private readonly profiled: string | null = null,
@@ -62,14 +62,14 @@
   ) {
     const host = (group: number, at: number): string => `127.${net}.${group}.${at}`;
     this.controlNodeHosts = [1, 2, 3].map((at) => host(0, at));
-    this.gatewayHosts = Array.from({ length: edgeCount }, (_, at) => host(1, at + 1));
+    this.gatewayHosts = Array.from({ length: gatewayCount }, (_, at) => host(1, at + 1));
     this.replicaHosts = Array.from({ length: deployment.replicaCount }, (_, at) => host(2, at + 1));
     this.appHost = host(3, 1);
-    this.controls = [host(9, 1), host(9, 2)].map((one) => `${one}:9000`);
+    this.replicaControlAddresses = [host(9, 1), host(9, 2)].map((one) => `${one}:9000`);
     if (!hasProxies) return;
     this.peerProxies = this.controlNodeHosts.map((one, at) => new FaultProxy(`${host(5, at + 1)}:7100`, `${one}:7100`));
     for (const [at, name] of this.replicaNames().entries())
-      this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.directOf(name)));
+      this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.listenAddressOf(name)));
   }
 
   /** The name of a gateway's process, node and log. */
@@ -81,14 +81,14 @@
   /** All replicas of both pools. */
   readonly replicaNames = (): string[] => [...this.replicaHosts.map((_, at) => `replica-${at + 1}`), 'app-1'];
   /** The address that a replica listens on. */
-  readonly directOf = (name: string): string =>
+  readonly listenAddressOf = (name: string): string =>
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
   /** The address that others use: that of its proxy, where it has one. */
-  readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.at ?? this.directOf(name);
+  readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.address ?? this.listenAddressOf(name);
   /** The incarnation of a replica that runs or ran last. */
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 1;
   private readonly peerAddressOf = (at: number): string =>
-    this.peerProxies[at]?.at ?? `${this.controlNodeHosts[at]}:7100`;
+    this.peerProxies[at]?.address ?? `${this.controlNodeHosts[at]}:7100`;
 
   private readonly nodeFlags = (name: string): string[] =>
     name === this.profiled ? ['--cpu-prof', `--cpu-prof-dir=${this.folder}`] : [];
@@ -133,7 +133,7 @@
   };
 
   /** Starts the process of a gateway. */
-  readonly startCounter = (at: number): ChildProcess => {
+  readonly startGateway = (at: number): ChildProcess => {
     const name = this.gatewayName(at);
     return this.start(name, [
       'gateway',
@@ -141,7 +141,7 @@
       '--operators',
       `${this.gatewayHosts[at]}:7102`,
       '--gateway-count',
-      String(this.edgeCount),
+      String(this.gatewayCount),
       ...this.extraFlags,
     ]);
   };
@@ -162,7 +162,7 @@
   /** Starts the two processes that serve all replicas. */
   readonly startReplicas = async (): Promise<void> => {
     const seats = this.replicaNames().map(
-      (name): EmulatedReplicaSpec => ({ settings: this.replicaSettings(name), listen: this.directOf(name) }),
+      (name): EmulatedReplicaSpec => ({ settings: this.replicaSettings(name), listen: this.listenAddressOf(name) }),
     );
     const half = Math.ceil(seats.length / 2);
     await Promise.all(
@@ -171,7 +171,7 @@
           new Promise<void>((ready) => {
             this.start(
               `stand-ins-${at + 1}`,
-              [JSON.stringify(some), this.controls[at] as string],
+              [JSON.stringify(some), this.replicaControlAddresses[at] as string],
               join(here, 'emulatedReplicasProcess.js'),
             ).stdout?.once('data', () => ready());
           }),
@@ -226,13 +226,13 @@
       this.startControlNode(at);
     });
     this.gatewayHosts.forEach((_, at) => {
-      this.startCounter(at);
+      this.startGateway(at);
     });
     await this.until('the founding', async () =>
       (await Promise.all(this.controlNodeHosts.map(this.isReady))).every(Boolean),
     );
     await this.registerReplicas();
-    await this.putLayout(config);
+    await this.putConfiguration(config);
     for (const tenant of tenants) {
       const granted = await this.call(`${this.controlNodeHosts[0]}:7101`, 'POST', '/platform/clients', {
         tenant,
@@ -261,8 +261,8 @@
     const proxy = this.replicaProxies.get(name);
     if (proxy === undefined) return;
     this.incarnations.set(name, this.incarnationOf(name) + 1);
-    const listen = `${addresses.split(this.directOf(name)).host}:${10_000 + ++this.restarted}`;
-    const restarted = await this.call(this.controls[0] as string, 'POST', '/start', {
+    const listen = `${addresses.split(this.listenAddressOf(name)).host}:${10_000 + ++this.restarted}`;
+    const restarted = await this.call(this.replicaControlAddresses[0] as string, 'POST', '/start', {
       settings: this.replicaSettings(name),
       listen,
     } satisfies EmulatedReplicaSpec);
@@ -273,7 +273,7 @@
 
   /** What all incarnations of all replicas recorded. */
   readonly replicaIncarnations = async (): Promise<ReplicaIncarnation[]> =>
-    (await Promise.all(this.controls.map((control) => this.call(control, 'GET', '/replicas')))).flatMap(
+    (await Promise.all(this.replicaControlAddresses.map((control) => this.call(control, 'GET', '/replicas')))).flatMap(
       ({ body }) => body.replicas as ReplicaIncarnation[],
     );
 
@@ -288,7 +288,7 @@
   };
 
   /** Replaces the whole layout; rejects where that is refused. */
-  readonly putLayout = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
+  readonly putConfiguration = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
     const held = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
       'if-match': `"${String(held.body.generation)}"`,
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -45,7 +45,7 @@
 const killGateway: ProcessFault = async (run, { gateway }) => {
   await run.fleet.signal(run.fleet.gatewayName(gateway), 'SIGKILL');
   await run.waitBetween(300, 2_000);
-  run.fleet.startCounter(gateway);
+  run.fleet.startGateway(gateway);
 };
 
 const killAll = async (
@@ -106,7 +106,7 @@
 
 const rollOutAll: ProcessFault = async (run) => {
   const { fleet } = run;
-  await rollOut(run, fleet.gatewayHosts, fleet.gatewayName, fleet.startCounter);
+  await rollOut(run, fleet.gatewayHosts, fleet.gatewayName, fleet.startGateway);
   await rollOut(run, fleet.controlNodeHosts, fleet.controlNodeName, fleet.startControlNode);
 };
 
@@ -172,7 +172,7 @@
 const processFaults = {
   'counter killed': killGateway,
   'counters killed in a herd': (run) =>
-    killAll(run, run.fleet.gatewayHosts, run.fleet.gatewayName, run.fleet.startCounter),
+    killAll(run, run.fleet.gatewayHosts, run.fleet.gatewayName, run.fleet.startGateway),
   'counter frozen': (run, { gateway }) => pause(run, run.fleet.gatewayName(gateway), 6_000),
   'control node killed': (run, { controlNode }) => run.restartControlNode(controlNode, false),
   'control node wiped': (run, { controlNode }) => run.restartControlNode(controlNode, true),
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -12,8 +12,8 @@
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
 import Mocha from 'mocha';
 import { failureText } from './failureText.js';
-import { knownRed } from './knownRed.js';
-import type { TestResult } from './knownRed.js';
+import { knownFailures } from './knownFailures.js';
+import type { TestResult } from './knownFailures.js';
 import { slowestTests } from './slowestTests.js';
 import type { TimedTest } from './slowestTests.js';
 import { TestClaims } from './testClaims.js';
@@ -25,7 +25,7 @@
 
 type Message =
   | { readonly kind: 'loaded'; readonly declared: readonly string[]; readonly selected: readonly string[] }
-  | { readonly kind: 'result'; readonly result: TestResult; readonly tookMs: number }
+  | { readonly kind: 'result'; readonly result: TestResult; readonly durationMs: number }
   | { readonly kind: 'done' };
 
 const mostWorkers = 8;
@@ -75,11 +75,11 @@
   const left = shareOut(tests, new TestClaims(plan.claims));
   post({ kind: 'loaded', declared, selected: tests.map((test) => test.fullTitle()) });
   const runner = mocha.run(() => post({ kind: 'done' }));
-  const tell = (test: Mocha.Runnable, fault: string | null): void =>
+  const tell = (test: Mocha.Runnable, error: string | null): void =>
     post({
       kind: 'result',
-      result: { title: test.fullTitle(), fault, isTest: (test as { type?: string }).type === 'test' },
-      tookMs: test.duration ?? 0,
+      result: { title: test.fullTitle(), error, isTest: (test as { type?: string }).type === 'test' },
+      durationMs: test.duration ?? 0,
     });
   runner.on('pass', (test) => {
     if (!left.has(test)) tell(test, null);
@@ -101,14 +101,14 @@
   let selected: readonly string[] = [];
   let declared: readonly string[] = [];
   const count = Math.max(1, Math.min(mostWorkers, availableParallelism()));
-  const claims = TestClaims.shared();
-  const listing = knownRed.parse(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '');
+  const claims = TestClaims.createMemory();
+  const listing = knownFailures.parse(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '');
   const listed = new Set(listing.entries.map((entry) => entry.title));
-  const take = (result: TestResult, tookMs: number): void => {
+  const take = (result: TestResult, durationMs: number): void => {
     results.push(result);
-    if (result.isTest) timed.push({ title: result.title, tookMs });
-    const sign = result.fault === null ? 'ok    ' : result.isTest && listed.has(result.title) ? 'known red' : 'FAILED';
-    process.stdout.write(`${sign} ${result.title} (${tookMs} ms)\n`);
+    if (result.isTest) timed.push({ title: result.title, durationMs });
+    const sign = result.error === null ? 'ok    ' : result.isTest && listed.has(result.title) ? 'known red' : 'FAILED';
+    process.stdout.write(`${sign} ${result.title} (${durationMs} ms)\n`);
   };
   const work = (at: number): Promise<void> =>
     new Promise((done) => {
@@ -117,19 +117,19 @@
       });
       worker.on('message', (message: Message) => {
         if (message.kind === 'done') void worker.terminate();
-        else if (message.kind === 'result') take(message.result, message.tookMs);
+        else if (message.kind === 'result') take(message.result, message.durationMs);
         else {
           declared = message.declared;
           selected = message.selected;
         }
       });
-      worker.on('error', (cause) => take({ title: `part ${at}`, fault: failureText.of(cause), isTest: false }, 0));
+      worker.on('error', (cause) => take({ title: `part ${at}`, error: failureText.of(cause), isTest: false }, 0));
       worker.on('exit', () => done());
     });
   await Promise.all(Array.from({ length: count }, (_, at) => work(at)));
-  const verdict = knownRed.judge(listing, { results, declared, selected });
+  const verdict = knownFailures.evaluate(listing, { results, declared, selected });
   if (slowest > 0) process.stdout.write(`\n${slowestTests.lines(timed, slowest).join('\n')}\n`);
-  process.stdout.write(`${knownRed.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isPassing ? 0 : 1));
+  process.stdout.write(`${knownFailures.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isPassing ? 0 : 1));
 };
 
 if (isMainThread) await launch();
--- a/packages/test-fleet/src/runner/testClaims.ts
+++ b/packages/test-fleet/src/runner/testClaims.ts
@@ -7,13 +7,13 @@
 export class TestClaims {
   private readonly claimed: Uint8Array;
 
-  /** @param memory the claims of all workers of the run, from {@link TestClaims.shared} */
+  /** @param memory the claims of all workers of the run, from {@link TestClaims.createMemory} */
   constructor(memory: SharedArrayBuffer) {
     this.claimed = new Uint8Array(memory);
   }
 
   /** Memory for the claims of one run, to be handed to each of its workers. */
-  static readonly shared = (): SharedArrayBuffer => new SharedArrayBuffer(capacity);
+  static readonly createMemory = (): SharedArrayBuffer => new SharedArrayBuffer(capacity);
 
   /**
    * Claims a test; true for one worker alone.
--- a/packages/test-fleet/test/capacity.test.ts
+++ b/packages/test-fleet/test/capacity.test.ts
@@ -144,7 +144,7 @@
       .filter(({ value }) => !Number.isFinite(value))
       .map(({ id }) => id);
     expect(lacking).to.deep.equal(
-      capacityEstimates.filter(({ from }) => from.includes('watch/beat-cpu')).map(({ id }) => id),
+      capacityEstimates.filter(({ formula }) => formula.includes('watch/beat-cpu')).map(({ id }) => id),
     );
   });
 
--- a/packages/test-fleet/test/knownRed.test.ts
+++ b/packages/test-fleet/test/knownFailures.test.ts
@@ -1,9 +1,9 @@
 import { expect } from 'chai';
-import { knownRed } from '@martenworks/test-fleet';
+import { knownFailures } from '@martenworks/test-fleet';
 import type { TestResult } from '@martenworks/test-fleet';
 
-const passing = (title: string): TestResult => ({ title, fault: null, isTest: true });
-const failing = (title: string): TestResult => ({ title, fault: `${title} broke`, isTest: true });
+const passing = (title: string): TestResult => ({ title, error: null, isTest: true });
+const failing = (title: string): TestResult => ({ title, error: `${title} broke`, isTest: true });
 const line = (title: string): string => `${title}\ta cause\tissue 7\n`;
 
 const judged = (
@@ -12,15 +12,15 @@
   declared = results.map((result) => result.title),
   selected = declared,
 ) => {
-  const verdict = knownRed.judge(knownRed.parse(list), { results, declared, selected });
-  return { verdict, lines: knownRed.lines(verdict) };
+  const verdict = knownFailures.evaluate(knownFailures.parse(list), { results, declared, selected });
+  return { verdict, lines: knownFailures.lines(verdict) };
 };
 
 describe('known red tests', () => {
   it('given a list with comments and blank lines, when it is read, then each other line is a title, a cause and an issue', () => {
-    expect(knownRed.parse('# title, cause, issue\n\na b, when c\tslow disk\tissue 7\r\n')).to.deep.equal({
+    expect(knownFailures.parse('# title, cause, issue\n\na b, when c\tslow disk\tissue 7\r\n')).to.deep.equal({
       entries: [{ title: 'a b, when c', cause: 'slow disk', issue: 'issue 7' }],
-      faults: [],
+      errors: [],
     });
   });
 
@@ -47,8 +47,8 @@
     const { verdict, lines } = judged(line('b'), [passing('a'), passing('b')]);
     expect(verdict).to.deep.equal({
       passed: 1,
-      failures: [{ title: 'b', fault: 'KNOWN-RED.txt: listed, but it passes' }],
-      knownReds: [],
+      failures: [{ title: 'b', error: 'KNOWN-RED.txt: listed, but it passes' }],
+      excused: [],
       isPassing: false,
     });
     expect(lines.slice(-2)).to.deep.equal(['known red: 0', '1 passed, 1 failed']);
@@ -57,7 +57,7 @@
   it('given a listed title that no test has, when the others pass, then the run fails and says so', () => {
     const { verdict } = judged(line('gone'), [passing('a')]);
     expect([verdict.failures, verdict.isPassing]).to.deep.equal([
-      [{ title: 'gone', fault: 'KNOWN-RED.txt: listed, but no test has this title' }],
+      [{ title: 'gone', error: 'KNOWN-RED.txt: listed, but no test has this title' }],
       false,
     ]);
   });
@@ -70,14 +70,14 @@
   it('given a run of some files, when a listed test is in another file, then the run does not fail for it; and when it was to run and did not, it does', () => {
     expect(judged(line('b'), [passing('a')], ['a', 'b'], ['a']).verdict.isPassing).to.equal(true);
     expect(judged(line('b'), [passing('a')], ['a', 'b'], ['a', 'b']).verdict.failures).to.deep.equal([
-      { title: 'b', fault: 'KNOWN-RED.txt: listed, but it did not run' },
+      { title: 'b', error: 'KNOWN-RED.txt: listed, but it did not run' },
     ]);
   });
 
   it('given a selected test, when it does not run, then the run fails and says so', () => {
     const { verdict } = judged('', [passing('a')], ['a', 'b', 'c'], ['a', 'b']);
     expect([verdict.failures, verdict.isPassing]).to.deep.equal([
-      [{ title: 'b', fault: 'selected, but it did not run' }],
+      [{ title: 'b', error: 'selected, but it did not run' }],
       false,
     ]);
   });
@@ -85,10 +85,10 @@
   it('given a hook or a worker that breaks, when its title is listed, then it is not excused', () => {
     const { verdict } = judged(
       line('part 3'),
-      [passing('a'), { title: 'part 3', fault: 'a worker broke', isTest: false }],
+      [passing('a'), { title: 'part 3', error: 'a worker broke', isTest: false }],
       ['a', 'part 3'],
     );
-    expect([verdict.isPassing, verdict.failures.map((failure) => failure.fault)]).to.deep.equal([
+    expect([verdict.isPassing, verdict.failures.map((failure) => failure.error)]).to.deep.equal([
       false,
       ['a worker broke', 'KNOWN-RED.txt: listed, but it did not run'],
     ]);
@@ -102,10 +102,10 @@
   it('given lines without a cause or an issue, or a title listed twice, when they are read, then the run fails and names each line', () => {
     const { verdict } = judged(`b\n${line('c')}${line('c')}d\ta cause\t\ne\ta\tb\tc\n`, [passing('a'), failing('c')]);
     expect(verdict.failures).to.deep.equal([
-      { title: 'KNOWN-RED.txt', fault: 'line 1 is not: title TAB cause TAB issue' },
-      { title: 'KNOWN-RED.txt', fault: 'line 3 lists a title again: c' },
-      { title: 'KNOWN-RED.txt', fault: 'line 4 is not: title TAB cause TAB issue' },
-      { title: 'KNOWN-RED.txt', fault: 'line 5 is not: title TAB cause TAB issue' },
+      { title: 'KNOWN-RED.txt', error: 'line 1 is not: title TAB cause TAB issue' },
+      { title: 'KNOWN-RED.txt', error: 'line 3 lists a title again: c' },
+      { title: 'KNOWN-RED.txt', error: 'line 4 is not: title TAB cause TAB issue' },
+      { title: 'KNOWN-RED.txt', error: 'line 5 is not: title TAB cause TAB issue' },
     ]);
   });
 
--- a/packages/test-fleet/test/slowestTests.test.ts
+++ b/packages/test-fleet/test/slowestTests.test.ts
@@ -2,9 +2,9 @@
 import { slowestTests } from '@martenworks/test-fleet';
 
 const tests = [
-  { title: 'quick', tookMs: 5 },
-  { title: 'slow', tookMs: 12_000 },
-  { title: 'middling', tookMs: 800 },
+  { title: 'quick', durationMs: 5 },
+  { title: 'slow', durationMs: 12_000 },
+  { title: 'middling', durationMs: 800 },
 ];
 
 describe('the slowest tests', () => {
