--- a/packages/dev-tools/src/docBudgets.ts
+++ b/packages/dev-tools/src/docBudgets.ts
@@ -26,7 +26,7 @@
 }
 
 /** The outcome for one package. */
-interface PackageVerdict extends PackageCount {
+interface PackageResult extends PackageCount {
   /** The highest count that passes: 0 for a package that is done. */
   readonly ceiling: number;
   /** Whether the settings list the package as done. */
@@ -34,9 +34,9 @@
 }
 
 /** The outcome of the check. */
-interface DocVerdict {
+interface DocCheckResult {
   /** One entry for each package, in the order of the counts. */
-  readonly packages: readonly PackageVerdict[];
+  readonly packages: readonly PackageResult[];
   /** What makes the check fail, one sentence each; empty if it passes. */
   readonly failures: readonly string[];
 }
@@ -60,11 +60,11 @@
 
 const settingsFailures = (budgets: DocBudgets, counts: readonly PackageCount[]): string[] => {
   const known = new Set(counts.map((count) => count.name));
-  const twice = budgets.done.filter((name) => Object.hasOwn(budgets.ceilings, name));
-  const gone = [...budgets.done, ...Object.keys(budgets.ceilings)].filter((name) => !known.has(name));
+  const listedTwice = budgets.done.filter((name) => Object.hasOwn(budgets.ceilings, name));
+  const unknown = [...budgets.done, ...Object.keys(budgets.ceilings)].filter((name) => !known.has(name));
   return [
-    ...twice.map((name) => `${name} is listed as done and has a ceiling as well`),
-    ...gone.map((name) => `${name} is in the settings, but there is no such package`),
+    ...listedTwice.map((name) => `${name} is listed as done and has a ceiling as well`),
+    ...unknown.map((name) => `${name} is in the settings, but there is no such package`),
   ];
 };
 
@@ -73,31 +73,31 @@
  *
  * Fails on a count over its ceiling, and on settings that name a package that does not exist or name one twice.
  */
-const judge = (budgets: DocBudgets, counts: readonly PackageCount[]): DocVerdict => {
+const evaluate = (budgets: DocBudgets, counts: readonly PackageCount[]): DocCheckResult => {
   const packages = counts.map((count) => {
     const ceiling = budgets.done.includes(count.name) ? 0 : (budgets.ceilings[count.name] ?? 0);
     return { ...count, ceiling, isDone: budgets.done.includes(count.name) };
   });
-  const risen = packages.filter(({ missing, ceiling }) => missing > ceiling);
-  const failures = risen.map(
+  const overCeiling = packages.filter(({ missing, ceiling }) => missing > ceiling);
+  const failures = overCeiling.map(
     ({ name, missing, ceiling }) => `${name}: ${missing} without a doc comment, at most ${ceiling}`,
   );
   return { packages, failures: [...settingsFailures(budgets, counts), ...failures] };
 };
 
 /** The settings with each ceiling lowered to the count found, and packages without a missing comment listed as done. */
-const lowered = (budgets: DocBudgets, counts: readonly PackageCount[]): DocBudgets => {
-  const verdicts = judge(budgets, counts).packages;
-  const isDone = ({ isDone, missing }: PackageVerdict): boolean => isDone || missing === 0;
-  const open = verdicts.filter((verdict) => !isDone(verdict));
+const lowerCeilings = (budgets: DocBudgets, counts: readonly PackageCount[]): DocBudgets => {
+  const results = evaluate(budgets, counts).packages;
+  const isDone = ({ isDone, missing }: PackageResult): boolean => isDone || missing === 0;
+  const withCeiling = results.filter((result) => !isDone(result));
   return {
-    done: verdicts.filter(isDone).map(({ name }) => name),
-    ceilings: Object.fromEntries(open.map(({ name, missing, ceiling }) => [name, Math.min(missing, ceiling)])),
+    done: results.filter(isDone).map(({ name }) => name),
+    ceilings: Object.fromEntries(withCeiling.map(({ name, missing, ceiling }) => [name, Math.min(missing, ceiling)])),
   };
 };
 
 /** The lines that the command prints: a line a package, then the failures. */
-const lines = ({ packages, failures }: DocVerdict): string[] => [
+const formatLines = ({ packages, failures }: DocCheckResult): string[] => [
   ...packages.map(({ name, missing, ceiling, isDone }) =>
     isDone ? `${name}: ${missing} missing, done` : `${name}: ${missing} missing, ceiling ${ceiling}`,
   ),
@@ -105,4 +105,4 @@
 ];
 
 /** Reads the settings of the doc check and compares counts with them. */
-export const docBudgets = { parse, judge, lowered, lines };
+export const docBudgets = { parse, evaluate, lowerCeilings, formatLines };
--- a/packages/dev-tools/src/docsCheckCommand.ts
+++ b/packages/dev-tools/src/docsCheckCommand.ts
@@ -47,10 +47,10 @@
   process.stdout.write(lines.map((line) => `${line}\n`).join(''));
 };
 
-const listPackage = (folders: readonly string[], wanted: string): number => {
-  const folder = folders.find((name) => name === wanted.replace(/\/$/, '') || name === `packages/${wanted}`);
+const listPackage = (folders: readonly string[], requested: string): number => {
+  const folder = folders.find((name) => name === requested.replace(/\/$/, '') || name === `packages/${requested}`);
   if (folder === undefined) {
-    print([`no package ${wanted}; there are ${folders.join(', ')}`]);
+    print([`no package ${requested}; there are ${folders.join(', ')}`]);
     return usageExitCode;
   }
   const missing = missingIn(openProject(folders), folder);
@@ -59,7 +59,7 @@
   return 0;
 };
 
-const check = (folders: readonly string[], isLowering: boolean): number => {
+const check = (folders: readonly string[], lowersCeilings: boolean): number => {
   const budgets = docBudgets.parse(settingsName, readFileSync(settingsFile, 'utf8'));
   if (budgets.isErr()) {
     print([budgets.error.message]);
@@ -67,11 +67,11 @@
   }
   const project = openProject(folders);
   const counts: PackageCount[] = folders.map((name) => ({ name, missing: missingIn(project, name).length }));
-  const verdict = docBudgets.judge(budgets.value, counts);
-  print(docBudgets.lines(verdict));
-  if (isLowering)
-    writeFileSync(settingsFile, `${JSON.stringify(docBudgets.lowered(budgets.value, counts), null, 2)}\n`);
-  return verdict.failures.length === 0 ? 0 : 1;
+  const result = docBudgets.evaluate(budgets.value, counts);
+  print(docBudgets.formatLines(result));
+  if (lowersCeilings)
+    writeFileSync(settingsFile, `${JSON.stringify(docBudgets.lowerCeilings(budgets.value, counts), null, 2)}\n`);
+  return result.failures.length === 0 ? 0 : 1;
 };
 
 const { values } = parseArgs({ options: { list: { type: 'string' }, lower: { type: 'boolean', default: false } } });
--- a/packages/dev-tools/src/missingDocs.ts
+++ b/packages/dev-tools/src/missingDocs.ts
@@ -50,8 +50,8 @@
 const hasModuleDoc = (file: SourceFile): boolean => {
   const first = file.getStatements()[0];
   if (first === undefined) return true;
-  const isOfTheFirst = !Node.isImportDeclaration(first) && !Node.isExportDeclaration(first);
-  return docsBefore(first).length > (isOfTheFirst ? 1 : 0);
+  const documentsDeclaration = !Node.isImportDeclaration(first) && !Node.isExportDeclaration(first);
+  return docsBefore(first).length > (documentsDeclaration ? 1 : 0);
 };
 
 const documentedNode = (declaration: Node): Node =>
@@ -77,13 +77,13 @@
 };
 
 const parametersWithoutDoc = (owner: ClassDeclaration): ParameterDeclaration[] =>
-  owner.getConstructors().flatMap((builder) => {
-    const described = builder
+  owner.getConstructors().flatMap((declaration) => {
+    const described = declaration
       .getJsDocs()
       .flatMap((doc) => doc.getTags())
       .filter(Node.isJSDocParameterTag)
       .map((tag) => tag.getName());
-    return builder
+    return declaration
       .getParameters()
       .filter((parameter) => parameter.isParameterProperty() && parameter.getScope() !== Scope.Private)
       .filter(
@@ -96,8 +96,8 @@
     .getMembers()
     .filter((member) => !Node.isConstructorDeclaration(member) && !Node.isParameterDeclaration(member))
     .filter((member) => !Node.isClassStaticBlockDeclaration(member) && isPublic(member) && !hasDoc(member));
-  const open = [...members, ...parametersWithoutDoc(owner)];
-  if (open.length === 0) return open;
+  const undocumented = [...members, ...parametersWithoutDoc(owner)];
+  if (undocumented.length === 0) return undocumented;
   const inherited = inheritedNames(owner);
   const accessors = new Set(
     owner
@@ -105,7 +105,7 @@
       .filter(hasDoc)
       .map((getter) => getter.getName()),
   );
-  return open.filter((member) => {
+  return undocumented.filter((member) => {
     if (!Node.hasName(member)) return true;
     if (Node.isOverrideable(member) && member.hasOverrideKeyword()) return false;
     return (
@@ -122,11 +122,11 @@
   };
   if (!hasModuleDoc(file)) report(file.getStatements()[0] ?? file, 'module', file.getBaseName());
   for (const [name, declarations] of file.getExportedDeclarations()) {
-    const own = declarations.filter((declaration) => declaration.getSourceFile() === file);
-    const isDocumented = own.some((declaration) => hasDoc(documentedNode(declaration)));
-    const first = own.find((declaration) => kindNames.has(declaration.getKind()));
+    const ownDeclarations = declarations.filter((declaration) => declaration.getSourceFile() === file);
+    const isDocumented = ownDeclarations.some((declaration) => hasDoc(documentedNode(declaration)));
+    const first = ownDeclarations.find((declaration) => kindNames.has(declaration.getKind()));
     if (first !== undefined && !isDocumented) report(first, kindNames.get(first.getKind()) ?? '', name);
-    for (const owner of own.filter(Node.isClassDeclaration))
+    for (const owner of ownDeclarations.filter(Node.isClassDeclaration))
       for (const member of membersWithoutDoc(owner))
         report(member, 'member', `${name}.${Node.hasName(member) ? member.getName() : member.getText()}`);
   }
--- a/packages/dev-tools/test/docBudgets.test.ts
+++ b/packages/dev-tools/test/docBudgets.test.ts
@@ -4,7 +4,7 @@
 
 const budgets: DocBudgets = { done: ['packages/a'], ceilings: { 'packages/b': 3 } };
 const failuresOf = (a: number, b: number, settings = budgets): readonly string[] =>
-  docBudgets.judge(settings, [
+  docBudgets.evaluate(settings, [
     { name: 'packages/a', missing: a },
     { name: 'packages/b', missing: b },
   ]).failures;
@@ -40,12 +40,12 @@
       { name: 'packages/b', missing: 2 },
       { name: 'packages/c', missing: 0 },
     ];
-    expect(docBudgets.lowered(budgets, counts)).to.deep.equal({
+    expect(docBudgets.lowerCeilings(budgets, counts)).to.deep.equal({
       done: ['packages/a', 'packages/c'],
       ceilings: { 'packages/b': 2 },
     });
-    const risen = docBudgets.lowered(budgets, [{ name: 'packages/b', missing: 9 }]);
-    expect(risen).to.deep.equal({ done: [], ceilings: { 'packages/b': 3 } });
+    const lowered = docBudgets.lowerCeilings(budgets, [{ name: 'packages/b', missing: 9 }]);
+    expect(lowered).to.deep.equal({ done: [], ceilings: { 'packages/b': 3 } });
   });
 
   it('given settings that are no JSON or of another form, when they are read, then the error names the file', () => {
--- a/packages/dev-tools/test/onCallPage.test.ts
+++ b/packages/dev-tools/test/onCallPage.test.ts
@@ -8,7 +8,7 @@
 const placementName = /['`](placed_[a-z_]+)/g;
 const metricLine = /\bmartenworks_[a-z0-9_]+/g;
 
-interface Found {
+interface SourceText {
   readonly text: string;
   readonly path: string;
 }
@@ -19,7 +19,7 @@
   pattern: RegExp,
   textOf: (found: RegExpMatchArray) => readonly string[],
   paths: readonly string[] = productSources,
-): Found[] =>
+): SourceText[] =>
   paths.flatMap((path) =>
     [...repository.read(path).matchAll(pattern)].flatMap((found) => textOf(found).map((text) => ({ text, path }))),
   );
@@ -31,36 +31,40 @@
 ];
 const metricLines = find(metricLine, (found) => [found[0]]);
 
-const expectAllOn = (page: string, found: readonly Found[], isOn: (page: string, text: string) => boolean): void => {
+const expectAllDescribed = (
+  page: string,
+  found: readonly SourceText[],
+  isOn: (page: string, text: string) => boolean,
+): void => {
   const missing = found.filter(({ text }) => !isOn(page, text)).map(({ text, path }) => `${path}: ${text}`);
   expect(missing, missing.join('\n')).to.deep.equal([]);
 };
 
-const standsAlone = (page: string, text: string): boolean => page.includes(`\`${text}\``);
-const standsOrBegins = (page: string, text: string): boolean =>
-  standsAlone(page, text) || (text.endsWith('_') && page.includes(`\`${text}`));
+const isQuoted = (page: string, text: string): boolean => page.includes(`\`${text}\``);
+const isQuotedOrIsPrefix = (page: string, text: string): boolean =>
+  isQuoted(page, text) || (text.endsWith('_') && page.includes(`\`${text}`));
 
 describe('the on-call page', () => {
   const page = repository.read('docs/on-call.md');
 
   it('given each log message of the programs, when the page is searched, then it is described there', () => {
     expect(logMessages).to.have.length.above(30);
-    expectAllOn(page, logMessages, standsAlone);
+    expectAllDescribed(page, logMessages, isQuoted);
   });
 
   it('given each counter of the programs, when the page is searched, then it is described there', () => {
     expect(metricNames).to.have.length.above(20);
-    expectAllOn(page, metricNames, standsOrBegins);
+    expectAllDescribed(page, metricNames, isQuotedOrIsPrefix);
   });
 
   it('given each line of the pages /metrics, when the page is searched, then it is described there', () => {
     expect(metricLines).to.have.length.above(10);
-    expectAllOn(page, metricLines, standsOrBegins);
+    expectAllDescribed(page, metricLines, isQuotedOrIsPrefix);
   });
 
   it('given a message that no page describes, when it is looked up, then it is found missing', () => {
-    expect(standsAlone(page, 'a message of no program')).to.equal(false);
-    expect(standsOrBegins(page, 'denied_')).to.equal(true);
-    expect(standsOrBegins(page, 'denie_')).to.equal(false);
+    expect(isQuoted(page, 'a message of no program')).to.equal(false);
+    expect(isQuotedOrIsPrefix(page, 'denied_')).to.equal(true);
+    expect(isQuotedOrIsPrefix(page, 'denie_')).to.equal(false);
   });
 });
--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -24,14 +24,14 @@
 }
 
 /** A change of configuration that an operator asked for, built on the version `base`. */
-export interface Order {
+export interface ChangeRequest {
   readonly id: string;
   readonly base: number;
   readonly configVersion: number;
 }
 
 /** What the checker may look at on one node, from outside. */
-export interface Observed {
+export interface NodeObservation {
   readonly node: string;
   readonly incarnation: string;
   readonly isAlive: boolean;
@@ -42,10 +42,10 @@
   /** The change that is accepted there and not known to be committed. */
   readonly accepted: { readonly slot: number; readonly changeId: string } | null;
   /** The fence of the lease that it holds at this moment. */
-  readonly fence: number | null;
+  readonly fencingToken: number | null;
 }
 
-interface Vote {
+interface VoteTally {
   readonly ballot: string;
   readonly changeId: string;
   readonly voters: Set<string>;
@@ -58,32 +58,32 @@
   /** The violations so far, the oldest first. */
   readonly violations: Violation[] = [];
   private readonly states = new Map<number, CommittedState>();
-  private readonly texts = new Map<number, string>();
-  private readonly votes = new Map<number, Vote[]>();
+  private readonly stateTexts = new Map<number, string>();
+  private readonly tallies = new Map<number, VoteTally[]>();
   private readonly chosen = new Map<number, string>();
-  private readonly compared = new WeakSet<CommittedState>();
+  private readonly recordedStates = new WeakSet<CommittedState>();
   private readonly acknowledged = new Map<string, number>();
-  private readonly orderAt = new Map<number, string>();
-  private newestAcknowledged = 0;
-  private newestRead = 0;
-  private newestChosenGeneration = 0;
+  private readonly changeIdBySlot = new Map<number, string>();
+  private newestAcknowledgedIndex = 0;
+  private newestReadIndex = 0;
+  private highestChosenIndex = 0;
   private newestChosenConfigVersion = 0;
-  private leader: { node: string; fence: number } | null = null;
-  private highestFence = 0;
+  private leaseHolder: { node: string; fencingToken: number } | null = null;
+  private highestFencingToken = 0;
 
-  constructor(founded: CommittedState) {
-    this.learn(founded, 'the founding');
+  constructor(initialState: CommittedState) {
+    this.recordState(initialState, 'the founding');
   }
 
-  private readonly tell = (rule: Rule, detail: string): void => void this.violations.push({ rule, detail });
+  private readonly report = (rule: Rule, detail: string): void => void this.violations.push({ rule, detail });
 
   /** The highest log index for which a change was chosen. */
-  readonly newestGeneration = (): number => this.newestChosenGeneration;
+  readonly newestChosenIndex = (): number => this.highestChosenIndex;
 
   /** The committed state of the highest log index that is known whole. */
-  readonly newestState = (): CommittedState => this.states.get(this.newestStateGeneration()) as CommittedState;
+  readonly newestState = (): CommittedState => this.states.get(this.newestStateIndex()) as CommittedState;
 
-  private readonly newestStateGeneration = (): number => {
+  private readonly newestStateIndex = (): number => {
     let newest = 0;
     for (const logIndex of this.states.keys()) newest = Math.max(newest, logIndex);
     return newest;
@@ -93,133 +93,144 @@
   readonly stateAt = (logIndex: number): CommittedState | undefined => this.states.get(logIndex);
 
   /** Takes note of a state that a node holds durable; states of one log index must be equal. */
-  readonly learn = (state: CommittedState, where: string): void => {
-    if (this.compared.has(state)) return;
-    this.compared.add(state);
+  readonly recordState = (state: CommittedState, where: string): void => {
+    if (this.recordedStates.has(state)) return;
+    this.recordedStates.add(state);
     const text = JSON.stringify([state.members, state.routing, Object.keys(state.changeIds).sort()]);
-    const known = this.texts.get(state.logIndex);
+    const known = this.stateTexts.get(state.logIndex);
     if (known !== undefined) {
-      if (known !== text) this.tell('one history', `generation ${state.logIndex} at ${where}: ${text}, not ${known}`);
+      if (known !== text) this.report('one history', `generation ${state.logIndex} at ${where}: ${text}, not ${known}`);
       return;
     }
-    this.texts.set(state.logIndex, text);
+    this.stateTexts.set(state.logIndex, text);
     this.states.set(state.logIndex, state);
-    const seats = new Set(state.members.map((member) => member.incarnation));
-    if (seats.size !== state.members.length)
-      this.tell('seats distinct', `generation ${state.logIndex}: ${state.members.map((one) => one.name).join()}`);
+    const voterIncarnations = new Set(state.members.map((member) => member.incarnation));
+    if (voterIncarnations.size !== state.members.length)
+      this.report('seats distinct', `generation ${state.logIndex}: ${state.members.map((one) => one.name).join()}`);
     if (state.logIndex > 0 && !this.chosen.has(state.logIndex))
-      this.tell('settled by a majority', `generation ${state.logIndex} at ${where} was accepted by no majority`);
+      this.report('settled by a majority', `generation ${state.logIndex} at ${where} was accepted by no majority`);
     this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, state.routing?.configVersion ?? 0);
   };
 
   /** An acceptor reported, or was about to report, that it has accepted a change. */
-  readonly accepted = (voter: string, slot: number, ballot: string, change: Change): void => {
-    const votes = this.votes.get(slot) ?? [];
-    this.votes.set(slot, votes);
-    let vote = votes.find((one) => one.ballot === ballot && one.changeId === change.id);
-    if (vote === undefined) {
-      vote = { ballot, changeId: change.id, voters: new Set() };
-      votes.push(vote);
+  readonly recordAcceptance = (voter: string, slot: number, ballot: string, change: Change): void => {
+    const tallies = this.tallies.get(slot) ?? [];
+    this.tallies.set(slot, tallies);
+    let tally = tallies.find((one) => one.ballot === ballot && one.changeId === change.id);
+    if (tally === undefined) {
+      tally = { ballot, changeId: change.id, voters: new Set() };
+      tallies.push(tally);
     }
-    vote.voters.add(voter);
+    tally.voters.add(voter);
     const members = this.states.get(slot - 1)?.members ?? [];
-    const seats = new Set(members.map((member) => member.incarnation));
-    const held = [...vote.voters].filter((one) => seats.has(one)).length;
-    if (held >= majorityOf(members.length)) this.choose(slot, change);
+    const voterIncarnations = new Set(members.map((member) => member.incarnation));
+    const voteCount = [...tally.voters].filter((one) => voterIncarnations.has(one)).length;
+    if (voteCount >= majorityOf(members.length)) this.recordChosen(slot, change);
   };
 
-  private readonly choose = (slot: number, change: Change): void => {
+  private readonly recordChosen = (slot: number, change: Change): void => {
     const known = this.chosen.get(slot);
     if (known !== undefined) {
-      if (known !== change.id) this.tell('one change a generation', `generation ${slot}: ${known} and ${change.id}`);
+      if (known !== change.id) this.report('one change a generation', `generation ${slot}: ${known} and ${change.id}`);
       return;
     }
     this.chosen.set(slot, change.id);
-    this.orderAt.set(slot, change.id);
-    this.newestChosenGeneration = Math.max(this.newestChosenGeneration, slot);
+    this.changeIdBySlot.set(slot, change.id);
+    this.highestChosenIndex = Math.max(this.highestChosenIndex, slot);
     if (change.body.kind === 'routing')
       this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, change.body.routing.configVersion);
   };
 
   /** An operator got the reply that its change was committed at a log index. */
-  readonly orderAcknowledged = (order: Order, logIndex: number): void => {
-    const known = this.acknowledged.get(order.id);
+  readonly recordAcknowledgement = (request: ChangeRequest, logIndex: number): void => {
+    const known = this.acknowledged.get(request.id);
     if (known !== undefined && known !== logIndex)
-      this.tell('one change a generation', `${order.id} acknowledged as ${known} and as ${logIndex}`);
-    this.acknowledged.set(order.id, logIndex);
-    this.newestAcknowledged = Math.max(this.newestAcknowledged, logIndex);
+      this.report('one change a generation', `${request.id} acknowledged as ${known} and as ${logIndex}`);
+    this.acknowledged.set(request.id, logIndex);
+    this.newestAcknowledgedIndex = Math.max(this.newestAcknowledgedIndex, logIndex);
     const chosen = this.chosen.get(logIndex);
-    if (chosen !== order.id)
-      this.tell('acknowledged in force', `${order.id} acknowledged as ${logIndex}, which is ${chosen ?? 'not chosen'}`);
+    if (chosen !== request.id)
+      this.report(
+        'acknowledged in force',
+        `${request.id} acknowledged as ${logIndex}, which is ${chosen ?? 'not chosen'}`,
+      );
   };
 
   /** An operator got the reply that its change cannot be made on the version it named. */
-  readonly orderRefused = (order: Order, node: string): void => {
+  readonly recordRejection = (request: ChangeRequest, node: string): void => {
     const isInForce =
-      [...this.chosen.values()].includes(order.id) && this.newestChosenConfigVersion === order.configVersion;
-    if (isInForce) this.tell('resend refused', `${order.id} is in force and was refused at ${node}`);
-    else if (this.newestChosenConfigVersion <= order.base)
-      this.tell('newest base refused', `${order.id} on ${order.base}, the newest, was refused at ${node}`);
+      [...this.chosen.values()].includes(request.id) && this.newestChosenConfigVersion === request.configVersion;
+    if (isInForce) this.report('resend refused', `${request.id} is in force and was refused at ${node}`);
+    else if (this.newestChosenConfigVersion <= request.base)
+      this.report('newest base refused', `${request.id} on ${request.base}, the newest, was refused at ${node}`);
   };
 
   /** The log index that a read beginning now may not fall short of. */
-  readonly readFloor = (): number => Math.max(this.newestAcknowledged, this.newestRead);
+  readonly minReadIndex = (): number => Math.max(this.newestAcknowledgedIndex, this.newestReadIndex);
 
   /** A node confirmed a read as of `logIndex`; `floor` is what `readFloor` gave when the read began. */
-  readonly readAnswered = (floor: number, logIndex: number, node: string): void => {
-    if (logIndex < floor) this.tell('stale read', `${node} confirmed generation ${logIndex}, ${floor} was known`);
-    this.newestRead = Math.max(this.newestRead, logIndex);
+  readonly recordRead = (minIndex: number, logIndex: number, node: string): void => {
+    if (logIndex < minIndex)
+      this.report('stale read', `${node} confirmed generation ${logIndex}, ${minIndex} was known`);
+    this.newestReadIndex = Math.max(this.newestReadIndex, logIndex);
   };
 
   /** Checks what holds between any two steps. */
-  readonly observe = (nodes: readonly Observed[]): void => {
+  readonly observe = (nodes: readonly NodeObservation[]): void => {
     for (const node of nodes) {
-      if (node.state !== null) this.learn(node.state, node.node);
+      if (node.state !== null) this.recordState(node.state, node.node);
     }
-    this.checkHolders(nodes);
+    this.checkDurability(nodes);
     this.checkLeases(nodes);
   };
 
-  private readonly holds = (node: Observed, logIndex: number): boolean =>
+  private readonly hasChange = (node: NodeObservation, logIndex: number): boolean =>
     (node.state !== null && node.state.logIndex >= logIndex) ||
     (node.accepted?.slot === logIndex && node.accepted.changeId === this.chosen.get(logIndex));
 
-  private readonly checkHolders = (nodes: readonly Observed[]): void => {
-    const logIndex = this.newestAcknowledged;
+  private readonly checkDurability = (nodes: readonly NodeObservation[]): void => {
+    const logIndex = this.newestAcknowledgedIndex;
     if (logIndex === 0) return;
     const members = this.newestState().members;
-    const seats = new Set(members.map((member) => member.incarnation));
-    const without = nodes.filter((node) => !node.isLost && seats.has(node.incarnation) && !this.holds(node, logIndex));
-    if (without.length >= majorityOf(members.length))
-      this.tell(
+    const voterIncarnations = new Set(members.map((member) => member.incarnation));
+    const lacking = nodes.filter(
+      (node) => !node.isLost && voterIncarnations.has(node.incarnation) && !this.hasChange(node, logIndex),
+    );
+    if (lacking.length >= majorityOf(members.length))
+      this.report(
         'acknowledged change held',
-        `generation ${logIndex} is lacking at ${without.map((node) => node.node).join()}, a majority of those who vote next`,
+        `generation ${logIndex} is lacking at ${lacking.map((node) => node.node).join()}, a majority of those who vote next`,
       );
   };
 
-  private readonly checkLeases = (nodes: readonly Observed[]): void => {
-    const holders = nodes.filter((node) => node.isAlive && node.fence !== null);
+  private readonly checkLeases = (nodes: readonly NodeObservation[]): void => {
+    const holders = nodes.filter((node) => node.isAlive && node.fencingToken !== null);
     if (holders.length > 1)
-      this.tell('leases disjoint', holders.map((node) => `${node.node} with fence ${node.fence}`).join(' and '));
-    for (const { node, fence } of holders) {
-      if (fence === null || (this.leader?.node === node && this.leader.fence === fence)) continue;
-      if (fence <= this.highestFence) this.tell('fences rising', `${node} got ${fence} after ${this.highestFence}`);
-      this.leader = { node, fence };
-      this.highestFence = Math.max(this.highestFence, fence);
+      this.report(
+        'leases disjoint',
+        holders.map((node) => `${node.node} with fence ${node.fencingToken}`).join(' and '),
+      );
+    for (const { node, fencingToken } of holders) {
+      if (fencingToken === null || (this.leaseHolder?.node === node && this.leaseHolder.fencingToken === fencingToken))
+        continue;
+      if (fencingToken <= this.highestFencingToken)
+        this.report('fences rising', `${node} got ${fencingToken} after ${this.highestFencingToken}`);
+      this.leaseHolder = { node, fencingToken: fencingToken };
+      this.highestFencingToken = Math.max(this.highestFencingToken, fencingToken);
     }
   };
 
   /** Checks the end of a schedule, after the bounded number of fair steps. */
-  readonly finish = (nodes: readonly Observed[], isLastOrderAcknowledged: boolean, rounds: number): void => {
+  readonly finish = (nodes: readonly NodeObservation[], isChangeAcknowledged: boolean, rounds: number): void => {
     const members = this.newestState().members;
-    const seats = new Set(members.map((member) => member.incarnation));
-    const living = nodes.filter((node) => node.isAlive && seats.has(node.incarnation));
-    for (const node of living)
-      if ((node.state?.logIndex ?? -1) < this.newestChosenGeneration)
-        this.tell(
+    const voterIncarnations = new Set(members.map((member) => member.incarnation));
+    const liveVoters = nodes.filter((node) => node.isAlive && voterIncarnations.has(node.incarnation));
+    for (const node of liveVoters)
+      if ((node.state?.logIndex ?? -1) < this.highestChosenIndex)
+        this.report(
           'catching up',
-          `${node.node} holds ${node.state?.logIndex ?? 'nothing'} after ${rounds} fair rounds, ${this.newestChosenGeneration} is the newest`,
+          `${node.node} holds ${node.state?.logIndex ?? 'nothing'} after ${rounds} fair rounds, ${this.highestChosenIndex} is the newest`,
         );
-    if (!isLastOrderAcknowledged) this.tell('progress', `no order was acknowledged in ${rounds} fair rounds`);
+    if (!isChangeAcknowledged) this.report('progress', `no order was acknowledged in ${rounds} fair rounds`);
   };
 }
--- a/packages/model-check/src/fleetUnderTest.ts
+++ b/packages/model-check/src/fleetUnderTest.ts
@@ -1,5 +1,5 @@
 /** The view of a schedule's fleet that its fair end needs; the world of the schedule implements it. */
-import type { Checker, Observed } from './checker.js';
+import type { Checker, NodeObservation } from './checker.js';
 import type { ModelNode } from './modelNode.js';
 import type { Network } from './network.js';
 import type { VirtualClock } from './virtualClock.js';
@@ -12,7 +12,7 @@
   /** Throws before the fleet is founded. */
   readonly checker: () => Checker;
   /** The state of every node, as the checker sees it. */
-  readonly observed: () => Observed[];
+  readonly observations: () => NodeObservation[];
   /** Lets everything run that waits for neither a message, a disk nor the clock. */
   readonly drain: () => Promise<void>;
 }
--- a/packages/model-check/src/breaks.ts
+++ b/packages/model-check/src/injectedFaults.ts
@@ -8,9 +8,9 @@
 import type { ModelDisk } from './modelDisk.js';
 
 /** A fault put into the product on purpose, from outside, to show that the checker finds it. */
-export interface Break {
+export interface InjectedFault {
   readonly name: string;
-  readonly what: string;
+  readonly description: string;
   /** Replaces shared functions of the product for one schedule; gives what puts them back. */
   readonly install?: () => () => void;
   readonly disk?: (disk: ModelDisk) => void;
@@ -18,13 +18,13 @@
   readonly voters?: (voters: Voters, own: () => string) => Voters;
   readonly swapProposer?: (proposer: Proposer) => Proposer;
   /** Reads, and the checks that refusals rest on, use the node's own state. */
-  readonly readsAlone?: boolean;
+  readonly readsLocalState?: boolean;
   /** Leases are granted to whoever asks, whatever voters it takes for the electorate. */
   readonly grantsAcrossSwaps?: boolean;
   /** Nothing that was missed is fetched or supplied. */
   readonly neverCatchesUp?: boolean;
   readonly leaseTable?: (clock: Clock, terms: LeaseTerms) => LeaseTable;
-  readonly memberStatus?: (told: MemberStatus, asker: Acceptor) => MemberStatus;
+  readonly memberStatus?: (status: MemberStatus, caller: Acceptor) => MemberStatus;
 }
 
 type Overridable<T> = { -readonly [Key in keyof T]: T[Key] };
@@ -33,12 +33,12 @@
 
 const applyAnySwap = (state: CommittedState, change: Change): CommittedState => {
   const { body } = change;
-  if (body.kind !== 'swap') return unbrokenApply(state, change);
+  if (body.kind !== 'swap') return originalApply(state, change);
   const members = state.members.map((member) => (member.incarnation === body.outgoing ? body.incoming : member));
-  return { ...unbrokenApply(state, change), members };
+  return { ...originalApply(state, change), members };
 };
 
-const unbrokenApply = stateMachine.apply;
+const originalApply = stateMachine.apply;
 
 const checkOnce = (proposer: Proposer): Proposer => {
   const propose: Proposer['propose'] = (check, ...rest) => {
@@ -48,21 +48,21 @@
   return Object.assign(Object.create(proposer), { propose });
 };
 
-const swapAnySeat: Break = {
+const swapAnySeat: InjectedFault = {
   name: 'swap-any-seat',
-  what: 'a swap is applied whatever seats there are, and its check is not made again before a further try',
+  description: 'a swap is applied whatever seats there are, and its check is not made again before a further try',
   install: () => {
     stateMachine.apply = applyAnySwap;
     return () => {
-      stateMachine.apply = unbrokenApply;
+      stateMachine.apply = originalApply;
     };
   },
   swapProposer: checkOnce,
 };
 
-const forgetPromises: Break = {
+const forgetPromises: InjectedFault = {
   name: 'forget-promises',
-  what: 'a restarted acceptor does not know the newest ballot that it promised',
+  description: 'a restarted acceptor does not know the newest ballot that it promised',
   install: () => {
     const open = writeAheadLogs.open;
     writeAheadLogs.open = async (disk, prefix) =>
@@ -76,15 +76,15 @@
   },
 };
 
-const readAlone: Break = {
+const readAlone: InjectedFault = {
   name: 'read-alone',
-  what: 'a read, or a refusal, rests on the own state without asking a majority',
-  readsAlone: true,
+  description: 'a read, or a refusal, rests on the own state without asking a majority',
+  readsLocalState: true,
 };
 
-const grantUnwritten: Break = {
+const grantUnwritten: InjectedFault = {
   name: 'grant-unwritten',
-  what: 'a lease is granted and its fence is not written',
+  description: 'a lease is granted and its fence is not written',
   leaseTable: (clock, terms) => new LeaseTable(clock, async () => true, [], false, terms),
 };
 
@@ -93,19 +93,19 @@
   readonly applyEvent: (record: { readonly t: 'adopted'; readonly agreed: CommittedState }) => void;
 }
 
-const grantAcrossSwaps: Break = {
+const grantAcrossSwaps: InjectedFault = {
   name: 'grant-across-swaps',
-  what: 'a voter grants leases to nodes that count other voters than it does',
+  description: 'a voter grants leases to nodes that count other voters than it does',
   grantsAcrossSwaps: true,
 };
 
-const seatWithoutState: Break = {
+const seatWithoutState: InjectedFault = {
   name: 'seat-without-state',
-  what: 'a newcomer is seated before it is known to hold the state, and holds it in memory alone',
-  memberStatus: (told, asker) => {
-    const state = asker.committedState();
-    if (state === null) return told;
-    return { ...told, logIndex: state.logIndex, syncedFrom: state.members.map((member) => member.incarnation) };
+  description: 'a newcomer is seated before it is known to hold the state, and holds it in memory alone',
+  memberStatus: (status, caller) => {
+    const state = caller.committedState();
+    if (state === null) return status;
+    return { ...status, logIndex: state.logIndex, syncedFrom: state.members.map((member) => member.incarnation) };
   },
   acceptor: (acceptor) => {
     const adopt = acceptor.adopt;
@@ -118,9 +118,9 @@
   },
 };
 
-const acceptLowerBallot: Break = {
+const acceptLowerBallot: InjectedFault = {
   name: 'accept-lower-ballot',
-  what: 'an acceptor takes a change under a lower ballot than it has promised',
+  description: 'an acceptor takes a change under a lower ballot than it has promised',
   acceptor: (acceptor) => {
     const accept = acceptor.accept;
     overridable(acceptor).accept = async (slot: number, ballot: Ballot, change: Change) => {
@@ -130,9 +130,9 @@
   },
 };
 
-const countTwice: Break = {
+const countTwice: InjectedFault = {
   name: 'count-twice',
-  what: 'the own vote counts again in the place of each member that does not answer',
+  description: 'the own vote counts again in the place of each member that does not answer',
   voters: (voters, own) => {
     let promised: Awaited<ReturnType<Voters['prepare']>> = null;
     return {
@@ -149,9 +149,9 @@
   },
 };
 
-const settleEarly: Break = {
+const settleEarly: InjectedFault = {
   name: 'settle-early',
-  what: 'a change is told as settled once a single member has accepted it',
+  description: 'a change is told as settled once a single member has accepted it',
   voters: (voters) => ({
     ...voters,
     accept: async (member, slot, ballot, change) => {
@@ -162,25 +162,25 @@
   }),
 };
 
-const lyingDisk: Break = {
+const lyingDisk: InjectedFault = {
   name: 'lying-disk',
-  what: 'votes are told before they are durable',
+  description: 'votes are told before they are durable',
   disk: (disk) => {
-    disk.isLying = true;
+    disk.acknowledgesWithoutSync = true;
   },
 };
 
-const forgetEnds: Break = {
+const forgetEnds: InjectedFault = {
   name: 'forget-ends',
-  what: 'a record that a process wrote and did not sync before its end is told by the next one without a sync',
+  description: 'a record that a process wrote and did not sync before its end is told by the next one without a sync',
   disk: (disk) => {
-    disk.isForgettingEnds = true;
+    disk.skipsRecoverySync = true;
   },
 };
 
-const ignoreAccepted: Break = {
+const ignoreAccepted: InjectedFault = {
   name: 'ignore-accepted',
-  what: 'a proposer offers its own change where a promise told of an accepted one',
+  description: 'a proposer offers its own change where a promise told of an accepted one',
   voters: (voters) => ({
     ...voters,
     prepare: async (member, slot, ballot) => {
@@ -190,40 +190,40 @@
   }),
 };
 
-const forgetRecords: Break = {
+const forgetRecords: InjectedFault = {
   name: 'forget-records',
-  what: 'no record is kept of the changes that were agreed on',
+  description: 'no record is kept of the changes that were agreed on',
   install: () => {
-    stateMachine.apply = (state, change) => ({ ...unbrokenApply(state, change), changeIds: {} });
+    stateMachine.apply = (state, change) => ({ ...originalApply(state, change), changeIds: {} });
     return () => {
-      stateMachine.apply = unbrokenApply;
+      stateMachine.apply = originalApply;
     };
   },
 };
 
-const settleOther: Break = {
+const settleOther: InjectedFault = {
   name: 'settle-other',
-  what: 'one node puts another configuration in force than the one that was chosen',
+  description: 'one node puts another configuration in force than the one that was chosen',
   acceptor: (acceptor) => {
-    const settle = acceptor.commit;
+    const commit = acceptor.commit;
     overridable(acceptor).commit = ({ logIndex, change }) => {
       const { body } = change;
-      if (body.kind !== 'routing' || !acceptor.incarnation.startsWith('n1-')) return settle({ logIndex, change });
+      if (body.kind !== 'routing' || !acceptor.incarnation.startsWith('n1-')) return commit({ logIndex, change });
       const routing = { ...body.routing, source: `${body.routing.source}, changed` };
-      return settle({ logIndex, change: { ...change, body: { ...body, routing } } });
+      return commit({ logIndex, change: { ...change, body: { ...body, routing } } });
     };
   },
 };
 
-const neverCatchUp: Break = {
+const neverCatchUp: InjectedFault = {
   name: 'never-catch-up',
-  what: 'a member that missed a change is never brought forward',
+  description: 'a member that missed a change is never brought forward',
   neverCatchesUp: true,
 };
 
-const askNobody: Break = {
+const askNobody: InjectedFault = {
   name: 'ask-nobody',
-  what: 'a proposer asks no other voter for its promise',
+  description: 'a proposer asks no other voter for its promise',
   voters: (voters, own) => ({
     ...voters,
     prepare: async (member, slot, ballot) =>
@@ -231,7 +231,7 @@
   }),
 };
 
-const all: readonly Break[] = [
+const all: readonly InjectedFault[] = [
   swapAnySeat,
   forgetPromises,
   readAlone,
@@ -251,7 +251,7 @@
 ];
 
 /** The deliberate breaks, by name. */
-export const breaks = {
+export const injectedFaults = {
   all,
-  find: (name: string | null): Break | null => all.find((one) => one.name === name) ?? null,
+  find: (name: string | null): InjectedFault | null => all.find((one) => one.name === name) ?? null,
 };
--- a/packages/model-check/src/modelCommand.ts
+++ b/packages/model-check/src/modelCommand.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
-import { breaks } from './breaks.js';
+import { injectedFaults } from './injectedFaults.js';
 import type { Rule } from './checker.js';
 import { profiles } from './profiles.js';
 import { choiceKinds } from './choices.js';
@@ -16,7 +16,7 @@
 Explores schedules of the agreement: the product's own proposer, acceptor, log, membership and leases over simulated
 disks and links. Prints counts by kind of step; a counterexample is shrunk and printed as a script.
 profiles: ${profiles.map((one) => one.name).join(', ')}
-breaks: ${breaks.all.map((one) => one.name).join(', ')}
+breaks: ${injectedFaults.all.map((one) => one.name).join(', ')}
 `;
 
 const { values } = parseArgs({
@@ -35,7 +35,7 @@
   },
 });
 
-const maximumJobs = 16;
+const maxJobs = 16;
 
 const print = (text: string): void => void process.stdout.write(`${text}\n`);
 
@@ -58,36 +58,38 @@
   ...(values.rules === undefined ? {} : { rules: values.rules.split(',') as Rule[] }),
 });
 
-const inWorker = (plan: Plan): Promise<Outcome> =>
+const exploreInWorker = (plan: Plan): Promise<Outcome> =>
   new Promise((done, fail) => {
     const worker = new Worker(new URL(import.meta.url), { workerData: plan, argv: process.argv.slice(2) });
     worker.once('message', done);
     worker.once('error', fail);
   });
 
-const show = async (found: Counterexample): Promise<void> => {
-  const { script, violation } = await explorer.shrink(found);
+const printShrunk = async (counterexample: Counterexample): Promise<void> => {
+  const { script, violation } = await explorer.shrink(counterexample);
   print(`broken, ${violation.rule}: ${violation.detail}`);
-  print(`found by seed ${script.seed}, ${found.script.choices.length} steps, shrunk to ${script.choices.length}:`);
+  print(
+    `found by seed ${script.seed}, ${counterexample.script.choices.length} steps, shrunk to ${script.choices.length}:`,
+  );
   print(JSON.stringify(script));
 };
 
 const exploreAll = async (): Promise<number> => {
-  const jobs = Math.max(1, Math.min(maximumJobs, Number(values.jobs)));
+  const jobs = Math.max(1, Math.min(maxJobs, Number(values.jobs)));
   const startedAt = performance.now();
-  const outcomes = await Promise.all(Array.from({ length: jobs }, (_, job) => inWorker(planOf(job, jobs))));
+  const outcomes = await Promise.all(Array.from({ length: jobs }, (_, job) => exploreInWorker(planOf(job, jobs))));
   const steps = (kind: ChoiceKind): number => outcomes.reduce((sum, outcome) => sum + (outcome.steps[kind] ?? 0), 0);
   const schedules = outcomes.reduce((sum, outcome) => sum + outcome.schedules, 0);
-  const generations = outcomes.reduce((sum, outcome) => sum + outcome.generations, 0);
+  const chosenChanges = outcomes.reduce((sum, outcome) => sum + outcome.chosenChanges, 0);
   const seconds = ((performance.now() - startedAt) / 1_000).toFixed(1);
   print(`${schedules} schedules, ${values.voters} voters, depth ${values.depth}, ${seconds} s, ${jobs} jobs`);
-  print(`changes chosen ${generations}; steps ${choiceKinds.map((kind) => `${kind} ${steps(kind)}`).join(', ')}`);
-  for (const { passedOver } of outcomes)
-    for (const [rule, count] of Object.entries(passedOver)) print(`passed over, ${rule}: ${count}`);
-  const found = outcomes.flatMap((outcome) => outcome.counterexample ?? []);
-  for (const counterexample of found) await show(counterexample);
-  if (found.length === 0) print('no rule is broken');
-  return found.length === 0 ? 0 : 1;
+  print(`changes chosen ${chosenChanges}; steps ${choiceKinds.map((kind) => `${kind} ${steps(kind)}`).join(', ')}`);
+  for (const { otherViolations } of outcomes)
+    for (const [rule, count] of Object.entries(otherViolations)) print(`passed over, ${rule}: ${count}`);
+  const counterexamples = outcomes.flatMap((outcome) => outcome.counterexample ?? []);
+  for (const counterexample of counterexamples) await printShrunk(counterexample);
+  if (counterexamples.length === 0) print('no rule is broken');
+  return counterexamples.length === 0 ? 0 : 1;
 };
 
 const main = async (): Promise<number> => {
@@ -95,7 +97,7 @@
     print(usage);
     return 0;
   }
-  if (values.break !== undefined && breaks.find(values.break) === null) {
+  if (values.break !== undefined && injectedFaults.find(values.break) === null) {
     print(usage);
     return 2;
   }
--- a/packages/model-check/src/modelDisk.ts
+++ b/packages/model-check/src/modelDisk.ts
@@ -15,25 +15,25 @@
 
 const empty = new Uint8Array();
 
-const joined = (first: Uint8Array, second: Uint8Array): Uint8Array => {
-  const whole = new Uint8Array(first.length + second.length);
-  whole.set(first);
-  whole.set(second, first.length);
-  return whole;
+const concatenate = (first: Uint8Array, second: Uint8Array): Uint8Array => {
+  const bytes = new Uint8Array(first.length + second.length);
+  bytes.set(first);
+  bytes.set(second, first.length);
+  return bytes;
 };
 
-const fault = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
+const diskError = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
 /** A disk whose syncs wait for the scheduler, so that a crash can fall before or after each write. */
 export class ModelDisk {
   private files = new Map<string, StoredFile>();
   private pending: PendingSync[] = [];
   /** While false, syncs complete at once: for founding and restarts, which are one step of a schedule. */
-  isGated = false;
+  defersSyncs = false;
   /** A deliberate fault: syncs are acknowledged and nothing becomes durable. */
-  isLying = false;
+  acknowledgesWithoutSync = false;
   /** A deliberate fault: what a process that ended had not synced is not made durable when its file is read again. */
-  isForgettingEnds = false;
+  skipsRecoverySync = false;
 
   /** Syncs that wait for the scheduler. */
   readonly pendingCount = (): number => this.pending.length;
@@ -50,14 +50,14 @@
   /** Fails the oldest waiting sync; what it was to make durable may or may not survive a crash. */
   readonly failSync = (): boolean => {
     const sync = this.pending.shift();
-    sync?.finish(err(fault('EIO')));
+    sync?.finish(err(diskError('EIO')));
     return sync !== undefined;
   };
 
   private readonly makeDurable = (name: string): void => {
     const file = this.files.get(name);
-    if (file === undefined || this.isLying) return;
-    this.files.set(name, { durable: joined(file.durable, file.unsynced), unsynced: empty });
+    if (file === undefined || this.acknowledgesWithoutSync) return;
+    this.files.set(name, { durable: concatenate(file.durable, file.unsynced), unsynced: empty });
   };
 
   /**
@@ -69,7 +69,7 @@
     if (keptShare === 1) return;
     for (const [name, file] of this.files) {
       const kept = file.unsynced.subarray(0, Math.floor(file.unsynced.length * keptShare));
-      this.files.set(name, { durable: joined(file.durable, kept), unsynced: empty });
+      this.files.set(name, { durable: concatenate(file.durable, kept), unsynced: empty });
     }
   };
 
@@ -81,20 +81,20 @@
 
   /** What a restart would find now, on a disk of its own. */
   readonly copy = (): ModelDisk => {
-    const copied = new ModelDisk();
-    for (const [name, file] of this.files) copied.files.set(name, file);
-    copied.crash(1);
-    return copied;
+    const copy = new ModelDisk();
+    for (const [name, file] of this.files) copy.files.set(name, file);
+    copy.crash(1);
+    return copy;
   };
 
   private readonly sync = (name: string): Promise<Result<void, DiskError>> => {
-    if (this.isGated) return new Promise((finish) => this.pending.push({ file: name, finish }));
+    if (this.defersSyncs) return new Promise((finish) => this.pending.push({ file: name, finish }));
     this.makeDurable(name);
     return Promise.resolve(ok(undefined));
   };
 
-  private readonly syncEnd = (name: string): Promise<Result<void, DiskError>> =>
-    this.isForgettingEnds ? Promise.resolve(ok(undefined)) : this.sync(name);
+  private readonly recoverySync = (name: string): Promise<Result<void, DiskError>> =>
+    this.skipsRecoverySync ? Promise.resolve(ok(undefined)) : this.sync(name);
 
   /** The disk as one run of a process sees it; once `isLive` is false no call of it has an effect or an answer. */
   readonly view = (isLive: () => boolean): Disk => {
@@ -105,8 +105,8 @@
       append: (bytes) =>
         step(() => {
           const file = this.files.get(name);
-          if (file === undefined) return err(fault('ENOENT'));
-          this.files.set(name, { durable: file.durable, unsynced: joined(file.unsynced, bytes) });
+          if (file === undefined) return err(diskError('ENOENT'));
+          this.files.set(name, { durable: file.durable, unsynced: concatenate(file.unsynced, bytes) });
           return ok(undefined);
         }),
       sync: () => (isLive() ? this.sync(name) : never),
@@ -117,7 +117,7 @@
       read: (name) =>
         step(() => {
           const file = this.files.get(name);
-          return ok(file === undefined ? null : joined(file.durable, file.unsynced));
+          return ok(file === undefined ? null : concatenate(file.durable, file.unsynced));
         }),
       open: (name) =>
         step(() => {
@@ -129,13 +129,13 @@
           this.files.set(name, { durable: bytes.slice(), unsynced: empty });
           return ok(undefined);
         }),
-      sync: (name) => (isLive() ? this.syncEnd(name) : never),
+      sync: (name) => (isLive() ? this.recoverySync(name) : never),
       truncate: (name, size) =>
         step(() => {
           const file = this.files.get(name);
           if (file === undefined) return ok(undefined);
-          const whole = joined(file.durable, file.unsynced);
-          this.files.set(name, { durable: whole.slice(0, size), unsynced: empty });
+          const content = concatenate(file.durable, file.unsynced);
+          this.files.set(name, { durable: content.slice(0, size), unsynced: empty });
           return ok(undefined);
         }),
       remove: (name) =>
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -16,36 +16,36 @@
 import type { CommittedState, Change, Clock, Disk, Ports, Random } from '@martenworks/core-types';
 import { hellos } from '@martenworks/peer-transport';
 import type { PeerHandlers, Hello, PeerConnection } from '@martenworks/peer-transport';
-import type { Break } from './breaks.js';
-import type { Observed } from './checker.js';
+import type { InjectedFault } from './injectedFaults.js';
+import type { NodeObservation } from './checker.js';
 import { ModelDisk } from './modelDisk.js';
 import type { Network, Process } from './network.js';
-import type { SeededRandom } from './random.js';
+import type { SeededRandom } from './seededRandom.js';
 import type { VirtualClock } from './virtualClock.js';
 
 const { confirmTimeoutMs, consensusPace, weightsLease } = controlNodeSettings;
-const leaveBudgetMs = 3_000;
+const leaveTimeoutMs = 3_000;
 const orderGapMs = 200;
 const log = logs.silent();
 /** Messages without a reply; all others are requests. */
-const toldTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
+const oneWayTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
 /** Connections are modelled above the network, so nothing is ever dialled. */
 const unreachableNet = { dial: () => new Promise<never>(() => {}), listen: () => new Promise<never>(() => {}) };
 
 /** What nodes share within one schedule. */
-export interface Surroundings {
+export interface NodeEnvironment {
   readonly clock: VirtualClock;
   readonly random: SeededRandom;
   readonly network: Network;
-  readonly broken: Break | null;
+  readonly injectedFault: InjectedFault | null;
   readonly nodes: () => readonly ModelNode[];
   readonly onAccepted: (voter: Acceptor, slot: number, ballot: Ballot, change: Change) => void;
-  readonly onOffered: (slot: number, change: Change) => void;
+  readonly onProposed: (slot: number, change: Change) => void;
   /** A node has reported its status, on which the one that asked may give it a seat. */
   readonly onMemberStatus: (incarnation: string) => void;
 }
 
-interface VoteHeld {
+interface AcceptedVote {
   readonly slot: number;
   readonly changeId: string;
 }
@@ -54,7 +54,7 @@
 type Connection = Pick<PeerConnection, 'peer' | 'call' | 'send' | 'isLive' | 'close'>;
 
 /** Steps of the consensus member that its own timers would take, and parts of it that breaks replace. */
-interface MemberInside {
+interface MemberInternals {
   peerPool: PeerPool;
   readonly checkMembership: () => void;
   readonly commitPending: () => void;
@@ -72,7 +72,7 @@
 interface Parts {
   readonly acceptor: Acceptor;
   readonly member: ConsensusMember;
-  readonly inside: MemberInside;
+  readonly internals: MemberInternals;
   readonly handlers: PeerHandlers;
   readonly process: Process;
 }
@@ -83,17 +83,17 @@
   readonly disk = new ModelDisk();
   private parts: Parts | null = null;
   private run = 0;
-  private identities = 0;
+  private tokenCount = 0;
   private lastState: CommittedState | null = null;
   private lastIncarnation = '';
-  private vote: VoteHeld | null = null;
+  private vote: AcceptedVote | null = null;
   /** It has left for good, or its machine was never started. */
-  isAway = true;
+  isAbsent = true;
 
   constructor(
     /** The node's name. */
     readonly name: string,
-    private readonly world: Surroundings,
+    private readonly environment: NodeEnvironment,
   ) {}
 
   /** Whether its process runs. */
@@ -106,79 +106,79 @@
   readonly incarnation = (): string => this.lastIncarnation;
 
   private readonly clockOf = (isLive: () => boolean): Clock => ({
-    now: this.world.clock.now,
-    wall: this.world.clock.now,
-    after: (delayMs, ring) =>
-      this.world.clock.after(delayMs, () => {
-        if (isLive()) ring();
+    now: this.environment.clock.now,
+    wall: this.environment.clock.now,
+    after: (delayMs, callback) =>
+      this.environment.clock.after(delayMs, () => {
+        if (isLive()) callback();
       }),
   });
 
   private readonly randomOf = (): Random => ({
-    fraction: this.world.random.fraction,
-    token: () => `${this.name}-${++this.identities}`,
+    fraction: this.environment.random.fraction,
+    token: () => `${this.name}-${++this.tokenCount}`,
   });
 
   /** Starts the process on its disk. The start itself is one step: nothing else happens within it. */
   readonly start = async (): Promise<void> => {
     const run = ++this.run;
     const isLive = (): boolean => this.run === run;
-    this.isAway = false;
-    this.disk.isGated = false;
+    this.isAbsent = false;
+    this.disk.defersSyncs = false;
     const clock = this.clockOf(isLive);
     const random = this.randomOf();
     const disk = this.disk.view(isLive);
     const opened = await acceptors.open(disk, clock, random, log, false);
     if (opened.isErr()) throw new Error(`${this.name} did not open: ${JSON.stringify(opened.error)}`);
     const acceptor = opened.value;
-    this.world.broken?.acceptor?.(acceptor);
+    this.environment.injectedFault?.acceptor?.(acceptor);
     const terms = controlNodeSettings.leaseTerms(acceptor, orderGapMs);
     const leases = await this.openLeases(disk, clock, terms);
-    this.noteVotes(acceptor);
+    this.reportVotes(acceptor);
     const process: Process = { node: this.name, isAlive: isLive, handle: this.handle };
     const hello = (): Hello => this.helloOf(acceptor.incarnation);
     const ports = { clock, random, net: unreachableNet, disk, log } as unknown as Ports;
     const member = new ConsensusMember(
       { ports, hello, memberList: new MemberList(clock, hello), seeds: [], acceptor, leases, terms },
-      this.role(acceptor),
+      this.hooks(acceptor),
       consensusPace,
     );
-    const inside = member as unknown as MemberInside;
-    this.breakInside(inside, acceptor);
-    this.parts = { acceptor, member, inside, handlers: member.handlers(), process };
-    inside.peerPool = this.peerPool(process);
-    inside.leases.start();
+    const internals = member as unknown as MemberInternals;
+    this.injectFault(internals, acceptor);
+    this.parts = { acceptor, member, internals, handlers: member.handlers(), process };
+    internals.peerPool = this.peerPool(process);
+    internals.leases.start();
     this.lastIncarnation = acceptor.incarnation;
     this.lastState = acceptor.committedState();
-    this.disk.isGated = true;
-    for (const node of this.connected(process)) this.meet(node);
+    this.disk.defersSyncs = true;
+    for (const node of this.connectedNodes(process)) this.connectTo(node);
   };
 
-  private readonly breakInside = (inside: MemberInside, acceptor: Acceptor): void => {
-    const { broken } = this.world;
-    if (broken?.voters !== undefined)
-      inside.proposer.voters = broken.voters(inside.proposer.voters, () => acceptor.incarnation);
-    if (broken?.readsAlone === true) inside.proposer.read.newest = async () => acceptor.committedState();
-    if (broken?.neverCatchesUp === true)
-      Object.assign(inside.catchUp, {
+  private readonly injectFault = (internals: MemberInternals, acceptor: Acceptor): void => {
+    const { injectedFault } = this.environment;
+    if (injectedFault?.voters !== undefined)
+      internals.proposer.voters = injectedFault.voters(internals.proposer.voters, () => acceptor.incarnation);
+    if (injectedFault?.readsLocalState === true) internals.proposer.read.newest = async () => acceptor.committedState();
+    if (injectedFault?.neverCatchesUp === true)
+      Object.assign(internals.catchUp, {
         fromNewestPeer: async () => {},
         syncWith: async () => false,
         bringUpToDate: async () => false,
       });
-    if (broken?.grantsAcrossSwaps === true) inside.leases.mayGrant = acceptor.isVoter;
-    if (broken?.swapProposer !== undefined)
-      inside.membership.proposer = broken.swapProposer(inside.membership.proposer);
+    if (injectedFault?.grantsAcrossSwaps === true) internals.leases.mayGrant = acceptor.isVoter;
+    if (injectedFault?.swapProposer !== undefined)
+      internals.membership.proposer = injectedFault.swapProposer(internals.membership.proposer);
   };
 
   /** Both ends see a connection made. */
-  readonly meet = (node: ModelNode): void => {
+  readonly connectTo = (node: ModelNode): void => {
     if (this.parts === null || node.parts === null) return;
     this.parts.handlers.onOpen(this.connectionTo(this.parts.process, node.parts) as PeerConnection);
     node.parts.handlers.onOpen(node.connectionTo(node.parts.process, this.parts) as PeerConnection);
   };
 
-  private readonly role = (acceptor: Acceptor): ConsensusHooks => {
-    const role = {
+  private readonly hooks = (acceptor: Acceptor): ConsensusHooks => {
+    const hooks = {
       extraAddresses: () => [],
       isDown: () => true,
       wantedLeases: () => (acceptor.isVoter() ? [weightsLease] : []),
@@ -194,38 +194,38 @@
       onMessage: () => {},
       onCall: async () => null,
     };
-    return role;
+    return hooks;
   };
 
   private readonly openLeases = async (disk: Disk, clock: Clock, terms: LeaseTerms): Promise<PersistedLeases> => {
-    const broken = this.world.broken?.leaseTable?.(clock, terms);
-    if (broken !== undefined) return { table: broken, close: async () => {} };
+    const faultyTable = this.environment.injectedFault?.leaseTable?.(clock, terms);
+    if (faultyTable !== undefined) return { table: faultyTable, close: async () => {} };
     const opened = await leaseTables.open(disk, clock, log, terms);
     if (opened.isErr()) throw new Error(`${this.name} did not open its leases: ${JSON.stringify(opened.error)}`);
     return opened.value;
   };
 
   /** Tells the checker of each vote that the product's acceptor gives. */
-  private readonly noteVotes = (acceptor: Acceptor): void => {
+  private readonly reportVotes = (acceptor: Acceptor): void => {
     const accept = acceptor.accept;
     (acceptor as { -readonly [Key in keyof Acceptor]: Acceptor[Key] }).accept = async (slot, ballot, change) => {
-      this.world.onOffered(slot, change);
+      this.environment.onProposed(slot, change);
       const vote = await accept(slot, ballot, change);
       if (vote.kind === 'accepted') {
         this.vote = { slot, changeId: change.id };
-        this.world.onAccepted(acceptor, slot, ballot, change);
+        this.environment.onAccepted(acceptor, slot, ballot, change);
       }
       return vote;
     };
   };
 
   /** Puts the founding state on disk, before the schedule begins. */
-  readonly found = async (state: CommittedState): Promise<void> => {
-    this.disk.isGated = false;
+  readonly bootstrap = async (state: CommittedState): Promise<void> => {
+    this.disk.defersSyncs = false;
     await this.parts?.acceptor.adopt(state);
-    this.world.broken?.disk?.(this.disk);
+    this.environment.injectedFault?.disk?.(this.disk);
     this.lastState = this.parts?.acceptor.committedState() ?? null;
-    this.disk.isGated = true;
+    this.disk.defersSyncs = true;
   };
 
   /** Ends the process. What the disk holds is read back on a copy, since that is what a restart finds. */
@@ -246,13 +246,13 @@
       false,
     );
     if (opened.isErr()) throw new Error(`${this.name} cannot be read back: ${JSON.stringify(opened.error)}`);
-    const kept = opened.value;
-    this.lastState = kept.committedState();
+    const acceptor = opened.value;
+    this.lastState = acceptor.committedState();
     this.vote = null;
-    const slot = kept.acceptedSlot();
+    const slot = acceptor.acceptedSlot();
     if (slot === null) return;
-    const told = await kept.prepare(slot, [Number.MAX_SAFE_INTEGER, 'reading back']);
-    if (told.kind === 'promised' && told.accepted !== null) this.vote = { slot, changeId: told.accepted.change.id };
+    const reply = await acceptor.prepare(slot, [Number.MAX_SAFE_INTEGER, 'reading back']);
+    if (reply.kind === 'promised' && reply.accepted !== null) this.vote = { slot, changeId: reply.accepted.change.id };
   };
 
   /** Ends the process and loses its disk. */
@@ -266,23 +266,25 @@
   };
 
   /** An orderly end, as after SIGTERM: leases and the seat are handed over; then the machine is given away, or else kept with its disk. */
-  readonly leave = async (mayBeGivenAway: () => boolean): Promise<void> => {
+  readonly leave = async (mayLoseDisk: () => boolean): Promise<void> => {
     const parts = this.parts;
     if (parts === null) return;
-    await parts.member.leave(leaveBudgetMs);
+    await parts.member.leave(leaveTimeoutMs);
     if (this.parts !== parts) return;
-    if (!mayBeGivenAway()) return this.crash(1);
+    if (!mayLoseDisk()) return this.crash(1);
     await this.loseDisk();
-    this.isAway = true;
+    this.isAbsent = true;
   };
 
-  private readonly connected = (process: Process): ModelNode[] =>
-    this.world
+  private readonly connectedNodes = (process: Process): ModelNode[] =>
+    this.environment
       .nodes()
-      .filter((node) => node !== this && node.isAlive() && this.world.network.isConnected(process.node, node.name));
+      .filter(
+        (node) => node !== this && node.isAlive() && this.environment.network.isConnected(process.node, node.name),
+      );
 
-  private readonly processOf = (process: Process, incarnation: string): Parts | undefined =>
-    this.connected(process).find((node) => node.acceptor()?.incarnation === incarnation)?.parts ?? undefined;
+  private readonly partsOf = (process: Process, incarnation: string): Parts | undefined =>
+    this.connectedNodes(process).find((node) => node.acceptor()?.incarnation === incarnation)?.parts ?? undefined;
 
   private readonly helloOf = (incarnation: string): Hello =>
     hellos.of(
@@ -292,20 +294,20 @@
     );
 
   private readonly connectionTo = (process: Process, peer: Parts): Connection => ({
-    peer: this.peerOf(peer),
+    peer: this.helloOfPeer(peer),
     isLive: () => process.isAlive() && peer.process.isAlive(),
     close: () => {},
     call: async (topic, body, timeoutMs) => {
-      const told = await this.world.network.ask(process, peer.process, topic, body, timeoutMs);
-      return told.isAnswered ? ok(told.value) : err({ kind: 'peer', code: 'timeout' });
+      const result = await this.environment.network.call(process, peer.process, topic, body, timeoutMs);
+      return result.hasReply ? ok(result.value) : err({ kind: 'peer', code: 'timeout' });
     },
     send: (topic, body) => {
-      this.world.network.tell(process, peer.process, topic, body);
+      this.environment.network.send(process, peer.process, topic, body);
       return true;
     },
   });
 
-  private readonly peerOf = (peer: Parts): Hello =>
+  private readonly helloOfPeer = (peer: Parts): Hello =>
     hellos.of(
       'control',
       { name: peer.process.node, peerAddress: `${peer.process.node}:1`, http: '', operators: null, zone: '' },
@@ -315,37 +317,39 @@
   /** The held connections, as the product's own keeper of them shows them. */
   private readonly peerPool = (process: Process): PeerPool => {
     const open = (): Connection[] =>
-      this.connected(process).flatMap((node) => (node.parts === null ? [] : [this.connectionTo(process, node.parts)]));
+      this.connectedNodes(process).flatMap((node) =>
+        node.parts === null ? [] : [this.connectionTo(process, node.parts)],
+      );
     const to = (incarnation: string): Connection | undefined => {
-      const peer = this.processOf(process, incarnation);
+      const peer = this.partsOf(process, incarnation);
       return peer === undefined ? undefined : this.connectionTo(process, peer);
     };
     return { openConnections: open, connectionTo: to, reconcile: () => {}, stop: () => {} } as unknown as PeerPool;
   };
 
   private readonly handle = async (topic: string, body: unknown, from: Process): Promise<unknown> => {
-    const own = this.parts;
-    const sender = this.world.nodes().find((node) => node.name === from.node)?.parts;
-    if (own === null || sender == null) return null;
-    const connection = this.connectionTo(own.process, sender) as PeerConnection;
-    if (toldTopics.has(topic)) {
-      own.handlers.onMessage(connection, topic, body);
+    const parts = this.parts;
+    const sender = this.environment.nodes().find((node) => node.name === from.node)?.parts;
+    if (parts === null || sender == null) return null;
+    const connection = this.connectionTo(parts.process, sender) as PeerConnection;
+    if (oneWayTopics.has(topic)) {
+      parts.handlers.onMessage(connection, topic, body);
       return null;
     }
-    const answer = await own.handlers.onCall(connection, topic, body);
-    if (topic !== 'memberStatus') return answer;
-    this.world.onMemberStatus(own.acceptor.incarnation);
-    return this.world.broken?.memberStatus?.(answer as MemberStatus, sender.acceptor) ?? answer;
+    const reply = await parts.handlers.onCall(connection, topic, body);
+    if (topic !== 'memberStatus') return reply;
+    this.environment.onMemberStatus(parts.acceptor.incarnation);
+    return this.environment.injectedFault?.memberStatus?.(reply as MemberStatus, sender.acceptor) ?? reply;
   };
 
   /** What the control node does each 300 ms: fetch what it lacks, then look after the seats. */
-  readonly upkeep = (): void => this.parts?.inside.checkMembership();
+  readonly checkMembership = (): void => this.parts?.internals.checkMembership();
 
   /** What the control node does where an accepted change stays unsettled. */
-  readonly commitPending = (): void => this.parts?.inside.commitPending();
+  readonly commitPending = (): void => this.parts?.internals.commitPending();
 
   /** What the control node does each 300 ms: ask for the leases it wants. */
-  readonly dutyTick = (): void => void this.parts?.member.leaseManager.tick();
+  readonly tickLeases = (): void => void this.parts?.member.leaseManager.tick();
 
   /** The state of a confirmed read; null where no majority answered. */
   readonly read = async (): Promise<CommittedState | null> => {
@@ -360,7 +364,7 @@
   };
 
   /** What the checker may see of the node now. */
-  readonly observed = (): Observed => {
+  readonly observation = (): NodeObservation => {
     const acceptor = this.acceptor();
     if (acceptor !== null) this.lastState = acceptor.committedState();
     const slot = (this.lastState?.logIndex ?? -1) + 1;
@@ -371,7 +375,7 @@
       isLost: this.lastIncarnation === '',
       state: this.lastState,
       accepted: this.vote?.slot === slot ? this.vote : null,
-      fence: this.parts?.member.leaseManager.fencingTokenOf(weightsLease) ?? null,
+      fencingToken: this.parts?.member.leaseManager.fencingTokenOf(weightsLease) ?? null,
     };
   };
 }
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -3,28 +3,28 @@
 import { proposalErrors } from '@martenworks/control-plane';
 import type { Proposer } from '@martenworks/control-plane';
 import type { CommittedState, Change, ActiveRouting } from '@martenworks/core-types';
-import type { Checker, Order } from './checker.js';
+import type { Checker, ChangeRequest } from './checker.js';
 import type { ModelNode } from './modelNode.js';
 
-const orderTimeoutMs = 3_000;
+const proposeTimeoutMs = 3_000;
 
 /** Turns an operator's order into what the configuration service proposes for it. */
-const proposalOf = (order: Order): Parameters<Proposer['propose']> => {
-  const routing = { configVersion: order.configVersion, table: {}, source: order.id } as unknown as ActiveRouting;
-  const change: Change = { id: order.id, digest: order.id, body: { kind: 'routing', base: order.base, routing } };
+const proposalOf = (request: ChangeRequest): Parameters<Proposer['propose']> => {
+  const routing = { configVersion: request.configVersion, table: {}, source: request.id } as unknown as ActiveRouting;
+  const change: Change = { id: request.id, digest: request.id, body: { kind: 'routing', base: request.base, routing } };
   const check = (state: CommittedState) => {
     const configVersion = state.routing?.configVersion ?? 0;
-    if (configVersion === order.base) return ok(change);
+    if (configVersion === request.base) return ok(change);
     return err(proposalErrors.conflict(configVersion, `${configVersion} is in force`));
   };
-  return [check, order.id, order.id, orderTimeoutMs];
+  return [check, request.id, request.id, proposeTimeoutMs];
 };
 
 /** One operator: builds each order on the newest version it knows, and may send its last one again. */
 export class Operator {
-  private known = 0;
-  private sent = 0;
-  private last: Order | null = null;
+  private newestKnownVersion = 0;
+  private requestCount = 0;
+  private lastRequest: ChangeRequest | null = null;
 
   constructor(
     private readonly number: number,
@@ -32,38 +32,42 @@
   ) {}
 
   /** Sends a new order to a node; true once it was acknowledged. */
-  readonly order = (node: ModelNode): Promise<boolean> => {
-    this.sent += 1;
-    this.last = { id: `ways/${this.number}-${this.sent}`, base: this.known, configVersion: this.known + 1 };
-    return this.attempt(this.last, node);
+  readonly requestChange = (node: ModelNode): Promise<boolean> => {
+    this.requestCount += 1;
+    this.lastRequest = {
+      id: `ways/${this.number}-${this.requestCount}`,
+      base: this.newestKnownVersion,
+      configVersion: this.newestKnownVersion + 1,
+    };
+    return this.submit(this.lastRequest, node);
   };
 
   /** Sends the last order again; false where there is none. */
   readonly resend = (node: ModelNode): boolean => {
-    if (this.last === null) return false;
-    void this.attempt(this.last, node);
+    if (this.lastRequest === null) return false;
+    void this.submit(this.lastRequest, node);
     return true;
   };
 
-  private readonly attempt = async (order: Order, node: ModelNode): Promise<boolean> => {
-    const outcome = await node.propose(...proposalOf(order));
+  private readonly submit = async (request: ChangeRequest, node: ModelNode): Promise<boolean> => {
+    const outcome = await node.propose(...proposalOf(request));
     if (outcome.isOk()) {
-      this.checker().orderAcknowledged(order, outcome.value.logIndex);
-      this.known = Math.max(this.known, order.configVersion);
+      this.checker().recordAcknowledgement(request, outcome.value.logIndex);
+      this.newestKnownVersion = Math.max(this.newestKnownVersion, request.configVersion);
       return true;
     }
     if (outcome.error.code === 'conflict' || outcome.error.code === 'rejected')
-      this.checker().orderRefused(order, node.name);
+      this.checker().recordRejection(request, node.name);
     return false;
   };
 
   /** Reads what is in force; true where the node confirmed it. */
   readonly read = async (node: ModelNode): Promise<boolean> => {
-    const floor = this.checker().readFloor();
+    const minIndex = this.checker().minReadIndex();
     const state = await node.read();
     if (state === null) return false;
-    this.checker().readAnswered(floor, state.logIndex, node.name);
-    this.known = Math.max(this.known, state.routing?.configVersion ?? 0);
+    this.checker().recordRead(minIndex, state.logIndex, node.name);
+    this.newestKnownVersion = Math.max(this.newestKnownVersion, state.routing?.configVersion ?? 0);
     return true;
   };
 }
--- a/packages/model-check/src/profiles.ts
+++ b/packages/model-check/src/profiles.ts
@@ -11,12 +11,12 @@
   readonly crashAfterVote: number;
   readonly cutAfterVote: number;
   /** Probability at each step that a course begins: a few steps that are meant to bring a rare state about. */
-  readonly course: number;
-  readonly courses: readonly CourseName[];
+  readonly scenarioProbability: number;
+  readonly scenarios: readonly ScenarioName[];
 }
 
 /** Planned steps that are meant to bring a rare state about. */
-export type CourseName =
+export type ScenarioName =
   | 'calm'
   | 'newcomer'
   | 'differing losses'
@@ -25,7 +25,7 @@
   | 'rivals'
   | 'lease across swap';
 
-const usual: Weights = {
+const defaultWeights: Weights = {
   deliver: 50,
   drop: 3,
   double: 2,
@@ -50,26 +50,36 @@
 
 const ballots: Profile = {
   name: 'ballots',
-  weights: { ...usual, join: 0, leave: 0, loseDisk: 0, dutyTick: 0, upkeep: 1, order: 6, resend: 3 },
+  weights: { ...defaultWeights, join: 0, leave: 0, loseDisk: 0, dutyTick: 0, upkeep: 1, order: 6, resend: 3 },
   crashAfterVote: 0.05,
   cutAfterVote: 0.03,
-  course: 0.02,
-  courses: ['calm', 'minority', 'rivals', 'rivals'],
+  scenarioProbability: 0.02,
+  scenarios: ['calm', 'minority', 'rivals', 'rivals'],
 };
 
 const membership: Profile = {
   name: 'membership',
-  weights: { ...usual, dutyTick: 0, loseDisk: 1.5, join: 2, leave: 0.6, upkeep: 8, pass: 2, order: 2, resend: 1 },
+  weights: {
+    ...defaultWeights,
+    dutyTick: 0,
+    loseDisk: 1.5,
+    join: 2,
+    leave: 0.6,
+    upkeep: 8,
+    pass: 2,
+    order: 2,
+    resend: 1,
+  },
   crashAfterVote: 0.02,
   cutAfterVote: 0.02,
-  course: 0.04,
-  courses: ['calm', 'newcomer', 'newcomer', 'differing losses', 'differing losses'],
+  scenarioProbability: 0.04,
+  scenarios: ['calm', 'newcomer', 'newcomer', 'differing losses', 'differing losses'],
 };
 
 const leases: Profile = {
   name: 'leases',
   weights: {
-    ...usual,
+    ...defaultWeights,
     order: 0.7,
     resend: 0.3,
     read: 0.3,
@@ -81,17 +91,17 @@
   },
   crashAfterVote: 0.05,
   cutAfterVote: 0.02,
-  course: 0.03,
-  courses: ['calm', 'lease moves', 'lease moves', 'lease across swap'],
+  scenarioProbability: 0.03,
+  scenarios: ['calm', 'lease moves', 'lease moves', 'lease across swap'],
 };
 
 const mixed: Profile = {
   name: 'mixed',
-  weights: usual,
+  weights: defaultWeights,
   crashAfterVote: 0.03,
   cutAfterVote: 0.02,
-  course: 0.02,
-  courses: ['calm', 'newcomer', 'differing losses', 'lease moves', 'minority', 'rivals'],
+  scenarioProbability: 0.02,
+  scenarios: ['calm', 'newcomer', 'differing losses', 'lease moves', 'minority', 'rivals'],
 };
 
 /** All profiles; an exploration takes them in turn. */
--- a/packages/model-check/src/courses.ts
+++ b/packages/model-check/src/scenarioPlanner.ts
@@ -1,29 +1,29 @@
 /** Courses: short plans of steps that bring about states which random steps alone rarely reach. */
 import type { Choice } from './choices.js';
-import type { CourseName } from './profiles.js';
-import type { SeededRandom } from './random.js';
+import type { ScenarioName } from './profiles.js';
+import type { SeededRandom } from './seededRandom.js';
 import type { World } from './world.js';
 
 /** A planned step: a choice, or whatever message or write may go on. */
-export type Planned = Choice | 'calm';
+export type PlannedStep = Choice | 'calm';
 
 const calmSteps = 30;
-const calm: readonly Planned[] = Array.from({ length: calmSteps }, () => 'calm');
-const beyondLostMs = 2_600;
-const beyondLeaseMs = 2_000;
+const calm: readonly PlannedStep[] = Array.from({ length: calmSteps }, () => 'calm');
+const pastFailureTimeoutMs = 2_600;
+const pastLeaseExpiryMs = 2_000;
 
 /** Shares of the unsynced bytes that a crash leaves on disk. */
-export const crashShares: readonly number[] = [0, 0.5, 1];
+export const crashKeptShares: readonly number[] = [0, 0.5, 1];
 
 /** Plans the courses of a schedule. */
-export class Courses {
+export class ScenarioPlanner {
   constructor(
     private readonly world: World,
     private readonly random: SeededRandom,
   ) {}
 
   /** The steps of a course, for nodes drawn at random. */
-  readonly plan = (name: CourseName | undefined): Planned[] => {
+  readonly plan = (name: ScenarioName | undefined): PlannedStep[] => {
     switch (name) {
       case 'newcomer':
         return this.newcomer();
@@ -42,7 +42,7 @@
     }
   };
 
-  private readonly shuffled = (): string[] => {
+  private readonly shuffledLiveNodes = (): string[] => {
     const names = this.world.nodes.filter((node) => node.isAlive()).map((node) => node.name);
     for (let at = names.length - 1; at > 0; at -= 1) {
       const other = Math.floor(this.random.fraction() * (at + 1));
@@ -52,17 +52,17 @@
   };
 
   /** A machine joins and copies the state. */
-  private readonly newcomer = (): Planned[] => {
-    const node = this.random.pick(this.world.nodes.filter((one) => one.isAway))?.name;
+  private readonly newcomer = (): PlannedStep[] => {
+    const node = this.random.pick(this.world.nodes.filter((one) => one.isAbsent))?.name;
     if (node === undefined) return [...calm];
     return [{ do: 'join', node }, { do: 'upkeep', node }, ...calm, { do: 'upkeep', node }, ...calm];
   };
 
   /** Two members miss different others for long enough to give their seats away, then their link heals. */
-  private readonly differingLosses = (): Planned[] => {
-    const [first, second, third] = this.shuffled();
+  private readonly differingLosses = (): PlannedStep[] => {
+    const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
-    const upkeep: Planned[] = [
+    const upkeep: PlannedStep[] = [
       { do: 'upkeep', node: first },
       { do: 'upkeep', node: second },
     ];
@@ -72,7 +72,7 @@
       { do: 'cut', from: first, to: second, isNoticed: true },
       ...upkeep,
       ...calm,
-      { do: 'pass', ms: beyondLostMs },
+      { do: 'pass', ms: pastFailureTimeoutMs },
       ...upkeep,
       ...calm.slice(0, Math.floor(this.random.fraction() * calmSteps)),
       { do: 'heal', from: first, to: second },
@@ -85,37 +85,37 @@
   };
 
   /** A holder takes the lease, grantors start again, the lease runs out and another one asks. */
-  private readonly leaseMoves = (): Planned[] => {
-    const [first, second, third] = this.shuffled();
+  private readonly leaseMoves = (): PlannedStep[] => {
+    const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
-    const ask = (node: string): Planned[] => [{ do: 'dutyTick', node }, ...calm.slice(0, 12)];
-    const restart = (node: string): Planned[] => [
-      { do: 'crash', node, keptShare: this.random.pick(crashShares) ?? 0 },
+    const requestLease = (node: string): PlannedStep[] => [{ do: 'dutyTick', node }, ...calm.slice(0, 12)];
+    const restart = (node: string): PlannedStep[] => [
+      { do: 'crash', node, keptShare: this.random.pick(crashKeptShares) ?? 0 },
       { do: 'restart', node },
     ];
     return [
-      ...ask(first),
-      ...ask(first),
+      ...requestLease(first),
+      ...requestLease(first),
       ...(this.random.chance(0.6) ? restart(second) : []),
       ...(this.random.chance(0.6) ? restart(third) : []),
       ...(this.random.chance(0.3) ? restart(first) : []),
-      { do: 'pass', ms: this.random.chance(0.7) ? beyondLeaseMs : 700 },
-      ...ask(second),
-      ...ask(third),
-      ...ask(second),
-      ...ask(third),
+      { do: 'pass', ms: this.random.chance(0.7) ? pastLeaseExpiryMs : 700 },
+      ...requestLease(second),
+      ...requestLease(third),
+      ...requestLease(second),
+      ...requestLease(third),
     ];
   };
 
   /** A member is cut off while the others go on, then an order and a read meet it. */
-  private readonly minority = (): Planned[] => {
-    const [first, second] = this.shuffled();
+  private readonly minority = (): PlannedStep[] => {
+    const [first, second] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined) return [...calm];
     const operator = this.random.chance(0.5) ? 0 : 1;
     const isNoticed = this.random.chance(0.5);
     const cuts = this.world.nodes
       .filter((node) => node.name !== first)
-      .map((node): Planned => ({ do: 'cut', from: first, to: node.name, isNoticed }));
+      .map((node): PlannedStep => ({ do: 'cut', from: first, to: node.name, isNoticed }));
     return [
       ...cuts,
       { do: 'order', node: second, operator },
@@ -127,10 +127,10 @@
   };
 
   /** A holder keeps its lease by one member while another one, which misses it, gives its seat away and asks for the lease. */
-  private readonly leaseAcrossSwap = (): Planned[] => {
-    const [holder, other] = this.shuffled();
+  private readonly leaseAcrossSwap = (): PlannedStep[] => {
+    const [holder, other] = this.shuffledLiveNodes();
     if (holder === undefined || other === undefined) return [...calm];
-    const renew: Planned[] = [{ do: 'pass', ms: 700 }, { do: 'dutyTick', node: holder }, ...calm];
+    const renew: PlannedStep[] = [{ do: 'pass', ms: 700 }, { do: 'dutyTick', node: holder }, ...calm];
     return [
       ...this.newcomer(),
       { do: 'cut', from: holder, to: other, isNoticed: true },
@@ -151,14 +151,14 @@
   };
 
   /** Two members propose at once, and a third starts again between their ballots. */
-  private readonly rivals = (): Planned[] => {
-    const [first, second, third] = this.shuffled();
+  private readonly rivals = (): PlannedStep[] => {
+    const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
     return [
       { do: 'order', node: first, operator: 0 },
       { do: 'order', node: second, operator: 1 },
       ...calm.slice(0, 5 + Math.floor(this.random.fraction() * 8)),
-      { do: 'crash', node: third, keptShare: this.random.pick(crashShares) ?? 0 },
+      { do: 'crash', node: third, keptShare: this.random.pick(crashKeptShares) ?? 0 },
       { do: 'restart', node: third },
       ...calm,
     ];
--- a/packages/model-check/src/scheduler.ts
+++ b/packages/model-check/src/scheduler.ts
@@ -1,60 +1,60 @@
 /** Chooses the steps of a schedule. */
 import { choiceKinds } from './choices.js';
 import type { Choice, ChoiceKind } from './choices.js';
-import { Courses, crashShares } from './courses.js';
-import type { Planned } from './courses.js';
+import { ScenarioPlanner, crashKeptShares } from './scenarioPlanner.js';
+import type { PlannedStep } from './scenarioPlanner.js';
 import type { Profile } from './profiles.js';
-import type { SeededRandom } from './random.js';
+import type { SeededRandom } from './seededRandom.js';
 import type { World } from './world.js';
 
-const passLengths = [300, 700, 1_300, 2_600];
-const votes = /:(accept|leaseRequest)(:reply)?$/;
+const passLengthsMs = [300, 700, 1_300, 2_600];
+const voteLabel = /:(accept|leaseRequest)(:reply)?$/;
 
 /** Draws the next step of a schedule from those that are possible. */
 export class Scheduler {
   private previous: Choice | null = null;
-  private planned: Planned[] = [];
-  private readonly courses: Courses;
+  private planned: PlannedStep[] = [];
+  private readonly scenarios: ScenarioPlanner;
 
   constructor(
     private readonly world: World,
     private readonly random: SeededRandom,
     private readonly profile: Profile,
   ) {
-    this.courses = new Courses(world, random);
+    this.scenarios = new ScenarioPlanner(world, random);
   }
 
   /** The next step: trouble for a voter right after its vote, a planned step, or one drawn by the profile's weights. */
   readonly next = (): Choice => {
-    if (this.planned.length === 0 && this.random.chance(this.profile.course))
-      this.planned = this.courses.plan(this.random.pick(this.profile.courses));
-    const choice = this.troubleAfterVote() ?? this.fromPlan() ?? this.draw();
+    if (this.planned.length === 0 && this.random.chance(this.profile.scenarioProbability))
+      this.planned = this.scenarios.plan(this.random.pick(this.profile.scenarios));
+    const choice = this.faultAfterVote() ?? this.nextPlanned() ?? this.draw();
     this.previous = choice;
     return choice;
   };
 
-  private readonly troubleAfterVote = (): Choice | null => {
+  private readonly faultAfterVote = (): Choice | null => {
     const previous = this.previous;
-    if (previous?.do !== 'deliver' || !votes.test(previous.message)) return null;
+    if (previous?.do !== 'deliver' || !voteLabel.test(previous.message)) return null;
     const [from = '', to = ''] = (previous.message.split(':')[0] ?? '').split('>');
     if (this.random.chance(this.profile.crashAfterVote))
-      return { do: 'crash', node: to, keptShare: this.random.pick(crashShares) ?? 0 };
+      return { do: 'crash', node: to, keptShare: this.random.pick(crashKeptShares) ?? 0 };
     if (this.random.chance(this.profile.cutAfterVote))
       return { do: 'cut', from: to, to: from, isNoticed: this.random.chance(0.5) };
     return null;
   };
 
-  private readonly fromPlan = (): Choice | null => {
+  private readonly nextPlanned = (): Choice | null => {
     const planned = this.planned.shift();
     if (planned !== 'calm') return planned ?? null;
-    const writing = this.world.nodes.find((node) => node.disk.pendingCount() > 0);
-    if (writing !== undefined && this.random.chance(0.5)) return { do: 'sync', node: writing.name };
-    return this.message('deliver') ?? (writing === undefined ? null : { do: 'sync', node: writing.name });
+    const writer = this.world.nodes.find((node) => node.disk.pendingCount() > 0);
+    if (writer !== undefined && this.random.chance(0.5)) return { do: 'sync', node: writer.name };
+    return this.messageChoice('deliver') ?? (writer === undefined ? null : { do: 'sync', node: writer.name });
   };
 
   private readonly draw = (): Choice => {
     for (;;) {
-      const choice = this.candidate(this.drawKind());
+      const choice = this.choiceOf(this.drawKind());
       if (choice !== null) return choice;
     }
   };
@@ -72,7 +72,7 @@
   private readonly runningNode = (): string | undefined =>
     this.random.pick(this.world.nodes.filter((node) => node.isAlive()))?.name;
 
-  private readonly message = (kind: 'deliver' | 'drop' | 'double'): Choice | null => {
+  private readonly messageChoice = (kind: 'deliver' | 'drop' | 'double'): Choice | null => {
     const { inFlight } = this.world.network;
     const message = this.random.pick(inFlight);
     if (message === undefined) return null;
@@ -80,30 +80,30 @@
     return { do: kind, message: message.label, at };
   };
 
-  private readonly candidate = (kind: ChoiceKind): Choice | null => {
+  private readonly choiceOf = (kind: ChoiceKind): Choice | null => {
     const { world, random } = this;
     switch (kind) {
       case 'deliver':
       case 'drop':
       case 'double':
-        return this.message(kind);
+        return this.messageChoice(kind);
       case 'sync':
       case 'failSync': {
         const node = random.pick(world.nodes.filter((one) => one.disk.pendingCount() > 0));
         return node === undefined ? null : { do: kind, node: node.name };
       }
       case 'restart': {
-        const node = random.pick(world.nodes.filter((one) => !one.isAlive() && !one.isAway));
+        const node = random.pick(world.nodes.filter((one) => !one.isAlive() && !one.isAbsent));
         return node === undefined ? null : { do: kind, node: node.name };
       }
       case 'join': {
-        const node = random.pick(world.nodes.filter((one) => one.isAway));
+        const node = random.pick(world.nodes.filter((one) => one.isAbsent));
         return node === undefined ? null : { do: kind, node: node.name };
       }
       case 'loseDisk':
       case 'leave': {
         const node = random.pick(
-          world.nodes.filter((one) => one.isAlive() && (kind === 'leave' || world.mayLose(one))),
+          world.nodes.filter((one) => one.isAlive() && (kind === 'leave' || world.mayLoseDisk(one))),
         );
         return node === undefined ? null : { do: kind, node: node.name };
       }
@@ -113,28 +113,28 @@
         return { do: 'cut', from: from.name, to: to.name, isNoticed: random.chance(0.6) };
       }
       case 'heal': {
-        const link = random.pick(world.network.cutLinks());
+        const link = random.pick(world.network.partitionedLinks());
         return link === undefined ? null : { do: 'heal', from: link[0], to: link[1] };
       }
       case 'nextTimer':
-        return world.clock.hasTimers() ? { do: 'nextTimer' } : { do: 'pass', ms: passLengths[0] as number };
+        return world.clock.hasTimers() ? { do: 'nextTimer' } : { do: 'pass', ms: passLengthsMs[0] as number };
       case 'pass':
-        return { do: 'pass', ms: random.pick(passLengths) ?? 0 };
+        return { do: 'pass', ms: random.pick(passLengthsMs) ?? 0 };
       default: {
         const node = this.runningNode();
         if (node === undefined) return null;
-        return this.onRunning(kind, node);
+        return this.choiceOnNode(kind, node);
       }
     }
   };
 
-  private readonly onRunning = (
+  private readonly choiceOnNode = (
     kind: 'crash' | 'order' | 'resend' | 'read' | 'upkeep' | 'settleRival' | 'dutyTick',
     node: string,
   ): Choice => {
     switch (kind) {
       case 'crash':
-        return { do: kind, node, keptShare: this.random.pick(crashShares) ?? 0 };
+        return { do: kind, node, keptShare: this.random.pick(crashKeptShares) ?? 0 };
       case 'order':
       case 'resend':
       case 'read':
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -1,22 +1,22 @@
 /** The world of one schedule: nodes, network, clock, operators and checker. */
 import { stateMachine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
-import type { Break } from './breaks.js';
+import type { InjectedFault } from './injectedFaults.js';
 import { Checker } from './checker.js';
-import type { Observed } from './checker.js';
+import type { NodeObservation } from './checker.js';
 import type { Choice } from './choices.js';
-import { FairEnd } from './fairEnd.js';
+import { LivenessPhase } from './livenessPhase.js';
 import type { FleetUnderTest } from './fleetUnderTest.js';
 import { LossBound } from './lossBound.js';
 import { ModelNode } from './modelNode.js';
 import { Network } from './network.js';
 import { Operator } from './operator.js';
-import { SeededRandom } from './random.js';
+import { SeededRandom } from './seededRandom.js';
 import { VirtualClock } from './virtualClock.js';
 
 const operatorCount = 2;
 const spareCount = 2;
-const keepDownProbability = 0.3;
+const leaveDownProbability = 0.3;
 
 /** One schedule's fleet: voters, spare machines and operators, moved on by one choice at a time. */
 export class World implements FleetUnderTest {
@@ -26,31 +26,31 @@
   /** The operators. */
   readonly operators: readonly Operator[];
   private readonly random: SeededRandom;
-  private readonly keepsDown: boolean;
+  private readonly leavesNodesDown: boolean;
   private readonly lossBound: LossBound;
-  private keptDown: ReadonlySet<ModelNode> = new Set();
-  private judge: Checker | null = null;
+  private nodesKeptDown: ReadonlySet<ModelNode> = new Set();
+  private currentChecker: Checker | null = null;
 
   constructor(
     /** Number of founding voters. */
     readonly voterCount: number,
     seed: number,
-    broken: Break | null,
+    injectedFault: InjectedFault | null,
   ) {
     this.random = new SeededRandom(seed);
-    this.keepsDown = this.random.chance(keepDownProbability);
-    this.lossBound = new LossBound(this.checker, this.observed, this.clock.now);
-    const surroundings = {
+    this.leavesNodesDown = this.random.chance(leaveDownProbability);
+    this.lossBound = new LossBound(this.checker, this.observations, this.clock.now);
+    const environment = {
       clock: this.clock,
       random: this.random,
       network: this.network,
-      broken,
+      injectedFault,
       nodes: () => this.nodes,
       onAccepted: this.onAccepted,
-      onOffered: this.lossBound.noteOffered,
-      onMemberStatus: this.lossBound.noteMemberStatus,
+      onProposed: this.lossBound.recordProposal,
+      onMemberStatus: this.lossBound.recordMemberStatus,
     };
-    this.nodes = Array.from({ length: voterCount + spareCount }, (_, at) => new ModelNode(`n${at}`, surroundings));
+    this.nodes = Array.from({ length: voterCount + spareCount }, (_, at) => new ModelNode(`n${at}`, environment));
     this.operators = Array.from({ length: operatorCount }, (_, number) => new Operator(number, this.checker));
   }
 
@@ -61,47 +61,47 @@
     change,
   ) => {
     const state = acceptor.committedState();
-    if (state !== null) this.checker().learn(state, acceptor.incarnation);
-    this.checker().accepted(acceptor.incarnation, slot, ballot.join('/'), change);
+    if (state !== null) this.checker().recordState(state, acceptor.incarnation);
+    this.checker().recordAcceptance(acceptor.incarnation, slot, ballot.join('/'), change);
   };
 
   readonly checker = (): Checker => {
-    if (this.judge === null) throw new Error('the world is not founded yet');
-    return this.judge;
+    if (this.currentChecker === null) throw new Error('the world is not founded yet');
+    return this.currentChecker;
   };
 
   /** Starts the voters on one founding state; the spare machines stay away until they join. */
-  readonly found = async (): Promise<void> => {
+  readonly bootstrap = async (): Promise<void> => {
     const voters = this.nodes.slice(0, this.voterCount);
     for (const node of voters) await node.start();
     const members = voters.map(
       (node): Member => ({ name: node.name, address: `${node.name}:1`, incarnation: node.incarnation() }),
     );
-    const founded = stateMachine.initialState(members);
-    for (const node of voters) await node.found(founded);
-    this.judge = new Checker(founded);
+    const initialState = stateMachine.initialState(members);
+    for (const node of voters) await node.bootstrap(initialState);
+    this.currentChecker = new Checker(initialState);
   };
 
   /** Lets everything run on until it waits for the scheduler: all work between two steps is promises alone. */
-  readonly drain = (): Promise<void> => new Promise((done) => setImmediate(done));
+  readonly drain = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
   /** The node of this name, if there is one. */
   readonly node = (name: string): ModelNode | undefined => this.nodes.find((node) => node.name === name);
 
   /** What the checker may see of each node now. */
-  readonly observed = (): Observed[] => this.nodes.map((node) => node.observed());
+  readonly observations = (): NodeObservation[] => this.nodes.map((node) => node.observation());
 
   /** Whether what `node` holds may be lost. */
-  readonly mayLose = (node: ModelNode): boolean =>
+  readonly mayLoseDisk = (node: ModelNode): boolean =>
     node.incarnation() !== '' &&
-    this.lossBound.allows([node, ...this.keptDown].map((missing) => missing.incarnation()));
+    this.lossBound.allows([node, ...this.nodesKeptDown].map((missing) => missing.incarnation()));
 
   /** Does one step and checks the rules after it; false where the step is not possible now. */
   readonly apply = async (choice: Choice): Promise<boolean> => {
     const isDone = await this.perform(choice);
     if (!isDone) return false;
     await this.drain();
-    this.checker().observe(this.observed());
+    this.checker().observe(this.observations());
     return true;
   };
 
@@ -110,13 +110,13 @@
       case 'deliver':
       case 'drop':
       case 'double':
-        return this.handOver(choice.do, choice.message, choice.at);
+        return this.performOnMessage(choice.do, choice.message, choice.at);
       case 'sync':
         return this.node(choice.node)?.disk.completeSync() ?? false;
       case 'failSync':
         return this.node(choice.node)?.disk.failSync() ?? false;
       case 'cut':
-        this.network.cut(choice.from, choice.to, choice.isNoticed);
+        this.network.partition(choice.from, choice.to, choice.isNoticed);
         return true;
       case 'heal':
         return this.heal(choice.from, choice.to);
@@ -125,55 +125,55 @@
       case 'read': {
         const operator = this.operators[choice.operator];
         const node = this.node(choice.node);
-        return operator !== undefined && node?.isAlive() === true && this.byOperator(choice, operator, node);
+        return operator !== undefined && node?.isAlive() === true && this.performByOperator(choice, operator, node);
       }
       case 'nextTimer':
-        return this.clock.ringNext();
+        return this.clock.fireNext();
       case 'pass':
-        await this.pass(choice.ms);
+        await this.passTime(choice.ms);
         return true;
       default:
-        return this.onNode(choice);
+        return this.performOnNode(choice);
     }
   };
 
-  private readonly onNode = async (choice: Extract<Choice, { node: string }>): Promise<boolean> => {
+  private readonly performOnNode = async (choice: Extract<Choice, { node: string }>): Promise<boolean> => {
     const node = this.node(choice.node);
     if (node === undefined) return false;
     switch (choice.do) {
       case 'restart':
-        if (node.isAlive() || node.isAway) return false;
+        if (node.isAlive() || node.isAbsent) return false;
         await node.start();
         return true;
       case 'join':
-        if (!node.isAway) return false;
+        if (!node.isAbsent) return false;
         await node.start();
         return true;
       default:
-        return node.isAlive() && this.onRunning(node, choice);
+        return node.isAlive() && this.performOnLiveNode(node, choice);
     }
   };
 
-  private readonly onRunning = async (node: ModelNode, choice: Choice): Promise<boolean> => {
+  private readonly performOnLiveNode = async (node: ModelNode, choice: Choice): Promise<boolean> => {
     switch (choice.do) {
       case 'crash':
         await node.crash(choice.keptShare);
         return true;
       case 'loseDisk':
-        if (!this.mayLose(node)) return false;
+        if (!this.mayLoseDisk(node)) return false;
         await node.loseDisk();
         return true;
       case 'leave':
-        void node.leave(() => this.mayLose(node));
+        void node.leave(() => this.mayLoseDisk(node));
         return true;
       case 'upkeep':
-        node.upkeep();
+        node.checkMembership();
         return true;
       case 'settleRival':
         node.commitPending();
         return true;
       case 'dutyTick':
-        node.dutyTick();
+        node.tickLeases();
         return true;
       default:
         return false;
@@ -184,11 +184,11 @@
     const wasConnected = this.network.isConnected(from, to);
     if (!this.network.heal(from, to)) return false;
     const [one, other] = [this.node(from), this.node(to)];
-    if (!wasConnected && this.network.isConnected(from, to) && other !== undefined) one?.meet(other);
+    if (!wasConnected && this.network.isConnected(from, to) && other !== undefined) one?.connectTo(other);
     return true;
   };
 
-  private readonly handOver = (kind: 'deliver' | 'drop' | 'double', label: string, at: number): boolean => {
+  private readonly performOnMessage = (kind: 'deliver' | 'drop' | 'double', label: string, at: number): boolean => {
     const message = this.network.find(label, at);
     if (message === undefined) return false;
     if (kind !== 'double') this.network.remove(message);
@@ -196,20 +196,20 @@
     return true;
   };
 
-  private readonly pass = async (ms: number): Promise<void> => {
+  private readonly passTime = async (ms: number): Promise<void> => {
     const until = this.clock.now() + ms;
-    while (this.clock.ringNext(until)) await this.drain();
-    this.clock.moveTo(until);
+    while (this.clock.fireNext(until)) await this.drain();
+    this.clock.advanceTo(until);
   };
 
-  private readonly byOperator = (
+  private readonly performByOperator = (
     choice: Extract<Choice, { operator: number }>,
     operator: Operator,
     node: ModelNode,
   ): boolean => {
     switch (choice.do) {
       case 'order':
-        void operator.order(node);
+        void operator.requestChange(node);
         return true;
       case 'resend':
         return operator.resend(node);
@@ -221,11 +221,11 @@
 
   /** Ends the schedule fairly: links heal, processes start again, all messages and writes go through. */
   readonly finish = async (): Promise<void> => {
-    for (const [from, to] of this.network.cutLinks()) this.heal(from, to);
-    const down = this.nodes.filter((node) => !node.isAlive() && !node.isAway);
-    const staysDown = this.keepsDown && this.lossBound.allows(down.map((node) => node.incarnation()));
-    if (staysDown) this.keptDown = new Set(down);
+    for (const [from, to] of this.network.partitionedLinks()) this.heal(from, to);
+    const down = this.nodes.filter((node) => !node.isAlive() && !node.isAbsent);
+    const staysDown = this.leavesNodesDown && this.lossBound.allows(down.map((node) => node.incarnation()));
+    if (staysDown) this.nodesKeptDown = new Set(down);
     const [operator] = this.operators;
-    if (operator !== undefined) await new FairEnd(this, this.keptDown, operator).run();
+    if (operator !== undefined) await new LivenessPhase(this, this.nodesKeptDown, operator).run();
   };
 }
--- a/packages/model-check/test/agreement.test.ts
+++ b/packages/model-check/test/agreement.test.ts
@@ -1,5 +1,5 @@
 import type { Rule } from '@martenworks/model-check';
-import { expectNoneBroken } from './explored.js';
+import { expectNoViolation } from './expectations.js';
 
 const rules: readonly Rule[] = [
   'one change a generation',
@@ -15,9 +15,9 @@
 describe('agreement over explored schedules', () => {
   for (const profile of ['ballots', 'membership', 'leases', 'mixed']) {
     it(`given three voters, when schedules of ${profile} are explored, then one history holds all that was acknowledged`, () =>
-      expectNoneBroken({ schedules: 60, voters: 3, profile, rules }));
+      expectNoViolation({ schedules: 60, voters: 3, profile, rules }));
 
     it(`given five voters, when schedules of ${profile} are explored, then one history holds all that was acknowledged`, () =>
-      expectNoneBroken({ schedules: 40, voters: 5, profile, rules }));
+      expectNoViolation({ schedules: 40, voters: 5, profile, rules }));
   }
 });
--- a/packages/model-check/test/counterexamples.ts
+++ b/packages/model-check/test/counterexamples.ts
@@ -3,7 +3,7 @@
 /** Shrunk schedules that broke a rule when they were found, with the break that they need, if any. */
 
 /** Two members miss different others, and both give a seat to one newcomer. */
-export const twoSeatsForOne: Script = {
+export const oneNewcomerForTwoVoters: Script = {
   voters: 3,
   seed: 74,
   breakName: 'swap-any-seat',
@@ -39,7 +39,7 @@
 };
 
 /** An order on the newest version meets a member that holds an older one. */
-export const refusalFromStaleState: Script = {
+export const rejectionFromStaleState: Script = {
   voters: 3,
   seed: 13,
   breakName: 'read-alone',
--- a/packages/model-check/test/explored.ts
+++ b/packages/model-check/test/expectations.ts
@@ -2,28 +2,28 @@
 import { explorer } from '@martenworks/model-check';
 import type { Plan, Rule, Script } from '@martenworks/model-check';
 
-const usual = { voters: 3, depth: 150, seed: 1, stride: 1, breakName: null };
+const defaultPlan = { voters: 3, depth: 150, seed: 1, stride: 1, breakName: null };
 
 /** Explores and expects that no schedule breaks one of the rules; a counterexample is shrunk and told as a script. */
-export const expectNoneBroken = async (plan: Partial<Plan> & { schedules: number }): Promise<void> => {
-  const outcome = await explorer.explore({ ...usual, ...plan });
+export const expectNoViolation = async (plan: Partial<Plan> & { schedules: number }): Promise<void> => {
+  const outcome = await explorer.explore({ ...defaultPlan, ...plan });
   if (outcome.counterexample === null) return;
   const { violation, script } = await explorer.shrink(outcome.counterexample);
   expect.fail(`${violation.rule}: ${violation.detail}\n${JSON.stringify(script)}`);
 };
 
 /** Explores with a deliberate break and expects that one of `rules` is broken within the budget of schedules. */
-export const expectFound = async (
+export const expectViolationFound = async (
   breakName: string,
   rules: readonly Rule[],
   plan: Partial<Plan> & { schedules: number },
 ): Promise<void> => {
-  const outcome = await explorer.explore({ ...usual, ...plan, rules, breakName });
+  const outcome = await explorer.explore({ ...defaultPlan, ...plan, rules, breakName });
   expect(outcome.counterexample, `${breakName} within ${plan.schedules} schedules`).to.not.equal(null);
 };
 
 /** Replays a script twice: with its break it must break `rule`, without it none. */
-export const expectMended = async (script: Script, rule: Rule): Promise<void> => {
+export const expectViolationOnlyWithFault = async (script: Script, rule: Rule): Promise<void> => {
   expect((await explorer.replay(script))?.rule, 'with the break').to.equal(rule);
   expect(await explorer.replay({ ...script, breakName: null }), 'without the break').to.equal(null);
 };
--- a/packages/model-check/test/explorer.test.ts
+++ b/packages/model-check/test/explorer.test.ts
@@ -2,23 +2,23 @@
 import { choiceKinds, explorer } from '@martenworks/model-check';
 import type { Plan } from '@martenworks/model-check';
 
-const broken: Plan = { voters: 3, depth: 150, seed: 1, stride: 1, schedules: 50, breakName: 'settle-early' };
+const faultyPlan: Plan = { voters: 3, depth: 150, seed: 1, stride: 1, schedules: 50, breakName: 'settle-early' };
 
 describe('the explorer of schedules', () => {
   it('given one seed, when it is explored twice, then both runs are equal', async () => {
-    const plan = { ...broken, breakName: null, schedules: 20 };
+    const plan = { ...faultyPlan, breakName: null, schedules: 20 };
     expect(await explorer.explore(plan)).to.deep.equal(await explorer.explore(plan));
   });
 
   it('given a counterexample, when its script is replayed, then the same rule is broken in the same way', async () => {
-    const { counterexample } = await explorer.explore(broken);
+    const { counterexample } = await explorer.explore(faultyPlan);
     if (counterexample === null) return expect.fail('nothing was found');
     const script = JSON.parse(JSON.stringify(counterexample.script)) as typeof counterexample.script;
     expect(await explorer.replay(script)).to.deep.equal(counterexample.violation);
   });
 
   it('given a counterexample, when it is shrunk, then fewer steps break the same rule and none may be left out', async () => {
-    const { counterexample } = await explorer.explore(broken);
+    const { counterexample } = await explorer.explore(faultyPlan);
     if (counterexample === null) return expect.fail('nothing was found');
     const { script, violation } = await explorer.shrink(counterexample);
     expect(script.choices.length).to.be.lessThan(counterexample.script.choices.length);
@@ -30,8 +30,8 @@
   });
 
   it('given a hundred schedules, when they are explored, then every kind of step has happened and changes were chosen', async () => {
-    const outcome = await explorer.explore({ ...broken, breakName: null, schedules: 100, rules: [] });
+    const outcome = await explorer.explore({ ...faultyPlan, breakName: null, schedules: 100, rules: [] });
     for (const kind of choiceKinds) expect(outcome.steps[kind] ?? 0, kind).to.be.greaterThan(0);
-    expect(outcome.generations).to.be.greaterThan(100);
+    expect(outcome.chosenChanges).to.be.greaterThan(100);
   });
 });
--- a/packages/model-check/test/laggingNewcomer.test.ts
+++ b/packages/model-check/test/laggingNewcomer.test.ts
@@ -3,7 +3,7 @@
 import type { Script } from '@martenworks/model-check';
 
 /** A newcomer tells its standing, a change is acknowledged, and the swap is tried again on the generation after it. */
-const changeBetweenStandingAndSwap: Script = {
+const changeBetweenStatusAndSwap: Script = {
   voters: 3,
   seed: 30010859,
   breakName: null,
@@ -68,5 +68,5 @@
 
 describe('a newcomer behind at its swap', () => {
   it('given a change acknowledged after a newcomer told its standing, when it gets the seat of a leaving member, then a majority of the new members holds that change', async () =>
-    expect(await explorer.replay(changeBetweenStandingAndSwap)).to.equal(null));
+    expect(await explorer.replay(changeBetweenStatusAndSwap)).to.equal(null));
 });
