--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -213,7 +213,7 @@
     expect(accepted.status).to.equal(200);
     const waited = await fleet.world.until('the change applied on every gateway', () => {
       for (const gateway of fleet.gateways) {
-        const config = gateway?.stateView.agreed()?.config;
+        const config = gateway?.stateView.committedState()?.config;
         seen.add(
           `${config?.tiers.prompt?.horizonMs} ${Object.keys(config?.lanes ?? {}).length} ${config?.pools.main?.weights}`,
         );
--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -1,7 +1,7 @@
 /**
- * Claims on idempotency keys: of all gateways that receive a key, one runs its request. The claimant is chosen by
- * single-decree Paxos over the control nodes (prepare and accept, with ballots); a claim whose request was not run is
- * released, and the key's next turn is open.
+ * Claims on idempotency keys: of all gateways that receive a request with the same key, one runs it. The claimant is
+ * chosen by single-decree Paxos among the control nodes (Lamport, "Paxos Made Simple", 2001). A claim whose request did
+ * not run is released, which starts the key's next turn.
  */
 import { background, claimBallots, timing } from '@martenworks/core-types';
 import type { Claimant, ClaimAccepted, ClaimBallot, Member, Ports } from '@martenworks/core-types';
@@ -10,26 +10,26 @@
 import type { PeerPool } from '@martenworks/cluster-membership';
 import { peerMessages } from '../peers/peerMessages.js';
 import { ClaimQuorum } from './claimQuorum.js';
-import type { Poll } from './claimQuorum.js';
+import type { PollResult } from './claimQuorum.js';
 import { ResponseStore } from './responseStore.js';
 import type { StoredResponseState } from './responseStore.js';
 
-const askTimeoutMs = 700;
+const stateCallTimeoutMs = 700;
 const claimTimeoutMs = 4_000;
-const roundLimit = 12;
+const maxRounds = 12;
 const backoffStepMs = 10;
 const claimantTokenBytes = 4;
 
-/** A claim that this gateway may act on. */
+/** A claim on an idempotency key. */
 export interface Claim {
   /** Digest of the tenant and its idempotency key. */
   readonly key: string;
-  /** Counts the claims on this key that were released. */
+  /** Number of claims on this key that were released before. */
   readonly turn: number;
   readonly claimant: Claimant;
 }
 
-/** What came of an attempt to claim a key. */
+/** The result of trying to claim a key. The kinds also name metrics. */
 export type ClaimOutcome =
   | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'replay'; readonly datas: readonly string[] }
@@ -38,14 +38,14 @@
   | { readonly kind: 'reused' }
   | { readonly kind: 'no majority' };
 
-const newestTurn = (poll: Poll, turn: number): number =>
+const newestTurn = (poll: PollResult, turn: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.turn), turn);
 
-const newestRound = (poll: Poll, round: number): number =>
+const newestRound = (poll: PollResult, round: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.promised?.[0] ?? 0), round);
 
-/** Paxos: the claimant accepted under the highest ballot among the promises must be proposed again. */
-const highestAccepted = (poll: Poll): ClaimAccepted | null => {
+/** The claimant accepted under the highest ballot among the promises, which Paxos requires to be proposed again. */
+const highestAccepted = (poll: PollResult): ClaimAccepted | null => {
   let highest: ClaimAccepted | null = null;
   for (const { isGranted, state } of poll.states) {
     if (!isGranted || state.accepted === null) continue;
@@ -56,69 +56,69 @@
 
 /** The claims of one gateway. */
 export class Claims {
-  /** What became of the requests that this gateway claimed. */
+  /** Outcomes of the requests that this gateway claimed. */
   readonly responseStore = new ResponseStore();
   private readonly quorum: ClaimQuorum;
   private round = 0;
 
   constructor(
     private readonly ports: Ports,
-    private readonly own: () => Hello,
+    private readonly hello: () => Hello,
     members: () => readonly Member[],
     peerPool: () => PeerPool,
   ) {
     this.quorum = new ClaimQuorum(members, peerPool);
   }
 
-  /** Claims a key for a request; `digest` is the digest of the request's body, to tell a reuse of the key. */
-  readonly take = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
+  /** Claims a key for a request; `digest` is the digest of the request's body, to detect reuse for another request. */
+  readonly acquire = async (key: string, digest: string, requestId: string): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
-    const { incarnation, address } = this.own();
+    const { incarnation, address } = this.hello();
     const own: Claimant = {
       id: `${incarnation}/${requestId}/${random.token(claimantTokenBytes)}`,
       gateway: incarnation,
       address,
       digest,
     };
-    this.responseStore.began(own.id);
-    const outcome = await this.settle(key, own, clock.now() + claimTimeoutMs);
-    if (outcome.kind !== 'claimed') this.responseStore.ended(own.id, { kind: 'not run' });
+    this.responseStore.recordStart(own.id);
+    const outcome = await this.runRounds(key, own, clock.now() + claimTimeoutMs);
+    if (outcome.kind !== 'claimed') this.responseStore.recordOutcome(own.id, { kind: 'not run' });
     return outcome;
   };
 
-  private readonly settle = async (key: string, own: Claimant, deadlineAt: number): Promise<ClaimOutcome> => {
+  private readonly runRounds = async (key: string, own: Claimant, deadlineAt: number): Promise<ClaimOutcome> => {
     const { clock, random } = this.ports;
     let turn = 0;
-    for (let round = 0; round < roundLimit && clock.now() < deadlineAt; round += 1) {
+    for (let round = 0; round < maxRounds && clock.now() < deadlineAt; round += 1) {
       if (round > 0) await timing.sleep(clock, backoffStepMs * round * (0.5 + random.fraction()));
       const ballot: ClaimBallot = [++this.round, own.id];
       const promises = await this.quorum.poll('claimPrepare', { key, turn, ballot });
       this.round = newestRound(promises, this.round);
-      const heldTurn = newestTurn(promises, turn);
-      if (heldTurn > turn) {
-        turn = heldTurn;
+      const currentTurn = newestTurn(promises, turn);
+      if (currentTurn > turn) {
+        turn = currentTurn;
         continue;
       }
       if (!this.quorum.isMajority(promises.granted)) continue;
       const claimant = highestAccepted(promises)?.claimant ?? own;
-      const accepts = await this.quorum.poll('claimAccept', { key, turn, ballot, claimant });
-      if (!this.quorum.isMajority(accepts.granted)) continue;
+      const acceptances = await this.quorum.poll('claimAccept', { key, turn, ballot, claimant });
+      if (!this.quorum.isMajority(acceptances.granted)) continue;
       if (claimant.id === own.id) return { kind: 'claimed', claim: { key, turn, claimant: own } };
       if (claimant.digest !== own.digest) return { kind: 'reused' };
-      const told = await this.inquire(claimant);
-      if (told.kind === 'done') return { kind: 'replay', datas: told.datas };
-      if (told.kind !== 'not run') return { kind: told.kind };
+      const state = await this.fetchState(claimant);
+      if (state.kind === 'done') return { kind: 'replay', datas: state.datas };
+      if (state.kind !== 'not run') return { kind: state.kind };
       await this.release({ key, turn, claimant });
       turn += 1;
     }
     return { kind: 'no majority' };
   };
 
-  /** Asks the claimant's gateway what became of its request. */
-  private readonly inquire = async (claimant: Claimant): Promise<StoredResponseState> => {
-    if (claimant.gateway === this.own().incarnation) return this.responseStore.stateOf(claimant.id);
+  /** Asks the claimant's gateway for the outcome of its request. */
+  private readonly fetchState = async (claimant: Claimant): Promise<StoredResponseState> => {
+    if (claimant.gateway === this.hello().incarnation) return this.responseStore.stateOf(claimant.id);
     const { net, clock, log } = this.ports;
-    const dialed = await peerConnections.dial(net, clock, log, this.own(), claimant.address, {
+    const dialed = await peerConnections.dial(net, clock, log, this.hello(), claimant.address, {
       onMessage: () => {},
       onCall: async () => null,
       onOpen: () => {},
@@ -128,7 +128,7 @@
     const connection = dialed.value;
     const response =
       connection.peer?.incarnation === claimant.gateway
-        ? await connection.call('claimState', claimant.id, askTimeoutMs)
+        ? await connection.call('claimState', claimant.id, stateCallTimeoutMs)
         : null;
     connection.close();
     const state = response?.isOk() === true ? peerMessages.storedResponseState(response.value) : null;
@@ -139,9 +139,9 @@
     await this.quorum.poll('claimRelease', { key: claim.key, turn: claim.turn });
   };
 
-  /** Notes what became of a claimed request, and releases the claim of one that was not run. */
-  readonly ended = (claim: Claim, state: StoredResponseState): void => {
-    this.responseStore.ended(claim.claimant.id, state);
+  /** Records the outcome of a claimed request, and releases the claim if the request did not run. */
+  readonly recordOutcome = (claim: Claim, state: StoredResponseState): void => {
+    this.responseStore.recordOutcome(claim.claimant.id, state);
     if (state.kind === 'not run') background.run('release a claim', this.release(claim));
   };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** The gateway: takes callers' requests and has replicas run them. This module assembles its parts. */
+/** The gateway process: accepts requests from callers and has replicas run them. This module assembles its parts. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { background, MetricCounters, timing } from '@martenworks/core-types';
@@ -9,7 +9,7 @@
 import { PeerPool, MemberList, FailureDetector } from '@martenworks/cluster-membership';
 import { Claims } from './claims/claims.js';
 import { ControlReporter } from './peers/controlReporter.js';
-import type { GatewayParts } from './gatewayParts.js';
+import type { GatewayContext } from './gatewayContext.js';
 import { GatewayRequest } from './gatewayRequest.js';
 import type { CompletionRequest, GatewayResponse } from './gatewayRequest.js';
 import { IsolationAdmission } from './peers/isolationAdmission.js';
@@ -20,21 +20,21 @@
 import { StateView } from './state/stateView.js';
 
 const incarnationBytes = 8;
-const drainPollMs = 50;
+const drainPollIntervalMs = 50;
 
-/** One gateway process, as its other modules and its pages see it. */
-export class Gateway implements GatewayParts {
+/** One gateway process. */
+export class Gateway implements GatewayContext {
   /** Random id of this run of the process. */
   readonly incarnation: string;
-  /** Nodes known by gossip. */
+  /** Nodes known through gossip. */
   readonly memberList: MemberList;
-  /** Held connections to other nodes. */
+  /** Open connections to other nodes. */
   readonly peerPool: PeerPool;
-  /** Watches other nodes by heartbeats. */
+  /** Detects failures of other nodes by their heartbeats. */
   readonly failureDetector: FailureDetector;
-  /** The committed state as this gateway holds it. */
+  /** This gateway's copy of the committed state. */
   readonly stateView: StateView;
-  /** Whether that state is recent enough to serve by. */
+  /** Whether that copy is recent enough to serve requests. */
   readonly freshness: Freshness;
   /** Load and health of the replicas. */
   readonly replicaTracker: ReplicaTracker;
@@ -42,22 +42,22 @@
   readonly metrics = new MetricCounters();
   /** Claims on idempotency keys. */
   readonly claims: Claims;
-  /** The pipeline that requests pass. */
+  /** The pipeline that processes requests. */
   readonly stages: Stages;
   private readonly controlReporter: ControlReporter;
   private readonly isolationAdmission = new IsolationAdmission(this);
   private listener: Listener | null = null;
 
   constructor(
-    /** The settings it was started with. */
+    /** The settings that the process was started with. */
     readonly settings: GatewaySettings,
-    /** Clock, network and the like, real or simulated. */
+    /** Clock, network and other system interfaces, real or simulated. */
     readonly ports: Ports,
   ) {
     const { clock, random } = ports;
     this.incarnation = random.token(incarnationBytes);
     this.memberList = new MemberList(clock, this.hello);
-    this.stateView = new StateView(clock, () => this.stateChanged());
+    this.stateView = new StateView(clock, () => this.onStateChange());
     this.freshness = new Freshness(clock, this.members, this.stateView.logIndex);
     this.replicaTracker = new ReplicaTracker(clock, () => this.controlReporter.reportLongPrompt());
     this.claims = new Claims(ports, this.hello, this.members, () => this.peerPool);
@@ -71,12 +71,12 @@
     );
     this.peerPool = this.createPeerPool();
     this.controlReporter = new ControlReporter(this, () => {
-      this.stages.placementStage.sweep();
+      this.stages.placementStage.rejectQueuedIfNotFresh();
       this.admitIsolatedTenants();
     });
   }
 
-  private readonly members = (): readonly Member[] => this.stateView.agreed()?.members ?? [];
+  private readonly members = (): readonly Member[] => this.stateView.committedState()?.members ?? [];
 
   private readonly createStages = (): Stages =>
     new Stages({
@@ -96,14 +96,14 @@
       this.settings.seeds,
       this.memberList,
       () => [...this.members().map((member) => member.address), ...this.failureDetector.watcherAddresses()],
-      peerMessageHandlers.of(this, (connection) => this.controlReporter.joined(connection)),
+      peerMessageHandlers.of(this, (connection) => this.controlReporter.onConnectionOpen(connection)),
     );
 
-  /** How this node introduces itself to others. */
+  /** The hello message that identifies this node to its peers. */
   readonly hello = (): Hello => hellos.of('edge', this.settings, this.incarnation);
 
-  /** Listens for other nodes. */
-  readonly open = async (): Promise<Result<void, NetworkError>> => {
+  /** Starts listening for connections of other nodes. */
+  readonly listen = async (): Promise<Result<void, NetworkError>> => {
     const { net, clock, log } = this.ports;
     const opened = await peerConnections.listen(
       net,
@@ -121,44 +121,44 @@
   private readonly admitIsolatedTenants = (): void =>
     background.run('admit isolated tenants', this.isolationAdmission.run());
 
-  /** The parts are made one after the other, so some may be absent when the first state comes. */
-  private readonly stateChanged = (): void => {
+  /** May run while the constructor is still creating the parts, so that some may be undefined. */
+  private readonly onStateChange = (): void => {
     for (const connection of this.peerPool?.openConnections() ?? []) connection.send('ack', this.stateView.logIndex());
     this.stages?.recheck();
     if (this.peerPool !== undefined) this.admitIsolatedTenants();
     this.peerPool?.reconcile();
   };
 
-  /** Serves one request; resolves with a rejection or once the first piece came. */
+  /** Serves one request; resolves with a rejection, or with a stream once its first chunk has arrived. */
   readonly serve = (completion: CompletionRequest): Promise<GatewayResponse> =>
-    new Promise((resolve) => this.stages.enter(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
+    new Promise((resolve) => this.stages.accept(new GatewayRequest(completion, this.ports.clock.now(), resolve)));
 
-  /** Rejects new requests and waits for the live ones, for `settings.drainMs` at most. */
+  /** Rejects new requests and waits at most `settings.drainMs` for the active ones to end. */
   readonly drain = async (): Promise<void> => {
     this.stages.drain();
     const { clock } = this.ports;
-    const endAt = clock.now() + this.settings.drainMs;
-    while (this.stages.live.size > 0 && clock.now() < endAt) await timing.sleep(clock, drainPollMs);
+    const drainDeadlineAt = clock.now() + this.settings.drainMs;
+    while (this.stages.live.size > 0 && clock.now() < drainDeadlineAt) await timing.sleep(clock, drainPollIntervalMs);
   };
 
-  /** Rejects the requests still live and closes all connections. */
+  /** Rejects the requests that are still active and closes all connections. */
   readonly stop = async (): Promise<void> => {
     this.controlReporter.stop();
     this.failureDetector.stop();
     this.peerPool.stop();
     for (const request of [...this.stages.live])
-      this.stages.rejector.refuse(request, 'draining', 'this gateway is closing');
+      this.stages.rejector.reject(request, 'draining', 'this gateway is shutting down');
     await this.listener?.close();
     await this.ports.httpClient.close();
   };
 }
 
-/** Gateways on real or simulated ports. */
+/** Starts gateways. */
 export const gateways = {
-  /** Makes a gateway and opens it; the error tells why its peer address could not be listened on. */
+  /** Creates a gateway and listens on its peer address; returns the error if listening fails. */
   start: async (settings: GatewaySettings, ports: Ports): Promise<Result<Gateway, NetworkError>> => {
     const gateway = new Gateway(settings, ports);
-    const opened = await gateway.open();
+    const opened = await gateway.listen();
     return opened.isErr() ? err(opened.error) : ok(gateway);
   },
 };
--- a/packages/gateway/src/pipeline/placementQuestions.ts
+++ b/packages/gateway/src/pipeline/placementQueries.ts
@@ -1,4 +1,4 @@
-/** Builds the question put to the placement algorithm: which replicas may run a request, and which hold its prefix. */
+/** Builds the input of the placement algorithm: which replicas may run a request, and which may have cached its prefix. */
 import type { Contention, ReplicaRecord } from '@martenworks/core-types';
 import type { PlacementQuery } from '@martenworks/prefix-index';
 import { isolationScopes } from '../gatewayRequest.js';
@@ -6,11 +6,11 @@
 import { TransferTracker } from '../replicas/transferTracker.js';
 import type { StageContext } from './stageContext.js';
 
-/** The most urgent tier may fill a replica over its slots by this share. */
+/** Share of its slots by which the most urgent tier may overcommit a replica; less urgent tiers get less. */
 const urgentHeadroom = 0.5;
 
-/** Questions of one gateway. */
-export class PlacementQuestions {
+/** Builds the placement queries of one gateway. */
+export class PlacementQueries {
   /** Measured delays of cache transfers. */
   readonly transferTracker: TransferTracker;
   private contention: Contention = {};
@@ -19,12 +19,12 @@
     this.transferTracker = new TransferTracker(context.ports.clock);
   }
 
-  /** Takes how many gateways have requests waiting for each pool. */
-  readonly takeContention = (contention: Contention): void => {
+  /** Replaces the contention of the pools, as the control nodes report it. */
+  readonly updateContention = (contention: Contention): void => {
     this.contention = contention;
   };
 
-  /** The question of a request, or null when its pool is no longer configured. */
+  /** Builds the query of a request; null if its pool is no longer configured. */
   readonly of = (request: GatewayRequest): PlacementQuery | null => {
     const { stateView, replicaTracker, settings, ports } = this.context;
     const view = stateView.view();
@@ -35,7 +35,12 @@
     const scope = isolationScopes.of(request);
     const now = ports.clock.now();
     const headroom = 1 + urgentHeadroom * view.urgencyOf(tenant.tier.rank);
-    const free = this.freeOf(this.usable(request, lane.poolName, scope, now), lane.poolName, pool.slots, headroom);
+    const free = this.withFreeSlots(
+      this.usable(request, lane.poolName, scope, now),
+      lane.poolName,
+      pool.slots,
+      headroom,
+    );
     return {
       pool,
       blocks: request.blocks,
@@ -57,7 +62,7 @@
     };
   };
 
-  /** The ready replicas that may run the request: those not suspect, or all if every one is. */
+  /** The ready replicas that may run the request: the ones that are not suspect, or all if all are. */
   private readonly usable = (
     request: GatewayRequest,
     poolName: string,
@@ -68,15 +73,15 @@
     const ready = stateView
       .inPool(poolName)
       .filter((record) => !request.avoided.has(record.name) && stateView.tenantPartitions.mayRun(record, scope, now));
-    const sound = ready.filter((record) => !replicaTracker.isSuspect(record.name));
-    return sound.length > 0 ? sound : ready;
+    const healthy = ready.filter((record) => !replicaTracker.isSuspect(record.name));
+    return healthy.length > 0 ? healthy : ready;
   };
 
   /**
-   * The replicas with a free slot. While other gateways contend for the pool, this one takes no more than its part of
-   * the slots, and within that part it may use a replica that others have filled.
+   * The replicas with a free slot. While other gateways contend for the pool, this one uses no more than its share of
+   * the slots, but within that share it may use replicas that the others have filled.
    */
-  private readonly freeOf = (
+  private readonly withFreeSlots = (
     records: readonly ReplicaRecord[],
     poolName: string,
     poolSlots: number,
@@ -85,12 +90,14 @@
     const { stateView, replicaTracker } = this.context;
     const slotsOf = (record: ReplicaRecord): number => Math.floor((record.slots ?? poolSlots) * headroom);
     const free = records.filter((record) => replicaTracker.running(record.name) < slotsOf(record));
-    const [contenders, calmRunning] = this.contention[poolName] ?? [0, 0];
+    const [contenders, uncontendedRunning] = this.contention[poolName] ?? [0, 0];
     if (contenders === 0) return free;
     const all = stateView.inPool(poolName);
     const total = all.reduce((sum, record) => sum + slotsOf(record), 0);
-    const own = all.reduce((sum, record) => sum + replicaTracker.own(record.name), 0);
-    if (own >= Math.max(1, Math.ceil((total - calmRunning) / (contenders + 1)))) return [];
-    return free.length > 0 ? free : records.filter((record) => replicaTracker.own(record.name) < slotsOf(record));
+    const own = all.reduce((sum, record) => sum + replicaTracker.ownRunning(record.name), 0);
+    if (own >= Math.max(1, Math.ceil((total - uncontendedRunning) / (contenders + 1)))) return [];
+    return free.length > 0
+      ? free
+      : records.filter((record) => replicaTracker.ownRunning(record.name) < slotsOf(record));
   };
 }
--- a/packages/gateway/src/pipeline/relayStage.ts
+++ b/packages/gateway/src/pipeline/relayStage.ts
@@ -1,44 +1,44 @@
-/** Last stage: relays a replica's pieces to the caller and notices when the stream is cut. */
+/** Last stage: relays a replica's response to the caller and detects truncation. */
 import { background, timing } from '@martenworks/core-types';
 import type { CompletionEvent } from '@martenworks/upstream';
 import type { StageContext } from './stageContext.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
 
-/** Resolves with the piece that ends the relay, once the request ends or is cut. */
+/** Resolves with the event that ends the relay, once the request has ended or its response is truncated. */
 const untilStopped = (request: GatewayRequest): Promise<CompletionEvent> =>
   new Promise((resolve) => {
-    const stop = (): void => resolve({ kind: 'truncated', cause: request.cutCause ?? 'the request ended' });
+    const stop = (): void => resolve({ kind: 'truncated', cause: request.truncationCause ?? 'the request ended' });
     request.abortController.signal.addEventListener('abort', stop, { once: true });
   });
 
-/** A response under an idempotency key may be asked for again. */
-const keepForReplay = (request: GatewayRequest, piece: CompletionEvent): void => {
-  if (request.claim !== null && piece.kind === 'chunk') request.relayedDatas.push(piece.data);
+/** Stores a chunk of a request with an idempotency key, whose response may be replayed. */
+const storeForReplay = (request: GatewayRequest, event: CompletionEvent): void => {
+  if (request.claim !== null && event.kind === 'chunk') request.relayedChunks.push(event.data);
 };
 
-/** Makes the generators from which the callers' responses are read. */
+/** Creates the generators that produce the callers' responses. */
 export class RelayStage {
   constructor(private readonly context: StageContext) {}
 
-  /** The stored pieces of a response that was given before under the same idempotency key. */
+  /** Replays the stored chunks of an earlier response to the same idempotency key. */
   readonly replay = async function* (
     request: GatewayRequest,
-    datas: readonly string[],
+    chunks: readonly string[],
   ): AsyncGenerator<CompletionEvent> {
     try {
-      for (const data of datas) yield { kind: 'chunk', data };
+      for (const data of chunks) yield { kind: 'chunk', data };
       yield { kind: 'done' };
     } finally {
       request.end();
     }
   };
 
-  private readonly nextPiece = (
+  private readonly nextEvent = (
     request: GatewayRequest,
     rest: AsyncGenerator<CompletionEvent>,
     stopped: Promise<CompletionEvent>,
   ): Promise<CompletionEvent> => {
-    if (request.cutCause !== null) return Promise.resolve({ kind: 'truncated', cause: request.cutCause });
+    if (request.truncationCause !== null) return Promise.resolve({ kind: 'truncated', cause: request.truncationCause });
     const next = rest
       .next()
       .then(
@@ -51,23 +51,23 @@
       Promise.race([next, stopped]),
       () => ({
         kind: 'truncated',
-        cause: 'the replica sent nothing for too long',
+        cause: 'the replica sent nothing within the idle timeout',
       }),
     );
   };
 
-  private readonly noteEnd = (request: GatewayRequest, replica: string, last: CompletionEvent): void => {
+  private readonly recordEnd = (request: GatewayRequest, replica: string, last: CompletionEvent): void => {
     const { metrics, replicaTracker } = this.context;
     if (last.kind === 'done') {
       metrics.add('finished');
-      request.isWhole = true;
+      request.isComplete = true;
       return;
     }
     metrics.add('cut');
-    if (request.cutCause === null && !request.isEnded) replicaTracker.failed(replica);
+    if (request.truncationCause === null && !request.isEnded) replicaTracker.recordFailure(replica);
   };
 
-  /** The pieces of a running attempt: the first, then the rest; `release` is called when the relay ends. */
+  /** Relays the events of an attempt: the first chunk, then the rest; calls `release` when the relay ends. */
   readonly relay = async function* (
     this: RelayStage,
     request: GatewayRequest,
@@ -78,17 +78,17 @@
   ): AsyncGenerator<CompletionEvent> {
     const stopped = untilStopped(request);
     try {
-      keepForReplay(request, first);
+      storeForReplay(request, first);
       yield first;
       for (;;) {
-        const piece = await this.nextPiece(request, rest, stopped);
-        keepForReplay(request, piece);
-        if (piece.kind === 'chunk') {
-          yield piece;
+        const event = await this.nextEvent(request, rest, stopped);
+        storeForReplay(request, event);
+        if (event.kind === 'chunk') {
+          yield event;
           continue;
         }
-        this.noteEnd(request, replica, piece);
-        yield piece.kind === 'done' ? piece : { kind: 'truncated', cause: piece.cause };
+        this.recordEnd(request, replica, event);
+        yield event.kind === 'done' ? event : { kind: 'truncated', cause: event.cause };
         return;
       }
     } finally {
--- a/packages/gateway/src/pipeline/replicaAttempt.ts
+++ b/packages/gateway/src/pipeline/replicaAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one replica: what holds while it is out, and what follows when it comes to nothing. */
+/** One attempt of a request at one replica: its state, and what follows if it fails. */
 import type { RejectionCode } from '@martenworks/core-types';
 import type { Placement } from '@martenworks/prefix-index';
 import type { ReplicaAttemptError } from '@martenworks/upstream';
@@ -8,131 +8,132 @@
 import type { Rejector } from './rejector.js';
 import type { StageContext } from './stageContext.js';
 
-/** Statuses that say that the request itself is wrong, so that no other replica would take it. */
+/** Statuses for which the request itself is at fault, so that other replicas would reject it too. */
 const requestErrorStatuses: ReadonlySet<number> = new Set([400, 413, 414, 415, 422]);
-/** Statuses of a replica that is busy, if it says when to come back. */
+/** Statuses of a replica that is full, if the response has a `retry-after` header. */
 const busyStatuses: ReadonlySet<number> = new Set([429, 503]);
 const msPerSecond = 1_000;
 
-/** What was decided when the request was placed. */
+/** The decisions made when the request was placed. */
 export interface AttemptPlan {
   readonly placed: Placement;
   readonly grant: Grant;
-  /** Weights of the pool at the time. */
+  /** Weights of the pool at that time. */
   readonly weights: string;
 }
 
-/** Where a request goes when its attempt comes to nothing. */
+/** Where a request goes if its attempt fails. */
 export interface AttemptFollowUp {
   readonly rejector: Rejector;
   readonly placementStage: PlacementStage;
-  /** Tries another replica if the request and the budget allow, else rejects it. */
+  /** Tries another replica if the request and the retry budget allow it; otherwise rejects the request. */
   readonly retry: (request: GatewayRequest, code: RejectionCode, detail: string) => void;
 }
 
-/** Counts as running at its replica from its making until `release`. */
+/** An attempt, which counts towards its replica's load from its creation until `release`. */
 export class ReplicaAttempt implements ActiveAttempt {
-  /** Name of the replica. */
+  /** The replica's name. */
   readonly replica: string;
-  /** The replica's incarnation when it was chosen. */
+  /** The replica's incarnation at the time of placement. */
   readonly incarnation: number;
-  /** When the attempt was made, in milliseconds. */
+  /** Time at which the attempt was created, in milliseconds. */
   readonly startedAt: number;
   private readonly attemptId: number;
   private readonly abortController = new AbortController();
-  private readonly mayHaveRunBefore: boolean;
+  private readonly mightHaveRunBefore: boolean;
   private isSent = false;
-  private hasFirstPiece = false;
+  private hasFirstChunk = false;
 
   constructor(
     private readonly context: StageContext,
     private readonly request: GatewayRequest,
-    /** What was decided when the request was placed. */
+    /** The decisions made when the request was placed. */
     readonly plan: AttemptPlan,
     private readonly followUp: AttemptFollowUp,
   ) {
     const { record, prefilledTokens, costMs } = plan.placed;
     this.replica = record.name;
     this.incarnation = record.incarnation;
-    this.attemptId = context.replicaTracker.began(this.replica, prefilledTokens, costMs);
+    this.attemptId = context.replicaTracker.recordStart(this.replica, prefilledTokens, costMs);
     request.abortController.signal.addEventListener('abort', this.abort, { once: true });
     this.startedAt = context.ports.clock.now();
-    this.mayHaveRunBefore = request.mayHaveRun;
+    this.mightHaveRunBefore = request.mayHaveRun;
   }
 
   private readonly abort = (): void => this.abortController.abort();
 
-  /** Aborted when the attempt comes to nothing or the request ends. */
+  /** Aborts when the attempt is abandoned or the request ends. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
 
-  /** Whether the request still waits for this attempt. */
+  /** Whether this is still the request's current attempt. */
   get isActive(): boolean {
     return this.request.activeAttempt === this;
   }
 
-  /** Called as the body is about to be sent: from then on the request may have run. */
-  readonly decideSending = (isSendable: boolean): boolean => {
+  /** Called just before the body is sent; if it returns true, the body is sent and the request may have run. */
+  readonly gate = (isSendable: boolean): boolean => {
     this.isSent = this.isActive && isSendable;
     this.request.mayHaveRun ||= this.isSent;
     return this.isSent;
   };
 
-  /** The first piece came. */
-  readonly takeFirstPiece = (): void => {
-    this.context.replicaTracker.firstPiece(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
-    this.hasFirstPiece = true;
+  /** Records that the first chunk arrived. */
+  readonly recordFirstChunk = (): void => {
+    this.context.replicaTracker.recordFirstChunk(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
+    this.hasFirstChunk = true;
   };
 
-  /** The attempt no longer runs at its replica. */
+  /** Releases the attempt's slot at its replica and places queued requests. */
   readonly release = (): void => {
     const { replicaTracker } = this.context;
     this.request.abortController.signal.removeEventListener('abort', this.abort);
-    if (!this.hasFirstPiece) replicaTracker.prefilled(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
-    replicaTracker.ended(this.replica);
-    queueMicrotask(() => this.followUp.placementStage.pump(this.plan.grant.lane.poolName));
+    if (!this.hasFirstChunk)
+      replicaTracker.recordPrefilled(this.replica, this.attemptId, this.plan.placed.prefilledTokens);
+    replicaTracker.recordEnd(this.replica);
+    queueMicrotask(() => this.followUp.placementStage.placeQueued(this.plan.grant.lane.poolName));
   };
 
-  private readonly giveUp = (): void => {
+  private readonly abandon = (): void => {
     this.request.endAttempt();
     this.release();
     this.abort();
   };
 
-  /** The replica is gone. */
-  readonly lost = (): void => {
-    const detail = 'the replica is gone';
-    if (this.request.isRelaying) this.request.cut(detail);
-    else if (this.isSent) this.failed('replica_failed', detail);
-    else this.withdraw();
+  /** Ends the attempt because its replica was removed or restarted. */
+  readonly onReplicaRemoved = (): void => {
+    const detail = 'the replica was removed or restarted';
+    if (this.request.isRelaying) this.request.truncate(detail);
+    else if (this.isSent) this.handleFailure('replica_failed', detail);
+    else this.requeue();
   };
 
-  /** Sending came to nothing, with this error of the HTTP client or of the replica. */
-  readonly sendFailed = (error: ReplicaAttemptError): void => {
-    if (error.isUnsent) this.request.mayHaveRun = this.mayHaveRunBefore;
+  /** Handles an error of the HTTP client or an error status of the replica. */
+  readonly handleSendError = (error: ReplicaAttemptError): void => {
+    if (error.isUnsent) this.request.mayHaveRun = this.mightHaveRunBefore;
     if (this.request.isEnded) this.release();
-    else if (error.cause === 'GATED') this.withdraw();
-    else this.refused(error);
+    else if (error.cause === 'GATED') this.requeue();
+    else this.handleErrorStatus(error);
   };
 
-  /** Nothing was sent: the request is queued anew without a retry being counted. */
-  private readonly withdraw = (): void => {
-    this.giveUp();
+  /** Queues a request that was not sent again, without counting a retry. */
+  private readonly requeue = (): void => {
+    this.abandon();
     if (this.request.isEnded) return;
     if (this.context.freshness.isFresh()) {
-      this.followUp.placementStage.queue(this.request);
+      this.followUp.placementStage.enqueue(this.request);
       return;
     }
-    const detail = 'this gateway lost touch with the control nodes before the attempt';
-    this.followUp.rejector.refuse(this.request, 'not_fresh', detail);
+    const detail = 'this gateway lost contact with the control nodes before the attempt';
+    this.followUp.rejector.reject(this.request, 'not_fresh', detail);
   };
 
-  /** The replica failed: it is suspect, and the request does not go there again. */
-  readonly failed = (code: RejectionCode, detail: string): void => {
+  /** Handles a failure of the replica: it becomes suspect, and the request is not sent to it again. */
+  readonly handleFailure = (code: RejectionCode, detail: string): void => {
     if (!this.isActive) return;
-    this.context.replicaTracker.failed(this.replica);
-    this.giveUp();
+    this.context.replicaTracker.recordFailure(this.replica);
+    this.abandon();
     this.request.avoided.add(this.replica);
     this.context.ports.log.warn('attempt failed', {
       requestId: this.request.completion.requestId,
@@ -144,19 +145,19 @@
     this.followUp.retry(this.request, code, detail);
   };
 
-  private readonly refused = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
+  private readonly handleErrorStatus = ({ status, cause, retryAfterSeconds }: ReplicaAttemptError): void => {
     if (status !== null && requestErrorStatuses.has(status)) {
-      this.giveUp();
-      this.followUp.rejector.refuse(this.request, 'bad_request', `the replica refused the request: ${cause}`);
+      this.abandon();
+      this.followUp.rejector.reject(this.request, 'bad_request', `the replica rejected the request: ${cause}`);
       return;
     }
     if (status === null || !busyStatuses.has(status) || retryAfterSeconds === null) {
-      this.failed('replica_failed', cause);
+      this.handleFailure('replica_failed', cause);
       return;
     }
-    this.context.replicaTracker.backOff(this.replica, retryAfterSeconds * msPerSecond);
+    this.context.replicaTracker.recordFull(this.replica, retryAfterSeconds * msPerSecond);
     this.request.retryAfterSeconds = retryAfterSeconds;
-    this.giveUp();
+    this.abandon();
     this.request.avoided.add(this.replica);
     this.followUp.retry(this.request, 'no_capacity', `the replica is full: ${cause}`);
   };
--- a/packages/gateway/src/pipeline/sendCheck.ts
+++ b/packages/gateway/src/pipeline/sendCheck.ts
@@ -1,4 +1,4 @@
-/** The last check before a body is sent: whether everything that the placement stood on still holds. */
+/** The last check before a body is sent: whether the assumptions of the placement still hold. */
 import type { ReplicaRecord } from '@martenworks/core-types';
 import { isolationScopes } from '../gatewayRequest.js';
 import type { GatewayRequest } from '../gatewayRequest.js';
@@ -17,17 +17,17 @@
 const isHolderUsable = ({ stateView }: StageContext, { placed }: AttemptPlan, grant: Grant): boolean => {
   const { holder } = placed;
   if (holder === null) return true;
-  const held = stateView.record(holder.name);
+  const current = stateView.record(holder.name);
   const { poolName } = grant.lane;
   const store = stateView.view()?.pools.get(poolName)?.store ?? null;
   return (
-    held !== undefined &&
+    current !== undefined &&
     includes(stateView.holdersIn(poolName, store), holder) &&
-    stateView.tenantPartitions.mayBeSource(held, isolationScopes.ofTenant(grant.tenant))
+    stateView.tenantPartitions.mayBeSource(current, isolationScopes.ofTenant(grant.tenant))
   );
 };
 
-/** Whether the request may be sent as planned, at this moment. */
+/** Whether the request may still be sent as planned. */
 export const isSendable = (context: StageContext, request: GatewayRequest, plan: AttemptPlan): boolean => {
   const view = context.stateView.view();
   const current = grants.of(view, request);
--- a/packages/inspector/src/index.ts
+++ b/packages/inspector/src/index.ts
@@ -1,9 +1,9 @@
-/** The command `martenworks inspector`: asks a running fleet and shows what it tells. */
+/** The command `martenworks inspector`: queries a running fleet and prints the results. */
 import { createInterface } from 'node:readline/promises';
 import { parseArgs } from 'node:util';
 import { print } from './print.js';
-import { codes, help, query } from './queries.js';
-import { askOverHttp } from './statusReader.js';
+import { exitCodes, help, query } from './queries.js';
+import { httpRequest } from './statusReader.js';
 
 export * from './queries.js';
 export * from './statusReader.js';
@@ -11,8 +11,9 @@
 
 const usage = `martenworks inspector --at IP:PORT[,IP:PORT...] [--json] [QUERY]
 
-Asks the control nodes at these http addresses, and through them the counters. With a query: answers it and ends, with
-0 all reached, 1 some nodes not reached, 2 wrong words, 3 nothing reached, 4 refused. Without: a shell; leave with quit.
+Queries the control nodes at these HTTP addresses, and the gateways connected to them. With QUERY, prints the result and
+exits with 0 (all nodes reached), 1 (some nodes not reached), 2 (invalid arguments), 3 (no node reached) or 4 (request
+rejected). Without QUERY, starts a shell; quit leaves it.
 
 ${help}`;
 
@@ -27,33 +28,33 @@
     },
   });
 
-/** Runs the command with its arguments and gives the exit code; without a query it is a shell. */
+/** Runs the command with these arguments, as a shell if they contain no query; returns the exit code. */
 export const runInspector = async (args: string[]): Promise<number> => {
   let parsed: ReturnType<typeof readFlags>;
   try {
     parsed = readFlags(args);
   } catch (cause) {
     process.stderr.write(`${cause instanceof Error ? cause.message : String(cause)}\n`);
-    return codes.usage;
+    return exitCodes.usage;
   }
   const { values, positionals } = parsed;
   if (values.help === true) {
     process.stdout.write(usage);
-    return codes.fine;
+    return exitCodes.success;
   }
   const addresses = (values.at ?? '').split(',').filter((part) => part !== '');
   if (addresses.length === 0) {
     process.stderr.write(usage);
-    return codes.usage;
+    return exitCodes.usage;
   }
-  const answer = async (words: readonly string[]): Promise<number> => {
-    const outcome = await query(askOverHttp, addresses, words);
-    if (outcome.rows.length > 0 || outcome.code === codes.fine)
+  const runQuery = async (words: readonly string[]): Promise<number> => {
+    const outcome = await query(httpRequest, addresses, words);
+    if (outcome.rows.length > 0 || outcome.code === exitCodes.success)
       process.stdout.write(values.json ? print.json(outcome.rows) : print.table(outcome.rows));
     if (outcome.note !== null) process.stderr.write(`${outcome.note}\n`);
     return outcome.code;
   };
-  if (positionals.length > 0) return answer(positionals);
+  if (positionals.length > 0) return runQuery(positionals);
   const lines = createInterface({ input: process.stdin, output: process.stdout, prompt: 'fleet> ' });
   lines.prompt();
   for await (const line of lines) {
@@ -62,9 +63,9 @@
       .split(/\s+/)
       .filter((word) => word !== '');
     if (words[0] === 'quit' || words[0] === 'exit') break;
-    if (words.length > 0) await answer(words);
+    if (words.length > 0) await runQuery(words);
     lines.prompt();
   }
   lines.close();
-  return codes.fine;
+  return exitCodes.success;
 };
