--- a/packages/test-fleet/src/runner/failureText.ts
+++ b/packages/test-fleet/src/runner/failureText.ts
@@ -1,14 +1,14 @@
-/** What a test run prints of whatever a failed test threw. */
+/** Formats the value that a failed test threw. */
 import { inspect } from 'node:util';
 
-/** How deep nested values are shown: enough for an error value that wraps another one. */
-const shownDepth = 6;
+/** Nesting depth shown of a thrown value: enough for an error that wraps another one. */
+const inspectDepth = 6;
 
-/** The stack of an `Error`; any other thrown value, such as the one of a failed unwrapping, with its fields. */
+/** Returns the stack of an `Error`, and any other thrown value, such as that of a failed `_unsafeUnwrap`, with its fields. */
 const of = (cause: unknown): string => {
   const stack = cause instanceof Error ? cause.stack : undefined;
-  return stack ?? inspect(cause, { depth: shownDepth });
+  return stack ?? inspect(cause, { depth: inspectDepth });
 };
 
-/** The text of a failure. */
+/** `of` formats a thrown value. */
 export const failureText = { of };
--- a/packages/test-fleet/src/runner/knownFailures.ts
+++ b/packages/test-fleet/src/runner/knownFailures.ts
@@ -1,6 +1,6 @@
-/** Reads the list of tests that are known to fail, and decides by it whether a test run passes. */
+/** Reads the list of tests that are known to fail, and decides whether a test run passes given that list. */
 
-/** How a test, or a hook or worker in its place, ended; `fault` null: it passed. */
+/** The outcome of a test, or of a hook or worker that failed; `error` is null where a test passed. */
 export interface TestResult {
   readonly title: string;
   readonly error: string | null;
@@ -45,9 +45,9 @@
     if (line.trim() === '' || line.startsWith('#')) continue;
     const [title = '', cause = '', issue = '', ...rest] = line.split('\t').map((part) => part.trim());
     if (title === '' || cause === '' || issue === '' || rest.length > 0)
-      errors.push(`line ${at + 1} is not: title TAB cause TAB issue`);
+      errors.push(`line ${at + 1} must have the form: title TAB cause TAB issue`);
     else if (entries.some((entry) => entry.title === title))
-      errors.push(`line ${at + 1} lists a title again: ${title}`);
+      errors.push(`line ${at + 1} lists a title twice: ${title}`);
     else entries.push({ title, cause, issue });
   }
   return { entries, errors };
@@ -56,16 +56,19 @@
 const staleReason = (entry: KnownFailure, run: Run): string | null => {
   if (!run.declared.includes(entry.title)) return 'listed, but no test has this title';
   if (!run.selected.includes(entry.title)) return null;
-  const own = run.results.filter((result) => result.isTest && result.title === entry.title);
-  if (own.length === 0) return 'listed, but it did not run';
-  return own.some((result) => result.error === null) ? 'listed, but it passes' : null;
+  const matching = run.results.filter((result) => result.isTest && result.title === entry.title);
+  if (matching.length === 0) return 'listed, but it did not run';
+  return matching.some((result) => result.error === null) ? 'listed, but it passes' : null;
 };
 
-/** Selected tests without a result, but listed ones, which are told as stale: a lost test must not pass unseen. */
+/**
+ * Returns a failure for each selected test without a result, so that a lost test does not pass unnoticed. Listed ones are
+ * left out: they are reported as stale entries.
+ */
 const notRun = (run: Run, listed: ReadonlySet<string>): Failure[] => {
-  const told = new Set(run.results.filter((result) => result.isTest).map((result) => result.title));
-  const lost = run.selected.filter((title) => !told.has(title) && !listed.has(title));
-  return lost.map((title) => ({ title, error: 'selected, but it did not run' }));
+  const reported = new Set(run.results.filter((result) => result.isTest).map((result) => result.title));
+  const missing = run.selected.filter((title) => !reported.has(title) && !listed.has(title));
+  return missing.map((title) => ({ title, error: 'selected, but it did not run' }));
 };
 
 const evaluate = (listing: Listing, run: Run): Verdict => {
@@ -99,5 +102,5 @@
   `${passed} passed, ${failures.length} failed`,
 ];
 
-/** `parse` reads the list, `evaluate` holds a run against it, `lines` writes the outcome. */
+/** `parse` reads the list, `evaluate` compares a run with it, `lines` formats the verdict. */
 export const knownFailures = { parse, evaluate, lines };
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -1,8 +1,8 @@
 /**
- * The test runner: `runTests [--slowest N] [PART]` runs the compiled tests whose file name contains PART, or all, in
- * up to eight worker threads, and exits with 0 if none failed but those that KNOWN-RED.txt lists.
+ * The test runner: `runTests [--slowest N] [PART]` runs the testsFolder tests whose path contains PART, or all tests, in up
+ * to eight worker threads, and exits with 0 if no test failed except those listed in KNOWN-RED.txt.
  *
- * `--slowest N` prints the N slowest tests at the end.
+ * `--slowest N` prints the N slowest tests at the end of the run.
  */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
@@ -19,7 +19,7 @@
 import { TestClaims } from './testClaims.js';
 
 interface WorkerPlan {
-  readonly wanted: string;
+  readonly pathPart: string;
   readonly claims: SharedArrayBuffer;
 }
 
@@ -28,105 +28,107 @@
   | { readonly kind: 'result'; readonly result: TestResult; readonly durationMs: number }
   | { readonly kind: 'done' };
 
-const mostWorkers = 8;
+const maxWorkers = 8;
 const root = join(dirname(fileURLToPath(import.meta.url)), '../../../..');
-const compiled = join(root, 'target/tests');
+const testsFolder = join(root, 'target/tests');
 const listFile = join(root, 'KNOWN-RED.txt');
 
 const hasSource = (file: string): boolean => existsSync(join(root, file.replace(/\.js$/, '.ts')));
 
 const testFiles = (): string[] =>
-  readdirSync(compiled, { recursive: true, encoding: 'utf8' })
+  readdirSync(testsFolder, { recursive: true, encoding: 'utf8' })
     .filter((file) => file.endsWith('.test.js') && hasSource(file))
     .sort();
 
 const testsIn = (suite: Mocha.Suite): Mocha.Test[] => [...suite.tests, ...suite.suites.flatMap(testsIn)];
 
-const keep = (suite: Mocha.Suite, isKept: (test: Mocha.Test) => boolean): void => {
-  suite.tests = suite.tests.filter(isKept);
-  for (const inner of suite.suites) keep(inner, isKept);
+const filterTests = (suite: Mocha.Suite, isSelected: (test: Mocha.Test) => boolean): void => {
+  suite.tests = suite.tests.filter(isSelected);
+  for (const inner of suite.suites) filterTests(inner, isSelected);
 };
 
-/** Lets each test run in the worker that claims it first; in the others it ends at once. Returns those left to others. */
-const shareOut = (tests: readonly Mocha.Test[], claims: TestClaims): ReadonlySet<Mocha.Runnable> => {
-  const left = new Set<Mocha.Runnable>();
+/** Makes each test run only if this worker claims it first; returns the tests that were skipped because another did. */
+const claimBeforeRun = (tests: readonly Mocha.Test[], claims: TestClaims): ReadonlySet<Mocha.Runnable> => {
+  const skipped = new Set<Mocha.Runnable>();
   for (const [position, test] of tests.entries()) {
     const { fn } = test;
     if (fn === undefined) continue;
-    if (fn.length > 0) throw new Error(`a test that takes a callback cannot be shared out: ${test.fullTitle()}`);
+    if (fn.length > 0) throw new Error(`tests with a callback parameter are not supported: ${test.fullTitle()}`);
     test.fn = function (this: Mocha.Context) {
       if (claims.claim(position)) return (fn as Mocha.AsyncFunc).call(this);
-      left.add(test);
+      skipped.add(test);
     };
   }
-  return left;
+  return skipped;
 };
 
 const runWorker = async (plan: WorkerPlan): Promise<void> => {
   const post = (message: Message): void => parentPort?.postMessage(message);
   const mocha = new Mocha({ timeout: 900_000, forbidOnly: true, reporter: class {} as never });
   const files = testFiles();
-  const wanted = new Set(files.filter((file) => file.includes(plan.wanted)).map((file) => join(compiled, file)));
-  for (const file of files) mocha.addFile(join(compiled, file));
+  const selectedFiles = new Set(
+    files.filter((file) => file.includes(plan.pathPart)).map((file) => join(testsFolder, file)),
+  );
+  for (const file of files) mocha.addFile(join(testsFolder, file));
   await mocha.loadFilesAsync();
   const declared = testsIn(mocha.suite).map((test) => test.fullTitle());
-  keep(mocha.suite, (test) => wanted.has(test.file ?? ''));
+  filterTests(mocha.suite, (test) => selectedFiles.has(test.file ?? ''));
   const tests = testsIn(mocha.suite);
-  const left = shareOut(tests, new TestClaims(plan.claims));
+  const skipped = claimBeforeRun(tests, new TestClaims(plan.claims));
   post({ kind: 'loaded', declared, selected: tests.map((test) => test.fullTitle()) });
   const runner = mocha.run(() => post({ kind: 'done' }));
-  const tell = (test: Mocha.Runnable, error: string | null): void =>
+  const report = (test: Mocha.Runnable, error: string | null): void =>
     post({
       kind: 'result',
       result: { title: test.fullTitle(), error, isTest: (test as { type?: string }).type === 'test' },
       durationMs: test.duration ?? 0,
     });
   runner.on('pass', (test) => {
-    if (!left.has(test)) tell(test, null);
+    if (!skipped.has(test)) report(test, null);
   });
-  runner.on('fail', (test, cause: unknown) => tell(test, failureText.of(cause)));
+  runner.on('fail', (test, cause: unknown) => report(test, failureText.of(cause)));
 };
 
-const readArguments = (): { wanted: string; slowest: number } => {
+const readArguments = (): { pathPart: string; slowest: number } => {
   const { positionals, values } = parseArgs({ allowPositionals: true, options: { slowest: { type: 'string' } } });
   const slowest = Number(values.slowest ?? 0);
   if (!Number.isInteger(slowest) || slowest < 0) throw new Error('--slowest: must be a whole number of 0 or more');
-  return { wanted: positionals[0] ?? '', slowest };
+  return { pathPart: positionals[0] ?? '', slowest };
 };
 
 const launch = async (): Promise<void> => {
-  const { wanted, slowest } = readArguments();
+  const { pathPart, slowest } = readArguments();
   const timed: TimedTest[] = [];
   const results: TestResult[] = [];
   let selected: readonly string[] = [];
   let declared: readonly string[] = [];
-  const count = Math.max(1, Math.min(mostWorkers, availableParallelism()));
+  const count = Math.max(1, Math.min(maxWorkers, availableParallelism()));
   const claims = TestClaims.createMemory();
   const listing = knownFailures.parse(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '');
   const listed = new Set(listing.entries.map((entry) => entry.title));
-  const take = (result: TestResult, durationMs: number): void => {
+  const record = (result: TestResult, durationMs: number): void => {
     results.push(result);
     if (result.isTest) timed.push({ title: result.title, durationMs });
-    const sign = result.error === null ? 'ok    ' : result.isTest && listed.has(result.title) ? 'known red' : 'FAILED';
-    process.stdout.write(`${sign} ${result.title} (${durationMs} ms)\n`);
+    const label = result.error === null ? 'ok    ' : result.isTest && listed.has(result.title) ? 'known red' : 'FAILED';
+    process.stdout.write(`${label} ${result.title} (${durationMs} ms)\n`);
   };
-  const work = (at: number): Promise<void> =>
+  const startWorker = (at: number): Promise<void> =>
     new Promise((done) => {
       const worker = new Worker(new URL(import.meta.url), {
-        workerData: { wanted, claims } satisfies WorkerPlan,
+        workerData: { pathPart, claims } satisfies WorkerPlan,
       });
       worker.on('message', (message: Message) => {
         if (message.kind === 'done') void worker.terminate();
-        else if (message.kind === 'result') take(message.result, message.durationMs);
+        else if (message.kind === 'result') record(message.result, message.durationMs);
         else {
           declared = message.declared;
           selected = message.selected;
         }
       });
-      worker.on('error', (cause) => take({ title: `part ${at}`, error: failureText.of(cause), isTest: false }, 0));
+      worker.on('error', (cause) => record({ title: `worker ${at}`, error: failureText.of(cause), isTest: false }, 0));
       worker.on('exit', () => done());
     });
-  await Promise.all(Array.from({ length: count }, (_, at) => work(at)));
+  await Promise.all(Array.from({ length: count }, (_, at) => startWorker(at)));
   const verdict = knownFailures.evaluate(listing, { results, declared, selected });
   if (slowest > 0) process.stdout.write(`\n${slowestTests.lines(timed, slowest).join('\n')}\n`);
   process.stdout.write(`${knownFailures.lines(verdict).join('\n')}\n`, () => process.exit(verdict.isPassing ? 0 : 1));
--- a/packages/test-fleet/src/runner/slowestTests.ts
+++ b/packages/test-fleet/src/runner/slowestTests.ts
@@ -1,12 +1,12 @@
-/** The lines of a test run that name its slowest tests. */
+/** Reports the slowest tests of a run. */
 
-/** A test and the wall-clock time that it took, which grows with whatever else the machine runs. */
+/** A test and its wall-clock time, which also depends on the other load of the machine. */
 export interface TimedTest {
   readonly title: string;
   readonly durationMs: number;
 }
 
-/** The `count` slowest tests, slowest first, a line each, after a line with the sum over all tests. */
+/** Returns a line with the total time of all tests, then a line for each of the `count` slowest tests, slowest first. */
 const lines = (tests: readonly TimedTest[], count: number): string[] => {
   const totalMs = tests.reduce((sum, { durationMs }) => sum + durationMs, 0);
   const slowest = [...tests].sort((a, b) => b.durationMs - a.durationMs).slice(0, count);
@@ -16,5 +16,5 @@
   ];
 };
 
-/** The report of the slowest tests. */
+/** `lines` formats the report. */
 export const slowestTests = { lines };
--- a/packages/test-fleet/src/runner/testClaims.ts
+++ b/packages/test-fleet/src/runner/testClaims.ts
@@ -1,28 +1,28 @@
-/** Shares the tests of a run out among worker threads: each test goes to the first worker that is free for it. */
+/** Distributes the tests of a run over worker threads: each test runs in the first worker that claims it. */
 
-/** The most tests that one run can share out. */
-const capacity = 65_536;
+/** The maximum number of tests of one run. */
+const maxTests = 65_536;
 
-/** The claims of one worker on the tests of the run, by their position in the order of declaration. */
+/** One worker's view of the claims on the tests of a run, by position in declaration order. */
 export class TestClaims {
   private readonly claimed: Uint8Array;
 
-  /** @param memory the claims of all workers of the run, from {@link TestClaims.createMemory} */
+  /** @param memory the claims of all workers, from {@link TestClaims.createMemory} */
   constructor(memory: SharedArrayBuffer) {
     this.claimed = new Uint8Array(memory);
   }
 
-  /** Memory for the claims of one run, to be handed to each of its workers. */
-  static readonly createMemory = (): SharedArrayBuffer => new SharedArrayBuffer(capacity);
+  /** Allocates the memory for the claims of one run, to be passed to each of its workers. */
+  static readonly createMemory = (): SharedArrayBuffer => new SharedArrayBuffer(maxTests);
 
   /**
-   * Claims a test; true for one worker alone.
+   * Claims a test; returns true for exactly one worker.
    *
-   * @throws RangeError if the run has more tests than can be shared out
+   * @throws RangeError if the position is beyond the maximum number of tests
    */
   readonly claim = (position: number): boolean => {
     if (position >= this.claimed.length)
-      throw new RangeError(`no more than ${this.claimed.length} tests can be shared out`);
+      throw new RangeError(`test position ${position} exceeds the maximum of ${this.claimed.length} tests`);
     return Atomics.compareExchange(this.claimed, position, 0, 1) === 0;
   };
 }
--- a/packages/test-fleet/src/runner/testLength.ts
+++ b/packages/test-fleet/src/runner/testLength.ts
@@ -1,22 +1,21 @@
-/** Parts the seeds of a test between every run of `npm test` and the long run, `npm run test:long`. */
+/** Selects which seeds of a test run in `npm test`, and which only in the long run, `npm run test:long`. */
 
-/** The environment variable that asks for the long run; `npm run test:long` sets it to `1`. */
+/** The environment variable that enables the long run; `npm run test:long` sets it to `1`. */
 const longRunVariable = 'MARTENWORKS_TEST_LONG';
 
 /** The seeds of one property. */
 interface SeedRanges {
-  /** Run by every `npm test`: several seeds, and one that finds each deliberate break. */
+  /** Run by every `npm test`: several seeds, among them one that detects each injected defect. */
   readonly always: readonly number[];
-  /** Run besides by the long run alone. */
+  /** Run in addition by the long run only. */
   readonly longRun: readonly number[];
 }
 
-/** Whether the environment asks for the long run. */
 const isLong = (environment: NodeJS.ProcessEnv): boolean => environment[longRunVariable] === '1';
 
-/** The seeds to run now: those of every run, and in the long run the others after them. */
+/** Returns the seeds to run: `always`, followed by `longRun` in the long run. */
 const seeds = ({ always, longRun }: SeedRanges, environment: NodeJS.ProcessEnv = process.env): readonly number[] =>
   isLong(environment) ? [...always, ...longRun] : always;
 
-/** The choice of seeds by the length of the run. */
+/** `seeds` selects the seeds of a test for the current run. */
 export const testLength = { seeds };
--- a/packages/test-fleet/test/failureText.test.ts
+++ b/packages/test-fleet/test/failureText.test.ts
@@ -11,12 +11,12 @@
   throw new Error('nothing was thrown');
 };
 
-describe('the text of a failed test', () => {
-  it('given an error, when it is printed, then its stack is', () => {
+describe('failure text', () => {
+  it('given an error, when it is formatted, then the text is its stack', () => {
     expect(failureText.of(new Error('too late'))).to.match(/^Error: too late\n\s+at /);
   });
 
-  it('given the value that a failed unwrapping throws, when it is printed, then its fields are', () => {
+  it('given the value that a failed _unsafeUnwrap throws, when it is formatted, then the text has its fields', () => {
     const cause = thrownBy(() => err({ kind: 'settings', code: 'unknown-key' })._unsafeUnwrap());
     expect(failureText.of(cause)).to.include('unknown-key');
   });
--- a/packages/test-fleet/test/slowestTests.test.ts
+++ b/packages/test-fleet/test/slowestTests.test.ts
@@ -8,7 +8,7 @@
 ];
 
 describe('the slowest tests', () => {
-  it('given a run, when its two slowest tests are asked for, then they come slowest first under the sum of all', () => {
+  it('given three tests, when the two slowest are requested, then they follow the total time of all tests, slowest first', () => {
     expect(slowestTests.lines(tests, 2)).to.deep.equal([
       'slowest 2 of 3 tests, which took 12805 ms together',
       '   12000 ms  slow',
@@ -16,7 +16,7 @@
     ]);
   });
 
-  it('given fewer tests than asked for, when they are listed, then all are', () => {
+  it('given fewer tests than requested, when the report is formatted, then it lists all of them', () => {
     expect(slowestTests.lines(tests, 20)).to.have.length(4);
     expect(slowestTests.lines([], 20)).to.deep.equal(['slowest 0 of 0 tests, which took 0 ms together']);
   });
--- a/packages/test-fleet/test/testClaims.test.ts
+++ b/packages/test-fleet/test/testClaims.test.ts
@@ -22,8 +22,8 @@
     worker.once('error', fail);
   });
 
-describe('tests shared out among workers', () => {
-  it('given a run, when two workers claim a test, then the first has it alone, and another run is not affected', () => {
+describe('test claims', () => {
+  it('given a run, when two workers claim the same test, then only the first claim succeeds, and another run is not affected', () => {
     const memory = TestClaims.createMemory();
     const [first, second] = [new TestClaims(memory), new TestClaims(memory)];
     expect([first.claim(3), second.claim(3), first.claim(3)]).to.deep.equal([true, false, false]);
@@ -31,14 +31,14 @@
     expect(new TestClaims(TestClaims.createMemory()).claim(3)).to.equal(true);
   });
 
-  it('given worker threads that claim every test at once, when all are done, then each test was claimed by exactly one', async () => {
+  it('given worker threads that claim all tests concurrently, when all threads finish, then each test was claimed by exactly one of them', async () => {
     const memory = TestClaims.createMemory();
     const claimed = await Promise.all(Array.from({ length: workerCount }, () => claimedBy(memory)));
     const positions = claimed.flat().sort((a, b) => a - b);
     expect(positions).to.deep.equal(Array.from({ length: testCount }, (_, position) => position));
   });
 
-  it('given more tests than a run can share out, when the next is claimed, then that is an error and not a test left out', () => {
+  it('given a position beyond the maximum number of tests, when it is claimed, then a RangeError is thrown rather than the test skipped', () => {
     const claims = new TestClaims(TestClaims.createMemory());
     expect(() => claims.claim(65_536)).to.throw(RangeError);
   });
