--- a/packages/test-fleet/src/capacity/curveFit.ts
+++ b/packages/test-fleet/src/capacity/curveFit.ts
@@ -1,6 +1,6 @@
-/** Fits measured points to a line, and forecasts a size that was not measured. */
+/** Fits measured points to a line, and forecasts the value at a size that was not measured. */
 
-/** The values that were measured at one size. */
+/** The values measured at one size, `x`. */
 export interface Point {
   readonly x: number;
   readonly values: readonly number[];
@@ -17,9 +17,11 @@
   readonly shape: Shape;
 }
 
-const flatShare = 0.25;
-const leastR2 = 0.97;
-const worstTopMiss = 0.15;
+/** The widest range of a flat series, as a share of its mean. */
+const maxFlatRange = 0.25;
+const minR2 = 0.97;
+/** The largest error of the line at the last point, as a share of the value there. */
+const maxLastPointError = 0.15;
 
 const median = (values: readonly number[]): number => {
   const sorted = [...values].sort((a, b) => a - b);
@@ -40,8 +42,8 @@
   const slope = sxx === 0 ? 0 : sxy / sxx;
   const intercept = meanY - slope * meanX;
   const total = pairs.reduce((sum, [, y]) => sum + (y - meanY) ** 2, 0);
-  const left = pairs.reduce((sum, [x, y]) => sum + (y - intercept - slope * x) ** 2, 0);
-  return { slope, intercept, r2: total === 0 ? 1 : 1 - left / total };
+  const residual = pairs.reduce((sum, [x, y]) => sum + (y - intercept - slope * x) ** 2, 0);
+  return { slope, intercept, r2: total === 0 ? 1 : 1 - residual / total };
 };
 
 const spreadOf = ({ values }: Point): number => {
@@ -56,13 +58,13 @@
   const exponent = top.length < 2 ? 1 : leastSquares(top.map(([x, y]) => [Math.log(x), Math.log(y)])).slope;
   const ys = medians.map(([, y]) => y);
   const mean = ys.reduce((sum, y) => sum + y, 0) / ys.length;
-  const isFlat = Math.max(...ys) - Math.min(...ys) <= flatShare * Math.abs(mean);
+  const isFlat = Math.max(...ys) - Math.min(...ys) <= maxFlatRange * Math.abs(mean);
   const last = medians[medians.length - 1];
-  const topMiss =
+  const lastPointError =
     last === undefined || last[1] === 0
       ? 0
       : Math.abs(line.intercept + line.slope * last[0] - last[1]) / Math.abs(last[1]);
-  const isLine = line.r2 >= leastR2 && topMiss <= worstTopMiss;
+  const isLine = line.r2 >= minR2 && lastPointError <= maxLastPointError;
   return {
     ...line,
     exponent,
@@ -76,17 +78,17 @@
   readonly how: 'measured' | 'interpolated' | 'extrapolated';
 }
 
-const forecast = (points: readonly Point[], found: Fit, target: number): Forecast => {
+const forecast = (points: readonly Point[], fitted: Fit, target: number): Forecast => {
   const at = points.find(({ x }) => x === target);
   if (at !== undefined) return { value: median(at.values), how: 'measured' };
   const xs = points.map(({ x }) => x);
   const how = target < Math.max(...xs) && target > Math.min(...xs) ? 'interpolated' : 'extrapolated';
   const last = points[points.length - 1];
   if (last === undefined) return { value: Number.NaN, how };
-  if (found.shape === 'flat') return { value: median(points.map(({ values }) => median(values))), how };
-  if (found.shape === 'line') return { value: found.intercept + found.slope * target, how };
-  return { value: median(last.values) * (target / last.x) ** found.exponent, how };
+  if (fitted.shape === 'flat') return { value: median(points.map(({ values }) => median(values))), how };
+  if (fitted.shape === 'line') return { value: fitted.intercept + fitted.slope * target, how };
+  return { value: median(last.values) * (target / last.x) ** fitted.exponent, how };
 };
 
-/** `fit` finds line and shape, `forecast` gives the value at a size, `median` and `leastSquares` are their parts. */
+/** `fit` fits a line and classifies the shape, `forecast` gives the value at a size. */
 export const fits = { median, leastSquares, fit, forecast };
--- a/packages/test-fleet/src/capacity/estimates/assumptions.ts
+++ b/packages/test-fleet/src/capacity/estimates/assumptions.ts
@@ -3,25 +3,25 @@
 
 const secondsPerDay = 86_400;
 
-/** Shares of the traffic, and what nodes send each second without it. */
+/** Shares of the traffic, and the messages that nodes send regardless of it. */
 export const traffic = {
-  /** Requests whose prompt is long enough for a notice to all gateways. */
+  /** Share of requests whose prompt is long enough for a prefill notice to all gateways. */
   longPromptShare: 0.09,
-  /** Pings a second of one gateway to all control nodes: of the product's own API, and of the users' platform. */
+  /** Pings per second of one gateway, and of one edge, to all control nodes. */
   gatewayPingsPerSecond: fleetSize.voters * 4,
   edgePingsPerSecond: fleetSize.voters * 2,
   changesPerSecond: fleetSize.changesPerDay / secondsPerDay,
-  /** Membership exchanges whose other side is a control node. */
-  exchangesWithControlNodesShare: 0.5,
-  /** Blocks of one cached prompt prefix, which the users' platform reports as one part. */
+  /** Share of member list exchanges whose other side is a control node. */
+  controlNodeExchangeShare: 0.5,
+  /** Blocks of one cached prompt prefix, which replicas behind edges report as one part. */
   blocksPerPrefix: 208,
 };
 
-/** Notices of heavy prefills in the fleet each second: one as a long prompt begins and one as it ends. */
+/** Prefill notices in the fleet per second: one at the start and one at the end of the prefill of a long prompt. */
 export const prefillNoticesPerSecond = fleetSize.requestsPerSecond * traffic.longPromptShare * 2;
 
-/** Requests a second of one gateway. */
+/** Requests per second of one gateway or edge. */
 export const requestsPerSecondPerEdge = fleetSize.requestsPerSecond / fleetSize.nodes;
 
-/** Cache events a second where each tells of a whole chain of blocks. */
+/** Cache events per second if each event covers all blocks of a prefix. */
 export const prefixEventsPerSecond = fleetSize.eventsPerSecond / traffic.blocksPerPrefix;
--- a/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
+++ b/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
@@ -1,7 +1,7 @@
-/** One line of the capacity page: a cost in the planned fleet, worked out from measured runs. */
+/** A capacity estimate: a cost in the planned fleet, computed from measured runs. */
 import { maxFrameBytes } from '@martenworks/peer-transport';
 
-/** The most that a node may spend: milliseconds a second or until done, bytes held, a second or in one frame. */
+/** Limits per node: CPU ms per second, ms until done, and bytes in memory, per second on the network or in one frame. */
 export const budget = {
   cpuMs: 30,
   memoryBytes: 256_000_000,
@@ -11,20 +11,20 @@
   frameBytes: maxFrameBytes,
 } as const;
 
-/** Gives the forecast of a run at the planned size, or at another size of its dimension. */
+/** Returns the forecast of a run at the planned size, or at another size of its dimension. */
 export type CostOf = (run: string, at?: number) => number;
 
-/** How a cost follows from the measured runs. */
+/** A cost and the formula that computes it from measured runs. */
 export interface CapacityEstimate {
   readonly id: string;
   readonly role: string;
   readonly what: string;
   readonly unit: string;
-  /** The formula as the page shows it, with the name of each run in backquotes. */
+  /** The formula as the table shows it, with the name of each run in backquotes. */
   readonly formula: string;
-  /** The budget that it counts against, if any. */
+  /** The budget that applies to it, if any. */
   readonly budgetItem: keyof typeof budget | null;
-  /** The formula scales a run beyond what was measured. */
+  /** Set where the formula scales a run beyond the measured sizes. */
   readonly isScaled?: true;
   readonly value: (costOf: CostOf) => number;
 }
--- a/packages/test-fleet/src/capacity/estimates/gatewayEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/gatewayEstimates.ts
@@ -1,50 +1,50 @@
-/** What one gateway of the product's own API spends. */
+/** Costs of one gateway. */
 import { fleetSize } from '../fleetSize.js';
 import { prefillNoticesPerSecond, requestsPerSecondPerEdge, traffic } from './assumptions.js';
 import type { CapacityEstimate } from './capacityEstimate.js';
 
-/** In the order of the page. */
+/** In the order of the table. */
 export const gatewayEstimates: readonly CapacityEstimate[] = [
   {
     id: 'F1',
-    role: 'front',
+    role: 'gateway',
     what: 'pings with loads, both ways',
     unit: 'B/s',
     budgetItem: 'networkBytes',
-    formula: '12 a second x (`pings/ask-bytes` + `pings/pong-bytes`)',
+    formula: '12 per second x (`pings/ask-bytes` + `pings/pong-bytes`)',
     value: (costOf) => traffic.gatewayPingsPerSecond * (costOf('pings/ask-bytes') + costOf('pings/pong-bytes')),
   },
   {
     id: 'F2',
-    role: 'front',
+    role: 'gateway',
     what: 'pings with loads',
     unit: 'ms/s',
     budgetItem: 'cpuMs',
-    formula: '12 a second x `pings/front-cpu`',
+    formula: '12 per second x `pings/front-cpu`',
     value: (costOf) => (traffic.gatewayPingsPerSecond * costOf('pings/front-cpu')) / 1_000,
   },
   {
     id: 'F3',
-    role: 'front',
-    what: 'heavy-prefill notices in',
+    role: 'gateway',
+    what: 'heavy-prefill notices received',
     unit: 'B/s',
     budgetItem: 'networkBytes',
-    formula: `3 x ${prefillNoticesPerSecond} a second x \`heavy/bytes\` / 400`,
+    formula: `3 x ${prefillNoticesPerSecond} per second x \`heavy/bytes\` / 400`,
     value: (costOf) => (fleetSize.voters * prefillNoticesPerSecond * costOf('heavy/bytes')) / fleetSize.nodes,
   },
   {
     id: 'F4',
     isScaled: true,
-    role: 'front',
-    what: 'index events in',
+    role: 'gateway',
+    what: 'index events received',
     unit: 'B/s',
     budgetItem: 'networkBytes',
-    formula: '3 x 280,000 a second x `relays/bytes`',
+    formula: '3 x 280,000 per second x `relays/bytes`',
     value: (costOf) => fleetSize.voters * fleetSize.eventsPerSecond * costOf('relays/bytes'),
   },
   {
     id: 'F5',
-    role: 'front',
+    role: 'gateway',
     what: 'index events',
     unit: 'ms/s',
     budgetItem: 'cpuMs',
@@ -53,7 +53,7 @@
   },
   {
     id: 'F6',
-    role: 'front',
+    role: 'gateway',
     what: 'index',
     unit: 'B',
     budgetItem: 'memoryBytes',
@@ -62,26 +62,26 @@
   },
   {
     id: 'F7',
-    role: 'front',
-    what: 'layout pushes in',
+    role: 'gateway',
+    what: 'configuration pushes received',
     unit: 'B/s',
     budgetItem: 'networkBytes',
-    formula: '3 x 1,700 a day x `pushes/bytes`',
+    formula: '3 x 1,700 per day x `pushes/bytes`',
     value: (costOf) => fleetSize.voters * traffic.changesPerSecond * costOf('pushes/bytes'),
   },
   {
     id: 'F8',
-    role: 'front',
-    what: 'layout views',
+    role: 'gateway',
+    what: 'configuration views',
     unit: 'ms/s',
     budgetItem: 'cpuMs',
-    formula: '1,700 a day x `layout/view-isolated`',
+    formula: '1,700 per day x `layout/view-isolated`',
     value: (costOf) => traffic.changesPerSecond * costOf('layout/view-isolated'),
   },
   {
     id: 'F9',
-    role: 'front',
-    what: 'one replica record, told by three core nodes',
+    role: 'gateway',
+    what: 'one replica record, received from three control nodes',
     unit: 'ms',
     budgetItem: null,
     formula: '3 x `layout/replica-news`',
@@ -89,11 +89,11 @@
   },
   {
     id: 'F10',
-    role: 'front',
-    what: 'placing',
+    role: 'gateway',
+    what: 'placement',
     unit: 'ms/s',
     budgetItem: 'cpuMs',
-    formula: '3.75 a second x `index/place`',
+    formula: '3.75 per second x `index/place`',
     value: (costOf) => (requestsPerSecondPerEdge * costOf('index/place')) / 1_000,
   },
 ];
--- a/packages/test-fleet/src/capacity/estimates/membershipEstimates.ts
+++ b/packages/test-fleet/src/capacity/estimates/membershipEstimates.ts
@@ -1,12 +1,12 @@
-/** What membership costs any node. */
+/** Costs of cluster membership for any node. */
 import type { CapacityEstimate } from './capacityEstimate.js';
 
-/** In the order of the page. */
+/** In the order of the table. */
 export const membershipEstimates: readonly CapacityEstimate[] = [
   {
     id: 'N1',
     role: 'any node',
-    what: 'roster exchanges, one begun and one answered a second',
+    what: 'member list exchanges, one sent and one received per second',
     unit: 'B/s',
     budgetItem: 'networkBytes',
     formula: '2 x `gossip/bytes`',
@@ -15,10 +15,10 @@
   {
     id: 'N2',
     role: 'watcher',
-    what: 'beats',
+    what: 'heartbeats',
     unit: 'ms/s',
     budgetItem: 'cpuMs',
-    formula: '2 a second x `watch/beat-cpu`',
+    formula: '2 per second x `watch/beat-cpu`',
     value: (costOf) => 2 * costOf('watch/beat-cpu'),
   },
 ];
--- a/packages/test-fleet/src/capacity/measuredControlNode.ts
+++ b/packages/test-fleet/src/capacity/measuredControlNode.ts
@@ -1,4 +1,4 @@
-/** A control node's state and publisher on a real loopback address, which the probes measure. */
+/** A control node that the probes measure: its state and publisher, listening on a loopback address. */
 import type { Member, ReplicaRecord } from '@martenworks/core-types';
 import { GatewayPublisher, acceptors } from '@martenworks/control-plane';
 import type { Acceptor } from '@martenworks/control-plane';
@@ -10,7 +10,7 @@
 import { probePorts } from './probePorts.js';
 import { sampleData } from './sampleData.js';
 
-/** The parts of the node that probes drive and read. */
+/** The parts of the node that probes use. */
 export interface MeasuredControlNode {
   readonly address: string;
   readonly meter: Meter;
@@ -19,7 +19,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** What the node holds, and handlers in place of its own. */
+/** The contents of the node, and handlers that replace its own. */
 export interface ControlNodeOptions {
   readonly tenants?: number;
   readonly records?: readonly ReplicaRecord[];
@@ -27,7 +27,7 @@
   readonly prefixCaches?: () => ReturnType<PrefixIndex['snapshot']>;
 }
 
-const fewTenants = 10;
+const defaultTenantCount = 10;
 
 const memberOf = (at: number): Member => ({
   name: `postmaster-${at}`,
@@ -35,26 +35,26 @@
   incarnation: `incarnation-${String(at).padStart(5, '0')}`,
 });
 
-/** The three members that sample states name. */
+/** The three members of the sample states. */
 export const sampleMembers = [1, 2, 3].map(memberOf);
 
-const handlersOf = (acceptor: Acceptor, push: GatewayPublisher): PeerHandlers => ({
+const handlersOf = (acceptor: Acceptor, publisher: GatewayPublisher): PeerHandlers => ({
   onOpen: () => {},
-  onClose: push.unsubscribe,
+  onClose: publisher.unsubscribe,
   onMessage: (connection, topic, body) => {
     if (topic === 'subscribe')
-      push.subscribe(connection, body === null ? (acceptor.committedState()?.logIndex ?? -1) : (body as number));
-    else if (topic === 'ack') push.handleAck(connection, body as number);
+      publisher.subscribe(connection, body === null ? (acceptor.committedState()?.logIndex ?? -1) : (body as number));
+    else if (topic === 'ack') publisher.handleAck(connection, body as number);
     else if (topic === 'longPrompts')
-      push.handleLongPrompts(connection, body as Parameters<GatewayPublisher['handleLongPrompts']>[1]);
+      publisher.handleLongPrompts(connection, body as Parameters<GatewayPublisher['handleLongPrompts']>[1]);
   },
   onCall: async (connection, topic, body) =>
-    topic === 'ping' ? push.handlePing(connection, body as Parameters<GatewayPublisher['handlePing']>[1]) : null,
+    topic === 'ping' ? publisher.handlePing(connection, body as Parameters<GatewayPublisher['handlePing']>[1]) : null,
 });
 
-/** Opens a node; the caller closes it. */
+/** Opens a node, which the caller must close. */
 export const openControlNode = async (options: ControlNodeOptions = {}): Promise<MeasuredControlNode> => {
-  const { tenants = fewTenants, records = [], prefixCaches = () => [] } = options;
+  const { tenants = defaultTenantCount, records = [], prefixCaches = () => [] } = options;
   const meter = new Meter();
   const ports = probePorts(meter);
   const acceptor = (await acceptors.open(ports.disk, ports.clock, ports.random, ports.log))._unsafeUnwrap();
@@ -74,16 +74,16 @@
   return { address, meter, acceptor, publisher, close };
 };
 
-/** Runs `work` with a node and `count` peers connected to it, and closes both. */
+/** Runs `work` with a node and `count` peers connected to it, then closes both. */
 export const withConnectedNode = async <T>(
   peers: PeerProcess,
-  connected: { readonly count: number; readonly firstPeer?: number; readonly appliesUpdates?: boolean },
+  peerOptions: { readonly count: number; readonly firstPeer?: number; readonly appliesUpdates?: boolean },
   options: ControlNodeOptions,
   work: (node: MeasuredControlNode) => Promise<T>,
 ): Promise<T> => {
   const node = await openControlNode(options);
   try {
-    await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, ...connected });
+    await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, ...peerOptions });
     return await work(node);
   } finally {
     await peers.run({ verb: 'closeAll' });
--- a/packages/test-fleet/src/capacity/measuring.ts
+++ b/packages/test-fleet/src/capacity/measuring.ts
@@ -1,44 +1,44 @@
-/** Clocks and gauges of the probes. */
+/** Timers and resource measurements of the probes. */
 import type { Meter } from './meteredNet.js';
 
 const usPerMs = 1_000;
 
-/** Processor time of this process so far, in microseconds. */
+/** Returns the CPU time of this process so far, in microseconds. */
 export const cpuUs = (): number => {
   const { user, system } = process.cpuUsage();
   return user + system;
 };
 
-/** Bytes on the heap after a collection; the process must run with `--expose-gc`. */
+/** Returns the used bytes of the heap after a garbage collection; needs `--expose-gc`. */
 export const heapBytes = (): number => {
   (globalThis as { gc?: () => void }).gc?.();
   return process.memoryUsage().heapUsed;
 };
 
-/** Mean processor time of `work` in microseconds. */
+/** Returns the mean CPU time of `work` in microseconds. */
 export const meanCpuUs = (times: number, work: (at: number) => void): number => {
-  const began = cpuUs();
+  const startUs = cpuUs();
   for (let at = 0; at < times; at += 1) work(at);
-  return (cpuUs() - began) / times;
+  return (cpuUs() - startUs) / times;
 };
 
-/** Mean processor time of `work` in milliseconds. */
+/** Returns the mean CPU time of `work` in milliseconds. */
 export const meanCpuMs = (times: number, work: (at: number) => void): number => meanCpuUs(times, work) / usPerMs;
 
-/** Resolves after real milliseconds. */
-export const sleep = (ms: number): Promise<void> => new Promise((wake) => setTimeout(wake, ms));
+/** Resolves after `ms` milliseconds of wall-clock time. */
+export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Waits until the condition holds; false where it did not within `limitMs`. */
-export const until = async (isSo: () => boolean, limitMs: number, stepMs = 2): Promise<boolean> => {
-  const endAt = performance.now() + limitMs;
-  while (!isSo()) {
+/** Waits until the condition holds; resolves to false where it did not within `timeoutMs`. */
+export const until = async (condition: () => boolean, timeoutMs: number, pollMs = 2): Promise<boolean> => {
+  const endAt = performance.now() + timeoutMs;
+  while (!condition()) {
     if (performance.now() > endAt) return false;
-    await sleep(stepMs);
+    await sleep(pollMs);
   }
   return true;
 };
 
-/** What passed between two readings. */
+/** Resources used between the start of a measurement and its end. */
 export interface ResourceUsage {
   readonly cpuUs: number;
   readonly cpuMs: number;
@@ -47,22 +47,22 @@
   readonly receivedBytes: number;
 }
 
-/** Reads clock, processor time and the meter, and gives the difference when called. */
+/** Starts a measurement; the returned function gives the resources used since then. */
 export const startMeasurement = (meter: Meter = { sent: 0, received: 0 }): (() => ResourceUsage) => {
-  const [beganCpu, sent, got, beganAt] = [cpuUs(), meter.sent, meter.received, performance.now()];
+  const [startCpuUs, sentBefore, receivedBefore, startedAt] = [cpuUs(), meter.sent, meter.received, performance.now()];
   return () => {
-    const spentUs = cpuUs() - beganCpu;
+    const usedUs = cpuUs() - startCpuUs;
     return {
-      cpuUs: spentUs,
-      cpuMs: spentUs / usPerMs,
-      wallMs: performance.now() - beganAt,
-      sentBytes: meter.sent - sent,
-      receivedBytes: meter.received - got,
+      cpuUs: usedUs,
+      cpuMs: usedUs / usPerMs,
+      wallMs: performance.now() - startedAt,
+      sentBytes: meter.sent - sentBefore,
+      receivedBytes: meter.received - receivedBefore,
     };
   };
 };
 
-/** Runs `work` that many times after `warmUps` runs whose values are thrown away. */
+/** Runs `work` `warmUps` times with `isMeasured` false, then `times` times with it true. */
 export const repeat = async (
   times: number,
   warmUps: number,
@@ -71,5 +71,5 @@
   for (let at = 0; at < warmUps + times; at += 1) await work(at >= warmUps, at);
 };
 
-/** Whole numbers from 0 up to `count`. */
+/** Returns the integers from 0 to `count` - 1. */
 export const range = (count: number): number[] => Array.from({ length: count }, (_, at) => at);
--- a/packages/test-fleet/src/capacity/meteredNet.ts
+++ b/packages/test-fleet/src/capacity/meteredNet.ts
@@ -1,8 +1,8 @@
-/** Networks of the probes: real loopback connections whose bytes are counted. */
+/** The network of the probes: loopback connections whose bytes are counted. */
 import { createServer } from 'node:net';
 import type { Net, RawConnection } from '@martenworks/core-types';
 
-/** Bytes that crossed the metered connections of one probe. */
+/** Counts the bytes of the metered connections of one probe. */
 export class Meter {
   /** Bytes written. */
   sent = 0;
@@ -10,32 +10,32 @@
   received = 0;
 }
 
-/** A network whose connections add what they send and receive to the meter. */
+/** Wraps a network so that its connections add the bytes they send and receive to the meter. */
 export const metered = (net: Net, meter: Meter): Net => {
-  const over = (wire: RawConnection): RawConnection => ({
-    ...wire,
+  const withMeter = (connection: RawConnection): RawConnection => ({
+    ...connection,
     write: (bytes) => {
       meter.sent += bytes.length;
-      wire.write(bytes);
+      connection.write(bytes);
     },
     listen: (onBytes, onClose) =>
-      wire.listen((bytes) => {
+      connection.listen((bytes) => {
         meter.received += bytes.length;
         onBytes(bytes);
       }, onClose),
   });
   return {
-    dial: async (address, timeoutMs) => (await net.dial(address, timeoutMs)).map(over),
-    listen: (address, onWire) => net.listen(address, (wire) => onWire(over(wire))),
+    dial: async (address, timeoutMs) => (await net.dial(address, timeoutMs)).map(withMeter),
+    listen: (address, onConnection) => net.listen(address, (connection) => onConnection(withMeter(connection))),
   };
 };
 
-/** A loopback address whose port was free a moment ago. */
+/** Returns a loopback address with a free port; another process may still take it. */
 export const freeAddress = (): Promise<string> =>
-  new Promise((found) => {
+  new Promise((resolve) => {
     const server = createServer();
     server.listen(0, '127.0.0.1', () => {
-      const at = server.address();
-      server.close(() => found(`127.0.0.1:${at !== null && typeof at === 'object' ? at.port : 0}`));
+      const bound = server.address();
+      server.close(() => resolve(`127.0.0.1:${bound !== null && typeof bound === 'object' ? bound.port : 0}`));
     });
   });
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -1,4 +1,4 @@
-/** Works the capacity estimates out from measured runs and writes them as a table. */
+/** Evaluates the capacity estimates from measured runs and formats them as a table. */
 import { fits } from './curveFit.js';
 import { budget } from './estimates/capacityEstimate.js';
 import type { CapacityEstimate, CostOf } from './estimates/capacityEstimate.js';
@@ -11,7 +11,7 @@
 import { tables } from './table.js';
 import type { Measurement } from './table.js';
 
-/** All estimates in the order of the page. */
+/** All estimates, in the order of the table. */
 export const capacityEstimates: readonly CapacityEstimate[] = [
   ...gatewayEstimates,
   ...membershipEstimates,
@@ -22,7 +22,7 @@
 
 type Status = 'runs today and measured' | 'modelled from a slope' | 'not built';
 
-/** An estimate with its value at the planned size; NaN where a run is missing. */
+/** An estimate with its value at the planned size, which is NaN where a run is missing. */
 interface EvaluatedEstimate {
   readonly id: string;
   readonly value: number;
@@ -40,7 +40,7 @@
 };
 
 const runsIn = ({ formula }: CapacityEstimate): string[] =>
-  [...formula.matchAll(/`([a-z-]+\/[a-z-]+)`/g)].map((found) => found[1] as string);
+  [...formula.matchAll(/`([a-z-]+\/[a-z-]+)`/g)].map((match) => match[1] as string);
 
 const evaluate = (measured: readonly Measurement[]): EvaluatedEstimate[] => {
   const byRun = new Map(measured.map((one) => [one.run, one]));
@@ -72,11 +72,11 @@
 const markdown = (measured: readonly Measurement[]): string => {
   const evaluated = new Map(evaluate(measured).map((one) => [one.id, one]));
   return [
-    '| line | role | what | at the size | from | budget | status |',
+    '| estimate | role | cost | at the planned size | formula | budget | status |',
     '|---|---|---|---|---|---|---|',
     ...capacityEstimates.map((estimate) => row(estimate, evaluated.get(estimate.id))),
   ].join('\n');
 };
 
-/** `evaluate` works all estimates out, `runsIn` names the runs of one, `markdown` writes the table. */
+/** `evaluate` computes all estimates, `runsIn` returns the runs in a formula, `markdown` formats the table. */
 export const capacityModel = { evaluate, runsIn, markdown, runningPerEdge };
--- a/packages/test-fleet/src/capacity/peerCommands.ts
+++ b/packages/test-fleet/src/capacity/peerCommands.ts
@@ -1,16 +1,16 @@
-/** The messages between a probe and the process that plays the peers of the measured node. */
+/** The commands and replies between a probe and the process that emulates the peers of the measured node. */
 
 /** The load that each ping of a gateway reports. */
 export interface ReportedLoad {
-  /** Requests that run through the gateway. */
+  /** Requests in flight through the gateway. */
   readonly running: number;
-  /** Replicas that they run on. */
+  /** The number of replicas that they are spread over. */
   readonly replicas: number;
 }
 
-/** What the peer process is told to do, one command at a time. */
+/** A command to the peer process, which runs one at a time. */
 export type PeerCommand =
-  /** Opens `count` connections; with `isReal` the first takes index and replica messages as a gateway does. */
+  /** Opens `count` connections; with `appliesUpdates` they apply index and replica messages as a gateway does. */
   | {
       readonly verb: 'dial';
       readonly address: string;
@@ -20,26 +20,26 @@
     }
   /** Sends one message on every connection. */
   | { readonly verb: 'send'; readonly topic: string; readonly body?: unknown }
-  /** Sends pings round the connections, with the body given or else with the load as body. */
+  /** Sends `count` pings, spread over the connections, with this body or with the load as body. */
   | { readonly verb: 'ping'; readonly count: number; readonly body: unknown }
   | { readonly verb: 'pingWithLoad'; readonly count: number; readonly load: ReportedLoad }
-  /** Sends one heavy-prefill notice and waits until all other connections were told of it. */
+  /** Sends one heavy-prefill notice and waits until it has reached all other connections. */
   | { readonly verb: 'heavyPrefill'; readonly load: ReportedLoad }
-  /** Claims `count` idempotency keys, `width` at once. */
+  /** Claims `count` idempotency keys, `concurrency` at a time. */
   | { readonly verb: 'claim'; readonly count: number; readonly concurrency: number; readonly firstKey: number }
-  /** Asks on the first connection, one after the other. */
+  /** Makes `count` calls on the first connection, one after the other. */
   | { readonly verb: 'call'; readonly count: number; readonly topic: string; readonly body: unknown }
   | { readonly verb: 'readCounters' }
   | { readonly verb: 'closeAll' };
 
-/** The cost of one ping to the peer process: processor microseconds, and bytes both ways. */
+/** The cost of one ping to the peer process. */
 export interface PingCost {
   readonly cpuUs: number;
   readonly receivedBytes: number;
   readonly sentBytes: number;
 }
 
-/** Counted since the connections were opened; bytes and processor microseconds since the process began. */
+/** Messages and closed connections since `closeAll`; bytes and CPU microseconds since the process started. */
 export interface PeerCounters {
   readonly loadMessages: number;
   /** Connections that the measured node closed. */
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -1,4 +1,4 @@
-/** The child process that plays the peers of a measured node: many connections that answer and count, and do no more. */
+/** The child process that emulates the peers of a measured node: connections that acknowledge and count messages. */
 import { logs, machine } from '@martenworks/core-types';
 import type { KvCacheEvent, Loads, Pong, ReplicaRecord, EdgeStateMessage } from '@martenworks/core-types';
 import { StateView, ReplicaTracker } from '@martenworks/gateway';
@@ -82,13 +82,13 @@
 };
 
 const ping = async (count: number, bodies: readonly unknown[], onPong: (pong: unknown) => void): Promise<PingCost> => {
-  const spent = startMeasurement(meter);
+  const usage = startMeasurement(meter);
   await runConcurrently(count, maxConcurrentPings, async (at) => {
     const index = at % connections.length;
     const pong = await (connections[index] as PeerConnection).call('ping', bodies[index], timeoutMs);
     if (pong.isOk()) onPong(pong.value);
   });
-  const { cpuUs: us, receivedBytes, sentBytes } = spent();
+  const { cpuUs: us, receivedBytes, sentBytes } = usage();
   return { cpuUs: us / count, receivedBytes: receivedBytes / count, sentBytes: sentBytes / count };
 };
 
--- a/packages/test-fleet/src/capacity/plot.ts
+++ b/packages/test-fleet/src/capacity/plot.ts
@@ -1,4 +1,4 @@
-/** Draws measured series as small panels of one SVG picture. */
+/** Draws measured series as small panels of one SVG image. */
 import { fits } from './curveFit.js';
 import { tables } from './table.js';
 import type { Measurement } from './table.js';
@@ -8,31 +8,31 @@
 const columns = 3;
 const margin = { left: 52, right: 12, top: 34, bottom: 30 };
 
-const escaped = (text: string): string =>
-  text.replace(/[&<>]/g, (sign) => (sign === '&' ? '&amp;' : sign === '<' ? '&lt;' : '&gt;'));
+const escapeXml = (text: string): string =>
+  text.replace(/[&<>]/g, (char) => (char === '&' ? '&amp;' : char === '<' ? '&lt;' : '&gt;'));
 
 const panel = (one: Measurement, at: number): string => {
   const [left, top] = [(at % columns) * width, Math.floor(at / columns) * height];
-  const found = fits.fit(one.points);
+  const fitted = fits.fit(one.points);
   const xs = one.points.map(({ x }) => x);
   const [lowX, highX] = [Math.min(...xs), Math.max(...xs)];
   const highY = Math.max(...one.points.flatMap(({ values }) => values)) || 1;
-  const across = (x: number): number =>
+  const toX = (x: number): number =>
     left + margin.left + ((x - lowX) / (highX - lowX || 1)) * (width - margin.left - margin.right);
-  const down = (y: number): number =>
+  const toY = (y: number): number =>
     top + height - margin.bottom - (Math.max(0, Math.min(y, highY)) / highY) * (height - margin.top - margin.bottom);
-  const line = (x: number): string => `${across(x).toFixed(1)},${down(found.intercept + found.slope * x).toFixed(1)}`;
-  const text = (x: number, y: number, anchor: string, told: string): string =>
-    `<text x="${x}" y="${y}" text-anchor="${anchor}">${escaped(told)}</text>`;
+  const line = (x: number): string => `${toX(x).toFixed(1)},${toY(fitted.intercept + fitted.slope * x).toFixed(1)}`;
+  const text = (x: number, y: number, anchor: string, content: string): string =>
+    `<text x="${x}" y="${y}" text-anchor="${anchor}">${escapeXml(content)}</text>`;
   return [
     `<path d="M${left + margin.left},${top + margin.top}V${top + height - margin.bottom}H${left + width - margin.right}" class="axis"/>`,
-    `<path d="M${line(lowX)}L${line(highX)}" class="${found.shape === 'not a line' ? 'bent' : 'fit'}"/>`,
-    `<path d="${one.points.map(({ x, values }) => `M${across(x).toFixed(1)},${down(Math.min(...values)).toFixed(1)}V${down(Math.max(...values)).toFixed(1)}`).join('')}" class="range"/>`,
+    `<path d="M${line(lowX)}L${line(highX)}" class="${fitted.shape === 'not a line' ? 'bent' : 'fit'}"/>`,
+    `<path d="${one.points.map(({ x, values }) => `M${toX(x).toFixed(1)},${toY(Math.min(...values)).toFixed(1)}V${toY(Math.max(...values)).toFixed(1)}`).join('')}" class="range"/>`,
     ...one.points.map(
-      ({ x, values }) => `<circle cx="${across(x).toFixed(1)}" cy="${down(fits.median(values)).toFixed(1)}" r="2"/>`,
+      ({ x, values }) => `<circle cx="${toX(x).toFixed(1)}" cy="${toY(fits.median(values)).toFixed(1)}" r="2"/>`,
     ),
     text(left + 6, top + 14, 'start', one.run),
-    text(left + 6, top + 26, 'start', `${one.unit}, ${found.shape}`),
+    text(left + 6, top + 26, 'start', `${one.unit}, ${fitted.shape}`),
     text(left + margin.left - 4, top + margin.top + 8, 'end', tables.figure(highY)),
     text(left + margin.left, top + height - 16, 'middle', tables.figure(lowX)),
     text(left + width - margin.right, top + height - 16, 'end', tables.figure(highX)),
@@ -47,5 +47,5 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${columns * width} ${rows * height}"><style>${style}</style><rect width="100%" height="100%" fill="#fff"/>\n${all.map(panel).join('\n')}\n</svg>\n`;
 };
 
-/** `svg` gives the picture, three panels a row. */
+/** `svg` returns the image, three panels per row. */
 export const plots = { svg };
--- a/packages/test-fleet/src/capacity/probePorts.ts
+++ b/packages/test-fleet/src/capacity/probePorts.ts
@@ -1,4 +1,4 @@
-/** The ports that measured parts run on: the machine's clock, metered connections and a temporary disk. */
+/** The ports of measured components: the machine's clock, metered connections and a temporary disk. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -9,7 +9,7 @@
 
 const folders: string[] = [];
 
-/** A new folder of its own, removed when the process ends. */
+/** Returns a disk in a new temporary folder, which is removed when the process exits. */
 export const temporaryDisk = (): Disk => {
   const folder = mkdtempSync(join(tmpdir(), 'capacity-'));
   folders.push(folder);
@@ -20,13 +20,16 @@
   for (const folder of folders) rmSync(folder, { recursive: true, force: true });
 });
 
-/** Ports of a node of which only clock, network and disk are used. */
+/** Returns ports of which only the clock, network and disk work. */
 export const probePorts = (meter: Meter): Ports => ({
   clock: machine.clock,
   random: machine.random,
   net: metered(machine.net(null), meter),
-  httpServer: { open: async () => Promise.reject(new Error('no door')) },
-  httpClient: { send: async () => Promise.reject(new Error('no carriage')), close: async () => {} },
+  httpServer: { open: async () => Promise.reject(new Error('HTTP server not available in probes')) },
+  httpClient: {
+    send: async () => Promise.reject(new Error('HTTP client not available in probes')),
+    close: async () => {},
+  },
   disk: temporaryDisk(),
   log: logs.silent(),
 });
--- a/packages/test-fleet/src/capacity/probeProcess.ts
+++ b/packages/test-fleet/src/capacity/probeProcess.ts
@@ -1,8 +1,8 @@
-/** The child process of one probe: `probeProcess NAME` sends the measurements to its parent and ends. */
+/** The child process of one probe: `probeProcess NAME` sends the measurements to its parent process and exits. */
 import { probes } from './probes.js';
 import type { Measurement } from './table.js';
 
-/** What the probe's process sends: the measurements, and the most memory that it held. */
+/** The message that the probe process sends: the measurements, and its peak resident memory. */
 export interface ProbeOutcome {
   readonly measured: readonly Measurement[];
   readonly peakBytes: number;
--- a/packages/test-fleet/src/capacity/probes.ts
+++ b/packages/test-fleet/src/capacity/probes.ts
@@ -16,7 +16,7 @@
 import { routePlacementProbe } from './probes/routePlacement.js';
 import { routePushProbe } from './probes/routePush.js';
 
-/** The first four are of the users' platform, the rest of the product's own API. */
+/** The first four measure edges and their control nodes, the others gateways and theirs. */
 export const probes: readonly Probe[] = [
   routePushProbe,
   routeIndexProbe,
--- a/packages/test-fleet/src/capacity/probes/ballots.ts
+++ b/packages/test-fleet/src/capacity/probes/ballots.ts
@@ -1,4 +1,4 @@
-/** Consensus: changes decided by three members that keep their logs on disk. */
+/** Consensus: changes committed by three members with logs on disk. */
 import { ok } from 'neverthrow';
 import type { Change, Member, Ports } from '@martenworks/core-types';
 import { Proposer, acceptors } from '@martenworks/control-plane';
@@ -14,7 +14,7 @@
 import type { Probe } from './probe.js';
 
 const repeats = 3;
-const changesARepeat = 4;
+const changesPerRepeat = 4;
 const timeoutMs = 5_000;
 
 const defineAll = () =>
@@ -30,7 +30,7 @@
   readonly close: () => Promise<void>;
 }
 
-const answerOf = (acceptor: Acceptor, topic: string, body: unknown): unknown => {
+const respond = (acceptor: Acceptor, topic: string, body: unknown): unknown => {
   const { slot, ballot, change } = (body ?? {}) as { slot: number; ballot: Ballot; change: Change };
   if (topic === 'prepare') return acceptor.prepare(slot, ballot);
   if (topic === 'accept') return acceptor.accept(slot, ballot, change);
@@ -45,7 +45,7 @@
     onOpen: () => {},
     onClose: () => {},
     onMessage: (_connection, topic, body) => void (topic === 'committed' && acceptor.commit(body as CommittedChange)),
-    onCall: async (_connection, topic, body) => answerOf(acceptor, topic, body),
+    onCall: async (_connection, topic, body) => respond(acceptor, topic, body),
   };
   const hello = sampleData.helloOf('control', at, address);
   const listener = (
@@ -64,18 +64,23 @@
 type Connections = ReadonlyMap<string, PeerConnection>;
 
 const connect = async (ports: Ports, own: MemberNode, others: readonly MemberNode[]): Promise<Connections> => {
-  const quiet: PeerHandlers = { onOpen: () => {}, onClose: () => {}, onMessage: () => {}, onCall: async () => null };
+  const noHandlers: PeerHandlers = {
+    onOpen: () => {},
+    onClose: () => {},
+    onMessage: () => {},
+    onCall: async () => null,
+  };
   const hello = sampleData.helloOf('control', 0, own.member.address);
   const connections = new Map<string, PeerConnection>();
   for (const { member } of others) {
-    const dialed = await peerConnections.dial(ports.net, ports.clock, ports.log, hello, member.address, quiet);
+    const dialed = await peerConnections.dial(ports.net, ports.clock, ports.log, hello, member.address, noHandlers);
     connections.set(member.incarnation, dialed._unsafeUnwrap());
   }
   return connections;
 };
 
 const proposerOf = (ports: Ports, own: Acceptor, connections: Connections): Proposer => {
-  const ask = async <T>(member: Member, topic: string, body: unknown): Promise<T | null> => {
+  const call = async <T>(member: Member, topic: string, body: unknown): Promise<T | null> => {
     const connection = connections.get(member.incarnation) as PeerConnection;
     return (await connection.call(topic, body, timeoutMs)).unwrapOr(null) as T | null;
   };
@@ -84,15 +89,15 @@
     own,
     {
       prepare: (member, slot, ballot) =>
-        isOwn(member) ? own.prepare(slot, ballot) : ask<Vote>(member, 'prepare', { slot, ballot }),
+        isOwn(member) ? own.prepare(slot, ballot) : call<Vote>(member, 'prepare', { slot, ballot }),
       accept: (member, slot, ballot, change) =>
-        isOwn(member) ? own.accept(slot, ballot, change) : ask<Vote>(member, 'accept', { slot, ballot, change }),
-      position: (member) => ask<Position>(member, 'position', null),
+        isOwn(member) ? own.accept(slot, ballot, change) : call<Vote>(member, 'accept', { slot, ballot, change }),
+      position: (member) => call<Position>(member, 'position', null),
       broadcastCommit: (committed) => {
         for (const connection of connections.values()) connection.send('committed', committed);
       },
       logSuffixAfter: (member, logIndex) =>
-        isOwn(member) ? Promise.resolve(own.logSuffixAfter(logIndex)) : ask<LogSuffix>(member, 'since', logIndex),
+        isOwn(member) ? Promise.resolve(own.logSuffixAfter(logIndex)) : call<LogSuffix>(member, 'since', logIndex),
       bringUpToDate: async () => {},
     },
     ports.clock,
@@ -108,7 +113,7 @@
     configVersion.toString(16).padStart(32, '0'),
     timeoutMs,
   );
-  if (outcome.isErr()) throw new Error(`a change was not decided: ${JSON.stringify(outcome.error)}`);
+  if (outcome.isErr()) throw new Error(`a change was not committed: ${JSON.stringify(outcome.error)}`);
 };
 
 const measureTenants = async (series: ReturnType<typeof defineAll>, tenants: number): Promise<void> => {
@@ -121,23 +126,23 @@
   const ports = probePorts(meter);
   const connections = await connect(ports, own, others);
   const proposer = proposerOf(ports, own.acceptor, connections);
-  const isSettled = (): boolean =>
+  const isCommittedEverywhere = (): boolean =>
     nodes.every(({ acceptor }) => acceptor.committedState()?.logIndex === own.acceptor.committedState()?.logIndex);
   await repeat(repeats, 1, async (isMeasured, round) => {
-    const spent = startMeasurement(meter);
-    for (const at of range(changesARepeat)) await propose(proposer, tenants, round * changesARepeat + at + 1);
+    const usage = startMeasurement(meter);
+    for (const at of range(changesPerRepeat)) await propose(proposer, tenants, round * changesPerRepeat + at + 1);
     if (!isMeasured) return;
-    series.wall.add(tenants, spent().wallMs / changesARepeat);
-    await until(isSettled, timeoutMs);
-    const { cpuMs, sentBytes } = spent();
-    series.cpu.add(tenants, cpuMs / changesARepeat / fleetSize.voters);
-    series.bytes.add(tenants, sentBytes / changesARepeat);
+    series.wall.add(tenants, usage().wallMs / changesPerRepeat);
+    await until(isCommittedEverywhere, timeoutMs);
+    const { cpuMs, sentBytes } = usage();
+    series.cpu.add(tenants, cpuMs / changesPerRepeat / fleetSize.voters);
+    series.bytes.add(tenants, sentBytes / changesPerRepeat);
   });
   for (const connection of connections.values()) connection.close();
   for (const node of nodes) await node.close();
 };
 
-/** Measures decisions by the tenants in the state. */
+/** Measures commits by the number of tenants in the state. */
 export const ballotsProbe: Probe = {
   name: 'ballots',
   measure: async () => {
--- a/packages/test-fleet/src/capacity/probes/claims.ts
+++ b/packages/test-fleet/src/capacity/probes/claims.ts
@@ -12,9 +12,9 @@
 import { defineSeries, measurementsOf } from '../series.js';
 import type { Probe } from './probe.js';
 
-const widths = [10, 50, 200, 500, 1_500];
-const heldCounts = [10_000, 30_000, 60_000, 100_000];
-const acceptedAtOnce = 5_000;
+const concurrencies = [10, 50, 200, 500, 1_500];
+const storedCounts = [10_000, 30_000, 60_000, 100_000];
+const acceptBatchSize = 5_000;
 const retentionMs = 3_600_000;
 const connectionCount = 8;
 const repeats = 3;
@@ -36,7 +36,7 @@
   return (await claimTables.open(disk, clock, log, retentionMs))._unsafeUnwrap();
 };
 
-const answering =
+const callHandler =
   (table: Table): PeerHandlers['onCall'] =>
   async (_connection, topic, body) => {
     const { key, turn, ballot, claimant } = body as {
@@ -48,26 +48,31 @@
     return topic === 'claimPrepare' ? table.prepare(key, turn, ballot) : table.accept(key, turn, ballot, claimant);
   };
 
-/** @param from the first number of keys that were not used before; the next free one is returned */
-const measureWidth = async (peers: PeerProcess, series: ClaimSeries, width: number, from: number): Promise<number> => {
+/** Measures claims with key numbers from `from`, which must be unused; returns the next unused number. */
+const measureConcurrency = async (
+  peers: PeerProcess,
+  series: ClaimSeries,
+  concurrency: number,
+  from: number,
+): Promise<number> => {
   const table = await openTable();
-  const count = Math.max(100, Math.min(3_000, width * 6));
+  const count = Math.max(100, Math.min(3_000, concurrency * 6));
   let next = from;
   const claim = (claims: number): Promise<unknown> => {
     const first = next;
     next += claims;
-    return peers.run({ verb: 'claim', concurrency: width, count: claims, firstKey: first });
+    return peers.run({ verb: 'claim', concurrency, count: claims, firstKey: first });
   };
-  const options = { handlers: { onCall: answering(table) } };
+  const options = { handlers: { onCall: callHandler(table) } };
   await withConnectedNode(peers, { count: connectionCount }, options, async ({ meter }) => {
-    await claim(width * 2);
+    await claim(concurrency * 2);
     await repeat(repeats, 0, async () => {
-      const spent = startMeasurement(meter);
+      const usage = startMeasurement(meter);
       await claim(count);
-      const { cpuUs, wallMs, sentBytes, receivedBytes } = spent();
-      series.cpu.add(width, cpuUs / count);
-      series.rate.add(width, (count / wallMs) * msPerSecond);
-      series.bytes.add(width, (sentBytes + receivedBytes) / count);
+      const { cpuUs, wallMs, sentBytes, receivedBytes } = usage();
+      series.cpu.add(concurrency, cpuUs / count);
+      series.rate.add(concurrency, (count / wallMs) * msPerSecond);
+      series.bytes.add(concurrency, (sentBytes + receivedBytes) / count);
     });
   });
   await table.close();
@@ -87,25 +92,25 @@
     const key = `tenant-${(at - from) % 3_100}/${at}-idempotency-key`;
     return table.accept(key, 0, [1, claimant.id], claimant);
   };
-  for (let begin = from; begin < to; begin += acceptedAtOnce)
-    await Promise.all(range(Math.min(acceptedAtOnce, to - begin)).map((at) => accept(begin + at)));
+  for (let begin = from; begin < to; begin += acceptBatchSize)
+    await Promise.all(range(Math.min(acceptBatchSize, to - begin)).map((at) => accept(begin + at)));
 };
 
-/** Runs first, on a heap that holds nothing of the other measurements. */
+/** Must run first, on a heap without data of the other measurements. */
 const measureMemory = async (series: ClaimSeries): Promise<void> => {
   const opened = await claimTables.open(temporaryDisk(), machine.clock, logs.silent(), retentionMs);
   const table = opened._unsafeUnwrap();
   const empty = heapBytes();
-  let held = 0;
-  for (const target of heldCounts) {
-    await acceptClaims(table, held, target);
-    held = target;
+  let stored = 0;
+  for (const target of storedCounts) {
+    await acceptClaims(table, stored, target);
+    stored = target;
     series.memory.add(target, heapBytes() - empty);
   }
   await table.close();
 };
 
-/** Measures claims by how many run at once, and their memory by how many are held. */
+/** Measures claims by their concurrency, and their memory by the number of stored claims. */
 export const claimsProbe: Probe = {
   name: 'claims',
   measure: () =>
@@ -113,7 +118,7 @@
       const series = defineAll();
       await measureMemory(series);
       let from = 0;
-      for (const width of widths) from = await measureWidth(peers, series, width, from);
+      for (const concurrency of concurrencies) from = await measureConcurrency(peers, series, concurrency, from);
       return measurementsOf(series);
     }),
 };
--- a/packages/test-fleet/src/capacity/probes/eventFeed.ts
+++ b/packages/test-fleet/src/capacity/probes/eventFeed.ts
@@ -1,28 +1,28 @@
-/** A carriage that serves cache events of replicas from memory, for probes of the event followers. */
+/** An HTTP client that serves cache events of replicas from memory, for probes of event followers. */
 import { ok } from 'neverthrow';
 import type { HttpClient, KvCacheEvent } from '@martenworks/core-types';
 
 interface Queue {
-  readonly parts: Uint8Array[];
+  readonly chunks: Uint8Array[];
   wake: () => void;
 }
 
-/** The bytes that a replica sends for one event. */
+/** Returns the server-sent event text that a replica sends for one event. */
 export const eventBytes = ({ incarnation, seq, kind, tenant, blocks }: KvCacheEvent): string =>
   `data: ${JSON.stringify({ incarnation, seq, kind, tenant, blocks })}\n\n`;
 
-/** Streams to whoever asks a replica what was given for its address. */
+/** Streams the bytes pushed for an address to the requests for it. */
 export class EventFeed {
   private readonly queues = new Map<string, Queue>();
 
-  /** Hands bytes to whoever follows the address. */
+  /** Appends bytes to the stream of an address. */
   readonly push = (address: string, bytes: Uint8Array): void => {
     const queue = this.queueOf(address);
-    queue.parts.push(bytes);
+    queue.chunks.push(bytes);
     queue.wake();
   };
 
-  /** The client whose responses stream what was given. */
+  /** A client whose responses stream the pushed bytes. */
   readonly httpClient: HttpClient = {
     close: async () => {},
     send: async ({ url, signal }) => {
@@ -33,15 +33,15 @@
   };
 
   private readonly queueOf = (host: string): Queue => {
-    const queue = this.queues.get(host) ?? { parts: [], wake: () => {} };
+    const queue = this.queues.get(host) ?? { chunks: [], wake: () => {} };
     this.queues.set(host, queue);
     return queue;
   };
 
   private readonly stream = async function* (queue: Queue, signal: AbortSignal): AsyncGenerator<Uint8Array> {
     while (!signal.aborted) {
-      for (let part = queue.parts.shift(); part !== undefined; part = queue.parts.shift()) yield part;
-      await new Promise<void>((wake) => (queue.wake = wake));
+      for (let chunk = queue.chunks.shift(); chunk !== undefined; chunk = queue.chunks.shift()) yield chunk;
+      await new Promise<void>((resolve) => (queue.wake = resolve));
     }
   };
 }
--- a/packages/test-fleet/src/capacity/probes/gossip.ts
+++ b/packages/test-fleet/src/capacity/probes/gossip.ts
@@ -1,4 +1,4 @@
-/** Membership: exchanges of the list between nodes, heartbeats, and who watches whom. */
+/** Membership: exchanges of the member list, heartbeats, and the choice of watchers. */
 import { MemberList, HeartbeatMonitor, hashRing } from '@martenworks/cluster-membership';
 import type { MemberEntry } from '@martenworks/cluster-membership';
 import { machine } from '@martenworks/core-types';
@@ -14,11 +14,11 @@
 const watchRepeats = 5;
 const exchangeRepeats = 3;
 const warmUpExchanges = 5;
-const exchangesARepeat = 40;
-const looksARepeat = 20;
-const beatsOfFew = 10;
-const beatsOfMany = 2;
-const fewNodes = 100;
+const exchangesPerRepeat = 40;
+const watcherLookupsPerRepeat = 20;
+const heartbeatsOfSmallFleet = 10;
+const heartbeatsOfLargeFleet = 2;
+const smallFleetNodes = 100;
 
 const defineAll = () =>
   defineSeries({
@@ -34,7 +34,7 @@
 
 const own = sampleData.helloOf('edge', 0, '10.0.0.0:7100');
 
-const fullRoster = (nodes: number): MemberList => {
+const fullMemberList = (nodes: number): MemberList => {
   const memberList = new MemberList(machine.clock, () => own);
   for (const at of range(nodes - 1)) {
     const address = `10.0.${(at + 1) >> 8}.${(at + 1) & 255}:7100`;
@@ -45,23 +45,23 @@
 
 const measureWatch = async (series: GossipSeries, memberList: MemberList, nodes: number): Promise<void> => {
   const ringNodes = () => memberList.entries().map(({ hello }) => ({ name: hello.name, zone: hello.zone }));
-  const watch = new HeartbeatMonitor(machine.clock, () => ({ name: own.name, zone: own.zone }), ringNodes);
+  const monitor = new HeartbeatMonitor(machine.clock, () => ({ name: own.name, zone: own.zone }), ringNodes);
   await repeat(watchRepeats, 1, (isMeasured) => {
-    const keepaliveIntervalMs = meanCpuMs(nodes > fewNodes ? beatsOfMany : beatsOfFew, () => {
-      watch.watchers();
-      watch.suspects();
+    const beatMs = meanCpuMs(nodes > smallFleetNodes ? heartbeatsOfLargeFleet : heartbeatsOfSmallFleet, () => {
+      monitor.watchers();
+      monitor.suspects();
     });
-    const watchersMs = meanCpuMs(looksARepeat, () => void hashRing.watchersOf(own.name, ringNodes()));
+    const watchersMs = meanCpuMs(watcherLookupsPerRepeat, () => void hashRing.watchersOf(own.name, ringNodes()));
     if (!isMeasured) return;
-    series.beat.add(nodes, keepaliveIntervalMs);
+    series.beat.add(nodes, beatMs);
     series.watchers.add(nodes, watchersMs);
   });
 };
 
 const knownAfterOneExchange = (memberList: MemberList): number => {
-  const newcomer = new MemberList(machine.clock, () => sampleData.helloOf('edge', 9_999, '10.9.9.9:7100'));
-  newcomer.merge(memberList.entries());
-  return newcomer.entries().length;
+  const newMember = new MemberList(machine.clock, () => sampleData.helloOf('edge', 9_999, '10.9.9.9:7100'));
+  newMember.merge(memberList.entries());
+  return newMember.entries().length;
 };
 
 const measureExchange = async (
@@ -79,26 +79,26 @@
   await withConnectedNode(peers, { count: 1, firstPeer: 500 }, { handlers: { onCall } }, async ({ meter }) => {
     await peers.run({ ...exchange, count: warmUpExchanges });
     await repeat(exchangeRepeats, 0, async () => {
-      const spent = startMeasurement(meter);
-      await peers.run({ ...exchange, count: exchangesARepeat });
-      const { cpuUs, sentBytes, receivedBytes } = spent();
-      series.cpu.add(nodes, cpuUs / exchangesARepeat);
-      series.bytes.add(nodes, (sentBytes + receivedBytes) / exchangesARepeat);
+      const usage = startMeasurement(meter);
+      await peers.run({ ...exchange, count: exchangesPerRepeat });
+      const { cpuUs, sentBytes, receivedBytes } = usage();
+      series.cpu.add(nodes, cpuUs / exchangesPerRepeat);
+      series.bytes.add(nodes, (sentBytes + receivedBytes) / exchangesPerRepeat);
     });
   });
 };
 
-/** Measures by the nodes of the fleet. */
+/** Measures by the number of nodes in the fleet. */
 export const gossipProbe: Probe = {
   name: 'gossip',
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      const kept: MemberList[] = [];
+      const retained: MemberList[] = [];
       for (const nodes of nodeCounts) {
         const empty = heapBytes();
-        const memberList = fullRoster(nodes);
-        kept.push(memberList);
+        const memberList = fullMemberList(nodes);
+        retained.push(memberList);
         series.memory.add(nodes, heapBytes() - empty);
         await measureWatch(series, memberList, nodes);
         series.known.add(nodes, knownAfterOneExchange(memberList));
--- a/packages/test-fleet/src/capacity/probes/joins.ts
+++ b/packages/test-fleet/src/capacity/probes/joins.ts
@@ -1,4 +1,4 @@
-/** Gateways that start: how much of the index arrives, and whether the connection survives it. */
+/** Gateways that start: how much of the index snapshot arrives, and whether the connection stays open. */
 import type { ReplicaRecord } from '@martenworks/core-types';
 import { PrefixIndex } from '@martenworks/prefix-index';
 import { blocksPerReplica } from '../fleetSize.js';
@@ -15,7 +15,7 @@
 const blockCounts = [28_000, 280_000, 560_000, 840_000, 1_120_000];
 const repeats = 2;
 const pollMs = 100;
-const mostPolls = 40;
+const maxPolls = 40;
 const suspectMs = 3_600_000;
 
 const defineAll = () =>
@@ -33,10 +33,10 @@
   }
 };
 
-/** Waits until nothing more arrives; at least three readings. */
-const untilQuiet = async (peers: PeerProcess): Promise<PeerCounters> => {
+/** Waits until no more bytes arrive, for at least three polls, and returns the last counters. */
+const untilIdle = async (peers: PeerProcess): Promise<PeerCounters> => {
   let last = -1;
-  for (let poll = 0; poll < mostPolls; poll += 1) {
+  for (let poll = 0; poll < maxPolls; poll += 1) {
     await sleep(pollMs);
     const counters = await peers.run({ verb: 'readCounters' });
     if (counters.receivedBytes === last && poll > 1) break;
@@ -45,7 +45,7 @@
   return peers.run({ verb: 'readCounters' });
 };
 
-/** Measures by the blocks of the index. */
+/** Measures by the number of blocks in the index. */
 export const joinsProbe: Probe = {
   name: 'joins',
   measure: () =>
@@ -61,7 +61,7 @@
           withConnectedNode(peers, { count: 1 }, options, async () => {
             const before = await peers.run({ verb: 'readCounters' });
             await peers.run({ verb: 'send', topic: 'subscribe' });
-            const after = await untilQuiet(peers);
+            const after = await untilIdle(peers);
             series.arrived.add(target, (after.receivedBytes - before.receivedBytes) / bytes);
             series.stays.add(target, after.closedConnections > before.closedConnections ? 0 : 1);
           }),
--- a/packages/test-fleet/src/capacity/probes/leases.ts
+++ b/packages/test-fleet/src/capacity/probes/leases.ts
@@ -1,4 +1,4 @@
-/** Leases of singleton roles, one for each replica, between three control nodes. */
+/** Leases of singleton roles, one per replica, among three control nodes. */
 import { LeaseManager } from '@martenworks/cluster-membership';
 import type { LeaseRequest, LeaseReply } from '@martenworks/cluster-membership';
 import { leaseTables } from '@martenworks/control-plane';
@@ -15,24 +15,24 @@
 import type { Probe } from './probe.js';
 
 const repeats = 3;
-const settleTimeoutMs = 8_000;
-const settlePollMs = 50;
-const askTimeoutMs = 5_000;
+const acquireTimeoutMs = 8_000;
+const acquirePollMs = 50;
+const requestTimeoutMs = 5_000;
 
 const defineAll = () =>
   defineSeries({
     cpu: 'leases/cpu',
     bytes: 'leases/bytes',
-    settle: 'leases/settle',
+    acquireMs: 'leases/settle',
   });
 
-const quiet: PeerHandlers = { onOpen: () => {}, onClose: () => {}, onMessage: () => {}, onCall: async () => null };
+const noHandlers: PeerHandlers = { onOpen: () => {}, onClose: () => {}, onMessage: () => {}, onCall: async () => null };
 
-/** One control node that grants leases to the others over a metered connection. */
+/** A control node that grants leases to the others over metered connections. */
 interface LeaseNode {
   readonly name: string;
   readonly address: string;
-  readonly grant: (ask: LeaseRequest) => Promise<LeaseReply | null>;
+  readonly grant: (request: LeaseRequest) => Promise<LeaseReply | null>;
   readonly close: () => Promise<void>;
 }
 
@@ -40,8 +40,9 @@
   const opened = (await leaseTables.open(temporaryDisk(), machine.clock, logs.silent()))._unsafeUnwrap();
   const address = await freeAddress();
   const hello = sampleData.helloOf('control', at, address);
-  const grant = async (ask: LeaseRequest): Promise<LeaseReply | null> => (await opened.table.grant(ask)) ?? null;
-  const handlers: PeerHandlers = { ...quiet, onCall: (_connection, _topic, body) => grant(body as LeaseRequest) };
+  const grant = async (request: LeaseRequest): Promise<LeaseReply | null> =>
+    (await opened.table.grant(request)) ?? null;
+  const handlers: PeerHandlers = { ...noHandlers, onCall: (_connection, _topic, body) => grant(body as LeaseRequest) };
   const listener = (
     await peerConnections.listen(net, machine.clock, logs.silent(), () => hello, address, handlers)
   )._unsafeUnwrap();
@@ -57,22 +58,24 @@
   const others = nodes.filter((_, at) => at !== own);
   const dialed: PeerConnection[] = [];
   for (const { address } of others)
-    dialed.push((await peerConnections.dial(net, machine.clock, logs.silent(), hello, address, quiet))._unsafeUnwrap());
+    dialed.push(
+      (await peerConnections.dial(net, machine.clock, logs.silent(), hello, address, noHandlers))._unsafeUnwrap(),
+    );
   return dialed;
 };
 
-const dutiesOf = (
+const leaseManagerOf = (
   nodes: readonly LeaseNode[],
   node: LeaseNode,
   connections: readonly PeerConnection[],
   wanted: readonly string[],
 ): LeaseManager => {
-  const askAll = async (ask: LeaseRequest): Promise<LeaseReply[]> => {
-    const asked = connections.map(
+  const requestAll = async (request: LeaseRequest): Promise<LeaseReply[]> => {
+    const remoteReplies = connections.map(
       async (connection) =>
-        (await connection.call('leaseRequest', ask, askTimeoutMs)).unwrapOr(null) as LeaseReply | null,
+        (await connection.call('leaseRequest', request, requestTimeoutMs)).unwrapOr(null) as LeaseReply | null,
     );
-    const replies = await Promise.all([node.grant(ask), ...asked]);
+    const replies = await Promise.all([node.grant(request), ...remoteReplies]);
     return replies.filter((reply) => reply !== null);
   };
   const names = nodes.map(({ name }) => name);
@@ -81,23 +84,23 @@
     () => node.name,
     () => names,
     () => wanted,
-    askAll,
+    requestAll,
     () => {},
     () => 2,
     () => {},
   );
 };
 
-const tickAll = (duties: readonly LeaseManager[]): Promise<unknown> => Promise.all(duties.map((one) => one.tick()));
+const tickAll = (managers: readonly LeaseManager[]): Promise<unknown> => Promise.all(managers.map((one) => one.tick()));
 
-const settle = async (duties: readonly LeaseManager[], wanted: number): Promise<number> => {
-  const spent = startMeasurement();
-  const heldCount = (): number => duties.reduce((sum, one) => sum + one.status().length, 0);
-  while (heldCount() < wanted && spent().wallMs < settleTimeoutMs) {
-    await tickAll(duties);
-    await sleep(settlePollMs);
+const acquireAll = async (managers: readonly LeaseManager[], wanted: number): Promise<number> => {
+  const usage = startMeasurement();
+  const heldCount = (): number => managers.reduce((sum, one) => sum + one.status().length, 0);
+  while (heldCount() < wanted && usage().wallMs < acquireTimeoutMs) {
+    await tickAll(managers);
+    await sleep(acquirePollMs);
   }
-  return spent().wallMs;
+  return usage().wallMs;
 };
 
 const measureReplicas = async (series: ReturnType<typeof defineAll>, replicas: number): Promise<void> => {
@@ -106,18 +109,18 @@
   const nodes = await Promise.all(range(fleetSize.voters).map((at) => openLeaseNode(net, at)));
   const wanted = sampleData.records(replicas).map((record) => `kv/${record.name}`);
   const dialed: PeerConnection[] = [];
-  const duties: LeaseManager[] = [];
+  const managers: LeaseManager[] = [];
   for (const [at, node] of nodes.entries()) {
     const connections = await dialOthers(net, nodes, at);
     dialed.push(...connections);
-    duties.push(dutiesOf(nodes, node, connections, wanted));
+    managers.push(leaseManagerOf(nodes, node, connections, wanted));
   }
-  series.settle.add(replicas, await settle(duties, replicas));
+  series.acquireMs.add(replicas, await acquireAll(managers, replicas));
   await repeat(repeats, 1, async (isMeasured) => {
-    const spent = startMeasurement(meter);
-    await tickAll(duties);
+    const usage = startMeasurement(meter);
+    await tickAll(managers);
     if (!isMeasured) return;
-    const { cpuMs, sentBytes } = spent();
+    const { cpuMs, sentBytes } = usage();
     series.cpu.add(replicas, cpuMs);
     series.bytes.add(replicas, sentBytes);
   });
@@ -125,7 +128,7 @@
   for (const node of nodes) await node.close();
 };
 
-/** Measures by the replicas, each of which has a lease. */
+/** Measures by the number of replicas, each of which has a lease. */
 export const leasesProbe: Probe = {
   name: 'leases',
   measure: async () => {
--- a/packages/test-fleet/src/capacity/probes/pings.ts
+++ b/packages/test-fleet/src/capacity/probes/pings.ts
@@ -1,4 +1,4 @@
-/** Pings between gateways and a control node: freshness, reports of load and notices of heavy prefills. */
+/** Pings between gateways and a control node, with load reports, and notices of heavy prefills. */
 import { fleetSize, nodeCounts, replicaCounts, runningPerEdge } from '../fleetSize.js';
 import { withConnectedNode } from '../measuredControlNode.js';
 import type { MeasuredControlNode } from '../measuredControlNode.js';
@@ -11,7 +11,7 @@
 
 const pingCount = 60;
 const repeats = 3;
-const fixedFronts = 100;
+const fixedGateways = 100;
 
 const defineAll = () =>
   defineSeries({
@@ -29,31 +29,31 @@
 const measureNotice = async (
   peers: PeerProcess,
   series: PingSeries,
-  edges: number,
+  gateways: number,
   load: ReportedLoad,
 ): Promise<void> => {
-  const spent = startMeasurement();
+  const usage = startMeasurement();
   const heavy = await peers.run({ verb: 'heavyPrefill', load });
-  series.noticeMs.add(edges, spent().cpuMs);
-  series.noticeBytes.add(edges, heavy.receivedBytes);
+  series.noticeMs.add(gateways, usage().cpuMs);
+  series.noticeBytes.add(gateways, heavy.receivedBytes);
 };
 
-/** Notices to many gateways are dear, so the last repeat leaves them out there. */
-const measureFronts = async (
+/** Notices to many gateways are expensive, so the last repeat skips them above `fixedGateways`. */
+const measureGateways = async (
   peers: PeerProcess,
   node: MeasuredControlNode,
   series: PingSeries,
-  edges: number,
+  gateways: number,
 ): Promise<void> => {
   const load = { running: runningPerEdge, replicas: fleetSize.replicas };
   await repeat(repeats, 0, async (_isMeasured, at) => {
-    const spent = startMeasurement(node.meter);
+    const usage = startMeasurement(node.meter);
     const cost = await peers.run({ verb: 'pingWithLoad', count: pingCount, load });
-    series.nodeUs.add(edges, spent().cpuUs / pingCount);
-    series.replyBytes.add(edges, cost.receivedBytes);
-    series.pingBytes.add(edges, cost.sentBytes);
-    series.edgeUs.add(edges, cost.cpuUs);
-    if (edges <= fixedFronts || at < repeats - 1) await measureNotice(peers, series, edges, load);
+    series.nodeUs.add(gateways, usage().cpuUs / pingCount);
+    series.replyBytes.add(gateways, cost.receivedBytes);
+    series.pingBytes.add(gateways, cost.sentBytes);
+    series.edgeUs.add(gateways, cost.cpuUs);
+    if (gateways <= fixedGateways || at < repeats - 1) await measureNotice(peers, series, gateways, load);
   });
 };
 
@@ -65,26 +65,26 @@
   });
 };
 
-/** The first pings tell the node each gateway's load; they are not measured. */
-const subscribeAndWarmUp = async (peers: PeerProcess, edges: number, replicas: number): Promise<void> => {
+/** The first pings report the load of each gateway to the node; they are not measured. */
+const subscribeAndWarmUp = async (peers: PeerProcess, gateways: number, replicas: number): Promise<void> => {
   await peers.run({ verb: 'send', topic: 'subscribe' });
-  await peers.run({ verb: 'pingWithLoad', count: edges, load: { running: runningPerEdge, replicas } });
+  await peers.run({ verb: 'pingWithLoad', count: gateways, load: { running: runningPerEdge, replicas } });
 };
 
-/** Measures pings by gateways and by replicas. */
+/** Measures pings by the number of gateways and of replicas. */
 export const pingsProbe: Probe = {
   name: 'pings',
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const edges of nodeCounts)
-        await withConnectedNode(peers, { count: edges }, {}, async (node) => {
-          await subscribeAndWarmUp(peers, edges, fleetSize.replicas);
-          await measureFronts(peers, node, series, edges);
+      for (const gateways of nodeCounts)
+        await withConnectedNode(peers, { count: gateways }, {}, async (node) => {
+          await subscribeAndWarmUp(peers, gateways, fleetSize.replicas);
+          await measureGateways(peers, node, series, gateways);
         });
       for (const replicas of replicaCounts)
-        await withConnectedNode(peers, { count: fixedFronts }, {}, async () => {
-          await subscribeAndWarmUp(peers, fixedFronts, replicas);
+        await withConnectedNode(peers, { count: fixedGateways }, {}, async () => {
+          await subscribeAndWarmUp(peers, fixedGateways, replicas);
           await measureReplicas(peers, series, replicas);
         });
       return measurementsOf(series);
--- a/packages/test-fleet/src/capacity/probes/prefixIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/prefixIndex.ts
@@ -1,4 +1,4 @@
-/** The prefix-cache index of a gateway: memory, events, its snapshot on the wire, and choosing a replica. */
+/** The prefix-cache index of a gateway: memory, events, its encoded snapshot, and placement. */
 import { blocksPerReplica, poolCount, poolSizes } from '../fleetSize.js';
 import { heapBytes, meanCpuMs, meanCpuUs, repeat, range } from '../measuring.js';
 import { sampleData } from '../sampleData.js';
@@ -10,17 +10,17 @@
 
 const blockCountsFromFrames = [10_000, 50_000, 100_000, 200_000, 400_000];
 const blockCounts = [10_000, 100_000, 500_000, 1_000_000, 2_000_000, 4_000_000];
-const mostBlocksPacked = 1_000_000;
-const mostBlocksCounted = 500_000;
-const eventsInAFrame = 20;
-const eventsMeasured = 20_000;
+const maxBlocksSnapshotTimed = 1_000_000;
+const maxBlocksSnapshotSized = 500_000;
+const eventsPerFrame = 20;
+const eventsPerRepeat = 20_000;
 const repeats = 3;
 const suspectMs = 3_600_000;
 const promptBlocks = 266;
 const cachedBlocks = 208;
 const promptTokens = 17_020;
-const placementsARepeat = 100;
-/** Block numbers that no other step uses. */
+const placementsPerRepeat = 100;
+/** The first of block numbers that no other step uses. */
 const firstNewBlock = 900_000_000;
 const firstPromptBlock = 700_000_000;
 
@@ -38,38 +38,38 @@
 
 const newIndex = (): PrefixIndex => new PrefixIndex(suspectMs);
 const recordsFor = (blocks: number): ReplicaRecord[] => sampleData.records(Math.ceil(blocks / blocksPerReplica));
-const packed = (index: PrefixIndex): Uint8Array[] =>
+const encodeSnapshot = (index: PrefixIndex): Uint8Array[] =>
   index.snapshot(1).map((body) => frames.encodeFrame({ f: 'tell', topic: 'indexSnapshot', body }));
 
-/** Bytes of an index on the wire. */
+/** Returns the size in bytes of the encoded snapshot of an index. */
 export const snapshotBytes = (index: PrefixIndex): number =>
-  packed(index).reduce((sum, frame) => sum + frame.length, 0);
+  encodeSnapshot(index).reduce((sum, frame) => sum + frame.length, 0);
 
 const frameOf = (index: PrefixIndex, record: ReplicaRecord, firstBlock: number): Uint8Array => {
   const firstSeq = index.lastSeqOf(record.name, 1) + 1;
-  const body = range(eventsInAFrame).map((at) =>
+  const body = range(eventsPerFrame).map((at) =>
     sampleData.stored(record.name, firstSeq + at, [sampleData.blockName(firstBlock + at)]),
   );
   return frames.encodeFrame({ f: 'tell', topic: 'kv', body });
 };
 
-/** Names that come from a frame share its buffer, so memory differs from that of names made one by one. */
+/** Block names decoded from a frame share its buffer, so their memory differs from that of names created one by one. */
 const measureFromFrames = (series: IndexSeries): void => {
   const empty = heapBytes();
   const index = newIndex();
-  const unpacker = new FrameDecoder(
+  const decoder = new FrameDecoder(
     (message) => {
       for (const event of (message as { body: KvCacheEvent[] }).body) index.apply(event, 0);
     },
     () => {},
   );
-  let held = 0;
+  let blockCount = 0;
   for (const target of blockCountsFromFrames) {
     const records = recordsFor(target);
     index.reconcile(records, () => 0);
-    for (; held < target; held += eventsInAFrame) {
-      const record = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
-      unpacker.push(frameOf(index, record, held));
+    for (; blockCount < target; blockCount += eventsPerFrame) {
+      const record = records[Math.floor(blockCount / blocksPerReplica)] as ReplicaRecord;
+      decoder.push(frameOf(index, record, blockCount));
     }
     series.memoryFromFrames.add(target, heapBytes() - empty);
   }
@@ -78,17 +78,17 @@
 const fill = (index: PrefixIndex, from: number, to: number): void => {
   const records = recordsFor(to);
   index.reconcile(records, () => 0);
-  for (let held = from; held < to; held += 1) {
-    const { name } = records[Math.floor(held / blocksPerReplica)] as ReplicaRecord;
-    const block = Buffer.from(sampleData.blockName(held + 1)).toString('latin1');
+  for (let at = from; at < to; at += 1) {
+    const { name } = records[Math.floor(at / blocksPerReplica)] as ReplicaRecord;
+    const block = Buffer.from(sampleData.blockName(at + 1)).toString('latin1');
     index.apply(sampleData.stored(name, index.lastSeqOf(name, 1) + 1, [block]), 0);
   }
 };
 
-/** Events that store a block and remove it again, spread over the replicas. */
+/** Returns events that store a block and remove it again, spread over the replicas. */
 const storeAndRemoveEvents = (index: PrefixIndex, names: readonly string[]): KvCacheEvent[] => {
   const lastSeqs = new Map<string, number>();
-  return range(eventsMeasured / 2).flatMap((pair) => {
+  return range(eventsPerRepeat / 2).flatMap((pair) => {
     const at = pair * 2;
     const name = names[(at * 7) % names.length] as string;
     const seq = lastSeqs.get(name) ?? index.lastSeqOf(name, 1);
@@ -104,10 +104,10 @@
 const measureIndex = async (series: IndexSeries): Promise<void> => {
   const empty = heapBytes();
   const index = newIndex();
-  let held = 0;
+  let blockCount = 0;
   for (const target of blockCounts) {
-    fill(index, held, target);
-    held = target;
+    fill(index, blockCount, target);
+    blockCount = target;
     series.memory.add(target, heapBytes() - empty);
     const names = recordsFor(target).map((record) => record.name);
     await repeat(repeats, 0, () => {
@@ -117,14 +117,14 @@
         meanCpuUs(events.length, (at) => index.apply(events[at] as KvCacheEvent, 1)),
       );
     });
-    if (target <= mostBlocksPacked)
+    if (target <= maxBlocksSnapshotTimed)
       await repeat(repeats, 0, () =>
         series.snapshotMs.add(
           target,
-          meanCpuMs(1, () => void packed(index)),
+          meanCpuMs(1, () => void encodeSnapshot(index)),
         ),
       );
-    if (target <= mostBlocksCounted) series.snapshotBytes.add(target, snapshotBytes(index));
+    if (target <= maxBlocksSnapshotSized) series.snapshotBytes.add(target, snapshotBytes(index));
   }
 };
 
@@ -137,7 +137,7 @@
   index.reconcile(records, () => 0);
   for (const [at, record] of records.entries())
     index.apply(sampleData.stored(record.name, 1, blocks.slice(0, at % 3 === 0 ? cachedBlocks : 0)), 0);
-  const question = {
+  const query = {
     pool,
     blocks,
     promptTokens,
@@ -151,12 +151,12 @@
     pullExcessMs: () => 0,
   };
   await repeat(repeats, 1, (isMeasured) => {
-    const us = meanCpuUs(placementsARepeat, () => void choosePlacement(index, question));
+    const us = meanCpuUs(placementsPerRepeat, () => void choosePlacement(index, query));
     if (isMeasured) series.placement.add(replicas, us);
   });
 };
 
-/** Measures the index by its blocks, and placement by the replicas of a pool. */
+/** Measures the index by its number of blocks, and placement by the number of replicas in a pool. */
 export const indexProbe: Probe = {
   name: 'index',
   measure: async () => {
--- a/packages/test-fleet/src/capacity/probes/pushes.ts
+++ b/packages/test-fleet/src/capacity/probes/pushes.ts
@@ -1,4 +1,4 @@
-/** Pushes of configuration changes from a control node to gateways, and what nodes that lag are sent. */
+/** Pushes of configuration changes from a control node to gateways, and catch-up of nodes that lag. */
 import { frames } from '@martenworks/peer-transport';
 import type { CommittedChange } from '@martenworks/control-plane';
 import { fleetSize, nodeCounts, tenantCounts } from '../fleetSize.js';
@@ -12,18 +12,18 @@
 import type { Probe } from './probe.js';
 
 const repeats = 3;
-const fixedFronts = 100;
+const fixedGateways = 100;
 const fixedTenants = 1_000;
-const changesBehind = [1, 10, 30, 60];
+const missedChangeCounts = [1, 10, 30, 60];
 const subscribeTimeoutMs = 10_000;
 const ackTimeoutMs = 30_000;
 const ackPollMs = 10;
 
-/** The cost of one change: processor time of the node, time until the last acknowledgement, bytes to each gateway. */
+/** The cost of one change: CPU time of the node, wall-clock time until the last acknowledgement, bytes per gateway. */
 interface PushCost {
   readonly cpuMs: number;
   readonly ackedMs: number;
-  readonly bytesEach: number;
+  readonly bytesPerGateway: number;
 }
 
 const defineAll = () =>
@@ -36,8 +36,8 @@
     catchUpBytes: 'pushes/since-bytes',
   });
 
-const catchUpBytes = (behind: number): number => {
-  const committed = range(behind).map((at) => ({
+const catchUpBytes = (missedChanges: number): number => {
+  const committed = range(missedChanges).map((at) => ({
     logIndex: at,
     change: sampleData.configChange(fleetSize.tenants, at, at),
   }));
@@ -50,50 +50,51 @@
 const pushOne = async (
   node: MeasuredControlNode,
   change: CommittedChange['change'],
-  edges: number,
+  gateways: number,
 ): Promise<PushCost> => {
   const logIndex = (node.acceptor.committedState()?.logIndex ?? 0) + 1;
-  const spent = startMeasurement(node.meter);
+  const usage = startMeasurement(node.meter);
   await node.acceptor.commit({ logIndex, change });
   const isAcked = (): boolean => node.publisher.status().every((ack) => ack.logIndex === logIndex);
   await until(isAcked, ackTimeoutMs, ackPollMs);
-  const { cpuMs, wallMs, sentBytes } = spent();
-  return { cpuMs, ackedMs: wallMs, bytesEach: sentBytes / edges };
+  const { cpuMs, wallMs, sentBytes } = usage();
+  return { cpuMs, ackedMs: wallMs, bytesPerGateway: sentBytes / gateways };
 };
 
-/** Gives each push its own version of the configuration. */
-const pusher = (peers: PeerProcess) => {
+/** Returns a function that measures pushes, each with a configuration version of its own. */
+const createPush = (peers: PeerProcess) => {
   let configVersion = 0;
-  return (edges: number, tenants: number, note: (cost: PushCost) => void): Promise<void> =>
-    withConnectedNode(peers, { count: edges }, { tenants }, async (node) => {
+  return (gateways: number, tenants: number, record: (cost: PushCost) => void): Promise<void> =>
+    withConnectedNode(peers, { count: gateways }, { tenants }, async (node) => {
       await peers.run({ verb: 'send', topic: 'subscribe' });
-      await until(() => node.publisher.status().length === edges, subscribeTimeoutMs);
+      await until(() => node.publisher.status().length === gateways, subscribeTimeoutMs);
       await repeat(repeats, 1, async (isMeasured) => {
         configVersion += 1;
         const base = node.acceptor.committedState()?.configLogIndex ?? 0;
-        const cost = await pushOne(node, sampleData.configChange(tenants, configVersion, base), edges);
-        if (isMeasured) note(cost);
+        const cost = await pushOne(node, sampleData.configChange(tenants, configVersion, base), gateways);
+        if (isMeasured) record(cost);
       });
     });
 };
 
-/** Measures pushes by gateways and by tenants. */
+/** Measures pushes by the number of gateways and of tenants. */
 export const pushesProbe: Probe = {
   name: 'pushes',
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
-      for (const behind of changesBehind) series.catchUpBytes.add(behind, catchUpBytes(behind));
-      const push = pusher(peers);
-      for (const edges of nodeCounts)
-        await push(edges, fixedTenants, ({ cpuMs, ackedMs }) => {
-          series.cpuMs.add(edges, cpuMs);
-          series.ackedMs.add(edges, ackedMs);
+      for (const missedChanges of missedChangeCounts)
+        series.catchUpBytes.add(missedChanges, catchUpBytes(missedChanges));
+      const push = createPush(peers);
+      for (const gateways of nodeCounts)
+        await push(gateways, fixedTenants, ({ cpuMs, ackedMs }) => {
+          series.cpuMs.add(gateways, cpuMs);
+          series.ackedMs.add(gateways, ackedMs);
         });
       for (const tenants of tenantCounts) {
-        await push(fixedFronts, tenants, ({ cpuMs, bytesEach }) => {
+        await push(fixedGateways, tenants, ({ cpuMs, bytesPerGateway }) => {
           series.cpuMsByTenants.add(tenants, cpuMs);
-          series.bytes.add(tenants, bytesEach);
+          series.bytes.add(tenants, bytesPerGateway);
         });
         series.snapshotBytes.add(tenants, snapshotBytes(tenants));
       }
--- a/packages/test-fleet/src/capacity/probes/relays.ts
+++ b/packages/test-fleet/src/capacity/probes/relays.ts
@@ -1,4 +1,4 @@
-/** Cache events on their way from replicas through a control node to gateways. */
+/** Cache events forwarded from replicas through a control node to gateways. */
 import type { Ports, ReplicaRecord } from '@martenworks/core-types';
 import { KvEventFollower } from '@martenworks/control-plane';
 import { nodeCounts } from '../fleetSize.js';
@@ -15,100 +15,100 @@
 import type { Probe } from './probe.js';
 
 const replicaCount = 50;
-const ticksASecond = 100;
+const ticksPerSecond = 100;
 const msPerSecond = 1_000;
-const tickMs = msPerSecond / ticksASecond;
+const tickMs = msPerSecond / ticksPerSecond;
 const followersReadyMs = 50;
-const lastBundleMs = 60;
+const lastBatchMs = 60;
 const arrivalTimeoutMs = 20_000;
 const repeats = 3;
 const usPerSecond = 1e6;
 
-/** One run of events at a rate; with no gateways the node only follows them. */
+/** Events at a constant rate; without gateways the node only follows them. */
 interface EventLoad {
-  readonly edges: number;
+  readonly gateways: number;
   readonly eventsPerSecond: number;
   readonly durationMs: number;
-  readonly blocksAnEvent?: number;
-  /** The gateways take the events into an index of their own. */
+  readonly blocksPerEvent?: number;
+  /** Whether the gateways apply the events to an index. */
   readonly appliesUpdates?: boolean;
 }
 
-/** Cost of an event to the node and to each gateway, the node's busy share, and the share delivered in time. */
+/** The cost per event of the node and of each gateway, the node's CPU utilization, and the share delivered in time. */
 interface EventCost {
   readonly us: number;
   readonly bytes: number;
   readonly busy: number;
   readonly delivered: number;
-  readonly edgeUs: number;
+  readonly gatewayUs: number;
 }
 
 const defineAll = () =>
   defineSeries({
     nodeUs: 'relays/core-cpu',
-    bundledUs: 'relays/core-cpu-full',
+    batchedUs: 'relays/core-cpu-full',
     bytes: 'relays/bytes',
     followerBusy: 'relays/follower-busy',
     nodeBusy: 'relays/core-busy',
     delivered: 'relays/delivered',
-    frontBusy: 'relays/front-busy',
+    gatewayBusy: 'relays/front-busy',
   });
 
 type EventSeries = ReturnType<typeof defineAll>;
 const records = sampleData.records(replicaCount);
 
-/** The bytes of each replica for each tick, made before anything is measured. */
-const ticksOf = ({ eventsPerSecond, durationMs, blocksAnEvent = 1 }: EventLoad): string[][] => {
-  const eventsATick = Math.max(1, Math.round(eventsPerSecond / ticksASecond));
+/** Returns the event text of each replica for each tick; must run before the measurement starts. */
+const ticksOf = ({ eventsPerSecond, durationMs, blocksPerEvent = 1 }: EventLoad): string[][] => {
+  const eventsPerTick = Math.max(1, Math.round(eventsPerSecond / ticksPerSecond));
   const offered = Math.round((eventsPerSecond * durationMs) / msPerSecond);
   const seqs = new Array<number>(replicaCount).fill(0);
   let block = 0;
   const nextEvent = (replica: number): string => {
     const seq = (seqs[replica] ?? 0) + 1;
     seqs[replica] = seq;
-    const blocks = range(blocksAnEvent).map(() => sampleData.blockName(++block));
+    const blocks = range(blocksPerEvent).map(() => sampleData.blockName(++block));
     return eventBytes(sampleData.stored((records[replica] as ReplicaRecord).name, seq, blocks));
   };
-  return range(Math.ceil(offered / eventsATick)).map((tick) => {
+  return range(Math.ceil(offered / eventsPerTick)).map((tick) => {
     const texts = new Array<string>(replicaCount).fill('');
-    for (const at of range(eventsATick)) {
-      const replica = (tick * eventsATick + at) % replicaCount;
+    for (const at of range(eventsPerTick)) {
+      const replica = (tick * eventsPerTick + at) % replicaCount;
       texts[replica] += nextEvent(replica);
     }
     return texts;
   });
 };
 
-const playTicks = async (feed: EventFeed, ticks: readonly (readonly Uint8Array[])[]): Promise<void> => {
-  const beganAt = performance.now();
-  for (const [tick, parts] of ticks.entries()) {
-    for (const [replica, part] of parts.entries())
-      if (part.length > 0) feed.push((records[replica] as ReplicaRecord).address, part);
-    const earlyMs = beganAt + (tick + 1) * tickMs - performance.now();
-    await (earlyMs > 0 ? sleep(earlyMs) : new Promise<void>((wake) => setImmediate(wake)));
+const sendTicks = async (feed: EventFeed, ticks: readonly (readonly Uint8Array[])[]): Promise<void> => {
+  const startedAt = performance.now();
+  for (const [tick, chunks] of ticks.entries()) {
+    for (const [replica, chunk] of chunks.entries())
+      if (chunk.length > 0) feed.push((records[replica] as ReplicaRecord).address, chunk);
+    const remainingMs = startedAt + (tick + 1) * tickMs - performance.now();
+    await (remainingMs > 0 ? sleep(remainingMs) : new Promise<void>((resolve) => setImmediate(resolve)));
   }
 };
 
-const measurePlay = async (
+const measureDelivery = async (
   node: MeasuredControlNode,
   feed: EventFeed,
-  desk: KvEventFollower,
+  follower: KvEventFollower,
   load: EventLoad,
-): Promise<Omit<EventCost, 'edgeUs'> & { readonly events: number }> => {
+): Promise<Omit<EventCost, 'gatewayUs'> & { readonly events: number }> => {
   const ticks = ticksOf(load).map((texts) => texts.map((text) => Buffer.from(text)));
-  const events = ticks.length * Math.max(1, Math.round(load.eventsPerSecond / ticksASecond));
-  const heard = (): number => desk.sizes().reduce((sum, { seq }) => sum + seq, 0);
-  const spent = startMeasurement(node.meter);
-  await playTicks(feed, ticks);
-  const offeredSoFar = (load.eventsPerSecond * spent().wallMs) / msPerSecond;
-  const delivered = heard() / Math.max(events, offeredSoFar);
-  await until(() => heard() >= events, arrivalTimeoutMs);
-  await sleep(lastBundleMs);
-  const { cpuMs, cpuUs, wallMs, sentBytes } = spent();
+  const events = ticks.length * Math.max(1, Math.round(load.eventsPerSecond / ticksPerSecond));
+  const followedEvents = (): number => follower.sizes().reduce((sum, { seq }) => sum + seq, 0);
+  const usage = startMeasurement(node.meter);
+  await sendTicks(feed, ticks);
+  const offeredSoFar = (load.eventsPerSecond * usage().wallMs) / msPerSecond;
+  const delivered = followedEvents() / Math.max(events, offeredSoFar);
+  await until(() => followedEvents() >= events, arrivalTimeoutMs);
+  await sleep(lastBatchMs);
+  const { cpuMs, cpuUs, wallMs, sentBytes } = usage();
   return {
     events,
     us: cpuUs / events,
-    bytes: sentBytes / events / Math.max(1, load.edges),
+    bytes: sentBytes / events / Math.max(1, load.gateways),
     busy: cpuMs / wallMs,
     delivered,
   };
@@ -124,59 +124,59 @@
   );
 };
 
-const play = async (peers: PeerProcess, load: EventLoad): Promise<EventCost> => {
-  const { edges, appliesUpdates = false } = load;
+const runLoad = async (peers: PeerProcess, load: EventLoad): Promise<EventCost> => {
+  const { gateways, appliesUpdates = false } = load;
   const feed = new EventFeed();
   const node = await openControlNode({ records });
-  const desk = follow(node, feed);
-  await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, count: edges, appliesUpdates });
+  const follower = follow(node, feed);
+  await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, count: gateways, appliesUpdates });
   await peers.run({ verb: 'send', topic: 'subscribe' });
-  desk.reconcile(records);
+  follower.reconcile(records);
   await sleep(followersReadyMs);
   const before = await peers.run({ verb: 'readCounters' });
-  const { events, ...cost } = await measurePlay(node, feed, desk, load);
+  const { events, ...cost } = await measureDelivery(node, feed, follower, load);
   const after = await peers.run({ verb: 'readCounters' });
-  desk.stop();
+  follower.stop();
   await peers.run({ verb: 'closeAll' });
   await node.close();
-  return { ...cost, edgeUs: (after.cpuUs - before.cpuUs) / events / Math.max(1, edges) };
+  return { ...cost, gatewayUs: (after.cpuUs - before.cpuUs) / events / Math.max(1, gateways) };
 };
 
-const measureByFronts = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
-  for (const edges of nodeCounts)
-    series.nodeUs.add(edges, (await play(peers, { edges, eventsPerSecond: 1_000, durationMs: 300 })).us);
-  for (const edges of [5, 10, 20, 40])
-    series.bundledUs.add(edges, (await play(peers, { edges, eventsPerSecond: 20_000, durationMs: 200 })).us);
+const measureByGateways = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
+  for (const gateways of nodeCounts)
+    series.nodeUs.add(gateways, (await runLoad(peers, { gateways, eventsPerSecond: 1_000, durationMs: 300 })).us);
+  for (const gateways of [5, 10, 20, 40])
+    series.batchedUs.add(gateways, (await runLoad(peers, { gateways, eventsPerSecond: 20_000, durationMs: 200 })).us);
 };
 
 const measureBytes = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
-  for (const blocksAnEvent of [1, 4, 16, 64]) {
-    const load = { edges: 3, eventsPerSecond: 1_000, durationMs: 200, blocksAnEvent };
-    series.bytes.add(blocksAnEvent, (await play(peers, load)).bytes);
+  for (const blocksPerEvent of [1, 4, 16, 64]) {
+    const load = { gateways: 3, eventsPerSecond: 1_000, durationMs: 200, blocksPerEvent };
+    series.bytes.add(blocksPerEvent, (await runLoad(peers, load)).bytes);
   }
 };
 
 const measureByRate = async (peers: PeerProcess, series: EventSeries): Promise<void> => {
   for (const eventsPerSecond of [2_000, 10_000, 30_000, 60_000, 120_000]) {
     const load = { eventsPerSecond, durationMs: 300 };
-    const three = await play(peers, { ...load, edges: 3 });
-    series.nodeBusy.add(eventsPerSecond, three.busy);
-    series.delivered.add(eventsPerSecond, three.delivered);
-    const alone = await play(peers, { ...load, edges: 0 });
-    series.followerBusy.add(eventsPerSecond, (alone.us * eventsPerSecond) / usPerSecond);
-    const real = await play(peers, { ...load, edges: 1, appliesUpdates: true });
-    series.frontBusy.add(eventsPerSecond, (real.edgeUs * eventsPerSecond) / usPerSecond);
+    const forwarded = await runLoad(peers, { ...load, gateways: 3 });
+    series.nodeBusy.add(eventsPerSecond, forwarded.busy);
+    series.delivered.add(eventsPerSecond, forwarded.delivered);
+    const followed = await runLoad(peers, { ...load, gateways: 0 });
+    series.followerBusy.add(eventsPerSecond, (followed.us * eventsPerSecond) / usPerSecond);
+    const withIndex = await runLoad(peers, { ...load, gateways: 1, appliesUpdates: true });
+    series.gatewayBusy.add(eventsPerSecond, (withIndex.gatewayUs * eventsPerSecond) / usPerSecond);
   }
 };
 
-/** Measures events by gateways, by their size and by their rate. */
+/** Measures events by the number of gateways, by event size and by rate. */
 export const relaysProbe: Probe = {
   name: 'relays',
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
       await repeat(repeats, 0, async (_isMeasured, round) => {
-        await measureByFronts(peers, series);
+        await measureByGateways(peers, series);
         if (round === 0) await measureBytes(peers, series);
         await measureByRate(peers, series);
       });
--- a/packages/test-fleet/src/capacity/probes/replicaLists.ts
+++ b/packages/test-fleet/src/capacity/probes/replicaLists.ts
@@ -1,4 +1,4 @@
-/** The list of replicas: kept on disk by a control node, and told to gateways. */
+/** The list of replicas, which a control node stores on disk and sends to gateways. */
 import { replicaTables } from '@martenworks/control-plane';
 import { logs } from '@martenworks/core-types';
 import { frames } from '@martenworks/peer-transport';
@@ -13,8 +13,8 @@
 import type { Probe } from './probe.js';
 
 const repeats = 3;
-const listsARepeat = 10;
-const recordsARepeat = 20;
+const listsPerRepeat = 10;
+const recordsPerRepeat = 20;
 const sendMs = 30;
 const subscribeTimeoutMs = 10_000;
 
@@ -31,37 +31,37 @@
 const measureTable = async (series: ListSeries, replicas: number): Promise<void> => {
   const table = (await replicaTables.open(temporaryDisk(), logs.silent()))._unsafeUnwrap();
   const records = sampleData.records(replicas);
-  const first = startMeasurement();
+  const firstUsage = startMeasurement();
   await table.merge(records);
-  series.firstList.add(replicas, first().wallMs);
-  const unchanged = startMeasurement();
-  for (let list = 0; list < listsARepeat; list += 1) await table.merge(records);
-  series.listCpu.add(replicas, unchanged().cpuMs / listsARepeat);
+  series.firstList.add(replicas, firstUsage().wallMs);
+  const unchangedUsage = startMeasurement();
+  for (let list = 0; list < listsPerRepeat; list += 1) await table.merge(records);
+  series.listCpu.add(replicas, unchangedUsage().cpuMs / listsPerRepeat);
   series.bytes.add(replicas, frames.encodeFrame({ f: 'tell', topic: 'replicas', body: records }).length);
   await table.close();
 };
 
-const measureRecord = (peers: PeerProcess, series: ListSeries, edges: number): Promise<void> =>
-  withConnectedNode(peers, { count: edges }, {}, async ({ publisher }) => {
+const measureRecord = (peers: PeerProcess, series: ListSeries, gateways: number): Promise<void> =>
+  withConnectedNode(peers, { count: gateways }, {}, async ({ publisher }) => {
     await peers.run({ verb: 'send', topic: 'subscribe' });
-    await until(() => publisher.status().length === edges, subscribeTimeoutMs);
+    await until(() => publisher.status().length === gateways, subscribeTimeoutMs);
     const record = sampleData.records(1);
     await repeat(repeats, 1, async (isMeasured) => {
-      const spent = startMeasurement();
-      for (const _ of range(recordsARepeat)) publisher.sendReplicas(record);
+      const usage = startMeasurement();
+      for (const _ of range(recordsPerRepeat)) publisher.sendReplicas(record);
       await sleep(sendMs);
-      if (isMeasured) series.recordCpu.add(edges, spent().cpuUs / recordsARepeat);
+      if (isMeasured) series.recordCpu.add(gateways, usage().cpuUs / recordsPerRepeat);
     });
   });
 
-/** Measures lists by replicas and records by gateways. */
+/** Measures lists by the number of replicas, and records by the number of gateways. */
 export const replicaListsProbe: Probe = {
   name: 'replicas',
   measure: () =>
     withPeers(async (peers) => {
       const series = defineAll();
       for (const replicas of replicaCounts) await repeat(repeats, 0, () => measureTable(series, replicas));
-      for (const edges of nodeCounts) await measureRecord(peers, series, edges);
+      for (const gateways of nodeCounts) await measureRecord(peers, series, gateways);
       return measurementsOf(series);
     }),
 };
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -1,4 +1,4 @@
-/** The prefix-cache index of the users' platform: followed by control nodes, held by edges. */
+/** The prefix-cache index that control nodes follow and edges store. */
 import { PrefixCacheFollower } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import type { BackendClient, PrefixCacheEvent, PrefixCacheUpdate } from '@martenworks/core-types';
@@ -16,60 +16,60 @@
 const msPerSecond = 1_000;
 const replicaCount = 50;
 const partCounts = [10_000, 50_000, 100_000, 200_000];
-const partsAStep = 10_000;
+const partsPerStep = 10_000;
 const stepTimeoutMs = 5_000;
 const stepPollMs = 20;
-const lastBundleMs = 80;
-/** Bundles with fewer events are too short for the processor clock. */
-const leastEventsTimed = 1_000;
-const bundleSizes = [1, 10, 100, 1_000];
+const lastBatchMs = 80;
+/** Batches with fewer events are too short to be timed by the CPU clock. */
+const minEventsTimed = 1_000;
+const batchSizes = [1, 10, 100, 1_000];
 
 const defineAll = () =>
   defineSeries({
     follow: 'way-index/follow-cpu',
     event: 'way-index/event-cpu',
     nodeMemory: 'way-index/core-memory',
-    frontMemory: 'way-index/front-memory',
+    edgeMemory: 'way-index/front-memory',
     edgeUs: 'way-index/front-cpu',
     bytes: 'way-index/bytes',
   });
 
 type IndexSeries = ReturnType<typeof defineAll>;
 
-/** A bundle of events as the edge gets it. */
-interface SentBundle {
+/** A batch of events as the edge receives it. */
+interface SentBatch {
   readonly frame: Uint8Array;
   readonly events: number;
 }
 
 const followerOf = (
   backendClient: BackendClient,
-  onBundle: (bundle: readonly PrefixCacheUpdate[]) => void,
+  onBatch: (batch: readonly PrefixCacheUpdate[]) => void,
 ): PrefixCacheFollower =>
-  new PrefixCacheFollower(backendClient, machine.clock, machine.random, logs.silent(), onBundle, () => {});
+  new PrefixCacheFollower(backendClient, machine.clock, machine.random, logs.silent(), onBatch, () => {});
 
-const packed = (body: readonly PrefixCacheUpdate[]): Uint8Array =>
+const encodeUpdates = (body: readonly PrefixCacheUpdate[]): Uint8Array =>
   frames.encodeFrame({ f: 'tell', topic: 'prefixCaches', body });
 
 const measureFollowing = async (series: IndexSeries, replicas: number): Promise<void> => {
   const idle = routeSamples.backendClient({
     prefixCacheEvents: async () => ok({ epoch: 'e', next: 0, isLost: false, events: [] }),
   });
-  const desk = followerOf(idle, () => {});
+  const follower = followerOf(idle, () => {});
   const addresses = routeSamples.endpoints(replicas).map(({ address }) => address);
-  desk.reconcile(new Set(addresses), () => true);
+  follower.reconcile(new Set(addresses), () => true);
   await sleep(followMs);
   await repeat(repeats, 0, async () => {
-    const spent = startMeasurement();
+    const usage = startMeasurement();
     await sleep(followMs);
-    const { cpuMs, wallMs } = spent();
+    const { cpuMs, wallMs } = usage();
     series.follow.add(replicas, (cpuMs / wallMs) * msPerSecond);
   });
-  desk.stop();
+  follower.stop();
 };
 
-/** Back ends whose replicas each hand out, once, the page of events that was put for them. */
-const pagedBackEnds = (pages: Map<string, PrefixCacheEvent[]>): BackendClient => {
+/** Returns a client whose replicas each return the page of events set for them, once. */
+const pagedClient = (pages: Map<string, PrefixCacheEvent[]>): BackendClient => {
   let next = 0;
   return routeSamples.backendClient({
     prefixCacheEvents: async (address) => {
@@ -81,71 +81,74 @@
   });
 };
 
-const measureFront = (series: IndexSeries, parts: number, sent: readonly SentBundle[]): void => {
+const measureEdge = (series: IndexSeries, parts: number, sent: readonly SentBatch[]): void => {
   const before = heapBytes();
   const index = new PrefixCacheIndex(machine.clock);
-  const unpacker = new FrameDecoder(
+  const decoder = new FrameDecoder(
     (message) => index.apply((message as { body: PrefixCacheUpdate[] }).body),
     () => {},
   );
   for (const { frame, events } of sent) {
-    const began = cpuUs();
-    unpacker.push(frame);
-    if (events > leastEventsTimed) series.edgeUs.add(parts, (cpuUs() - began) / events);
+    const startUs = cpuUs();
+    decoder.push(frame);
+    if (events > minEventsTimed) series.edgeUs.add(parts, (cpuUs() - startUs) / events);
   }
-  series.frontMemory.add(parts, heapBytes() - before);
+  series.edgeMemory.add(parts, heapBytes() - before);
   index.sizes();
 };
 
-/** Feeds a follower step by step, and hands the bundles that it sends to `measureFront`. */
+/** Feeds events to a follower step by step, and passes the batches that it sends to `measureEdge`. */
 const measureParts = async (series: IndexSeries): Promise<void> => {
   const addresses = routeSamples.endpoints(replicaCount).map(({ address }) => address);
   const pages = new Map<string, PrefixCacheEvent[]>();
-  const bundles: PrefixCacheUpdate[][] = [];
-  const sent: SentBundle[] = [];
+  const batches: PrefixCacheUpdate[][] = [];
+  const sent: SentBatch[] = [];
   const empty = heapBytes();
-  const desk = followerOf(pagedBackEnds(pages), (bundle) => void bundles.push([...bundle]));
-  desk.reconcile(new Set(addresses), () => true);
-  const heldParts = (): number => desk.sizes().reduce((sum, { parts }) => sum + parts, 0);
-  let held = 0;
+  const follower = followerOf(pagedClient(pages), (batch) => void batches.push([...batch]));
+  follower.reconcile(new Set(addresses), () => true);
+  const followedParts = (): number => follower.sizes().reduce((sum, { parts }) => sum + parts, 0);
+  let fedParts = 0;
   const step = async (target: number): Promise<void> => {
-    const count = Math.min(partsAStep, target - held);
+    const count = Math.min(partsPerStep, target - fedParts);
     const share = count / addresses.length;
     for (const [at, address] of addresses.entries())
       pages.set(
         address,
-        range(share).map((part) => routeSamples.cacheEvent(held + at * share + part)),
+        range(share).map((part) => routeSamples.cacheEvent(fedParts + at * share + part)),
       );
-    const spent = startMeasurement();
-    held += count;
-    await until(() => heldParts() >= held, stepTimeoutMs, stepPollMs);
-    await sleep(lastBundleMs);
-    series.event.add(target, spent().cpuUs / count);
-    for (const bundle of bundles.splice(0))
-      sent.push({ frame: packed(bundle), events: bundle.reduce((sum, { events: update }) => sum + update.length, 0) });
+    const usage = startMeasurement();
+    fedParts += count;
+    await until(() => followedParts() >= fedParts, stepTimeoutMs, stepPollMs);
+    await sleep(lastBatchMs);
+    series.event.add(target, usage().cpuUs / count);
+    for (const batch of batches.splice(0))
+      sent.push({
+        frame: encodeUpdates(batch),
+        events: batch.reduce((sum, { events: update }) => sum + update.length, 0),
+      });
   };
   for (const target of partCounts) {
-    while (held < target) await step(target);
+    while (fedParts < target) await step(target);
     series.nodeMemory.add(target, heapBytes() - empty);
-    measureFront(series, target, sent);
+    measureEdge(series, target, sent);
   }
-  desk.stop();
+  follower.stop();
 };
 
-const bundleBytes = (events: number): number => {
+const batchBytes = (events: number): number => {
   const [endpoint] = routeSamples.endpoints(1);
   const update = range(events).map(routeSamples.cacheEvent);
-  return packed([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: update }]).length;
+  return encodeUpdates([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: update }]).length;
 };
 
-/** Measures by replicas followed and by parts held. */
+/** Measures by the number of followed replicas and of cached parts. */
 export const routeIndexProbe: Probe = {
   name: 'way-index',
   measure: async () => {
     const series = defineAll();
     for (const replicas of replicaCounts) await measureFollowing(series, replicas);
     await measureParts(series);
-    for (const events of bundleSizes) series.bytes.add(events, bundleBytes(events) / events);
+    for (const events of batchSizes) series.bytes.add(events, batchBytes(events) / events);
     return measurementsOf(series);
   },
 };
--- a/packages/test-fleet/src/capacity/probes/routeList.ts
+++ b/packages/test-fleet/src/capacity/probes/routeList.ts
@@ -1,4 +1,4 @@
-/** The endpoint list of the users' platform and the roll-out of weights. */
+/** The endpoint list, and the rollout of weights. */
 import { EndpointListReader, WeightsRollout } from '@martenworks/control-plane';
 import { logs, machine } from '@martenworks/core-types';
 import type { Clock, ReplicaEndpoint } from '@martenworks/core-types';
@@ -12,11 +12,11 @@
 import type { Probe } from './probe.js';
 
 const repeats = 3;
-const readingsARepeat = 10;
+const readsPerRepeat = 10;
 const clonesTimed = 20;
-const stepsBehind = 10;
-const stepsIdle = 20;
-const changesARepeat = 10;
+const pendingSteps = 10;
+const idleSteps = 20;
+const changesPerRepeat = 10;
 const readerTimeoutMs = 1_000;
 
 const defineAll = () =>
@@ -32,20 +32,20 @@
 
 const immediateClock: Clock = {
   ...machine.clock,
-  after: (_ms, ring) => {
-    setImmediate(ring);
+  after: (_ms, callback) => {
+    setImmediate(callback);
     return { cancel: () => {} };
   },
 };
 
-/** A reader of the list that asks again at once, and gets each answer only when told to. */
+/** Creates a reader of the list that requests it again immediately; `read` returns one response to it. */
 const steppedReader = (list: readonly ReplicaEndpoint[]): { read: () => Promise<void>; stop: () => void } => {
-  let answer: (() => void) | null = null;
+  let respond: (() => void) | null = null;
   const reader = new EndpointListReader(
     routeSamples.backendClient({
       listReplicas: () =>
-        new Promise((give) => {
-          answer = () => give(ok(structuredClone([...list])));
+        new Promise((resolveList) => {
+          respond = () => resolveList(ok(structuredClone([...list])));
         }),
     }),
     immediateClock,
@@ -55,24 +55,24 @@
     () => {},
   );
   const read = async (): Promise<void> => {
-    await until(() => answer !== null, readerTimeoutMs, 0);
-    const give = answer;
-    answer = null;
-    give?.();
-    await new Promise<void>((wake) => setImmediate(wake));
+    await until(() => respond !== null, readerTimeoutMs, 0);
+    const pending = respond;
+    respond = null;
+    pending?.();
+    await new Promise<void>((resolve) => setImmediate(resolve));
   };
   return { read, stop: reader.stop };
 };
 
-/** The copy of the list that stands for the call's answer is taken off. */
-const measureReading = async (series: ListSeries, list: readonly ReplicaEndpoint[]): Promise<void> => {
+/** The time to copy the list, which stands in for the response of the call, is subtracted. */
+const measureReads = async (series: ListSeries, list: readonly ReplicaEndpoint[]): Promise<void> => {
   const { read, stop } = steppedReader(list);
   await read();
   const cloneMs = meanCpuMs(clonesTimed, () => void structuredClone(list));
   await repeat(repeats, 1, async (isMeasured) => {
-    const spent = startMeasurement();
-    for (const _ of range(readingsARepeat)) await read();
-    if (isMeasured) series.reading.add(list.length, Math.max(0, spent().cpuMs / readingsARepeat - cloneMs));
+    const usage = startMeasurement();
+    for (const _ of range(readsPerRepeat)) await read();
+    if (isMeasured) series.reading.add(list.length, Math.max(0, usage().cpuMs / readsPerRepeat - cloneMs));
   });
   stop();
 };
@@ -94,11 +94,11 @@
   repeat(repeats, 1, (isMeasured) => {
     const [behind, done] = [rolloutTo(2, list), rolloutTo(1, list)];
     behind.step();
-    const stepMs = meanCpuMs(stepsBehind, () => behind.step());
-    const idleMs = meanCpuMs(stepsIdle, () => done.step());
+    const stepMs = meanCpuMs(pendingSteps, () => behind.step());
+    const idleMs = meanCpuMs(idleSteps, () => done.step());
     const replicaTracker = new ReplicaTracker(machine.clock);
     replicaTracker.applyEndpoints({ isWhole: true, put: list, gone: [] });
-    const edgeMs = meanCpuMs(changesARepeat, (at) =>
+    const edgeMs = meanCpuMs(changesPerRepeat, (at) =>
       replicaTracker.applyEndpoints({
         isWhole: false,
         put: [{ ...(list[at] as ReplicaEndpoint), isLeaving: true }],
@@ -111,7 +111,7 @@
     series.edge.add(list.length, edgeMs);
   });
 
-/** Measures by the replicas of the list. */
+/** Measures by the number of replicas in the list. */
 export const routeListProbe: Probe = {
   name: 'way-list',
   measure: async () => {
@@ -120,7 +120,7 @@
       const list = routeSamples.endpoints(replicas);
       const body = { isWhole: true, put: list, gone: [] };
       series.bytes.add(replicas, frames.encodeFrame({ f: 'tell', topic: 'endpoints', body }).length);
-      await measureReading(series, list);
+      await measureReads(series, list);
       await measureSteps(series, list);
     }
     return measurementsOf(series);
--- a/packages/test-fleet/src/capacity/probes/routePlacement.ts
+++ b/packages/test-fleet/src/capacity/probes/routePlacement.ts
@@ -1,4 +1,4 @@
-/** Choosing a replica on an edge of the users' platform, and building the view of a new routing table. */
+/** Placement on an edge, and building the view of a new routing table. */
 import { machine } from '@martenworks/core-types';
 import type { PromptPart } from '@martenworks/core-types';
 import { ReplicaTracker, PrefixCacheIndex, ReplicaSelector } from '@martenworks/edge-proxy';
@@ -11,9 +11,9 @@
 import type { Probe } from './probe.js';
 
 const placementRepeats = 5;
-const placementsARepeat = 50;
+const placementsPerRepeat = 50;
 const viewRepeats = 3;
-const viewsARepeat = 5;
+const viewsPerRepeat = 5;
 const fewCustomers = 10;
 const waitMs = 50;
 const largePart: PromptPart = { id: 'a'.repeat(24), tokens: 13_300 };
@@ -28,7 +28,7 @@
 
 type PlacementSeries = ReturnType<typeof defineAll>;
 
-/** One replica in three holds the large part of the prompt. */
+/** Creates a selector where one replica in three caches the large part of the prompt. */
 const selectorFor = (replicas: number): ReplicaSelector => {
   const list = routeSamples.endpoints(replicas * poolCount);
   const replicaTracker = new ReplicaTracker(machine.clock);
@@ -43,7 +43,7 @@
   });
 };
 
-const question = (): PlacementQuery => ({
+const placementQuery = (): PlacementQuery => ({
   pool: model,
   metadata: {
     id: 'order',
@@ -62,23 +62,23 @@
 const measurePlacement = (series: PlacementSeries, replicas: number): Promise<void> => {
   const selector = selectorFor(replicas);
   const view = new RoutingTableIndexer().view(1, routeSamples.routingTable(fewCustomers));
-  const asked = question();
+  const query = placementQuery();
   return repeat(placementRepeats, 1, (isMeasured) => {
-    const us = meanCpuUs(placementsARepeat, () => void selector.place(asked, view, waitMs));
+    const us = meanCpuUs(placementsPerRepeat, () => void selector.place(query, view, waitMs));
     if (isMeasured) series.placement.add(replicas, us);
   });
 };
 
 const measureView = (series: PlacementSeries, customers: number): Promise<void> => {
   const table = routeSamples.routingTable(customers);
-  const door = new RoutingTableIndexer();
+  const indexer = new RoutingTableIndexer();
   return repeat(viewRepeats, 1, (isMeasured) => {
-    const ms = meanCpuMs(viewsARepeat, (at) => void door.view(at, table));
+    const ms = meanCpuMs(viewsPerRepeat, (at) => void indexer.view(at, table));
     if (isMeasured) series.view.add(customers, ms);
   });
 };
 
-/** Measures placement by the replicas of a pool, and views by customers. */
+/** Measures placement by the number of replicas in a pool, and views by the number of customers. */
 export const routePlacementProbe: Probe = {
   name: 'way-place',
   measure: async () => {
--- a/packages/test-fleet/src/capacity/probes/routePush.ts
+++ b/packages/test-fleet/src/capacity/probes/routePush.ts
@@ -1,4 +1,4 @@
-/** Control node to edges of the users' platform: pings, pushes of the routing table, bare generations and notices. */
+/** Messages between a control node and edges: pings, routing tables, versions without content, and prefill notices. */
 import { TargetWeightsAges, StatePublisher } from '@martenworks/control-plane';
 import { machine } from '@martenworks/core-types';
 import type { Change, PrefillNotice } from '@martenworks/core-types';
@@ -16,12 +16,12 @@
 
 const repeats = 3;
 const pingCount = 200;
-/** Let the compiler optimize the connections' code before anything is measured. */
+/** Lets the JIT compiler optimize the connection code before the measurement. */
 const warmUpPings = 800;
-const noticesARepeat = 20;
+const noticesPerRepeat = 20;
 const sendMs = 20;
 const fixedCustomers = 1_000;
-const fewFronts = 10;
+const fewEdges = 10;
 const servedCounts = [10, 34, 67, 134];
 const subscribeTimeoutMs = 10_000;
 const ackTimeoutMs = 20_000;
@@ -33,13 +33,13 @@
     pingBytes: 'way-push/ping-bytes',
     contentMs: 'way-push/content-cpu',
     contentBytes: 'way-push/content-bytes',
-    bareMs: 'way-push/bare-cpu',
-    bareBytes: 'way-push/bare-bytes',
+    versionMs: 'way-push/bare-cpu',
+    versionBytes: 'way-push/bare-bytes',
     noticeUs: 'way-push/reading-cpu',
     noticeBytes: 'way-push/reading-bytes',
   });
 
-/** Connected edges, all of which want the contents of changes or only their generations. */
+/** Connected edges, all of which want the contents of changes, or only their versions. */
 interface Scenario {
   readonly node: MeasuredControlNode;
   readonly publisher: StatePublisher;
@@ -47,7 +47,7 @@
   readonly wantsContent: boolean;
 }
 
-type Cost = (value: number, bytesEach: number) => void;
+type RecordCost = (value: number, bytesPerEdge: number) => void;
 type Body<Method extends keyof StatePublisher> = StatePublisher[Method] extends (
   connection: never,
   body: infer B,
@@ -56,7 +56,7 @@
   ? B
   : never;
 
-/** The publisher needs the node's state, and the node's listener the publisher, so the handlers look it up. */
+/** The publisher needs the node's state, and the node's listener needs the handlers, so they look up the publisher. */
 const handlersFor = (publisher: () => StatePublisher | null): Partial<PeerHandlers> => ({
   onClose: (connection) => publisher()?.unsubscribe(connection),
   onMessage: (connection, topic, body) => {
@@ -85,30 +85,30 @@
     );
     publisher = own;
     await peers.run({ verb: 'dial', address: node.address, firstPeer: 0, count: edges });
-    const body = { ...heldBy(node), wantsContent };
+    const body = { ...storedVersion(node), wantsContent };
     await peers.run({ verb: 'send', topic: 'subscribe', body });
     await until(() => own.status().length === edges, subscribeTimeoutMs);
-    await peers.run({ verb: 'ping', count: warmUpPings, body: { ...heldBy(node), isReady: true } });
+    await peers.run({ verb: 'ping', count: warmUpPings, body: { ...storedVersion(node), isReady: true } });
     await work({ node, publisher: own, edges, wantsContent });
   });
 };
 
-const heldBy = ({ acceptor }: MeasuredControlNode): { logIndex: number; configVersion: number } => ({
+const storedVersion = ({ acceptor }: MeasuredControlNode): { logIndex: number; configVersion: number } => ({
   logIndex: acceptor.committedState()?.logIndex ?? 0,
   configVersion: 0,
 });
 
-const measurePings = (peers: PeerProcess, { node }: Scenario, note: Cost): Promise<void> => {
-  const body = { ...heldBy(node), isReady: true };
+const measurePings = (peers: PeerProcess, { node }: Scenario, record: RecordCost): Promise<void> => {
+  const body = { ...storedVersion(node), isReady: true };
   return repeat(repeats, 1, async (isMeasured) => {
-    const spent = startMeasurement(node.meter);
+    const usage = startMeasurement(node.meter);
     await peers.run({ verb: 'ping', count: pingCount, body });
-    const { cpuUs, sentBytes, receivedBytes } = spent();
-    if (isMeasured) note(cpuUs / pingCount, (sentBytes + receivedBytes) / pingCount);
+    const { cpuUs, sentBytes, receivedBytes } = usage();
+    if (isMeasured) record(cpuUs / pingCount, (sentBytes + receivedBytes) / pingCount);
   });
 };
 
-const measureNotices = ({ node, publisher, edges }: Scenario, note: Cost): Promise<void> => {
+const measureNotices = ({ node, publisher, edges }: Scenario, record: RecordCost): Promise<void> => {
   const notice: PrefillNotice = {
     id: 'request-0000000000000001',
     replica: 'replica-0001-1',
@@ -117,35 +117,35 @@
     part: sampleData.blockName(1),
   };
   return repeat(repeats, 1, async (isMeasured) => {
-    const spent = startMeasurement(node.meter);
-    for (const _ of range(noticesARepeat)) publisher.sendToContentEdges('prefill', notice);
+    const usage = startMeasurement(node.meter);
+    for (const _ of range(noticesPerRepeat)) publisher.sendToContentEdges('prefill', notice);
     await sleep(sendMs);
-    const { cpuUs, sentBytes } = spent();
-    if (isMeasured) note(cpuUs / noticesARepeat, sentBytes / noticesARepeat / edges);
+    const { cpuUs, sentBytes } = usage();
+    if (isMeasured) record(cpuUs / noticesPerRepeat, sentBytes / noticesPerRepeat / edges);
   });
 };
 
-const measureChanges = (scenario: Scenario, customers: number, note: Cost): Promise<void> => {
+const measureChanges = (scenario: Scenario, customers: number, record: RecordCost): Promise<void> => {
   const { node, publisher, edges, wantsContent } = scenario;
   const routingTable = routeSamples.routingTable(customers);
   return repeat(repeats, 1, async (isMeasured, at) => {
-    const logIndex = heldBy(node).logIndex + 1;
+    const logIndex = storedVersion(node).logIndex + 1;
     const change: Change = {
       id: `book-${at}`,
       digest: '0',
       body: { kind: 'routing', base: at, routing: { configVersion: at + 1, table: routingTable, source: '' } },
     };
     const isAcked = (): boolean => publisher.status().every((line) => line.acked >= logIndex);
-    const spent = startMeasurement(node.meter);
+    const usage = startMeasurement(node.meter);
     await node.acceptor.commit({ logIndex, change });
     if (wantsContent) await until(isAcked, ackTimeoutMs, ackPollMs);
     else await sleep(sendMs);
-    const { cpuMs, sentBytes } = spent();
-    if (isMeasured) note(cpuMs, sentBytes / edges);
+    const { cpuMs, sentBytes } = usage();
+    if (isMeasured) record(cpuMs, sentBytes / edges);
   });
 };
 
-/** Measures by edges and by customers. */
+/** Measures by the number of edges and of customers. */
 export const routePushProbe: Probe = {
   name: 'way-push',
   measure: () =>
@@ -158,8 +158,8 @@
             series.pingBytes.add(edges, bytes);
           });
           await measureChanges(scenario, fixedCustomers, (ms, bytes) => {
-            series.bareMs.add(edges, ms);
-            series.bareBytes.add(edges, bytes);
+            series.versionMs.add(edges, ms);
+            series.versionBytes.add(edges, bytes);
           });
         });
       for (const edges of servedCounts)
@@ -171,7 +171,7 @@
           await measureChanges(scenario, fixedCustomers, (ms) => series.contentMs.add(edges, ms));
         });
       for (const customers of tenantCounts)
-        await withScenario(peers, fewFronts, true, (scenario) =>
+        await withScenario(peers, fewEdges, true, (scenario) =>
           measureChanges(scenario, customers, (_ms, bytes) => series.contentBytes.add(customers, bytes)),
         );
       return measurementsOf(series);
--- a/packages/test-fleet/src/capacity/routeSamples.ts
+++ b/packages/test-fleet/src/capacity/routeSamples.ts
@@ -1,4 +1,4 @@
-/** Routing tables, endpoint lists and prefix-cache events of any size, as the users' platform has them. */
+/** Sample routing tables, endpoint lists and prefix-cache events of any size for the probes of edges. */
 import type { BackendClient, PrefixCacheEvent, ReplicaEndpoint, RoutingTable } from '@martenworks/core-types';
 import { ok } from 'neverthrow';
 import { poolCount } from './fleetSize.js';
@@ -68,14 +68,14 @@
     weights: { [modelOf(at)]: 1 },
   }));
 
-/** Back ends that never answer, but for the calls given. */
-const backendClient = (answering: Partial<BackendClient>): BackendClient => ({
+/** Returns a client whose replicas are idle or never respond, except for the calls in `overrides`. */
+const backendClient = (overrides: Partial<BackendClient>): BackendClient => ({
   listReplicas: async () => ok([]),
   requestWeightsLoad: () => new Promise(() => {}),
   readReport: async () => ok({ weights: {}, isBusy: true }),
   prefixCacheEvents: () => new Promise(() => {}),
   prefixCacheListing: () => new Promise(() => {}),
-  ...answering,
+  ...overrides,
 });
 
 const cacheEvent = (at: number): PrefixCacheEvent => ({
@@ -85,5 +85,5 @@
   tokens: largePartTokens,
 });
 
-/** Each gives equal data for equal arguments. */
+/** Each function returns equal data for equal arguments. */
 export const routeSamples = { modelOf, routingTable, endpoints, backendClient, cacheEvent };
--- a/packages/test-fleet/src/capacity/sampleData.ts
+++ b/packages/test-fleet/src/capacity/sampleData.ts
@@ -1,4 +1,4 @@
-/** Data of any size that the probes feed to the parts they measure. */
+/** Sample data of any size for the components that the probes measure. */
 import { stateMachine } from '@martenworks/core-types';
 import type {
   CommittedState,
@@ -67,7 +67,7 @@
   };
 };
 
-const rememberedChanges = 4_096;
+const storedChangeIds = 4_096;
 
 const stateOf = (tenantCount: number, isolated: number, members: readonly Member[]): CommittedState => ({
   ...stateMachine.initialState(members),
@@ -82,7 +82,7 @@
     ]),
   ),
   changeIds: Object.fromEntries(
-    Array.from({ length: rememberedChanges }, (_, at) => [
+    Array.from({ length: storedChangeIds }, (_, at) => [
       `change-${at}`,
       { logIndex: at, digest: at.toString(16).padStart(32, '0') },
     ]),
@@ -106,5 +106,5 @@
   body: { kind: 'config', config: configOf(tenantCount, 0, configVersion), base },
 });
 
-/** Each gives equal data for equal arguments; `count` and the like set the size. */
+/** Each function returns equal data for equal arguments. */
 export const sampleData = { helloOf, records, configOf, configChange, stateOf, blockName, stored };
--- a/packages/test-fleet/src/capacity/table.ts
+++ b/packages/test-fleet/src/capacity/table.ts
@@ -1,4 +1,4 @@
-/** Writes measured series as a Markdown table and as JSON. */
+/** Formats measured series as a Markdown table and as JSON. */
 import { fits } from './curveFit.js';
 import type { Point } from './curveFit.js';
 
@@ -25,26 +25,27 @@
 };
 
 const row = (one: Measurement): string => {
-  const found = fits.fit(one.points);
-  const told = fits.forecast(one.points, found, one.target);
-  const shape = found.shape === 'not a line' ? `not a line, x^${found.exponent.toFixed(2)} at the top` : found.shape;
+  const fitted = fits.fit(one.points);
+  const forecast = fits.forecast(one.points, fitted, one.target);
+  const shape =
+    fitted.shape === 'not a line' ? `not a line, x^${fitted.exponent.toFixed(2)} at the largest sizes` : fitted.shape;
   const points = one.points.map((point) => `${figure(point.x)}: ${figure(fits.median(point.values))}`).join(', ');
   const cells = [
     `\`${one.run}\``,
     `${one.what} (${one.unit})`,
     one.over,
     points,
-    figure(found.slope),
-    figure(found.intercept),
-    found.r2.toFixed(3),
-    `${Math.round(found.spread * 100)} %`,
+    figure(fitted.slope),
+    figure(fitted.intercept),
+    fitted.r2.toFixed(3),
+    `${Math.round(fitted.spread * 100)} %`,
     shape,
-    `${figure(told.value)} at ${figure(one.target)}, ${told.how}`,
+    `${figure(forecast.value)} at ${figure(one.target)}, ${forecast.how}`,
   ];
   return `| ${cells.join(' | ')} |`;
 };
 
-const head = [
+const columns = [
   'run',
   'measured (unit)',
   'over',
@@ -54,17 +55,17 @@
   'r2',
   'widest spread',
   'shape',
-  'at the size',
+  'at the planned size',
 ];
 
 const markdown = (all: readonly Measurement[]): string =>
-  [`| ${head.join(' | ')} |`, `|${'---|'.repeat(head.length)}`, ...all.map(row)].join('\n');
+  [`| ${columns.join(' | ')} |`, `|${'---|'.repeat(columns.length)}`, ...all.map(row)].join('\n');
 
 const asJson = (all: readonly Measurement[]): unknown =>
   all.map((one) => {
-    const found = fits.fit(one.points);
-    return { ...one, fit: found, forecast: fits.forecast(one.points, found, one.target) };
+    const fitted = fits.fit(one.points);
+    return { ...one, fit: fitted, forecast: fits.forecast(one.points, fitted, one.target) };
   });
 
-/** `figure` shortens a number, `row` and `markdown` write the table, `asJson` adds fit and forecast. */
+/** `figure` rounds a number to three digits, `row` and `markdown` format the table, `asJson` adds fit and forecast. */
 export const tables = { figure, row, markdown, asJson };
