--- a/packages/cluster-membership/test/failureDetector.test.ts
+++ b/packages/cluster-membership/test/failureDetector.test.ts
@@ -11,8 +11,8 @@
       : [],
   );
 
-const startedFleet = async (seed: number, edges = 6, replicas = 4): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, edges, replicas });
+const startedFleet = async (seed: number, gatewayCount = 6, replicaCount = 4): Promise<SimFleet> => {
+  const fleet = new SimFleet({ seed, gatewayCount, replicaCount });
   await fleet.up();
   await fleet.world.run(6_000);
   return fleet;
@@ -42,7 +42,7 @@
     const fleet = await startedFleet(41);
     const detectionMs: number[] = [];
     for (const at of [0, 2, 4]) {
-      fleet.killCounter(at);
+      fleet.killGateway(at);
       detectionMs.push(
         await fleet.world.until(
           'the verdict',
@@ -50,7 +50,7 @@
           6_000,
         ),
       );
-      await fleet.bootCounter(at);
+      await fleet.bootGateway(at);
       await fleet.world.until(
         'the verdict cleared',
         () => downVerdicts(fleet, `counter-${at + 1}`).every((isDown) => !isDown),
@@ -130,7 +130,7 @@
   it('given a holder that shuts down gracefully, when it resigns, then its duties have new holders within two seconds, before its leases would have expired', async () => {
     const fleet = await startedFleet(53);
     const holder = followersOf(fleet, 'replica-1')[0] as number;
-    await fleet.finish(fleet.rollControlNode(holder));
+    await fleet.finish(fleet.restartControlNode(holder));
     await fleet.world.run(1_900);
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'])
       expect(followersOf(fleet, name).length, name).to.equal(1);
@@ -159,7 +159,7 @@
   it('given traffic, when the follower of kv-events changes repeatedly, then no event is lost and the index is complete on every gateway', async () => {
     const fleet = await startedFleet(52, 3, 4);
     const checker = new InvariantChecker(fleet);
-    checker.traffic(40, 30_000, 0.2);
+    checker.startTraffic(40, 30_000, 0.2);
     for (let round = 0; round < 5; round += 1) {
       fleet.killControlNode(round % 3);
       await fleet.world.run(4_000);
--- a/packages/control-plane/test/control.test.ts
+++ b/packages/control-plane/test/control.test.ts
@@ -3,7 +3,7 @@
 import { InvariantChecker, keyOf, sampleWorkload, SimFleet } from '@martenworks/test-fleet';
 import type { HttpReply } from '@martenworks/test-fleet';
 
-const smallFleet = { edges: 2, replicas: 3 };
+const smallFleet = { gatewayCount: 2, replicaCount: 3 };
 
 const startedFleet = async (seed: number): Promise<SimFleet> => {
   const fleet = new SimFleet({ seed, ...smallFleet });
@@ -16,13 +16,13 @@
 });
 
 const patch = (fleet: SimFleet, at: number, part: unknown, base: number | null, id: string): Promise<HttpReply> =>
-  fleet.onControlNode(at, 'PATCH', '/operator/layout', part, {
+  fleet.callControlNode(at, 'PATCH', '/operator/layout', part, {
     'change-id': id,
     ...(base === null ? {} : { 'if-match': `"${base}"` }),
   });
 
 const baseOf = async (fleet: SimFleet, at = 0): Promise<number> =>
-  Number((await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/layout'))).body.generation);
+  Number((await fleet.finish(fleet.callControlNode(at, 'GET', '/operator/layout'))).body.generation);
 
 const allApplied = (fleet: SimFleet, logIndex: number): boolean =>
   fleet.gateways.every(
@@ -38,7 +38,7 @@
     await Promise.all([0, 1, 2].map((at) => fleet.startControlNode(at)));
     await fleet.world.until('the bootstrap', () => fleet.controlNodes.every((one) => one?.isReady() === true));
     fleet.killControlNode(0);
-    await fleet.startCounter(0);
+    await fleet.startGateway(0);
     await fleet.world.until(
       'an up-to-date gateway with one seed down',
       () => fleet.gateways[0]?.freshness.isFresh() === true,
@@ -62,7 +62,7 @@
     await fleet.world.run(20_000);
     expect(fleet.controlNodes.map((one) => one?.acceptor.committedState() ?? null)).to.deep.equal([null, null, null]);
     const response = await fleet.finish(
-      fleet.onControlNode(0, 'PUT', '/operator/layout', sampleWorkload.config('weights-1'), { 'if-match': '"0"' }),
+      fleet.callControlNode(0, 'PUT', '/operator/layout', sampleWorkload.config('weights-1'), { 'if-match': '"0"' }),
     );
     expect([response.status, response.body.outcome, response.retryAfter]).to.deep.equal([503, 'not accepted', '1']);
     await fleet.startControlNode(2);
@@ -190,7 +190,7 @@
     ]);
     expect(await baseOf(fleet)).to.equal(base);
     for (const id of ['no-base', 'faulty', 'dangling'])
-      expect((await fleet.finish(fleet.onControlNode(1, 'GET', `/operator/changes/${id}`))).status).to.equal(404);
+      expect((await fleet.finish(fleet.callControlNode(1, 'GET', `/operator/changes/${id}`))).status).to.equal(404);
   });
 
   it('given one change to tiers, 300 lanes and weights, when it is accepted, then every gateway applies it within two seconds and never only a part of it', async () => {
@@ -255,7 +255,7 @@
       await fleet.world.run(3_000);
       const lookups = await Promise.all(
         [0, 1, 2].map(
-          async (at) => (await fleet.finish(fleet.onControlNode(at, 'GET', '/operator/changes/half'))).status,
+          async (at) => (await fleet.finish(fleet.callControlNode(at, 'GET', '/operator/changes/half'))).status,
         ),
       );
       expect(new Set(lookups).size, `seed ${seed}: ${lookups.join()}`).to.equal(1);
@@ -275,7 +275,7 @@
     expect([response.status, response.retryAfter]).to.deep.equal([503, '1']);
     fleet.world.healAll();
     await fleet.world.run(3_000);
-    expect((await fleet.finish(fleet.onControlNode(1, 'GET', '/operator/changes/alone'))).status).to.equal(404);
+    expect((await fleet.finish(fleet.callControlNode(1, 'GET', '/operator/changes/alone'))).status).to.equal(404);
   });
 
   it('given a client that the platform adds and revokes, when it sends requests, then its key works until it is revoked, and its open streams are aborted within one second', async () => {
@@ -283,7 +283,7 @@
     const checker = new InvariantChecker(fleet);
     const key = 'a-new-riders-key';
     const granted = await fleet.finish(
-      fleet.onControlNode(2, 'POST', '/platform/clients', {
+      fleet.callControlNode(2, 'POST', '/platform/clients', {
         tenant: 'newcomer',
         key,
         grant: { tier: 'steady', lanes: ['query'] },
@@ -305,7 +305,7 @@
     const stream = checker.send(request, 0);
     await fleet.world.run(500);
     expect([stream.outcome, stream.text.length > 0]).to.deep.equal(['open', true]);
-    const revoked = await fleet.finish(fleet.onControlNode(0, 'POST', '/platform/keys/revoke', { key }));
+    const revoked = await fleet.finish(fleet.callControlNode(0, 'POST', '/platform/keys/revoke', { key }));
     expect(revoked.status).to.equal(200);
     const revokedAt = fleet.world.time;
     await fleet.world.run(2_000);
--- a/packages/control-plane/test/maintenance.test.ts
+++ b/packages/control-plane/test/maintenance.test.ts
@@ -11,7 +11,7 @@
   seed: number,
   settings: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, edges: 3, replicas: 4, ...settings });
+  const fleet = new SimFleet({ seed, gatewayCount: 3, replicaCount: 4, ...settings });
   await fleet.up();
   return fleet;
 };
@@ -42,11 +42,13 @@
   it('given load, when every control node and gateway is restarted in turn, then no accepted change and no started response is lost', async () => {
     const fleet = await startFleet(61);
     const checker = new InvariantChecker(fleet);
-    checker.traffic(40, 45_000);
+    checker.startTraffic(40, 45_000);
     for (let round = 0; round < 3; round += 1) {
-      const base = Number((await fleet.finish(fleet.onControlNode(round, 'GET', '/operator/layout'))).body.generation);
+      const base = Number(
+        (await fleet.finish(fleet.callControlNode(round, 'GET', '/operator/layout'))).body.generation,
+      );
       const response = await fleet.finish(
-        fleet.onControlNode(
+        fleet.callControlNode(
           round,
           'PATCH',
           '/operator/layout',
@@ -55,20 +57,20 @@
         ),
       );
       expect(response.status).to.equal(200);
-      checker.acceptedIds.set(`roll-${round}`, Number(response.body.generation));
-      await fleet.finish(fleet.rollControlNode(round));
+      checker.acceptedChanges.set(`roll-${round}`, Number(response.body.generation));
+      await fleet.finish(fleet.restartControlNode(round));
       await fleet.world.until(
         'the restarted control node to be ready',
         () => fleet.controlNodes[round]?.isReady() === true,
       );
-      await fleet.finish(fleet.rollCounter(round), 60_000);
+      await fleet.finish(fleet.restartGateway(round), 60_000);
       await fleet.world.until(
         'the restarted gateway to be up to date',
         () => fleet.gateways[round]?.freshness.isFresh() === true,
       );
     }
     await fleet.world.run(60_000);
-    const metrics = checker.metrics();
+    const metrics = checker.outcomeCounts();
     expect(metrics.cut ?? 0, JSON.stringify(metrics)).to.equal(0);
     for (const call of checker.calls) {
       if (call.outcome === 'lost') expect(call.code).to.equal('ECONNREFUSED');
@@ -86,7 +88,7 @@
   it('given a gateway with another protocol version, when it connects to the fleet, then it is rejected and logs this, and the others continue to serve', async () => {
     let hasOtherVersion = false;
     const fleet = await startFleet(62, {
-      onCounter: (gateway) => {
+      onGatewayStarted: (gateway) => {
         if (!hasOtherVersion) return;
         const hello = gateway.hello;
         (gateway.peerPool as unknown as { own: () => unknown }).own = () => ({
@@ -96,8 +98,8 @@
       },
     });
     hasOtherVersion = true;
-    fleet.killCounter(2);
-    await fleet.bootCounter(2);
+    fleet.killGateway(2);
+    await fleet.bootGateway(2);
     await fleet.world.run(100);
     for (const connection of fleet.gateways[2]?.peerPool.openConnections() ?? []) connection.close();
     await fleet.world.run(10_000);
@@ -119,7 +121,7 @@
 
 describe('log maintenance', () => {
   it('given hundreds of large changes, when they are stored, then disk usage stays bounded, and a restarted control node has all of them', async () => {
-    const fleet = await startFleet(63, { edges: 1, replicas: 2 });
+    const fleet = await startFleet(63, { gatewayCount: 1, replicaCount: 2 });
     const lanes = Object.fromEntries(
       Array.from({ length: 400 }, (_, at) => [`lane-${at}`, { pool: 'main', repeat: 'freely' }]),
     );
@@ -127,7 +129,7 @@
     let maxDiskBytes = 0;
     for (let round = 0; round < 300; round += 1) {
       const response = await fleet.finish(
-        fleet.onControlNode(
+        fleet.callControlNode(
           round % 3,
           'PATCH',
           '/operator/layout',
@@ -166,7 +168,7 @@
     for (const prefix of ['decrees', 'leases', 'replicas', 'claims']) {
       const fleet = await startFleet(65);
       const checker = new InvariantChecker(fleet);
-      checker.keyedTraffic(10, 1_000);
+      checker.startKeyedTraffic(10, 1_000);
       await fleet.world.run(3_000);
       const before = fleet.controlNodes[0]?.acceptor.incarnation;
       const state = fleet.controlNodes[1]?.acceptor.committedState();
@@ -197,7 +199,7 @@
     if (segment === undefined) throw new Error('no log segment');
     segment[1].synced[20] = (segment[1].synced[20] ?? 0) ^ 0x55;
     const images: SimDisk[] = [];
-    machine.disk.beforeStep = () => void images.push(machine.disk.copy());
+    machine.disk.beforeMutation = () => void images.push(machine.disk.copy());
     machine.boot();
     const { disk, clock, random, log } = machine.ports();
     await fleet.finish(acceptors.open(disk, clock, random, log));
@@ -257,14 +259,14 @@
       await fleet.startControlNode(at);
     }
     for (const at of [0, 1]) {
-      fleet.killCounter(at);
-      await fleet.bootCounter(at);
+      fleet.killGateway(at);
+      await fleet.bootGateway(at);
     }
     await fleet.world.run(12_000);
     const checker = new InvariantChecker(fleet);
-    checker.traffic(40, 6_000, 0.1);
+    checker.startTraffic(40, 6_000, 0.1);
     await fleet.world.run(20_000);
-    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.outcomeCounts()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.equal(0);
     expect(
       fleet.controlNodes[0]?.replicaTable.records().every((record) => record.sides.includes('*unknown*')),
@@ -274,7 +276,7 @@
   it('given claims past their retention, when control nodes drop them, then none is left in memory', async () => {
     const fleet = await startFleet(66, { controlNodeSettings: { claimRetentionMs: 5_000 } });
     const checker = new InvariantChecker(fleet);
-    checker.keyedTraffic(40, 20_000);
+    checker.startKeyedTraffic(40, 20_000);
     await fleet.world.run(21_000);
     const sizes = fleet.controlNodes.map((node) => node?.claimTable.size() ?? 0);
     expect(Math.max(...sizes)).to.be.lessThan(600);
--- a/packages/gateway/test/callers.test.ts
+++ b/packages/gateway/test/callers.test.ts
@@ -7,7 +7,7 @@
 const startFleet = async (
   more: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
-  const fleet = new SimFleet({ seed: 3, edges: 2, replicas: 3, ...more });
+  const fleet = new SimFleet({ seed: 3, gatewayCount: 2, replicaCount: 3, ...more });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
 };
@@ -161,7 +161,7 @@
     await fleet.finish(body.next());
     const replicas = [...fleet.runningReplicas.values()];
     await fleet.world.run(5_000);
-    expect(replicas.reduce((sum, replica) => sum + replica.piecesSaid, 0)).to.be.lessThan(10);
+    expect(replicas.reduce((sum, replica) => sum + replica.generatedTokens, 0)).to.be.lessThan(10);
     abortController.abort();
     await fleet.world.run(2_000);
     expect(fleet.gateways[0]?.stages.live.size).to.equal(0);
@@ -169,9 +169,9 @@
 
   it('given a replica that truncates its stream, when the caller reads the response, then it ends with an error event and a reset connection, or with 502 if not streamed', async () => {
     const { fleet, checker } = await startFleet();
-    for (const replica of fleet.runningReplicas.values()) replica.faults.truncateAfterPieces = 3;
+    for (const replica of fleet.runningReplicas.values()) replica.faults.truncateAfterChunks = 3;
     const streamed = checker.send(requestFor(fleet, 'query', 'north'), 0);
-    const collected = checker.send(requestFor(fleet, 'query', 'north'), 0, { whole: true });
+    const collected = checker.send(requestFor(fleet, 'query', 'north'), 0, { isBuffered: true });
     await fleet.world.run(2_000);
     expect([streamed.outcome, streamed.ran, streamed.text.split(' ').length]).to.deep.equal(['cut', 'unknown', 4]);
     expect([collected.outcome, collected.status, collected.code, collected.ran]).to.deep.equal([
@@ -229,7 +229,7 @@
       checker.send(requestFor(fleet, 'query', 'north', `n${at}`), 0, { deadlineMs: 60_000 });
     await fleet.world.run(200);
     const changed = await fleet.finish(
-      fleet.onControlNode(
+      fleet.callControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -258,7 +258,7 @@
     checker.send(request, 0, { idempotencyKey: 'order-1' });
     checker.send(request, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
-    checker.send(request, 1, { idempotencyKey: 'order-1', whole: true });
+    checker.send(request, 1, { idempotencyKey: 'order-1', isBuffered: true });
     checker.send({ ...request, prompt: 'something else' }, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
     expect(checker.allRuns().length).to.equal(1);
@@ -266,9 +266,9 @@
     expect(outcomes.slice(0, 2)).to.include('whole');
     expect(['whole', 'in_progress']).to.include.members(outcomes.slice(0, 2));
     expect(outcomes.slice(2)).to.deep.equal(['whole', 'key_reused']);
-    fleet.killCounter(0);
-    fleet.killCounter(1);
-    await fleet.bootCounter(1);
+    fleet.killGateway(0);
+    fleet.killGateway(1);
+    await fleet.bootGateway(1);
     await fleet.world.until('gateway 2 is fresh again', () => fleet.gateways[1]?.freshness.isFresh() === true);
     const afterRestart = checker.send(request, 1, { idempotencyKey: 'order-1' });
     await fleet.world.run(3_000);
--- a/packages/gateway/test/fairness.test.ts
+++ b/packages/gateway/test/fairness.test.ts
@@ -28,8 +28,8 @@
 const startFleet = async (tierOf: Record<string, string>): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 5,
-    edges: 3,
-    replicas: 3,
+    gatewayCount: 3,
+    replicaCount: 3,
     config: configOf(tierOf),
     replicaSettings: { decodeMs: 20, slots: 4 },
     gatewaySettings: { queueLimit: 256 },
--- a/packages/gateway/test/grants.test.ts
+++ b/packages/gateway/test/grants.test.ts
@@ -13,8 +13,8 @@
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
   const fleet = new SimFleet({
     seed: 61,
-    edges: 1,
-    replicas: 2,
+    gatewayCount: 1,
+    replicaCount: 2,
     tenants: ['north', 'south'],
     config: configOf(),
     ...more,
@@ -34,7 +34,7 @@
 
 const changeConfig = async (fleet: SimFleet, patch: Record<string, unknown>, base = 1): Promise<void> => {
   const reply = await fleet.finish(
-    fleet.onControlNode(0, 'PATCH', '/operator/layout', patch, { 'if-match': `"${base}"` }),
+    fleet.callControlNode(0, 'PATCH', '/operator/layout', patch, { 'if-match': `"${base}"` }),
   );
   expect(reply.status).to.equal(200);
 };
@@ -48,7 +48,7 @@
 describe('changes of the state that a request was placed with', () => {
   it('given a running attempt on a retryable lane, when the lane becomes at-most-once and the attempt then fails, then the request does not run again', async () => {
     const { fleet, checker } = await startFleet({ replicaSettings: { decodeMs: 3_000 } });
-    checker.traffic(20, 1);
+    checker.startTraffic(20, 1);
     const call = checker.send(requestFor('query', 'north'), 0);
     await fleet.world.run(500);
     await changeConfig(fleet, { lanes: { query: { pool: 'main', repeat: 'once' } } });
@@ -61,8 +61,8 @@
   });
 
   it('given a running attempt, when its tenant becomes isolated and the attempt then fails, then the retry runs as a request of an isolated tenant', async () => {
-    const { fleet, checker } = await startFleet({ replicas: 4, replicaSettings: { decodeMs: 1_500 } });
-    checker.traffic(40, 500, 0);
+    const { fleet, checker } = await startFleet({ replicaCount: 4, replicaSettings: { decodeMs: 1_500 } });
+    checker.startTraffic(40, 500, 0);
     await fleet.world.run(9_000);
     const call = checker.send(requestFor('query', 'north'), 0, { deadlineMs: 60_000 });
     await fleet.world.run(500);
@@ -97,7 +97,7 @@
   });
 
   it('given a slow connect, when the lane, the isolation or the replica changes meanwhile, then the body is not sent with the outdated placement', async () => {
-    const { fleet, checker } = await startFleet({ replicas: 4 });
+    const { fleet, checker } = await startFleet({ replicaCount: 4 });
     delayReplicaLinks(fleet, 700);
     const revoked = checker.send(requestFor('query', 'north'), 0, { deadlineMs: 60_000 });
     const isolated = checker.send(requestFor('confirm', 'south'), 0, { deadlineMs: 60_000 });
@@ -119,7 +119,7 @@
       expect(
         (
           await fleet.finish(
-            fleet.onControlNode(0, 'POST', '/platform/replicas', [
+            fleet.callControlNode(0, 'POST', '/platform/replicas', [
               { name, address: `${fleet.hostOfReplica(name)}:8000`, pool: 'main', incarnation: 2 },
             ]),
           )
@@ -135,8 +135,8 @@
 
 describe('requests that replicas reject', () => {
   it('given a request that a replica rejects as invalid, when it responds with 400, then the caller is rejected immediately, nothing is retried and no replica is suspect', async () => {
-    const { fleet, checker } = await startFleet({ replicas: 3 });
-    checker.traffic(30, 2_000, 0);
+    const { fleet, checker } = await startFleet({ replicaCount: 3 });
+    checker.startTraffic(30, 2_000, 0);
     await fleet.world.run(4_000);
     const before = fleet.startedReplicas.reduce((sum, { replica }) => sum + replica.arrivals.length, 0);
     for (const replica of fleet.runningReplicas.values()) replica.faults.failStatus = 400;
@@ -148,8 +148,8 @@
   });
 
   it('given full replicas that send Retry-After, when they respond with 429, then another is tried and the rejection carries their Retry-After', async () => {
-    const { fleet, checker } = await startFleet({ replicas: 3 });
-    checker.traffic(30, 2_000, 0);
+    const { fleet, checker } = await startFleet({ replicaCount: 3 });
+    checker.startTraffic(30, 2_000, 0);
     await fleet.world.run(4_000);
     for (const replica of fleet.runningReplicas.values()) replica.setFaults({ failStatus: 429, failRetryAfter: 7 });
     const call = checker.send(requestFor('query', 'north'), 0);
@@ -165,8 +165,8 @@
   });
 
   it('given a request that fails at every replica, when it is sent, then it is retried at most twice', async () => {
-    const { fleet, checker } = await startFleet({ replicas: 6 });
-    checker.traffic(60, 3_000, 0);
+    const { fleet, checker } = await startFleet({ replicaCount: 6 });
+    checker.startTraffic(60, 3_000, 0);
     await fleet.world.run(5_000);
     for (const replica of fleet.runningReplicas.values()) replica.faults.failStatus = 500;
     const call = checker.send(requestFor('query', 'north'), 0);
@@ -211,7 +211,7 @@
     const { fleet } = await startFleet();
     const announce = (more: Record<string, unknown>) =>
       fleet.finish(
-        fleet.onControlNode(0, 'POST', '/platform/replicas', [
+        fleet.callControlNode(0, 'POST', '/platform/replicas', [
           { name: 'replica-1', address: `${fleet.replicaHosts[0]}:8000`, pool: 'app', ...more },
         ]),
       );
@@ -231,7 +231,7 @@
   it('given two pools with different weights, when a change assigns the same store to both, then it is rejected with its path', async () => {
     const { fleet } = await startFleet();
     const reply = await fleet.finish(
-      fleet.onControlNode(
+      fleet.callControlNode(
         0,
         'PATCH',
         '/operator/layout',
--- a/packages/gateway/test/grayFailures.test.ts
+++ b/packages/gateway/test/grayFailures.test.ts
@@ -5,8 +5,8 @@
   it('given a replica that accepts requests but does not respond, when another is healthy, then each gateway soon sends it at most one more request, and uses it again after it recovers', async () => {
     const fleet = new SimFleet({
       seed: 21,
-      edges: 4,
-      replicas: 2,
+      gatewayCount: 4,
+      replicaCount: 2,
       config: {
         ...sampleWorkload.config('weights-1'),
         tenants: Object.fromEntries(
@@ -17,7 +17,7 @@
     });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
-    checker.traffic(120, 20_000, 0);
+    checker.startTraffic(120, 20_000, 0);
     await fleet.world.run(4_000);
     const machine = fleet.world.machine(fleet.hostOfReplica('replica-1'));
     machine.freeze();
@@ -42,15 +42,15 @@
   });
 
   it('given attempts waiting for replicas that vanished, when the platform removes these replicas, then the requests end or are retried elsewhere immediately', async () => {
-    const fleet = new SimFleet({ seed: 22, edges: 2, replicas: 3, replicaSettings: { decodeMs: 400 } });
+    const fleet = new SimFleet({ seed: 22, gatewayCount: 2, replicaCount: 3, replicaSettings: { decodeMs: 400 } });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
-    checker.traffic(30, 1_500, 0);
+    checker.startTraffic(30, 1_500, 0);
     await fleet.world.run(1_600);
     for (const name of ['replica-1', 'replica-2', 'replica-3']) fleet.world.machine(fleet.hostOfReplica(name)).vanish();
     await fleet.world.run(500);
     for (const name of ['replica-1', 'replica-2', 'replica-3'])
-      await fleet.finish(fleet.onControlNode(0, 'DELETE', `/platform/replicas/${name}`));
+      await fleet.finish(fleet.callControlNode(0, 'DELETE', `/platform/replicas/${name}`));
     const removedAt = fleet.world.time;
     await fleet.world.run(20_000);
     const pending = checker.calls.filter((call) => call.request.kind !== 'book' && call.endedAt > removedAt - 400);
--- a/packages/gateway/test/path.test.ts
+++ b/packages/gateway/test/path.test.ts
@@ -3,20 +3,20 @@
 
 describe('normal operation', () => {
   it('given a healthy fleet, when eight tenants send requests for ten seconds, then every response is complete and no invariant is violated', async () => {
-    const fleet = new SimFleet({ seed: 1, edges: 9, replicas: 13 });
+    const fleet = new SimFleet({ seed: 1, gatewayCount: 9, replicaCount: 13 });
     await fleet.up();
     const checker = new InvariantChecker(fleet);
-    checker.traffic(60, 10_000);
+    checker.startTraffic(60, 10_000);
     await fleet.world.run(30_000);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.outcomeCounts()).to.deep.equal({ whole: checker.calls.length });
     expect(checker.calls.length).to.be.greaterThan(500);
     expect(checker.allRuns().filter((run) => run.cacheFrom !== null).length).to.be.greaterThan(0);
   });
 
   it('given nine gateways that start together, when they have been up for half a second, then each is confirmed by all three control nodes', async () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
+      const fleet = new SimFleet({ seed, gatewayCount: 9, replicaCount: 8 });
       await fleet.up();
       await fleet.world.run(500);
       expect(
@@ -28,10 +28,10 @@
 
   it('given eight replicas with empty caches, when short and long prompts arrive at a typical rate, then the short ones do not wait behind the long ones', async () => {
     for (const seed of [4, 5]) {
-      const fleet = new SimFleet({ seed, edges: 9, replicas: 8 });
+      const fleet = new SimFleet({ seed, gatewayCount: 9, replicaCount: 8 });
       await fleet.up();
       const checker = new InvariantChecker(fleet);
-      checker.traffic(180, 5_000);
+      checker.startTraffic(180, 5_000);
       await fleet.world.run(20_000);
       const waits = checker.calls
         .filter((call) => call.request.kind !== 'diagnose' && call.request.tier === 'prompt')
@@ -43,7 +43,7 @@
         .map((call) => call.firstTokenAt - call.sentAt)
         .sort((a, b) => a - b);
       expect(longs[Math.floor(longs.length * 0.95)], `seed ${seed}`).to.be.lessThan(2_500);
-      expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
+      expect(checker.outcomeCounts()).to.deep.equal({ whole: checker.calls.length });
     }
   });
 });
--- a/packages/inspector/test/inspector.test.ts
+++ b/packages/inspector/test/inspector.test.ts
@@ -7,7 +7,7 @@
 import { SimFleet } from '@martenworks/test-fleet';
 
 const startFleet = async (): Promise<{ fleet: SimFleet; run: (...words: string[]) => Promise<Outcome> }> => {
-  const fleet = new SimFleet({ seed: 12, edges: 2, replicas: 5 });
+  const fleet = new SimFleet({ seed: 12, gatewayCount: 2, replicaCount: 5 });
   await fleet.up();
   await fleet.world.run(500);
   const requestNode: NodeRequest = async (address, path, options = {}) => {
@@ -60,7 +60,7 @@
       ['replace', '/pools/main/weights', 'weights-2'],
     ]);
     const rival = await fleet.finish(
-      fleet.onControlNode(1, 'PATCH', '/operator/layout', { tiers: { extra: { rank: 5 } } }, { 'if-match': '"1"' }),
+      fleet.callControlNode(1, 'PATCH', '/operator/layout', { tiers: { extra: { rank: 5 } } }, { 'if-match': '"1"' }),
     );
     expect(rival.status).to.equal(200);
     expect((await run('apply', file, planIdOf(first))).code).to.equal(exitCodes.rejected);
--- a/packages/prefix-index/test/cacheSources.test.ts
+++ b/packages/prefix-index/test/cacheSources.test.ts
@@ -30,11 +30,18 @@
 
 const startFleet = async (
   seed: number,
-  replicas: number,
+  replicaCount: number,
   config: Record<string, unknown>,
   options: Partial<ConstructorParameters<typeof SimFleet>[0]> = {},
 ): Promise<{ fleet: SimFleet; checker: InvariantChecker }> => {
-  const fleet = new SimFleet({ seed, edges: 2, replicas, config, replicaSettings: { decodeMs: 20 }, ...options });
+  const fleet = new SimFleet({
+    seed,
+    gatewayCount: 2,
+    replicaCount,
+    config,
+    replicaSettings: { decodeMs: 20 },
+    ...options,
+  });
   await fleet.up();
   return { fleet, checker: new InvariantChecker(fleet) };
 };
@@ -95,7 +102,7 @@
     await sendWave(fleet, checker, 'north', 'gamma', 6);
     const before = runsWithSource(checker).length;
     const reply = await fleet.finish(
-      fleet.onControlNode(
+      fleet.callControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -104,7 +111,7 @@
       ),
     );
     expect(reply.status).to.equal(200);
-    checker.weightsChanges.push({ offeredAt: 0, at: fleet.world.time, pool: 'main', weights: 'weights-2' });
+    checker.weightsChanges.push({ sentAt: 0, acknowledgedAt: fleet.world.time, pool: 'main', weights: 'weights-2' });
     await fleet.world.run(2_000);
     await sendWave(fleet, checker, 'north', 'gamma', 8);
     await sendWave(fleet, checker, 'north', 'gamma', 8);
@@ -150,7 +157,7 @@
     fleet.startReplica('store-1', storeHost, { store: null, capacityBlocks: 5_000 });
     const announce = (incarnation: number): Promise<{ status: number }> =>
       fleet.finish(
-        fleet.onControlNode(0, 'POST', '/platform/replicas', [
+        fleet.callControlNode(0, 'POST', '/platform/replicas', [
           { name: 'store-1', kind: 'store', pool: 'main', address: `${storeHost}:8000`, incarnation },
         ]),
       );
@@ -180,7 +187,7 @@
     await sendRounds();
     expect(countRunsFromStore()).to.be.greaterThan(runsBeforeRestart);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.outcomeCounts()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it('given a replica that served an isolated tenant and sent no events about it, when its partition becomes shared and every gateway restarts, then it is never named as a source', async () => {
@@ -195,7 +202,7 @@
     setHidesEvents(false);
     expect(checker.allRuns().some((run) => run.replica === isolatedReplica && run.isIsolated)).to.equal(true);
     const reply = await fleet.finish(
-      fleet.onControlNode(
+      fleet.callControlNode(
         0,
         'PATCH',
         '/operator/layout',
@@ -208,8 +215,8 @@
     await sendWave(fleet, checker, 'north', 'zeta', 10);
     expect(checker.allRuns().some((run) => run.replica === isolatedReplica && !run.isIsolated)).to.equal(true);
     for (const at of [0, 1]) {
-      fleet.killCounter(at);
-      await fleet.bootCounter(at);
+      fleet.killGateway(at);
+      await fleet.bootGateway(at);
     }
     for (const name of ['replica-1', 'replica-2', 'replica-3', 'replica-4'].filter((one) => one !== isolatedReplica)) {
       fleet.killReplica(name);
@@ -222,7 +229,7 @@
       checker.allRuns().filter((run) => run.cacheFrom === `${fleet.hostOfReplica(isolatedReplica)}:8000`).length,
     ).to.equal(0);
     expect(checker.violations()).to.deep.equal([]);
-    expect(checker.metrics()).to.deep.equal({ whole: checker.calls.length });
+    expect(checker.outcomeCounts()).to.deep.equal({ whole: checker.calls.length });
   });
 
   it("given a store that has an isolated tenant's blocks and sent no events about them, when others request the same prefix, then it is not named as a source until it is announced again without isolated tenants", async () => {
@@ -243,7 +250,7 @@
     await sendRounds();
     expect(countRunsFromStore()).to.equal(0);
     const reply = await fleet.finish(
-      fleet.onControlNode(
+      fleet.callControlNode(
         0,
         'PATCH',
         '/operator/layout',
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -5,7 +5,7 @@
 const noiseRounds = Number(process.argv[3] ?? '200');
 
 const startedFleet = async (seed: number): Promise<SimFleet> => {
-  const fleet = new SimFleet({ seed, edges: 9, replicas: 4 });
+  const fleet = new SimFleet({ seed, gatewayCount: 9, replicaCount: 4 });
   await fleet.up();
   await fleet.world.run(6_000);
   return fleet;
@@ -18,9 +18,9 @@
 const detectionTimesMs: number[] = [];
 for (let at = 0; at < kills; at += 1) {
   const gateway = at % 9;
-  fleet.killCounter(gateway);
+  fleet.killGateway(gateway);
   detectionTimesMs.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${gateway + 1}`, 2)));
-  await fleet.bootCounter(gateway);
+  await fleet.bootGateway(gateway);
   await fleet.world.run(5_000);
 }
 detectionTimesMs.sort((a, b) => a - b);
--- a/packages/test-fleet/src/commands/faultInjectionCommand.ts
+++ b/packages/test-fleet/src/commands/faultInjectionCommand.ts
@@ -95,10 +95,10 @@
   const from = wholeNumber('from', flags.from, 0);
   const seeds = Array.from({ length: wholeNumber('seeds', flags.seeds, 1) }, (_, at) => from + at);
   if (!flags.each) {
-    const faults = wholeNumber('faults', flags.faults, 0);
-    return seeds.map((seed) => ({ seed, kinds, faults, ...common }));
+    const faultCount = wholeNumber('faults', flags.faults, 0);
+    return seeds.map((seed) => ({ seed, kinds, faultCount, ...common }));
   }
-  const single = { faults: 1, spanMs: singleFaultSpanMs, ...common };
+  const single = { faultCount: 1, spanMs: singleFaultSpanMs, ...common };
   return seeds.flatMap((seed) => kinds.map((kind) => ({ seed, kinds: [kind], ...single })));
 };
 
--- a/packages/test-fleet/src/commands/faultInjectionSummary.ts
+++ b/packages/test-fleet/src/commands/faultInjectionSummary.ts
@@ -87,7 +87,7 @@
   };
 
   private readonly printFailure = ({ schedule, report, injected, error, logLines }: RunResult): void => {
-    const what = report === null ? error : `${report.permanentLoss} ${JSON.stringify(report.metrics)}`;
+    const what = report === null ? error : `${report.permanentLoss} ${JSON.stringify(report.outcomeCounts)}`;
     print(`seed ${schedule.seed}: ${JSON.stringify(injected)} ${what}`);
     const violations: readonly Violation[] = report?.violations ?? [];
     for (const { rule, detail } of violations.slice(0, violationsPrinted)) print(`  ${rule}: ${detail}`);
--- a/packages/test-fleet/src/commands/priorityWaitCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -34,10 +34,10 @@
 const isolatedTenants = new Set(['depot', 'mill']);
 
 for (let seed = Number(values.from); seed < Number(values.from) + Number(values.seeds); seed += 1) {
-  const fleet = new SimFleet({ seed, edges: 9, replicas: deployment.replicaCount });
+  const fleet = new SimFleet({ seed, gatewayCount: 9, replicaCount: deployment.replicaCount });
   await fleet.up();
   const checker = new InvariantChecker(fleet);
-  checker.traffic(deployment.ratePerSecond, Number(values.seconds) * 1_000);
+  checker.startTraffic(deployment.ratePerSecond, Number(values.seconds) * 1_000);
   await fleet.world.run(Number(values.seconds) * 1_000 + 15_000);
   const byId = new Map(checker.calls.map((call) => [call.requestId, call]));
   const counts: Record<string, number> = {};
@@ -79,7 +79,7 @@
     `${label} p50 ${quantile(waits, 0.5)} p95 ${quantile(waits, 0.95)} p99 ${quantile(waits, 0.99)}`;
   const short = ['confirm', 'query'];
   process.stdout.write(
-    `seed ${seed}: ${checker.calls.length} calls, ${JSON.stringify(checker.metrics())}, ${prefilled} tokens prefilled, ${cold} long prefills\n  ${[
+    `seed ${seed}: ${checker.calls.length} calls, ${JSON.stringify(checker.outcomeCounts())}, ${prefilled} tokens prefilled, ${cold} long prefills\n  ${[
       formatWaits('short prompt-tier', waitsOf(short, 'prompt')),
       formatWaits('short steady', waitsOf(short, 'steady')),
       formatWaits('short isolated', waitsOf(short, 'steady', true)),
--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -69,18 +69,18 @@
 const run = new ProcessFaultRun(fleet, numbers.seed);
 const { checker } = run;
 const durationMs = numbers.seconds * msPerSecond;
-const tenants = [...sampleWorkload.tenantNames, sampleWorkload.prober];
+const tenants = [...sampleWorkload.tenantNames, sampleWorkload.probeTenant];
 
 const startFleet = async (): Promise<void> => {
   const config = sampleWorkload.config('weights-1');
   const granted = {
     ...(config.tenants as Record<string, unknown>),
-    [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
+    [sampleWorkload.probeTenant]: { tier: 'patient', lanes: ['query'] },
   };
   await fleet.up({ ...config, tenants: granted }, tenants);
   for (const tenant of tenants) checker.grant(keyOf(tenant), tenant);
-  checker.traffic(numbers.rate, durationMs, undefined, true);
-  checker.keyedTraffic(keyedRatePerSecond, durationMs);
+  checker.startTraffic(numbers.rate, durationMs, undefined, true);
+  checker.startKeyedTraffic(keyedRatePerSecond, durationMs);
 };
 
 /** One fault after the other, until the time to settle must begin. */
@@ -109,7 +109,7 @@
 /** Sends traffic when the time to settle is over, and waits for all calls to end; gives the share served. */
 const probeRecovery = async (): Promise<string> => {
   const startedAt = now();
-  checker.traffic(probeRatePerSecond, probeMs);
+  checker.startTraffic(probeRatePerSecond, probeMs);
   const isOver = async (): Promise<boolean> =>
     now() - startedAt > probesEndMs && checker.calls.every((call) => call.outcome !== 'open' && call.endedAt > 0);
   await fleet.until('all calls ended', isOver, callsTimeoutMs).catch(() => 0);
@@ -140,7 +140,7 @@
   const served = await probeRecovery();
   const violations = await allViolations();
   process.stdout.write(
-    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${loss}\ncalls: ${JSON.stringify(checker.metrics())}\nready again ${Math.round(readyMs)} ms after the last fault; 12 s after it ${served} whole\n`,
+    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${loss}\ncalls: ${JSON.stringify(checker.outcomeCounts())}\nready again ${Math.round(readyMs)} ms after the last fault; 12 s after it ${served} whole\n`,
   );
   for (const { rule, detail } of violations.slice(0, mostPrinted)) process.stdout.write(`${rule}: ${detail}\n`);
   process.stdout.write(violations.length === 0 ? 'no rule broken\n' : `${violations.length} breaches\n`);
--- a/packages/test-fleet/src/faults/cacheFaults.ts
+++ b/packages/test-fleet/src/faults/cacheFaults.ts
@@ -4,8 +4,8 @@
 
 const store = 'store-1';
 
-const disturbEvents = (context: FaultContext, faults: Partial<ReplicaFaults>): Promise<void> | null =>
-  context.onReplica(async (name) => {
+const injectEventFault = (context: FaultContext, faults: Partial<ReplicaFaults>): Promise<void> | null =>
+  context.withRandomReplica(async (name) => {
     const replica = context.fleet.runningReplicas.get(name);
     replica?.setFaults(faults);
     await context.waitBetween(1_000, 8_000);
@@ -37,7 +37,7 @@
 
 /** Gateways must then name no cache that is gone. */
 export const cacheFaults = {
-  'kv news is late': (context) => disturbEvents(context, { eventDelayMs: 3_000 }),
-  'kv news is lost': (context) => disturbEvents(context, { dropsEvents: true }),
+  'kv news is late': (context) => injectEventFault(context, { eventDelayMs: 3_000 }),
+  'kv news is lost': (context) => injectEventFault(context, { dropsEvents: true }),
   'cache store is lost': loseStore,
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/clockFaults.ts
+++ b/packages/test-fleet/src/faults/clockFaults.ts
@@ -1,16 +1,16 @@
 /** Jumps of wall clocks, and monotonic clocks that stand still in a pause. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-const leastJumpMs = 2_000;
-const mostJumpMs = 4_000_000;
+const minJumpMs = 2_000;
+const maxJumpMs = 4_000_000;
 
 const randomJump = (context: FaultContext): number =>
-  (context.random() < 0.5 ? -1 : 1) * context.randomBetween(leastJumpMs, mostJumpMs);
+  (context.random() < 0.5 ? -1 : 1) * context.randomBetween(minJumpMs, maxJumpMs);
 
 const jump = (context: FaultContext): Promise<void> => {
   const { fleet, world } = context;
   const hosts = [...fleet.controlNodeHosts, ...fleet.gatewayHosts];
-  const machine = world.machine(hosts[context.pick(hosts.length)] as string);
+  const machine = world.machine(hosts[context.randomInt(hosts.length)] as string);
   machine.wallClockOffset += randomJump(context);
   return context.wait(1);
 };
@@ -27,7 +27,7 @@
     machine.thaw(keepsWallClock);
     await context.wait(1_000);
   };
-  return isGateway ? context.onCounter(work) : context.onControlNode(work);
+  return isGateway ? context.withRandomGateway(work) : context.withRandomControlNode(work);
 };
 
 /** Wall clocks stay wrong to the end of the run. */
--- a/packages/test-fleet/src/faults/configurationChanges.ts
+++ b/packages/test-fleet/src/faults/configurationChanges.ts
@@ -1,32 +1,32 @@
 /** Changes of the configuration: plain, conflicting, large, of weights, and with probes at every gateway. */
-import { propagationMs } from '../invariants/observations.js';
+import { maxPropagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultContext, Injections } from './faultContext.js';
-import type { LayoutBase } from './operatorClient.js';
+import type { ConfigurationBase } from './operatorClient.js';
 
 const prober = 'prober';
 const rivalCount = 3;
 const probeRounds = 2;
 const laneCount = 200;
 
-const changeTier = async ({ operator, pick }: FaultContext): Promise<void> => {
-  const base = await operator.readLayout();
-  await operator.change({ tiers: { prompt: { rank: 0, horizonMs: 8_000 + pick(4_000) } } }, base);
+const changeTier = async ({ operator, randomInt }: FaultContext): Promise<void> => {
+  const base = await operator.readConfiguration();
+  await operator.change({ tiers: { prompt: { rank: 0, horizonMs: 8_000 + randomInt(4_000) } } }, base);
 };
 
 /** Sends conflicting changes on one base, each to another control node; at most one may be accepted. */
 const changeByRivals = async ({ checker, operator, state, wait }: FaultContext): Promise<void> => {
-  const { base } = await operator.readLayout();
-  const names = Array.from({ length: rivalCount }, () => `rival-${++state.probes}`);
+  const { base } = await operator.readConfiguration();
+  const names = Array.from({ length: rivalCount }, () => `rival-${++state.probeCount}`);
   const isAccepted = await Promise.all(
     names.map((name, at) => {
       const tiers = { steady: { rank: 1, horizonMs: 20_000 + at } };
       return operator.change({ tiers, ...checker.probeChange(name, 'patient', 'freely') }, { at, base });
     }),
   );
-  if (isAccepted.filter(Boolean).length > 1) checker.acceptedIds.set('two rivals were both accepted', -1);
+  if (isAccepted.filter(Boolean).length > 1) checker.acceptedChanges.set('two rivals were both accepted', -1);
   state.lastProbedLane = names.find((_, at) => isAccepted[at]) ?? state.lastProbedLane;
-  await wait(propagationMs);
+  await wait(maxPropagationMs);
   names.forEach((name, at) => {
     checker.probeEveryGateway(name, `rival ${name}`, isAccepted[at] === true, 'patient', 'freely');
   });
@@ -36,26 +36,26 @@
   { checker, operator }: FaultContext,
   lane: string,
   repeat: 'once' | 'freely',
-  base: LayoutBase,
+  base: ConfigurationBase,
 ): Promise<void> => {
   const isAccepted = await operator.change(checker.probeChange(lane, 'absent', repeat), base);
-  if (isAccepted) checker.refusedIds.add('a faulty change was accepted');
+  if (isAccepted) checker.rejectedChangeIds.add('a faulty change was accepted');
 };
 
 /** Probes an accepted lane, an invalid one, and the lane that the accepted one replaced. */
 const probeChanges = async (context: FaultContext): Promise<void> => {
   const { checker, operator, state } = context;
-  const base = await operator.readLayout();
-  const name = `probe-${++state.probes}`;
+  const base = await operator.readConfiguration();
+  const name = `probe-${++state.probeCount}`;
   const invalidName = `${name}-faulty`;
   const before = state.lastProbedLane;
-  const tier = Object.keys(sampleWorkload.tiers)[context.pick(3)] as string;
+  const tier = Object.keys(sampleWorkload.tiers)[context.randomInt(3)] as string;
   const repeat = context.random() < 0.5 ? 'once' : 'freely';
   await sendInvalidChange(context, invalidName, repeat, base);
   const isAccepted = await operator.change(checker.probeChange(name, tier, repeat), base);
   if (isAccepted) state.lastProbedLane = name;
   for (let round = 0; round < probeRounds; round += 1) {
-    await context.wait(propagationMs);
+    await context.wait(maxPropagationMs);
     checker.probeEveryGateway(name, `probe ${name}`, isAccepted, tier, repeat);
     checker.probeEveryGateway(invalidName, 'a faulty change', false, tier, repeat);
     if (isAccepted && before.startsWith('probe-'))
@@ -63,9 +63,9 @@
   }
 };
 
-const addManyLanes = async ({ operator, pick }: FaultContext): Promise<void> => {
-  const base = await operator.readLayout();
-  const from = pick(100_000);
+const addManyLanes = async ({ operator, randomInt }: FaultContext): Promise<void> => {
+  const base = await operator.readConfiguration();
+  const from = randomInt(100_000);
   const lanes = Array.from({ length: laneCount }, (_, index) => [
     `extra-${from}-${index}`,
     { pool: 'main', repeat: 'freely' },
@@ -74,12 +74,12 @@
 };
 
 const changeWeights = async ({ checker, operator, state, world }: FaultContext): Promise<void> => {
-  const base = await operator.readLayout();
-  const weights = `weights-${++state.weights}`;
-  const marker = { offeredAt: world.time, at: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  const base = await operator.readConfiguration();
+  const weights = `weights-${++state.weightsCount}`;
+  const marker = { sentAt: world.time, acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
   checker.weightsChanges.push(marker);
   const isAccepted = await operator.change({ pools: { main: { weights } } }, base);
-  if (isAccepted) marker.at = world.time;
+  if (isAccepted) marker.acknowledgedAt = world.time;
   else checker.weightsChanges.splice(checker.weightsChanges.indexOf(marker), 1);
 };
 
--- a/packages/test-fleet/src/faults/crashes.ts
+++ b/packages/test-fleet/src/faults/crashes.ts
@@ -4,7 +4,7 @@
 const zoneCount = 3;
 
 const crashReplica = (context: FaultContext): Promise<void> | null =>
-  context.onReplica(async (name) => {
+  context.withRandomReplica(async (name) => {
     context.fleet.killReplica(name);
     await context.waitBetween(200, 2_000);
     if (context.random() < 0.5) await context.operator.removeReplica(name);
@@ -13,7 +13,7 @@
   });
 
 const vanishReplica = (context: FaultContext): Promise<void> | null =>
-  context.onReplica(async (name) => {
+  context.withRandomReplica(async (name) => {
     const { fleet, world } = context;
     world.machine(fleet.hostOfReplica(name)).vanish();
     fleet.runningReplicas.delete(name);
@@ -34,24 +34,24 @@
 };
 
 const crashGateway = (context: FaultContext): Promise<void> | null =>
-  context.onCounter(async (at) => {
-    context.fleet.killCounter(at);
+  context.withRandomGateway(async (at) => {
+    context.fleet.killGateway(at);
     await context.waitBetween(100, 3_000);
-    await context.fleet.bootCounter(at);
+    await context.fleet.bootGateway(at);
   });
 
 const crashAllGateways = async (context: FaultContext): Promise<void> => {
   const gateways = context.claimGateways(context.gateways());
-  for (const at of gateways) context.fleet.killCounter(at);
+  for (const at of gateways) context.fleet.killGateway(at);
   await context.waitBetween(100, 3_000);
   for (const at of gateways) {
-    await context.fleet.bootCounter(at);
+    await context.fleet.bootGateway(at);
     context.releaseGateway(at);
   }
 };
 
 const crashControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     context.fleet.killControlNode(at);
     await context.waitBetween(100, 4_000);
     await context.fleet.bootControlNode(at);
@@ -75,11 +75,11 @@
   outage: readonly [lowMs: number, highMs: number],
 ): Promise<void> => {
   const { fleet } = context;
-  for (const at of gateways) fleet.killCounter(at);
+  for (const at of gateways) fleet.killGateway(at);
   for (const at of controlNodes) fleet.killControlNode(at);
   await context.waitBetween(...outage);
   for (const at of controlNodes) await fleet.bootControlNode(at);
-  for (const at of gateways) await fleet.bootCounter(at);
+  for (const at of gateways) await fleet.bootGateway(at);
   controlNodes.forEach(context.releaseControlNode);
   gateways.forEach(context.releaseGateway);
 };
@@ -90,7 +90,7 @@
 };
 
 const crashZone = (context: FaultContext): Promise<void> => {
-  const zone = context.pick(zoneCount);
+  const zone = context.randomInt(zoneCount);
   const gateways = context.claimGateways(context.gateways().filter((at) => at % zoneCount === zone));
   return crashTogether(context, gateways, context.claimControlNodes([zone]), [1_000, 8_000]);
 };
--- a/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
+++ b/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
@@ -7,35 +7,35 @@
 
 const acknowledgeChange = async (context: FaultContext, at: number): Promise<void> => {
   const { fleet, operator } = context;
-  const config = await fleet.onControlNode(at, 'GET', '/operator/layout');
-  const id = `last-word-${operator.countChange()}`;
-  const response = await fleet.onControlNode(
+  const config = await fleet.callControlNode(at, 'GET', '/operator/layout');
+  const id = `last-word-${operator.nextChangeNumber()}`;
+  const response = await fleet.callControlNode(
     at,
     'PATCH',
     '/operator/layout',
-    { tiers: { steady: { rank: 1, horizonMs: 20_000 + context.pick(1_000) } } },
+    { tiers: { steady: { rank: 1, horizonMs: 20_000 + context.randomInt(1_000) } } },
     { 'if-match': `"${Number(config.body.generation)}"`, 'change-id': id },
   );
-  if (response.status === 200) operator.noteAccepted(id, Number(response.body.generation));
+  if (response.status === 200) operator.recordAccepted(id, Number(response.body.generation));
 };
 
 const acknowledgeRevocation = async (context: FaultContext, at: number): Promise<void> => {
-  const { operator, pick, world } = context;
-  const tenant = sampleWorkload.tenantNames[pick(sampleWorkload.tenantNames.length)] as string;
-  const key = `last-key-${operator.countChange()}`;
+  const { operator, randomInt, world } = context;
+  const tenant = sampleWorkload.tenantNames[randomInt(sampleWorkload.tenantNames.length)] as string;
+  const key = `last-key-${operator.nextChangeNumber()}`;
   const grant = await operator.grant(key, tenant, null);
   startKeyTraffic(context, { key, tenant, everyMs: 100, durationMs: 8_000, longShare: 0.1 });
   await context.wait(1_000);
   const response = await operator.revokeAt(at, key);
-  if (response.status === 200) grant.to = world.time;
+  if (response.status === 200) grant.validUntil = world.time;
 };
 
 const acknowledgeDraining = async (context: FaultContext, at: number): Promise<void> => {
   const { fleet, operator } = context;
-  const name = fleet.replicaName(context.pick(fleet.options.replicas));
+  const name = fleet.replicaName(context.randomInt(fleet.options.replicaCount));
   if (!context.claim(name)) return;
   const response = await operator.drainAt(at, name);
-  if (response.status === 200) operator.noteDraining(name);
+  if (response.status === 200) operator.recordDraining(name);
   void restartDrained(context, name);
 };
 
@@ -50,14 +50,14 @@
 const acknowledgements = [acknowledgeChange, acknowledgeRevocation, acknowledgeDraining];
 
 const crashAfterAcknowledgement = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const { fleet } = context;
     const losesDisk = context.random() < 0.4;
-    await acknowledgements[context.pick(acknowledgements.length)]?.(context, at);
+    await acknowledgements[context.randomInt(acknowledgements.length)]?.(context, at);
     fleet.killControlNode(at, losesDisk);
     await context.waitBetween(100, 3_000);
     await fleet.bootControlNode(at);
-    if (losesDisk) await context.untilVoter(at, votePolls);
+    if (losesDisk) await context.waitUntilVoter(at, votePolls);
   }, true);
 
 /** What was acknowledged must outlast the crash. */
--- a/packages/test-fleet/src/faults/diskFaults.ts
+++ b/packages/test-fleet/src/faults/diskFaults.ts
@@ -4,15 +4,15 @@
 const votePolls = 300;
 
 const loseDisk = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     context.fleet.killControlNode(at, true);
     await context.waitBetween(100, 3_000);
     await context.fleet.bootControlNode(at);
-    await context.untilVoter(at, votePolls);
+    await context.waitUntilVoter(at, votePolls);
   }, true);
 
 const stall = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const { disk } = context.fleet.machineOf('control', at);
     disk.faults.isStalled = true;
     await context.waitBetween(500, 5_000);
@@ -21,7 +21,7 @@
 
 /** A restart in between clears both faults as well. */
 const failWrites = (context: FaultContext, fault: 'isFull' | 'failsSync'): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const { disk } = context.fleet.machineOf('control', at);
     disk.faults[fault] = true;
     await context.waitBetween(500, 5_000);
@@ -30,7 +30,7 @@
   });
 
 const slowDown = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const { disk } = context.fleet.machineOf('control', at);
     disk.faults.delayMs = context.randomBetween(20, 400);
     await context.waitBetween(1_000, 8_000);
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -11,11 +11,11 @@
 
 /** Gateways from which injections make names that no other uses. */
 interface RunState {
-  weights: number;
-  probes: number;
+  weightsCount: number;
+  probeCount: number;
   /** The lane that the prober was last granted. */
   lastProbedLane: string;
-  moves: number;
+  replacementCount: number;
 }
 
 /** Brings one fault about and undoes it; null where what it disturbs is claimed by another fault. */
@@ -33,7 +33,7 @@
   /** Violations that injections saw themselves. */
   readonly violations: Violation[] = [];
   /** Counters that injections share. */
-  readonly state: RunState = { weights: 1, probes: 0, lastProbedLane: 'query', moves: 0 };
+  readonly state: RunState = { weightsCount: 1, probeCount: 0, lastProbedLane: 'query', replacementCount: 0 };
   private readonly claimed = new Set<string>();
 
   constructor(
@@ -50,7 +50,7 @@
   readonly random = (): number => this.world.random();
 
   /** A whole number from 0 up to `count`. */
-  readonly pick = (count: number): number => Math.floor(this.random() * count);
+  readonly randomInt = (count: number): number => Math.floor(this.random() * count);
 
   /** A number from `low` up to `high`. */
   readonly randomBetween = (low: number, high: number): number => low + this.random() * (high - low);
@@ -92,21 +92,21 @@
   readonly gateways = (): number[] => this.fleet.gatewayHosts.map((_, at) => at);
 
   /** Disturbs a random replica of any pool. */
-  readonly onReplica = (work: (name: string) => Promise<void>): Promise<void> | null => {
+  readonly withRandomReplica = (work: (name: string) => Promise<void>): Promise<void> | null => {
     const names = [...this.fleet.replicaNames(), 'app-1'];
-    const name = names[this.pick(names.length)] as string;
+    const name = names[this.randomInt(names.length)] as string;
     return this.withClaim(name, () => work(name));
   };
 
   /** Disturbs a random gateway. */
-  readonly onCounter = (work: (at: number) => Promise<void>): Promise<void> | null => {
-    const at = this.pick(this.fleet.options.edges);
+  readonly withRandomGateway = (work: (at: number) => Promise<void>): Promise<void> | null => {
+    const at = this.randomInt(this.fleet.options.gatewayCount);
     return this.withClaim(`counter ${at}`, () => work(at));
   };
 
   /** Disturbs a random control node; with `needsCalm` only while no other fault disturbs any of them. */
-  readonly onControlNode = (work: (at: number) => Promise<void>, needsCalm = false): Promise<void> | null => {
-    const at = this.pick(controlNodes.length);
+  readonly withRandomControlNode = (work: (at: number) => Promise<void>, needsCalm = false): Promise<void> | null => {
+    const at = this.randomInt(controlNodes.length);
     if (!needsCalm) return this.withClaim(`control node ${at}`, () => work(at));
     if (controlNodes.some((one) => this.claimed.has(`control node ${one}`))) return null;
     this.claimControlNodes();
@@ -120,7 +120,7 @@
   };
 
   /** @throws Error where the control node does not vote within that many polls of 100 ms */
-  readonly untilVoter = async (at: number, polls: number): Promise<void> => {
+  readonly waitUntilVoter = async (at: number, polls: number): Promise<void> => {
     const isVoter = (): boolean => this.fleet.controlNodes[at]?.acceptor.isVoter() === true;
     for (let poll = 0; poll < polls && !isVoter(); poll += 1) await this.wait(votePollMs);
     if (!isVoter()) throw new Error('the empty control node was never swapped in');
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -5,15 +5,15 @@
 import { SimFleet } from '../simulator/simFleet.js';
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import { FaultContext } from './faultContext.js';
-import { faultKinds, initialLayout, permanentLossKinds } from './faultSchedule.js';
+import { faultKinds, initialConfiguration, permanentLossKinds } from './faultSchedule.js';
 import type { FaultKind, FaultSchedule, PermanentLossKind } from './faultSchedule.js';
 import { injections } from './injections.js';
 import { injectPermanentLoss } from './permanentLosses.js';
-import { recoveredIntervals, servedShares, settleMs } from './serviceReport.js';
+import { recoveredIntervals, servedShares, recoveryLimitMs } from './serviceReport.js';
 import type { FaultInterval, RecoveredInterval, ServedShare } from './serviceReport.js';
 
-const defaults = { edges: 4, replicas: 6, spanMs: 20_000, faults: 6, ratePerSecond: 25, longShare: 0.1 };
-const tenants = [...sampleWorkload.tenantNames, sampleWorkload.prober];
+const defaults = { gatewayCount: 4, replicaCount: 6, spanMs: 20_000, faultCount: 6, ratePerSecond: 25, longShare: 0.1 };
+const tenants = [...sampleWorkload.tenantNames, sampleWorkload.probeTenant];
 const keyedRatePerSecond = 4;
 const extraTrafficMs = 3_000;
 const firstFaultMs = 500;
@@ -23,7 +23,7 @@
 const probeRatePerSecond = 20;
 const probeMs = 2_000;
 const lastCallsMs = 45_000;
-const leastProbesServed = 0.8;
+const minServedShare = 0.8;
 
 /** What one run did and found; equal for equal schedules. */
 export interface FaultInjectionReport {
@@ -34,7 +34,7 @@
   readonly injected: Record<string, number>;
   readonly violations: Violation[];
   /** How many calls ended in which way. */
-  readonly metrics: Record<string, number>;
+  readonly outcomeCounts: Record<string, number>;
   readonly calls: number;
   readonly permanentLoss: PermanentLossKind;
   readonly intervals: readonly RecoveredInterval[];
@@ -55,10 +55,10 @@
   constructor(private readonly schedule: FaultSchedule) {
     this.fleet = new SimFleet({
       seed: schedule.seed,
-      edges: schedule.edges ?? defaults.edges,
-      replicas: schedule.replicas ?? defaults.replicas,
+      gatewayCount: schedule.gatewayCount ?? defaults.gatewayCount,
+      replicaCount: schedule.replicaCount ?? defaults.replicaCount,
       hasStore: true,
-      config: initialLayout(schedule.seed),
+      config: initialConfiguration(schedule.seed),
       tenants,
       ...schedule.overrides,
     });
@@ -85,7 +85,7 @@
         ...this.context.violations,
         ...recovery,
       ],
-      metrics: checker.metrics(),
+      outcomeCounts: checker.outcomeCounts(),
       calls: checker.calls.length,
       permanentLoss,
       intervals: recoveredIntervals(checker.calls, this.intervals),
@@ -94,17 +94,17 @@
   };
 
   private readonly randomLoss = (): PermanentLossKind =>
-    permanentLossKinds[this.context.pick(permanentLossKinds.length)] as PermanentLossKind;
+    permanentLossKinds[this.context.randomInt(permanentLossKinds.length)] as PermanentLossKind;
 
   /** Starts traffic, injects the faults at random times, and runs until all of them have passed. */
   private readonly runFaults = async (): Promise<void> => {
     const { context, checker, schedule } = this;
     const { world } = this.fleet;
-    const { spanMs, kinds, faults, ratePerSecond, longShare } = { ...defaults, kinds: faultKinds, ...schedule };
-    checker.traffic(ratePerSecond, spanMs + settleMs + extraTrafficMs, longShare, true);
-    checker.keyedTraffic(keyedRatePerSecond, spanMs + settleMs);
-    for (let at = 0; at < faults; at += 1) {
-      const kind = kinds[context.pick(kinds.length)] as FaultKind;
+    const { spanMs, kinds, faultCount, ratePerSecond, longShare } = { ...defaults, kinds: faultKinds, ...schedule };
+    checker.startTraffic(ratePerSecond, spanMs + recoveryLimitMs + extraTrafficMs, longShare, true);
+    checker.startKeyedTraffic(keyedRatePerSecond, spanMs + recoveryLimitMs);
+    for (let at = 0; at < faultCount; at += 1) {
+      const kind = kinds[context.randomInt(kinds.length)] as FaultKind;
       const delayMs = context.randomBetween(firstFaultMs, spanMs * lastFaultShare);
       world.schedule(null, delayMs, () => this.inject(kind));
     }
@@ -129,9 +129,9 @@
   private readonly probeRecovery = async (): Promise<Violation[]> => {
     const { world } = this.fleet;
     const healedAt = world.time;
-    await world.run(settleMs);
+    await world.run(recoveryLimitMs);
     const probesStartedAt = world.time;
-    this.checker.traffic(probeRatePerSecond, probeMs);
+    this.checker.startTraffic(probeRatePerSecond, probeMs);
     await world.run(lastCallsMs);
     return [
       ...this.serviceViolations(healedAt, probesStartedAt),
@@ -145,7 +145,7 @@
       (call) => call.sentAt >= probesStartedAt && call.sentAt < probesStartedAt + probeMs,
     );
     const served = probes.filter((call) => call.outcome === 'whole').length;
-    if (served >= probes.length * leastProbesServed) return [];
+    if (served >= probes.length * minServedShare) return [];
     const sinceMs = Math.round(probesStartedAt - healedAt);
     const detail = `${served} of ${probes.length} whole ${sinceMs} ms after healing`;
     return [{ rule: 'service still mostly absent', detail }];
--- a/packages/test-fleet/src/faults/faultSchedule.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -75,12 +75,12 @@
   /** The kinds that are drawn from; all by default. */
   readonly kinds?: readonly FaultKind[];
   /** How many faults are drawn; those that another fault blocks are left out. */
-  readonly faults?: number;
+  readonly faultCount?: number;
   readonly ratePerSecond?: number;
   /** Virtual milliseconds in the first part of which faults begin. */
   readonly spanMs?: number;
-  readonly edges?: number;
-  readonly replicas?: number;
+  readonly gatewayCount?: number;
+  readonly replicaCount?: number;
   /** The share of requests with long prompts. */
   readonly longShare?: number;
   readonly permanentLoss?: PermanentLossKind;
@@ -91,17 +91,17 @@
 /** A small fleet, and the users' two sites at their full size. */
 export const deploymentSizes = {
   small: {},
-  stations: { edges: 9, replicas: 13, ratePerSecond: 190, longShare: 0.06 },
-  sawmill: { edges: 9, replicas: 8, ratePerSecond: 180, longShare: 0.06 },
+  stations: { gatewayCount: 9, replicaCount: 13, ratePerSecond: 190, longShare: 0.06 },
+  sawmill: { gatewayCount: 9, replicaCount: 8, ratePerSecond: 180, longShare: 0.06 },
 } as const satisfies Record<string, Partial<FaultSchedule>>;
 
-const isolationEvery = 3;
+const noIsolationSeedInterval = 3;
 
 /** The configuration that runs begin with; with one seed in three no tenant is isolated. */
-export const initialLayout = (seed: number): Record<string, unknown> => {
+export const initialConfiguration = (seed: number): Record<string, unknown> => {
   const config = sampleWorkload.config('weights-1');
   const tenants = config.tenants as Record<string, Record<string, unknown>>;
-  const isApart = seed % isolationEvery !== 0;
+  const isApart = seed % noIsolationSeedInterval !== 0;
   return {
     ...config,
     pools: { main: { weights: 'weights-1', slots: 8, store: 'store-1' }, app: { weights: 'app-1', slots: 32 } },
@@ -112,7 +112,7 @@
           { ...tenant, isolated: isApart && tenant.isolated === true },
         ]),
       ),
-      [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
+      [sampleWorkload.probeTenant]: { tier: 'patient', lanes: ['query'] },
     },
   };
 };
--- a/packages/test-fleet/src/faults/gracefulShutdowns.ts
+++ b/packages/test-fleet/src/faults/gracefulShutdowns.ts
@@ -5,11 +5,11 @@
   const { fleet, operator } = context;
   const incarnation = fleet.incarnationOf(name);
   await operator.retryUntilAccepted((at) => operator.drainAt(at, name));
-  operator.noteDraining(name, incarnation);
+  operator.recordDraining(name, incarnation);
 };
 
 const drainReplica = (context: FaultContext): Promise<void> | null =>
-  context.onReplica(async (name) => {
+  context.withRandomReplica(async (name) => {
     await drain(context, name);
     await context.waitBetween(3_500, 6_000);
     context.fleet.killReplica(name);
@@ -31,17 +31,17 @@
 
 /** In one half of the cases the gateway is killed before it has drained. */
 const stopGateway = (context: FaultContext): Promise<void> | null =>
-  context.onCounter(async (at) => {
+  context.withRandomGateway(async (at) => {
     const { fleet } = context;
-    if (context.random() < 0.5) return fleet.rollCounter(at);
+    if (context.random() < 0.5) return fleet.restartGateway(at);
     void fleet.gateways[at]?.drain();
     await context.waitBetween(50, 1_500);
-    fleet.killCounter(at);
-    await fleet.bootCounter(at);
+    fleet.killGateway(at);
+    await fleet.bootGateway(at);
   });
 
 const stopControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode((at) => context.fleet.rollControlNode(at));
+  context.withRandomControlNode((at) => context.fleet.restartControlNode(at));
 
 /** What stops is started again. */
 export const gracefulShutdowns = {
--- a/packages/test-fleet/src/faults/keyedTraffic.ts
+++ b/packages/test-fleet/src/faults/keyedTraffic.ts
@@ -12,14 +12,14 @@
 }
 
 /** Starts sending to random gateways and returns at once. */
-export const startKeyTraffic = ({ checker, world, random, pick }: FaultContext, traffic: KeyTraffic): void => {
+export const startKeyTraffic = ({ checker, world, random, randomInt }: FaultContext, traffic: KeyTraffic): void => {
   const stopAt = world.time + traffic.durationMs;
   const sendNext = (): void => {
     if (world.time >= stopAt) return;
     const { key, tenant, longShare, everyMs } = traffic;
     const request = { ...sampleWorkload.request(random, checker.calls.length, longShare), key, tenant };
     const gateways = checker.liveGateways();
-    checker.send(request, gateways[pick(gateways.length)] as number);
+    checker.send(request, gateways[randomInt(gateways.length)] as number);
     world.schedule(null, everyMs, sendNext);
   };
   sendNext();
--- a/packages/test-fleet/src/faults/memberReplacements.ts
+++ b/packages/test-fleet/src/faults/memberReplacements.ts
@@ -4,11 +4,11 @@
 const votePolls = 600;
 
 const replace = (context: FaultContext, isRenamed: boolean): Promise<void> | null =>
-  context.onControlNode(async (at) => {
-    const count = ++context.state.moves;
+  context.withRandomControlNode(async (at) => {
+    const count = ++context.state.replacementCount;
     const name = isRenamed ? `postmaster-new-${count}` : (context.fleet.controlNodeNames[at] as string);
-    await context.fleet.moveControlNode(at, `10.0.7.${count}`, name);
-    await context.untilVoter(at, votePolls);
+    await context.fleet.replaceControlNode(at, `10.0.7.${count}`, name);
+    await context.waitUntilVoter(at, votePolls);
   }, true);
 
 /** The newcomer must be voted in. */
--- a/packages/test-fleet/src/faults/networkPartitions.ts
+++ b/packages/test-fleet/src/faults/networkPartitions.ts
@@ -2,7 +2,7 @@
 import type { FaultContext, Injections } from './faultContext.js';
 
 const isolateGateway = (context: FaultContext): Promise<void> | null =>
-  context.onCounter(async (at) => {
+  context.withRandomGateway(async (at) => {
     const host = context.fleet.gatewayHosts[at] as string;
     context.world.isolate(host);
     await context.waitBetween(500, 6_000);
@@ -21,15 +21,15 @@
 };
 
 const partitionGatewayFromMajority = (context: FaultContext): Promise<void> | null =>
-  context.onCounter((at) => {
+  context.withRandomGateway((at) => {
     const { gatewayHosts, controlNodeHosts } = context.fleet;
-    const reached = context.pick(controlNodeHosts.length);
+    const reached = context.randomInt(controlNodeHosts.length);
     const others = controlNodeHosts.filter((_, index) => index !== reached);
     return partitionFrom(context, gatewayHosts[at] as string, others, [1_000, 6_000]);
   });
 
 const isolateControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const host = context.fleet.controlNodeHosts[at] as string;
     context.world.isolate(host);
     await context.waitBetween(500, 8_000);
@@ -37,7 +37,7 @@
   });
 
 const partitionControlNodes = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async () => {
+  context.withRandomControlNode(async () => {
     const { world, fleet } = context;
     const [a, b, c] = fleet.controlNodeHosts as [string, string, string];
     world.partition(a, b);
@@ -50,11 +50,11 @@
   }, true);
 
 const blockOneDirection = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode(async (at) => {
+  context.withRandomControlNode(async (at) => {
     const { fleet, world } = context;
     const own = fleet.controlNodeHosts[at] as string;
     const hosts = [...fleet.controlNodeHosts, ...fleet.gatewayHosts].filter((host) => host !== own);
-    const other = hosts[context.pick(hosts.length)] as string;
+    const other = hosts[context.randomInt(hosts.length)] as string;
     const [from, to] = context.random() < 0.5 ? [own, other] : [other, own];
     world.blockLink(from, to);
     await context.waitBetween(500, 8_000);
@@ -62,14 +62,14 @@
   });
 
 const partitionReplica = (context: FaultContext): Promise<void> | null =>
-  context.onReplica((name) => {
+  context.withRandomReplica((name) => {
     const { fleet } = context;
     const others = fleet.gatewayHosts.filter(() => context.random() < 0.5);
     return partitionFrom(context, fleet.hostOfReplica(name), others, [500, 6_000]);
   });
 
 const slowReplicaLinks = (context: FaultContext): Promise<void> | null =>
-  context.onReplica(async (name) => {
+  context.withRandomReplica(async (name) => {
     const replica = context.fleet.runningReplicas.get(name);
     replica?.setFaults({ pullDelayMs: 1_500 });
     await context.waitBetween(1_000, 6_000);
--- a/packages/test-fleet/src/faults/permanentLosses.ts
+++ b/packages/test-fleet/src/faults/permanentLosses.ts
@@ -6,32 +6,32 @@
 
 const loseGateways = ({ fleet, checker }: FaultContext, lost: readonly number[]): void => {
   for (const at of lost) {
-    fleet.killCounter(at);
+    fleet.killGateway(at);
     checker.lostGateways.add(at);
   }
 };
 
-const vanishReplica = ({ fleet, pick, world }: FaultContext): string => {
-  const name = fleet.replicaName(pick(fleet.options.replicas));
+const vanishReplica = ({ fleet, randomInt, world }: FaultContext): string => {
+  const name = fleet.replicaName(randomInt(fleet.options.replicaCount));
   world.machine(fleet.hostOfReplica(name)).vanish();
   return name;
 };
 
 /** Brings the loss about; the service must go on without what was lost. */
 export const injectPermanentLoss = async (context: FaultContext, kind: PermanentLossKind): Promise<void> => {
-  const { fleet, pick } = context;
+  const { fleet, randomInt } = context;
   switch (kind) {
     case 'counter lost for good':
-      return loseGateways(context, [pick(fleet.options.edges)]);
+      return loseGateways(context, [randomInt(fleet.options.gatewayCount)]);
     case 'front of a zone lost for good': {
-      const zone = pick(fleet.options.edges) % zoneCount;
+      const zone = randomInt(fleet.options.gatewayCount) % zoneCount;
       return loseGateways(
         context,
         context.gateways().filter((at) => at % zoneCount === zone),
       );
     }
     case 'control node lost for good':
-      return fleet.killControlNode(pick(fleet.controlNodeHosts.length), context.random() < 0.5);
+      return fleet.killControlNode(randomInt(fleet.controlNodeHosts.length), context.random() < 0.5);
     case 'replica lost for good':
       return context.operator.removeReplica(vanishReplica(context));
     case 'replica silent for good':
--- a/packages/test-fleet/src/faults/processPauses.ts
+++ b/packages/test-fleet/src/faults/processPauses.ts
@@ -9,13 +9,13 @@
 };
 
 const pauseReplica = (context: FaultContext): Promise<void> | null =>
-  context.onReplica((name) => pause(context, context.world.machine(context.fleet.hostOfReplica(name)), 6_000));
+  context.withRandomReplica((name) => pause(context, context.world.machine(context.fleet.hostOfReplica(name)), 6_000));
 
 const pauseGateway = (context: FaultContext): Promise<void> | null =>
-  context.onCounter((at) => pause(context, context.fleet.machineOf('gateway', at), 20_000));
+  context.withRandomGateway((at) => pause(context, context.fleet.machineOf('gateway', at), 20_000));
 
 const pauseControlNode = (context: FaultContext): Promise<void> | null =>
-  context.onControlNode((at) => pause(context, context.fleet.machineOf('control', at), 8_000));
+  context.withRandomControlNode((at) => pause(context, context.fleet.machineOf('control', at), 8_000));
 
 /** The process goes on afterwards as if no time had passed. */
 export const processPauses = {
--- a/packages/test-fleet/src/faults/responseFaults.ts
+++ b/packages/test-fleet/src/faults/responseFaults.ts
@@ -2,14 +2,14 @@
 import type { ReplicaFaults } from '../replica/replicaRecords.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
-const shortestMs = 500;
-const longestMs = 3_000;
-const longestPoolOutageMs = 4_000;
-const mostPiecesBeforeCut = 6;
+const minFaultMs = 500;
+const maxFaultMs = 3_000;
+const maxPoolOutageMs = 4_000;
+const maxChunksBeforeTruncation = 6;
 
 const noFault = {
   failStatus: null,
-  truncateAfterPieces: null,
+  truncateAfterChunks: null,
   omitsEnd: false,
   claimedWeights: null,
 } as const satisfies Partial<ReplicaFaults>;
@@ -21,40 +21,40 @@
   Object.fromEntries(Object.entries(noFault).filter(([name]) => name in faults));
 
 /** `draw` is called only where the replica runs, so that each seed keeps its sequence of random numbers. */
-const disturbOne = (context: FaultContext, draw: () => ResponseFaults): Promise<void> | null =>
-  context.onReplica(async (name) => {
+const injectOnReplica = (context: FaultContext, draw: () => ResponseFaults): Promise<void> | null =>
+  context.withRandomReplica(async (name) => {
     const replica = context.fleet.runningReplicas.get(name);
     const faults = replica === undefined ? {} : draw();
     replica?.setFaults(faults);
-    await context.waitBetween(shortestMs, longestMs);
+    await context.waitBetween(minFaultMs, maxFaultMs);
     replica?.setFaults(cleared(faults));
   });
 
-const disturbPool = async (context: FaultContext): Promise<void> => {
+const failPool = async (context: FaultContext): Promise<void> => {
   const { fleet } = context;
   const replicas = fleet.replicaNames().flatMap((name) => fleet.runningReplicas.get(name) ?? []);
   for (const replica of replicas) replica.setFaults({ failStatus: 500 });
-  await context.waitBetween(2 * shortestMs, longestPoolOutageMs);
+  await context.waitBetween(2 * minFaultMs, maxPoolOutageMs);
   for (const replica of replicas) replica.setFaults({ failStatus: null });
 };
 
 const fail = (context: FaultContext): Promise<void> | null =>
-  disturbOne(context, () => ({ failStatus: context.random() < 0.5 ? 500 : 503 }));
+  injectOnReplica(context, () => ({ failStatus: context.random() < 0.5 ? 500 : 503 }));
 
 const truncate = (context: FaultContext): Promise<void> | null =>
-  disturbOne(context, () => ({ truncateAfterPieces: context.pick(mostPiecesBeforeCut) }));
+  injectOnReplica(context, () => ({ truncateAfterChunks: context.randomInt(maxChunksBeforeTruncation) }));
 
 const omitEnd = (context: FaultContext): Promise<void> | null =>
-  disturbOne(context, () => ({
+  injectOnReplica(context, () => ({
     omitsEnd: true,
-    truncateAfterPieces: context.random() < 0.5 ? context.pick(mostPiecesBeforeCut) : null,
+    truncateAfterChunks: context.random() < 0.5 ? context.randomInt(maxChunksBeforeTruncation) : null,
   }));
 
 /** Replicas answer well again after some seconds. */
 export const responseFaults = {
   'replica errs': fail,
-  'whole pool errs': disturbPool,
+  'whole pool errs': failPool,
   'replica cuts streams': truncate,
   'replica omits the end': omitEnd,
-  'replica claims other weights': (context) => disturbOne(context, () => ({ claimedWeights: 'stray' })),
+  'replica claims other weights': (context) => injectOnReplica(context, () => ({ claimedWeights: 'stray' })),
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/serviceReport.ts
+++ b/packages/test-fleet/src/faults/serviceReport.ts
@@ -4,7 +4,7 @@
 import type { FaultKind } from './faultSchedule.js';
 
 /** Milliseconds after which service must have recovered from a fault. */
-export const settleMs = 12_000;
+export const recoveryLimitMs = 12_000;
 const serviceShare = 0.9;
 const serviceWindowMs = 1_000;
 const windowStepMs = 100;
@@ -35,11 +35,11 @@
 const isOrdinary = (call: Call): boolean =>
   call.idempotencyKey === null &&
   hasOrdinaryKey(call) &&
-  call.request.tenant !== sampleWorkload.prober &&
+  call.request.tenant !== sampleWorkload.probeTenant &&
   !call.isAborted;
 
 const recoveryTime = (calls: readonly Call[], endedAt: number): number | null => {
-  for (let at = endedAt; at < endedAt + settleMs; at += windowStepMs) {
+  for (let at = endedAt; at < endedAt + recoveryLimitMs; at += windowStepMs) {
     const inWindow = calls.filter((call) => call.sentAt >= at && call.sentAt < at + serviceWindowMs);
     if (inWindow.length > 0 && inWindow.filter(isServed).length >= inWindow.length * serviceShare) return at - endedAt;
   }
--- a/packages/test-fleet/src/faults/tenantChanges.ts
+++ b/packages/test-fleet/src/faults/tenantChanges.ts
@@ -3,13 +3,13 @@
 import type { FaultContext, Injections } from './faultContext.js';
 import { startKeyTraffic } from './keyedTraffic.js';
 
-const randomTenant = ({ pick }: FaultContext): string =>
-  sampleWorkload.tenantNames[pick(sampleWorkload.tenantNames.length)] as string;
+const randomTenant = ({ randomInt }: FaultContext): string =>
+  sampleWorkload.tenantNames[randomInt(sampleWorkload.tenantNames.length)] as string;
 
 const grantAndRevoke = async (context: FaultContext, isNewTenant: boolean): Promise<void> => {
-  const { operator, pick, random, world } = context;
-  const tenant = isNewTenant ? `newcomer-${pick(1_000_000)}` : randomTenant(context);
-  const key = `brief-${operator.changes()}-${pick(1_000_000)}`;
+  const { operator, randomInt, random, world } = context;
+  const tenant = isNewTenant ? `newcomer-${randomInt(1_000_000)}` : randomTenant(context);
+  const key = `brief-${operator.lastChangeNumber()}-${randomInt(1_000_000)}`;
   const entry = isNewTenant
     ? { tier: 'steady', isolated: random() < 0.3, lanes: ['confirm', 'query', 'diagnose'] }
     : null;
@@ -19,7 +19,7 @@
   await context.waitBetween(1_500, 4_000);
   if (isNewTenant && random() < 0.5) return;
   await operator.retryUntilAccepted((at) => operator.revokeAt(at, key));
-  grant.to = world.time;
+  grant.validUntil = world.time;
   await context.waitBetween(500, 4_000);
   if (random() < 0.5) {
     traffic.tenant = randomTenant(context);
--- a/packages/test-fleet/src/invariants/atMostOnce.ts
+++ b/packages/test-fleet/src/invariants/atMostOnce.ts
@@ -5,7 +5,7 @@
 import type { Evidence } from './observations.js';
 import type { Violation } from './violation.js';
 
-const atMostOnceLanes = new Set<RequestKind>(['confirm', 'book']);
+const onceOnlyLanes = new Set<RequestKind>(['confirm', 'book']);
 
 const isReportedNotRun = (call: Call): boolean => call.outcome === 'denied' && call.ran === 'no';
 
@@ -13,7 +13,7 @@
   const violations: Violation[] = [];
   const runCount = evidence.runsOf(call).length;
   const label = labelOf(call);
-  if (atMostOnceLanes.has(call.request.kind) && runCount > 1)
+  if (onceOnlyLanes.has(call.request.kind) && runCount > 1)
     violations.push({ rule: 'runs twice', detail: `${label}: ${runCount} runs` });
   if (isReportedNotRun(call) && runCount > 0) violations.push({ rule: 'not run, yet ran', detail: label });
   return violations;
@@ -31,7 +31,7 @@
 
 const probeViolations = (evidence: Evidence): Violation[] =>
   evidence.observations.probes
-    .filter((probe) => probe.isWanted && probe.repeat === 'once' && evidence.runsOf(probe.call).length > 1)
+    .filter((probe) => probe.shouldRun && probe.repeat === 'once' && evidence.runsOf(probe.call).length > 1)
     .map(({ call, change }) => ({ rule: 'runs twice', detail: `${change}: ${labelOf(call)}` }));
 
 /** Checks once-only lanes, idempotency keys and probes of once-only lanes. */
--- a/packages/test-fleet/src/invariants/configurationVisibility.ts
+++ b/packages/test-fleet/src/invariants/configurationVisibility.ts
@@ -1,6 +1,6 @@
 /** Configuration visibility: accepted changes are in force everywhere in time, and rejected ones never are. */
 import type { Call } from '../workload/callSender.js';
-import { labelOf, propagationMs } from './observations.js';
+import { labelOf, maxPropagationMs } from './observations.js';
 import type { Evidence, Probe } from './observations.js';
 import type { ObservedRun } from './observedFleet.js';
 import type { Violation } from './violation.js';
@@ -9,10 +9,10 @@
 const oldWeightsGraceMs = 12_000;
 const notYetAppliedCodes = new Set(['unknown_lane', 'lane_not_granted', 'unknown_key']);
 
-const probeViolations = (evidence: Evidence, { call, change, isWanted, priority }: Probe): Violation[] => {
+const probeViolations = (evidence: Evidence, { call, change, shouldRun, priority }: Probe): Violation[] => {
   const runs = evidence.runsOf(call);
   const detail = `${change}: ${call.requestId} at ${call.host}, ${Math.round(call.sentAt)}: ${call.outcome} ${call.code}`;
-  if (!isWanted)
+  if (!shouldRun)
     return runs.length > 0 || call.outcome === 'whole' ? [{ rule: 'a losing change took effect', detail }] : [];
   const violations: Violation[] = [];
   if (call.outcome === 'denied' && notYetAppliedCodes.has(call.code))
@@ -28,9 +28,9 @@
 
 const staleWeightsViolations = (evidence: Evidence, call: Call, run: ObservedRun): Violation[] => {
   const changes = evidence.weightsChangesFor(run.replica);
-  const due = changes.findLast((change) => call.sentAt >= change.at + propagationMs);
+  const due = changes.findLast((change) => call.sentAt >= change.acknowledgedAt + maxPropagationMs);
   const used = changes.findLast((change) => change.weights === run.weights);
-  if (due === undefined || used === undefined || used.offeredAt >= due.offeredAt) return [];
+  if (due === undefined || used === undefined || used.sentAt >= due.sentAt) return [];
   return [
     {
       rule: 'an accepted change is not in force',
@@ -42,10 +42,10 @@
 const oldWeightsViolations = (evidence: Evidence, run: ObservedRun): Violation[] => {
   const changes = evidence.weightsChangesFor(run.replica);
   const mayUse = changes.some((change, index) => {
-    const replacedAt = changes[index + 1]?.at ?? Number.POSITIVE_INFINITY;
+    const replacedAt = changes[index + 1]?.acknowledgedAt ?? Number.POSITIVE_INFINITY;
     return (
       change.weights === run.weights &&
-      run.startedAt >= change.offeredAt &&
+      run.startedAt >= change.sentAt &&
       run.startedAt <= replacedAt + oldWeightsGraceMs
     );
   });
--- a/packages/test-fleet/src/invariants/draining.ts
+++ b/packages/test-fleet/src/invariants/draining.ts
@@ -8,7 +8,7 @@
 /** Checks the start of every run against the drain notices. */
 export const drainingViolations = (evidence: Evidence): Violation[] =>
   evidence.runs.flatMap((run): Violation[] => {
-    const drained = evidence.observations.drainingSince.find(
+    const drained = evidence.observations.drainNotices.find(
       (one) => one.name === run.replica && one.incarnation === run.incarnation,
     );
     if (drained === undefined || run.startedAt <= drained.at + drainNoticeMs) return [];
--- a/packages/test-fleet/src/invariants/invariantChecker.ts
+++ b/packages/test-fleet/src/invariants/invariantChecker.ts
@@ -11,7 +11,7 @@
 import { configurationViolations } from './configurationVisibility.js';
 import { drainingViolations } from './draining.js';
 import { Evidence, observedRuns } from './observations.js';
-import type { Draining, Grant, Observations, Probe, WeightsChange } from './observations.js';
+import type { DrainNotice, Grant, Observations, Probe, WeightsChange } from './observations.js';
 import type { ObservedFleet, ObservedRun } from './observedFleet.js';
 import { responseViolations } from './responseIntegrity.js';
 import { retryBudgetViolations } from './retryBudget.js';
@@ -30,16 +30,16 @@
 /** Collects the observations of one run and checks every invariant against them. */
 export class InvariantChecker implements Observations {
   readonly weightsChanges: WeightsChange[] = [
-    { offeredAt: 0, at: 0, pool: 'main', weights: 'weights-1' },
-    { offeredAt: 0, at: 0, pool: 'app', weights: 'app-1' },
+    { sentAt: 0, acknowledgedAt: 0, pool: 'main', weights: 'weights-1' },
+    { sentAt: 0, acknowledgedAt: 0, pool: 'app', weights: 'app-1' },
   ];
-  readonly granted = new Map<string, Grant[]>();
+  readonly grantsByKey = new Map<string, Grant[]>();
   readonly probes: Probe[] = [];
-  readonly drainingSince: Draining[] = [];
+  readonly drainNotices: DrainNotice[] = [];
   /** The log position at which each accepted change was acknowledged, by its change id. */
-  readonly acceptedIds = new Map<string, number>();
+  readonly acceptedChanges = new Map<string, number>();
   /** The change ids that were rejected. */
-  readonly refusedIds = new Set<string>();
+  readonly rejectedChangeIds = new Set<string>();
   /** The indices of the gateways that never come back. */
   readonly lostGateways = new Set<number>();
   /** All calls in the order in which they were sent. */
@@ -60,18 +60,18 @@
       random: fleet.random,
       after: fleet.after,
       liveGateways: () => this.liveGateways(),
-      onUnknownKey: (key) => void this.granted.set(key, []),
+      onUnknownKey: (key) => void this.grantsByKey.set(key, []),
     });
-    this.traffic = this.generator.start;
-    this.keyedTraffic = this.generator.startKeyed;
+    this.startTraffic = this.generator.start;
+    this.startKeyedTraffic = this.generator.startKeyed;
   }
 
   /** Sends one request; see `CallSender`. */
   readonly send: CallSender['send'];
   /** Starts ordinary traffic; see `TrafficGenerator`. */
-  readonly traffic: TrafficGenerator['start'];
+  readonly startTraffic: TrafficGenerator['start'];
   /** Starts traffic under idempotency keys; see `TrafficGenerator`. */
-  readonly keyedTraffic: TrafficGenerator['startKeyed'];
+  readonly startKeyedTraffic: TrafficGenerator['startKeyed'];
 
   /** The indices of the gateways that are not lost for good. */
   readonly liveGateways = (): number[] =>
@@ -82,22 +82,22 @@
 
   /** Notes that a key is valid for a tenant from now on; the caller sets `to` once it is revoked. */
   readonly grant = (key: string, tenant: string): Grant => {
-    const grant: Grant = { tenant, from: this.fleet.now(), to: Number.POSITIVE_INFINITY };
-    this.granted.set(key, [...(this.granted.get(key) ?? []), grant]);
+    const grant: Grant = { tenant, validFrom: this.fleet.now(), validUntil: Number.POSITIVE_INFINITY };
+    this.grantsByKey.set(key, [...(this.grantsByKey.get(key) ?? []), grant]);
     return grant;
   };
 
   /** The change of the configuration that `probeEveryGateway` looks for. */
   readonly probeChange = (lane: string, tier: string, repeat: 'once' | 'freely'): Record<string, unknown> => ({
     lanes: { [lane]: { pool: 'main', repeat } },
-    tenants: { [sampleWorkload.prober]: { tier, lanes: [lane] } },
+    tenants: { [sampleWorkload.probeTenant]: { tier, lanes: [lane] } },
   });
 
   /** Sends one request for the lane to every live gateway, which must run at the tier or, if not wanted, not at all. */
   readonly probeEveryGateway = (
     lane: string,
     change: string,
-    isWanted: boolean,
+    shouldRun: boolean,
     tier: string,
     repeat: 'once' | 'freely',
   ): void => {
@@ -106,10 +106,10 @@
       const request: SampleRequest = {
         ...sampleWorkload.request(this.fleet.random, this.calls.length, 0),
         kind: lane as RequestKind,
-        tenant: sampleWorkload.prober,
-        key: keyOf(sampleWorkload.prober),
+        tenant: sampleWorkload.probeTenant,
+        key: keyOf(sampleWorkload.probeTenant),
       };
-      this.probes.push({ call: this.send(request, gateway), change, isWanted, priority, repeat });
+      this.probes.push({ call: this.send(request, gateway), change, shouldRun, priority, repeat });
     }
   };
 
@@ -120,7 +120,7 @@
   };
 
   /** How many calls ended in which way. */
-  readonly metrics = (): Record<string, number> => {
+  readonly outcomeCounts = (): Record<string, number> => {
     const counts: Record<string, number> = {};
     for (const call of this.calls) {
       const key = call.outcome === 'denied' ? `denied ${call.code} ran=${call.ran}` : call.outcome;
--- a/packages/test-fleet/src/invariants/observations.ts
+++ b/packages/test-fleet/src/invariants/observations.ts
@@ -7,9 +7,9 @@
 export interface Grant {
   readonly tenant: string;
   /** Milliseconds of the fleet's clock. */
-  readonly from: number;
+  readonly validFrom: number;
   /** Infinite until the key is revoked. */
-  to: number;
+  validUntil: number;
 }
 
 /** A call sent after a change of the configuration, to see whether the change is in force. */
@@ -17,7 +17,7 @@
   readonly call: Call;
   readonly change: string;
   /** False for a change that was rejected: its call must not run. */
-  readonly isWanted: boolean;
+  readonly shouldRun: boolean;
   readonly priority: number;
   readonly repeat: 'once' | 'freely';
 }
@@ -25,31 +25,31 @@
 /** A change of the weights that a pool runs. */
 export interface WeightsChange {
   /** When the change was sent. */
-  readonly offeredAt: number;
+  readonly sentAt: number;
   /** When it was acknowledged; infinite until then. */
-  at: number;
+  acknowledgedAt: number;
   readonly pool: string;
   readonly weights: string;
 }
 
 /** A replica incarnation that was told to drain, and when. */
-export interface Draining {
+export interface DrainNotice {
   readonly name: string;
   readonly incarnation: number;
   readonly at: number;
 }
 
 /** Milliseconds in which an acknowledged change must have reached every gateway. */
-export const propagationMs = 2_000;
+export const maxPropagationMs = 2_000;
 
 /** Records that accumulate over a run. */
 export interface Observations {
   readonly calls: readonly Call[];
   readonly weightsChanges: readonly WeightsChange[];
   /** The grants of each key in turn; an empty list for a key that was never granted. */
-  readonly granted: ReadonlyMap<string, readonly Grant[]>;
+  readonly grantsByKey: ReadonlyMap<string, readonly Grant[]>;
   readonly probes: readonly Probe[];
-  readonly drainingSince: readonly Draining[];
+  readonly drainNotices: readonly DrainNotice[];
 }
 
 /** The observations together with the replicas' records, indexed for the checks. */
--- a/packages/test-fleet/src/invariants/observedFleet.ts
+++ b/packages/test-fleet/src/invariants/observedFleet.ts
@@ -27,7 +27,7 @@
   readonly random: () => number;
   readonly after: (delayMs: number, callback: () => void) => void;
   /** The HTTP client of a machine that is no part of the fleet. */
-  readonly outside: () => HttpClient;
+  readonly externalClient: () => HttpClient;
   readonly replicaIncarnations: () => readonly ReplicaIncarnation[];
 }
 
--- a/packages/test-fleet/src/invariants/responseIntegrity.ts
+++ b/packages/test-fleet/src/invariants/responseIntegrity.ts
@@ -12,7 +12,7 @@
 const textViolations = (call: Call, runs: readonly Run[]): Violation[] => {
   const detail = labelOf(call);
   const textOf = (run: Run): string =>
-    generatedText.whole(call.request.prompt, run.weights, run.runId, call.request.maxTokens);
+    generatedText.fullText(call.request.prompt, run.weights, run.runId, call.request.maxTokens);
   const isPrefix = runs.some((run) => textOf(run).startsWith(call.text));
   if (call.outcome !== 'whole')
     return call.text === '' || isPrefix ? [] : [{ rule: 'skipped, repeated or spliced piece', detail }];
--- a/packages/test-fleet/src/invariants/stateInvariants.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -9,14 +9,14 @@
   fleet.controlNodes.forEach((controlNode, at) => {
     const state = controlNode?.acceptor.committedState();
     if (controlNode === null || state === null || state === undefined) return;
-    for (const [id, logIndex] of checker.acceptedIds) {
+    for (const [id, logIndex] of checker.acceptedChanges) {
       const known = state.changeIds[id];
       if (known === undefined)
         violations.push({ rule: 'an accepted change is lost', detail: `${id} at control node ${at + 1}` });
       else if (known.logIndex !== logIndex)
         violations.push({ rule: 'an accepted change moved', detail: `${id}: ${known.logIndex} for ${logIndex}` });
     }
-    for (const id of checker.refusedIds)
+    for (const id of checker.rejectedChangeIds)
       if (state.changeIds[id] !== undefined)
         violations.push({ rule: 'a losing change took effect', detail: `${id} at control node ${at + 1}` });
   });
--- a/packages/test-fleet/src/invariants/tenantIsolation.ts
+++ b/packages/test-fleet/src/invariants/tenantIsolation.ts
@@ -1,14 +1,14 @@
 /** Tenant isolation: requests run for the tenant that holds the key, and KV cache is never taken from a foreign scope. */
 import type { Call } from '../workload/callSender.js';
-import { propagationMs } from './observations.js';
+import { maxPropagationMs } from './observations.js';
 import type { Evidence } from './observations.js';
 import type { ObservedRun } from './observedFleet.js';
 import type { Violation } from './violation.js';
 
 const runViolations = (evidence: Evidence, call: Call, run: ObservedRun): Violation[] => {
-  const grants = evidence.observations.granted
+  const grants = evidence.observations.grantsByKey
     .get(call.request.key)
-    ?.filter((grant) => run.startedAt >= grant.from && run.startedAt <= grant.to + propagationMs);
+    ?.filter((grant) => run.startedAt >= grant.validFrom && run.startedAt <= grant.validUntil + maxPropagationMs);
   if (grants?.length === 0)
     return [{ rule: 'a key not granted', detail: `${call.requestId} at ${Math.round(run.startedAt)}` }];
   const holders = grants?.map((grant) => grant.tenant) ?? [call.request.tenant];
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -4,7 +4,7 @@
 import { InvariantChecker } from '../invariants/invariantChecker.js';
 import type { ObservedFleet, ReplicaIncarnation } from '../invariants/observedFleet.js';
 import type { Violation } from '../invariants/violation.js';
-import { seeded } from '../workload/sampleDeployments.js';
+import { seededRandom } from '../workload/sampleDeployments.js';
 import type { LocalFleet, Reply } from './localFleet.js';
 
 const controlNodeCount = 3;
@@ -38,14 +38,14 @@
     readonly fleet: LocalFleet,
     seed: number,
   ) {
-    this.random = seeded(seed * seedFactor);
+    this.random = seededRandom(seed * seedFactor);
     const outside = httpClients.real(null);
     const observed: ObservedFleet = {
       gatewayHosts: fleet.gatewayHosts,
       now,
       random: this.random,
       after: (delayMs, callback) => void setTimeout(callback, delayMs),
-      outside: () => outside,
+      externalClient: () => outside,
       replicaIncarnations: () => this.replicas,
     };
     this.checker = new InvariantChecker(observed, `${seed}-`);
@@ -112,12 +112,12 @@
       const node = attempt === 0 ? at : this.pick(controlNodeCount);
       const response = await this.call(node, 'PATCH', '/operator/layout', part, headers);
       if (response.status === 200) {
-        this.checker.acceptedIds.set(id, Number(response.body.generation));
+        this.checker.acceptedChanges.set(id, Number(response.body.generation));
         if (attempt === 0) await onFirstAccepted(at);
         return true;
       }
       if (rejectedStatuses.has(response.status)) {
-        this.checker.refusedIds.add(id);
+        this.checker.rejectedChangeIds.add(id);
         return false;
       }
       await sleep(changeRetryMs);
@@ -154,7 +154,7 @@
   private readonly stateViolationsAt = async (at: number): Promise<Violation[]> => {
     const violations: Violation[] = [];
     const find = (id: string): Promise<Reply> => this.call(at, 'GET', `/operator/changes/${id}`);
-    for (const [id, logIndex] of this.checker.acceptedIds) {
+    for (const [id, logIndex] of this.checker.acceptedChanges) {
       const known = await find(id);
       if (known.status !== 200 || known.body.generation !== logIndex)
         violations.push({
@@ -162,7 +162,7 @@
           detail: `${id} at control node ${at + 1}: ${known.status}`,
         });
     }
-    for (const id of this.checker.refusedIds)
+    for (const id of this.checker.rejectedChangeIds)
       if ((await find(id)).status === 200) violations.push({ rule: 'a losing change took effect', detail: id });
     return violations;
   };
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -1,6 +1,6 @@
 /** The faults that real processes are put under: kills, pauses, wiped data, roll-outs, cut and slow links, and changes. */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { propagationMs } from '../invariants/observations.js';
+import { maxPropagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultProxy } from './faultProxy.js';
 import { now } from './processFaultRun.js';
@@ -73,7 +73,7 @@
 const drainReplica: ProcessFault = async (run, { replica }) => {
   const incarnation = run.fleet.incarnationOf(replica);
   await run.retryUntilAccepted((at) => run.call(at, 'POST', `/platform/replicas/${replica}/leaving`));
-  run.checker.drainingSince.push({ name: replica, incarnation, at: now() });
+  run.checker.drainNotices.push({ name: replica, incarnation, at: now() });
   await sleep(drainMs);
   await run.fleet.killReplica(replica);
   await run.replaceReplica(replica);
@@ -112,9 +112,9 @@
 
 const changeWeights: ProcessFault = async ({ change, checker: { weightsChanges } }) => {
   const weights = `weights-${weightsChanges.length}`;
-  const marker = { offeredAt: now(), at: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  const marker = { sentAt: now(), acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
   weightsChanges.push(marker);
-  if (await change({ pools: { main: { weights } } })) marker.at = now();
+  if (await change({ pools: { main: { weights } } })) marker.acknowledgedAt = now();
   else weightsChanges.splice(weightsChanges.indexOf(marker), 1);
 };
 
@@ -133,7 +133,7 @@
   const repeat = random() < 0.5 ? 'once' : 'freely';
   const isAccepted = await change(checker.probeChange(name, tier, repeat));
   for (let round = 0; round < probeRounds; round += 1) {
-    await sleep(propagationMs);
+    await sleep(maxPropagationMs);
     checker.probeEveryGateway(name, name, isAccepted, tier, repeat);
   }
 };
@@ -160,9 +160,9 @@
   startKeyTraffic(run, key, tenant);
   await sleep(keyHeldMs);
   await send('/platform/keys/revoke', { key }, `revoke-${key}`);
-  grant.to = now();
+  grant.validUntil = now();
   const open = checker.calls.filter((call) => call.request.key === key && call.outcome === 'open');
-  await sleep(propagationMs);
+  await sleep(maxPropagationMs);
   for (const call of open)
     if (call.outcome === 'open' || call.outcome === 'whole')
       run.violations.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.outcome}` });
--- a/packages/test-fleet/src/replica/blockCache.ts
+++ b/packages/test-fleet/src/replica/blockCache.ts
@@ -30,7 +30,7 @@
   };
 
   /** How many blocks from the first on are kept in just that copy; they count as used now. */
-  readonly useLocal = (blocks: readonly string[], wanted: CachedCopy): number => {
+  readonly touchPrefix = (blocks: readonly string[], wanted: CachedCopy): number => {
     let count = 0;
     for (const block of blocks) {
       const copies = this.copies.get(block);
--- a/packages/test-fleet/src/replica/cacheEventLog.ts
+++ b/packages/test-fleet/src/replica/cacheEventLog.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@martenworks/core-types';
 import type { ReplicaFaults } from './replicaRecords.js';
 
-const eventLimit = 50_000;
+const maxEvents = 50_000;
 const encoder = new TextEncoder();
 
 /** One change of the cache; `tenant` null: shared by all tenants that are not isolated. */
@@ -36,7 +36,7 @@
     if (this.faults.hidesEvents) return;
     const event: CacheEvent = { incarnation: this.incarnation, seq: ++this.seq, kind, tenant, blocks };
     this.events.push(event);
-    if (this.events.length > eventLimit) this.events.shift();
+    if (this.events.length > maxEvents) this.events.shift();
     if (this.faults.dropsEvents) return;
     for (const listener of this.listeners) {
       if (this.faults.eventDelayMs === 0) listener(event);
--- a/packages/test-fleet/src/replica/completionApi.ts
+++ b/packages/test-fleet/src/replica/completionApi.ts
@@ -1,7 +1,7 @@
 /** The completions API as a replica speaks it: requests, streamed chunks and errors. */
 import type { Run } from './replicaRecords.js';
 
-const mostTokens = 4_096;
+const maxTokens = 4_096;
 const defaultTokens = 16;
 const chatPath = '/v1/chat';
 const encoder = new TextEncoder();
@@ -36,7 +36,7 @@
     prompt: promptOf(body),
     weights: String(body.model),
     priority: Number(body.priority ?? 0),
-    tokens: Math.max(1, Math.min(mostTokens, Number(body.max_tokens ?? defaultTokens))),
+    tokens: Math.max(1, Math.min(maxTokens, Number(body.max_tokens ?? defaultTokens))),
   };
 };
 
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -21,7 +21,7 @@
   Run,
 } from './replicaRecords.js';
 
-const recordLimit = 200_000;
+const maxRecords = 200_000;
 const pullTimeoutMs = 2_000;
 const clientClosedStatus = 499;
 
@@ -30,7 +30,7 @@
 
 const addLimited = <T>(records: T[], record: T): void => {
   records.push(record);
-  if (records.length > recordLimit) records.shift();
+  if (records.length > maxRecords) records.shift();
 };
 
 /** Serves its wire through `app`; time is that of the clock, so that it runs in the simulator as well. */
@@ -47,7 +47,7 @@
   readonly faults: ReplicaFaults = {
     failStatus: null,
     failRetryAfter: null,
-    truncateAfterPieces: null,
+    truncateAfterChunks: null,
     stallMs: 0,
     omitsEnd: false,
     claimedWeights: null,
@@ -57,7 +57,7 @@
     pullDelayMs: 0,
   };
   /** Tokens generated so far. */
-  piecesSaid = 0;
+  generatedTokens = 0;
   private runCount = 0;
   private prefilling: BlockingPrefill | null = null;
   private readonly events: CacheEventLog;
@@ -149,13 +149,13 @@
     };
     const taken = parts.slice(have);
     taken.forEach((copy, at) => {
-      this.noteBreaches(run, holder, blocks[have + at] ?? '', copy);
+      this.recordBreaches(run, holder, blocks[have + at] ?? '', copy);
     });
     await timing.sleep(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.settings.pullTokensPerMs);
     return taken.length;
   };
 
-  private readonly noteBreaches = (run: Run, holder: string, block: string, copy: CachedCopy): void => {
+  private readonly recordBreaches = (run: Run, holder: string, block: string, copy: CachedCopy): void => {
     const { requestId } = run;
     if (copy.weights !== run.weights) this.breaches.push({ rule: 'weights', requestId, holder, block });
     const isForeign = copy.scope !== null ? copy.scope !== run.tenant : run.isIsolated;
@@ -212,7 +212,7 @@
   private readonly prefill = async (run: Run, prompt: string): Promise<void> => {
     const blocks = prompts.blocks(prompt);
     const copy: CachedCopy = { weights: run.weights, scope: run.isIsolated ? run.tenant : null };
-    const localBefore = this.cache.useLocal(blocks, copy);
+    const localBefore = this.cache.touchPrefix(blocks, copy);
     const holder = run.cacheFrom === this.settings.address ? null : run.cacheFrom;
     const pulled = holder === null ? 0 : await this.pull(run, holder, blocks, localBefore);
     run.blockedBy = this.prefillSlot.isFull() ? this.prefilling : null;
@@ -220,7 +220,7 @@
     await this.prefillSlot.acquire(run.priority);
     run.waitedMs = this.clock.now() - cameAt;
     try {
-      const local = Math.max(localBefore, this.cache.useLocal(blocks, copy) - pulled);
+      const local = Math.max(localBefore, this.cache.touchPrefix(blocks, copy) - pulled);
       run.localTokens = local * prompts.blockTokens;
       run.pulledTokens = pulled * prompts.blockTokens;
       run.prefilledTokens = Math.max(0, prompts.tokens(prompt) - run.localTokens - run.pulledTokens);
@@ -244,13 +244,13 @@
     for (let at = 0; at < tokens; at += 1) {
       if (signal.aborted) return;
       if (faults.stallMs > 0) await timing.sleep(this.clock, faults.stallMs);
-      if (faults.truncateAfterPieces !== null && at >= faults.truncateAfterPieces) {
+      if (faults.truncateAfterChunks !== null && at >= faults.truncateAfterChunks) {
         if (faults.omitsEnd) return;
         throw new Error('cut by a fault');
       }
       await timing.sleep(this.clock, this.settings.decodeMs);
-      const text = generatedText.piece(digest, run.weights, run.runId, at);
-      this.piecesSaid += 1;
+      const text = generatedText.tokenText(digest, run.weights, run.runId, at);
+      this.generatedTokens += 1;
       const last = at === tokens - 1 ? { promptTokens: prompts.tokens(prompt), tokens } : null;
       yield completionResponse.frame(run, faults.claimedWeights ?? run.weights, text, last);
     }
--- a/packages/test-fleet/src/replica/generatedText.ts
+++ b/packages/test-fleet/src/replica/generatedText.ts
@@ -2,15 +2,15 @@
 import { createHash } from 'node:crypto';
 
 const digestOf = (text: string): string => createHash('sha256').update(text).digest('hex');
-const pieceLength = 6;
+const tokenTextLength = 6;
 
-const piece = (digest: string, weights: string, runId: string, at: number): string =>
-  `${digestOf(`${weights}|${runId}|${at}|${digest}`).slice(0, pieceLength)} `;
+const tokenText = (digest: string, weights: string, runId: string, at: number): string =>
+  `${digestOf(`${weights}|${runId}|${at}|${digest}`).slice(0, tokenTextLength)} `;
 
-const whole = (prompt: string, weights: string, runId: string, count: number): string => {
+const fullText = (prompt: string, weights: string, runId: string, count: number): string => {
   const digest = digestOf(prompt);
-  return Array.from({ length: count }, (_, at) => piece(digest, weights, runId, at)).join('');
+  return Array.from({ length: count }, (_, at) => tokenText(digest, weights, runId, at)).join('');
 };
 
 /** `digest` is of the prompt, `piece` the text of one token, `whole` that of all `count` tokens. */
-export const generatedText = { digest: digestOf, piece, whole };
+export const generatedText = { digest: digestOf, tokenText, fullText };
--- a/packages/test-fleet/src/replica/replicaRecords.ts
+++ b/packages/test-fleet/src/replica/replicaRecords.ts
@@ -23,7 +23,7 @@
   failStatus: number | null;
   /** Seconds. */
   failRetryAfter: number | null;
-  truncateAfterPieces: number | null;
+  truncateAfterChunks: number | null;
   /** Milliseconds before each piece. */
   stallMs: number;
   /** Streams end without the end marker. */
--- a/packages/test-fleet/src/simulator/networkLinks.ts
+++ b/packages/test-fleet/src/simulator/networkLinks.ts
@@ -1,9 +1,9 @@
 /** The links between simulated machines: which are blocked or delayed, each way for itself. */
 
 /** Latency within a machine, and the least and the spread of that between machines. */
-const loopbackMs = 0.05;
-const leastMs = 0.2;
-const spreadMs = 0.8;
+const loopbackLatencyMs = 0.05;
+const minLatencyMs = 0.2;
+const latencySpreadMs = 0.8;
 
 const keyOf = (from: string, to: string): string => `${from}>${to}`;
 
@@ -33,5 +33,6 @@
 
   /** Milliseconds that a message takes; each call draws anew. */
   readonly latency = (from: string, to: string): number =>
-    (from === to ? loopbackMs : leastMs + this.random() * spreadMs) + (this.delays.get(keyOf(from, to)) ?? 0);
+    (from === to ? loopbackLatencyMs : minLatencyMs + this.random() * latencySpreadMs) +
+    (this.delays.get(keyOf(from, to)) ?? 0);
 }
--- a/packages/test-fleet/src/simulator/simConnection.ts
+++ b/packages/test-fleet/src/simulator/simConnection.ts
@@ -6,7 +6,7 @@
 import type { SimulatedMachine, Simulation } from './simulation.js';
 
 /** How often a blocked message is tried again. */
-export const resendMs = 200;
+export const retransmitMs = 200;
 const refusalMs = 1;
 
 /** The host of an address `HOST:PORT`. */
@@ -14,11 +14,11 @@
 
 /** One direction of a connection. */
 class OrderedChannel {
-  isShut = false;
+  isClosed = false;
   onBytes: ((bytes: Uint8Array) => void) | null = null;
   onClose: (() => void) | null = null;
   /** What arrived before anyone listened. */
-  readonly early: Uint8Array[] = [];
+  readonly undelivered: Uint8Array[] = [];
   private lastAt = 0;
   private blocked: (() => void)[] = [];
 
@@ -35,15 +35,15 @@
     this.world.schedule(this.to, at - this.world.time, () => this.arrive(act));
   };
 
-  readonly takeBytes = (bytes: Uint8Array): void => {
-    if (this.onBytes === null) this.early.push(bytes);
+  readonly receiveBytes = (bytes: Uint8Array): void => {
+    if (this.onBytes === null) this.undelivered.push(bytes);
     else this.onBytes(bytes);
   };
 
   /** Tells the listener at the far end that the connection is closed. */
-  readonly shut = (): void => {
-    if (this.isShut) return;
-    this.isShut = true;
+  readonly closeReceiver = (): void => {
+    if (this.isClosed) return;
+    this.isClosed = true;
     const { onClose } = this;
     this.onClose = null;
     onClose?.();
@@ -52,7 +52,7 @@
   private readonly isBlocked = (): boolean => this.world.isBlocked(this.from.host, this.to.host);
 
   private readonly arrive = (act: () => void): void => {
-    if (this.isShut) return;
+    if (this.isClosed) return;
     const isFirst = this.blocked.length === 0;
     if (isFirst && !this.isBlocked()) {
       act();
@@ -63,8 +63,8 @@
   };
 
   private readonly retry = (): void => {
-    this.world.schedule(this.to, resendMs, () => {
-      if (this.isShut) return;
+    this.world.schedule(this.to, retransmitMs, () => {
+      if (this.isClosed) return;
       if (this.isBlocked()) return this.retry();
       const acts = this.blocked;
       this.blocked = [];
@@ -74,7 +74,7 @@
 }
 
 /** The end of a connection that belongs to `owner`; it stops working when that machine crashes. */
-const wireOf = (
+const endpointOf = (
   send: OrderedChannel,
   receive: OrderedChannel,
   owner: SimulatedMachine,
@@ -87,27 +87,28 @@
     (bytes, arrived) =>
       send.deliver(() => {
         arrived();
-        send.takeBytes(bytes);
+        send.receiveBytes(bytes);
       }),
   );
   const close = (): void => {
-    if (receive.isShut) return;
+    if (receive.isClosed) return;
     sender.discard();
-    send.deliver(send.shut);
-    receive.shut();
+    send.deliver(send.closeReceiver);
+    receive.closeReceiver();
     owner.crashListeners.delete(crash);
   };
   const crash = (isReset: boolean): void => {
     sender.discard();
-    if (isReset && !receive.isShut) world.schedule(send.to, world.latency(owner.host, send.to.host), send.shut);
-    receive.isShut = true;
+    if (isReset && !receive.isClosed)
+      world.schedule(send.to, world.latency(owner.host, send.to.host), send.closeReceiver);
+    receive.isClosed = true;
     receive.onClose = null;
   };
   owner.crashListeners.add(crash);
   return {
     remoteAddress: send.to.host,
     write: (bytes) => {
-      if (receive.isShut || owner.incarnation !== ownerIncarnation) return;
+      if (receive.isClosed || owner.incarnation !== ownerIncarnation) return;
       world.onWrite?.(owner.host, send.to.host, bytes);
       sender.write(bytes.slice());
     },
@@ -115,7 +116,7 @@
     listen: (onBytes, onClose) => {
       receive.onBytes = onBytes;
       receive.onClose = onClose;
-      for (const bytes of receive.early.splice(0)) onBytes(bytes);
+      for (const bytes of receive.undelivered.splice(0)) onBytes(bytes);
     },
     close,
   };
@@ -128,7 +129,7 @@
 ): [RawConnection, RawConnection] => {
   const outward = new OrderedChannel(near.world, near, far);
   const inward = new OrderedChannel(near.world, far, near);
-  return [wireOf(outward, inward, near, nearIncarnation), wireOf(inward, outward, far, far.incarnation)];
+  return [endpointOf(outward, inward, near, nearIncarnation), endpointOf(inward, outward, far, far.incarnation)];
 };
 
 /**
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -26,7 +26,7 @@
 const fault = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
 /** One operation that changes the disk, told right before it takes effect. */
-export interface DiskStep {
+export interface DiskMutation {
   readonly operation: 'open' | 'append' | 'sync' | 'replace' | 'truncate' | 'remove';
   readonly name: string;
 }
@@ -34,7 +34,7 @@
 /** A disk whose bytes are safe once synced, and whose names are safe once the operation that made or removed them is over. */
 export class SimDisk {
   /** Called before each operation that changes the disk, so that a test may copy it as a loss of power would leave it, or end the process before the operation. */
-  beforeStep: (step: DiskStep) => void = () => {};
+  beforeMutation: (step: DiskMutation) => void = () => {};
   /** The bytes of each file by name. */
   readonly files = new Map<string, FileBytes>();
   /** The faults in force. */
@@ -65,7 +65,7 @@
   };
 
   /** Loses all files. */
-  readonly lose = (): void => this.files.clear();
+  readonly wipe = (): void => this.files.clear();
 
   /** Ends a stall: what waited goes on. */
   readonly unstall = (): void => {
@@ -75,7 +75,7 @@
     for (const wake of waiting) wake();
   };
 
-  private readonly hold = async (): Promise<void> => {
+  private readonly awaitFaults = async (): Promise<void> => {
     if (this.faults.isStalled) await new Promise<void>((wake) => this.stalled.push(wake));
     if (this.faults.delayMs > 0) await this.wait(this.faults.delayMs);
   };
@@ -84,16 +84,16 @@
   readonly view = (isLive: () => boolean): Disk => {
     const never = new Promise<never>(() => {});
     const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> => {
-      await this.hold();
+      await this.awaitFaults();
       return isLive() ? work() : never;
     };
     const change = async <T>(
-      operation: DiskStep['operation'],
+      operation: DiskMutation['operation'],
       name: string,
       work: () => Result<T, DiskError>,
     ): Promise<Result<T, DiskError>> => {
-      await this.hold();
-      if (isLive()) this.beforeStep({ operation, name });
+      await this.awaitFaults();
+      if (isLive()) this.beforeMutation({ operation, name });
       return isLive() ? work() : never;
     };
     const sync = (name: string): Promise<Result<void, DiskError>> =>
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -16,16 +16,16 @@
 /** Size and settings of the fleet, and hooks by which tests change nodes as they start. */
 export interface SimFleetOptions {
   readonly seed: number;
-  readonly edges: number;
-  readonly replicas: number;
+  readonly gatewayCount: number;
+  readonly replicaCount: number;
   readonly config?: Record<string, unknown>;
   readonly replicaSettings?: Partial<EmulatedReplicaSettings>;
   readonly gatewaySettings?: Record<string, unknown>;
   readonly controlNodeSettings?: Record<string, unknown>;
   readonly tenants?: readonly string[];
   readonly hasStore?: boolean;
-  readonly onCounter?: (gateway: Gateway) => void;
-  readonly onControlNode?: (controlNode: GatewayControlNode) => void;
+  readonly onGatewayStarted?: (gateway: Gateway) => void;
+  readonly onControlNodeStarted?: (controlNode: GatewayControlNode) => void;
   readonly portsFor?: (role: 'gateway' | 'control', ports: Ports) => Ports;
 }
 
@@ -76,16 +76,16 @@
     readonly options: SimFleetOptions,
   ) {
     this.world = new SimWorld(options.seed);
-    this.gateways = Array.from({ length: options.edges }, () => null);
-    this.gatewayHosts = Array.from({ length: options.edges }, (_, at) => `10.1.0.${at + 1}`);
-    this.replicaHosts = Array.from({ length: options.replicas }, (_, at) => `10.2.0.${at + 1}`);
+    this.gateways = Array.from({ length: options.gatewayCount }, () => null);
+    this.gatewayHosts = Array.from({ length: options.gatewayCount }, (_, at) => `10.1.0.${at + 1}`);
+    this.replicaHosts = Array.from({ length: options.replicaCount }, (_, at) => `10.2.0.${at + 1}`);
     this.world.machine(outsideHost);
   }
 
   readonly now = (): number => this.world.time;
   readonly random = (): number => this.world.random();
   readonly after = (delayMs: number, callback: () => void): void => void this.world.schedule(null, delayMs, callback);
-  readonly outside = (): HttpClient => this.world.machine(outsideHost).httpClient();
+  readonly externalClient = (): HttpClient => this.world.machine(outsideHost).httpClient();
   readonly replicaIncarnations = (): ReplicaIncarnation[] =>
     this.startedReplicas.map(({ replica, name }) => ({
       name,
@@ -110,7 +110,7 @@
         peerAddress: `${host}:7100`,
         http: `${host}:7101`,
         seeds: this.controlNodeHosts.slice(0, 3).map((one) => `${one}:7100`),
-        gatewayCount: this.options.edges,
+        gatewayCount: this.options.gatewayCount,
         ...more,
       },
       {},
@@ -136,13 +136,13 @@
     );
     if (started.isErr()) throw new Error(`control node ${at}: ${JSON.stringify(started.error)}`);
     this.controlNodes[at] = started.value;
-    this.options.onControlNode?.(started.value);
+    this.options.onControlNodeStarted?.(started.value);
     const app = operatorApi(started.value).route('/', replicaApi(started.value));
-    machine.openDoor(`${host}:7101`, app.fetch);
+    machine.serveHttp(`${host}:7101`, app.fetch);
   };
 
   /** Starts a gateway on its machine. */
-  readonly startCounter = async (at: number): Promise<void> => {
+  readonly startGateway = async (at: number): Promise<void> => {
     const host = this.gatewayHosts[at] as string;
     const machine = this.world.machine(host);
     const started = await gateways.start(
@@ -154,9 +154,9 @@
     );
     if (started.isErr()) throw new Error(`counter ${at}: ${JSON.stringify(started.error)}`);
     this.gateways[at] = started.value;
-    this.options.onCounter?.(started.value);
-    machine.openDoor(`${host}:7101`, callerApi(started.value).fetch);
-    machine.openDoor(`${host}:7102`, operatorPages(started.value).fetch);
+    this.options.onGatewayStarted?.(started.value);
+    machine.serveHttp(`${host}:7101`, callerApi(started.value).fetch);
+    machine.serveHttp(`${host}:7102`, operatorPages(started.value).fetch);
   };
 
   /** Starts a new incarnation of a replica. */
@@ -182,7 +182,7 @@
       machine.clock(),
       machine.httpClient(),
     );
-    machine.openDoor(`${host}:8000`, replica.app.fetch);
+    machine.serveHttp(`${host}:8000`, replica.app.fetch);
     this.runningReplicas.set(name, replica);
     this.startedReplicas.push({ replica, host, name });
   };
@@ -240,7 +240,7 @@
   };
 
   /** Sends an HTTP request to a control node. */
-  readonly onControlNode = (
+  readonly callControlNode = (
     at: number,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
     path: string,
@@ -263,7 +263,7 @@
 
   /** Announces all replicas to a control node. */
   readonly announceAll = (at = 0): Promise<HttpReply> =>
-    this.onControlNode(at, 'POST', '/platform/replicas', [
+    this.callControlNode(at, 'POST', '/platform/replicas', [
       ...this.replicaHosts.map((host, index) => ({
         name: this.replicaName(index),
         address: `${host}:8000`,
@@ -286,7 +286,7 @@
 
   /** Announces one replica to a control node. */
   readonly announce = (name: string, at = 0): Promise<HttpReply> =>
-    this.onControlNode(at, 'POST', '/platform/replicas', [
+    this.callControlNode(at, 'POST', '/platform/replicas', [
       {
         name,
         address: `${this.hostOfReplica(name)}:8000`,
@@ -304,7 +304,7 @@
     this.startReplica('app-1', this.appHost);
     if (this.options.hasStore === true) this.startReplica('store-1', this.storeHost);
     await Promise.all(this.controlNodeHosts.map((_, at) => this.startControlNode(at)));
-    await Promise.all(this.gatewayHosts.map((_, at) => this.startCounter(at)));
+    await Promise.all(this.gatewayHosts.map((_, at) => this.startGateway(at)));
   };
 
   /** Starts everything, puts the first layout and grants the keys, and runs until every gateway serves. */
@@ -312,7 +312,7 @@
     await this.startAll();
     await this.world.until('the founding', () => this.controlNodes.every((one) => one?.isReady() === true));
     const put = await this.finish(
-      this.onControlNode(0, 'PUT', '/operator/layout', this.options.config ?? sampleWorkload.config('weights-1'), {
+      this.callControlNode(0, 'PUT', '/operator/layout', this.options.config ?? sampleWorkload.config('weights-1'), {
         'if-match': '"0"',
         'change-id': 'first-layout',
       }),
@@ -323,7 +323,7 @@
     const tenants = this.options.tenants ?? sampleWorkload.tenantNames;
     for (const tenant of tenants) {
       const granted = await this.finish(
-        this.onControlNode(
+        this.callControlNode(
           0,
           'POST',
           '/platform/clients',
@@ -346,7 +346,7 @@
   readonly killControlNode = (at: number, losesDisk = false): void => {
     const machine = this.machineOf('control', at);
     machine.kill(this.world.random());
-    if (losesDisk) machine.disk.lose();
+    if (losesDisk) machine.disk.wipe();
     this.controlNodes[at] = null;
   };
 
@@ -357,29 +357,29 @@
   };
 
   /** Kills a gateway. */
-  readonly killCounter = (at: number): void => {
+  readonly killGateway = (at: number): void => {
     this.machineOf('gateway', at).kill();
     this.gateways[at] = null;
   };
 
   /** Restarts the machine and node of a gateway. */
-  readonly bootCounter = async (at: number): Promise<void> => {
+  readonly bootGateway = async (at: number): Promise<void> => {
     this.machineOf('gateway', at).boot();
-    await this.startCounter(at);
+    await this.startGateway(at);
   };
 
   /** Drains, stops and restarts a gateway. */
-  readonly rollCounter = async (at: number): Promise<void> => {
+  readonly restartGateway = async (at: number): Promise<void> => {
     const gateway = this.gateways[at];
     await gateway?.drain();
     await gateway?.stop();
-    await this.machineOf('gateway', at).closeDoors();
-    this.killCounter(at);
-    await this.bootCounter(at);
+    await this.machineOf('gateway', at).shutDownHttp();
+    this.killGateway(at);
+    await this.bootGateway(at);
   };
 
   /** Stops and restarts a control node. */
-  readonly rollControlNode = async (at: number): Promise<void> => {
+  readonly restartControlNode = async (at: number): Promise<void> => {
     await this.controlNodes[at]?.stop();
     this.killControlNode(at);
     await this.bootControlNode(at);
@@ -392,7 +392,7 @@
   };
 
   /** Brings a control node back empty at another host and name. */
-  readonly moveControlNode = async (at: number, host: string, name: string): Promise<void> => {
+  readonly replaceControlNode = async (at: number, host: string, name: string): Promise<void> => {
     this.killControlNode(at, true);
     this.controlNodeHosts[at] = host;
     this.controlNodeNames[at] = name;
--- a/packages/test-fleet/src/simulator/simHttpExchange.ts
+++ b/packages/test-fleet/src/simulator/simHttpExchange.ts
@@ -2,7 +2,7 @@
 import type { HttpClient, HttpClientResponse, NetworkError } from '@martenworks/core-types';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { hostOf, resendMs } from './simConnection.js';
+import { hostOf, retransmitMs } from './simConnection.js';
 import type { SimulatedMachine, Simulation } from './simulation.js';
 
 type HttpClientRequest = Parameters<HttpClient['send']>[0];
@@ -32,7 +32,7 @@
   private isSettled = false;
   private isConnected = false;
   /** The target vanished: its response neither goes on nor breaks off. */
-  private isSilent = false;
+  private isUnresponsive = false;
 
   constructor(
     private readonly caller: SimulatedMachine,
@@ -52,7 +52,7 @@
       this.fail('ABORTED', true);
       return;
     }
-    request.signal.addEventListener('abort', this.giveUp, { once: true });
+    request.signal.addEventListener('abort', this.abandon, { once: true });
     world.schedule(caller, connectTimeoutMs, () => {
       if (!this.isConnected) this.fail('ETIMEDOUT', true);
     });
@@ -60,26 +60,26 @@
       world.schedule(caller, this.latencyOut(), () => this.fail('ECONNREFUSED', true));
       return;
     }
-    if (world.isBlocked(caller.host, target.host) || this.isWayBackBlocked() || !target.isUp) return;
+    if (world.isBlocked(caller.host, target.host) || this.isReturnPathBlocked() || !target.isUp) return;
     const roundTripMs = this.latencyOut() + this.latencyBack();
     world.schedule(caller, roundTripMs, this.connected);
   };
 
   private readonly latencyOut = (): number => this.world.latency(this.caller.host, this.target.host);
   private readonly latencyBack = (): number => this.world.latency(this.target.host, this.caller.host);
-  private readonly isWayBackBlocked = (): boolean => this.world.isBlocked(this.target.host, this.caller.host);
+  private readonly isReturnPathBlocked = (): boolean => this.world.isBlocked(this.target.host, this.caller.host);
   private readonly isTargetSame = (): boolean => this.target.incarnation === this.targetIncarnation;
 
   private readonly finish = (outcome: Result<HttpClientResponse, NetworkError>): void => {
     if (this.isSettled) return;
     this.isSettled = true;
-    if (outcome.isErr()) this.request.signal.removeEventListener('abort', this.giveUp);
+    if (outcome.isErr()) this.request.signal.removeEventListener('abort', this.abandon);
     this.resolve(outcome);
   };
 
   private readonly fail = (code: string, isUnsent: boolean): void => this.finish(err({ kind: 'net', code, isUnsent }));
 
-  private readonly giveUp = (): void => {
+  private readonly abandon = (): void => {
     this.handlerAbort.abort();
     this.callerAbort.abort();
     this.fail('ABORTED', false);
@@ -100,7 +100,7 @@
   };
 
   private readonly targetCrashed = (isReset: boolean): void => {
-    this.isSilent = !isReset;
+    this.isUnresponsive = !isReset;
     this.handlerAbort.abort();
     if (isReset)
       this.world.schedule(this.caller, this.latencyBack(), () => {
@@ -112,10 +112,10 @@
   private readonly callerCrashed = (): void => this.handlerAbort.abort();
 
   private readonly ended = (): void => {
-    this.target.answering.delete(this.ended);
+    this.target.openResponses.delete(this.ended);
     this.target.crashListeners.delete(this.targetCrashed);
     this.caller.crashListeners.delete(this.callerCrashed);
-    this.request.signal.removeEventListener('abort', this.giveUp);
+    this.request.signal.removeEventListener('abort', this.abandon);
   };
 
   private readonly handle = (): void => {
@@ -124,7 +124,7 @@
       this.world.schedule(this.caller, this.latencyBack(), () => this.fail('ECONNREFUSED', true));
       return;
     }
-    this.target.answering.add(this.ended);
+    this.target.openResponses.add(this.ended);
     void Promise.resolve(handler(this.receivedRequest())).then((response) => {
       if (this.isTargetSame() && this.target.isUp) this.sendHead(response);
     });
@@ -142,7 +142,7 @@
   };
 
   private readonly sendHead = (response: Response): void => {
-    if (this.isWayBackBlocked()) this.world.schedule(this.target, resendMs, () => this.sendHead(response));
+    if (this.isReturnPathBlocked()) this.world.schedule(this.target, retransmitMs, () => this.sendHead(response));
     else this.world.schedule(this.caller, this.latencyBack(), () => this.finish(ok(this.receivedResponse(response))));
   };
 
@@ -154,11 +154,11 @@
   });
 
   /** Resolves once a piece of the body has crossed the network; false where it never will. */
-  private readonly crossing = (): Promise<boolean> =>
+  private readonly transmitChunk = (): Promise<boolean> =>
     new Promise((resolve) => {
       const leave = (): void => {
         if (this.handlerAbort.signal.aborted) resolve(false);
-        else if (this.isWayBackBlocked()) this.world.schedule(null, resendMs, leave);
+        else if (this.isReturnPathBlocked()) this.world.schedule(null, retransmitMs, leave);
         else
           this.world.schedule(this.caller, this.latencyBack(), () =>
             resolve(!this.handlerAbort.signal.aborted || this.isTargetSame()),
@@ -180,8 +180,8 @@
         const read = reader.read();
         read.catch(() => {});
         const next = signal.aborted ? 'broken' : await Promise.race([read, broken]);
-        if (this.isSilent) await aborted(this.callerAbort.signal);
-        if (next === 'broken' || !this.isTargetSame() || !(await this.crossing())) throw resetError();
+        if (this.isUnresponsive) await aborted(this.callerAbort.signal);
+        if (next === 'broken' || !this.isTargetSame() || !(await this.transmitChunk())) throw resetError();
         isDone = next.done;
         if (next.done) return;
         yield next.value;
--- a/packages/test-fleet/src/simulator/simLink.ts
+++ b/packages/test-fleet/src/simulator/simLink.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** Calls `done` once `bytes` have crossed this link behind all that was put in before. */
-  readonly carry = (bytes: number, done: () => void): void => {
+  readonly transmit = (bytes: number, done: () => void): void => {
     this.waiting.push({ bytes, done });
     if (!this.isBusy) this.next();
   };
@@ -47,7 +47,7 @@
 export class SimSender {
   private readonly queue: Uint8Array[] = [];
   private queuedBytes = 0;
-  private flyingBytes = 0;
+  private inFlightBytes = 0;
 
   constructor(
     private readonly outbound: () => SimLink | null,
@@ -58,7 +58,7 @@
   /** Puts bytes in behind all that wait. */
   readonly write = (bytes: Uint8Array): void => {
     const isNarrow = this.outbound() !== null || this.inbound() !== null;
-    if (!isNarrow && this.flyingBytes === 0 && this.queue.length === 0) {
+    if (!isNarrow && this.inFlightBytes === 0 && this.queue.length === 0) {
       this.deliver(bytes, () => {});
       return;
     }
@@ -78,24 +78,24 @@
   };
 
   private readonly pump = (): void => {
-    while (this.flyingBytes < windowBytes) {
+    while (this.inFlightBytes < windowBytes) {
       const segment = this.queue.shift();
       if (segment === undefined) return;
       this.queuedBytes -= segment.length;
-      this.flyingBytes += segment.length;
-      this.cross(this.outbound(), segment, () =>
-        this.cross(this.inbound(), segment, () => this.deliver(segment, () => this.landed(segment.length))),
+      this.inFlightBytes += segment.length;
+      this.transmitOver(this.outbound(), segment, () =>
+        this.transmitOver(this.inbound(), segment, () => this.deliver(segment, () => this.delivered(segment.length))),
       );
     }
   };
 
-  private readonly cross = (link: SimLink | null, segment: Uint8Array, done: () => void): void => {
+  private readonly transmitOver = (link: SimLink | null, segment: Uint8Array, done: () => void): void => {
     if (link === null) done();
-    else link.carry(segment.length, done);
+    else link.transmit(segment.length, done);
   };
 
-  private readonly landed = (bytes: number): void => {
-    this.flyingBytes -= bytes;
+  private readonly delivered = (bytes: number): void => {
+    this.inFlightBytes -= bytes;
     this.pump();
   };
 }
--- a/packages/test-fleet/src/simulator/simMachine.ts
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -18,8 +18,8 @@
 import type { SimLink } from './simLink.js';
 import type { ScheduledEvent, SimulatedMachine, Simulation } from './simulation.js';
 
-const doorCloseMs = 1_000;
-const doorCheckMs = 1;
+const httpShutdownMs = 1_000;
+const httpShutdownPollMs = 1;
 /** The wall clock of all machines at virtual time 0, in milliseconds since 1970. */
 const epochMs = 1_700_000_000_000;
 /** Messages of which there is one a request; keeping them would fill the memory. */
@@ -41,10 +41,10 @@
   disk: SimDisk;
   readonly postponed: ScheduledEvent[] = [];
   readonly crashListeners = new Set<(isReset: boolean) => void>();
-  readonly answering = new Set<() => void>();
+  readonly openResponses = new Set<() => void>();
   private frozenAt: number | null = null;
   private readonly listeners = new Map<string, (wire: RawConnection) => void>();
-  private readonly doors = new Map<string, WebHandler>();
+  private readonly httpHandlers = new Map<string, WebHandler>();
 
   constructor(
     readonly world: Simulation,
@@ -55,7 +55,7 @@
 
   readonly listenerAt = (address: string): ((wire: RawConnection) => void) | undefined => this.listeners.get(address);
 
-  readonly handlerAt = (address: string): WebHandler | undefined => this.doors.get(address);
+  readonly handlerAt = (address: string): WebHandler | undefined => this.httpHandlers.get(address);
 
   /** The clocks of this incarnation. */
   readonly clock = (): Clock => {
@@ -101,7 +101,7 @@
       clock: this.clock(),
       random: this.randomPort(),
       net: this.net(incarnation),
-      httpServer: this.door(incarnation),
+      httpServer: this.httpServer(incarnation),
       httpClient: this.httpClient(incarnation),
       disk: this.disk.view(() => this.incarnation === incarnation && this.isUp),
       log: isLogging ? this.log({}) : logs.silent(),
@@ -116,24 +116,24 @@
     },
   });
 
-  private readonly door = (incarnation: number): HttpServer => ({
+  private readonly httpServer = (incarnation: number): HttpServer => ({
     open: async (address, handler) => {
-      if (this.incarnation === incarnation) this.doors.set(address, handler);
-      return ok({ close: async () => void this.doors.delete(address) });
+      if (this.incarnation === incarnation) this.httpHandlers.set(address, handler);
+      return ok({ close: async () => void this.httpHandlers.delete(address) });
     },
   });
 
   /** Serves HTTP at the address, until the machine crashes. */
-  readonly openDoor = (address: string, handler: WebHandler): void => void this.doors.set(address, handler);
+  readonly serveHttp = (address: string, handler: WebHandler): void => void this.httpHandlers.set(address, handler);
 
   /** Stops serving HTTP at the address. */
-  readonly closeDoor = (address: string): void => void this.doors.delete(address);
+  readonly stopHttp = (address: string): void => void this.httpHandlers.delete(address);
 
   /** As the program does when it exits: nothing new is taken, and answers under way get a while to reach their callers. */
-  readonly closeDoors = async (): Promise<void> => {
-    this.doors.clear();
-    const until = this.world.time + doorCloseMs;
-    while (this.answering.size > 0 && this.world.time < until) await this.world.sleep(doorCheckMs, this);
+  readonly shutDownHttp = async (): Promise<void> => {
+    this.httpHandlers.clear();
+    const until = this.world.time + httpShutdownMs;
+    while (this.openResponses.size > 0 && this.world.time < until) await this.world.sleep(httpShutdownPollMs, this);
   };
 
   /** The HTTP client of a process; requests of an incarnation that is gone never settle. */
@@ -164,8 +164,8 @@
     this.isFrozen = false;
     this.postponed.length = 0;
     this.listeners.clear();
-    this.doors.clear();
-    this.answering.clear();
+    this.httpHandlers.clear();
+    this.openResponses.clear();
     for (const crashed of [...this.crashListeners]) crashed(!this.isVanished);
     this.crashListeners.clear();
   };
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -3,7 +3,7 @@
  * from one seed, so that a seed repeats its run to the event.
  */
 import { Heap } from 'heap-js';
-import { seeded } from '../workload/sampleDeployments.js';
+import { seededRandom } from '../workload/sampleDeployments.js';
 import { NetworkLinks } from './networkLinks.js';
 import { SimLink } from './simLink.js';
 import { SimMachine } from './simMachine.js';
@@ -38,7 +38,7 @@
     /** All randomness comes from it. */
     readonly seed: number,
   ) {
-    this.random = seeded(seed);
+    this.random = seededRandom(seed);
     this.links = new NetworkLinks(this.random);
     this.blockLink = this.links.block;
     this.unblockLink = this.links.unblock;
--- a/packages/test-fleet/src/simulator/simulation.ts
+++ b/packages/test-fleet/src/simulator/simulation.ts
@@ -54,7 +54,7 @@
   /** Called when the machine crashes; `isReset` tells whether the other ends notice. */
   readonly crashListeners: Set<(isReset: boolean) => void>;
   /** Responses under way. */
-  readonly answering: Set<() => void>;
+  readonly openResponses: Set<() => void>;
   /** What accepts connections at the address, if anything does. */
   readonly listenerAt: (address: string) => ((wire: RawConnection) => void) | undefined;
   /** What answers HTTP requests at the address, if anything does. */
--- a/packages/test-fleet/src/workload/callSender.ts
+++ b/packages/test-fleet/src/workload/callSender.ts
@@ -31,14 +31,14 @@
   readonly deadlineMs?: number;
   readonly signal?: AbortSignal;
   /** Asks for one body in place of a stream. */
-  readonly whole?: boolean;
+  readonly isBuffered?: boolean;
 }
 
 /** What the sender needs of the fleet. */
 export interface CallTarget {
   readonly gatewayHosts: readonly string[];
   readonly now: () => number;
-  readonly outside: () => HttpClient;
+  readonly externalClient: () => HttpClient;
 }
 
 type Request = Parameters<HttpClient['send']>[0];
@@ -94,14 +94,14 @@
       model: call.request.kind,
       prompt: call.request.prompt,
       max_tokens: call.request.maxTokens,
-      stream: options.whole !== true,
+      stream: options.isBuffered !== true,
     }),
     signal: options.signal ?? new AbortController().signal,
     gate: () => true,
   });
 
   private readonly follow = async (call: Call, options: SendOptions): Promise<void> => {
-    const response = await this.target.outside().send(this.requestOf(call, options));
+    const response = await this.target.externalClient().send(this.requestOf(call, options));
     if (response.isErr()) {
       call.outcome = 'lost';
       call.code = response.error.code;
@@ -109,7 +109,7 @@
     }
     call.status = response.value.status;
     call.retryAfter = response.value.header('retry-after');
-    const isStreamed = call.status === 200 && options.whole !== true;
+    const isStreamed = call.status === 200 && options.isBuffered !== true;
     await (isStreamed ? this.readStream(call, response.value.body) : this.readBody(call, response.value.body));
   };
 
--- a/packages/test-fleet/src/workload/completionResponse.ts
+++ b/packages/test-fleet/src/workload/completionResponse.ts
@@ -49,14 +49,14 @@
     onEvent: ({ event, data }) => {
       if (event === 'error') this.error = completionBodies.error(data);
       else if (data === '[DONE]') this.isEnded = true;
-      else this.takeChunk(parsed(data));
+      else this.addChunk(parsed(data));
     },
   });
 
   /** Takes the next bytes of the stream. */
   readonly feed = (bytes: Uint8Array): void => this.parser.feed(this.decoder.decode(bytes, { stream: true }));
 
-  private readonly takeChunk = (chunk: JsonObject): void => {
+  private readonly addChunk = (chunk: JsonObject): void => {
     if (this.runId === '') this.runId = asText(chunk.id);
     this.text += firstChoiceText(chunk);
     this.onChunk();
--- a/packages/test-fleet/src/workload/loadGenerator.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -5,13 +5,13 @@
 import { generatedText } from '../replica/generatedText.js';
 import { CompletionStream, completionBodies } from './completionResponse.js';
 import { quantile } from './quantile.js';
-import { sampleWorkload, seeded } from './sampleDeployments.js';
+import { sampleWorkload, seededRandom } from './sampleDeployments.js';
 import type { SampleRequest } from './sampleDeployments.js';
 
-const connectionsAHost = 64;
+const connectionsPerHost = 64;
 const msPerSecond = 1_000;
-const leastWaitMs = 1;
-const requestsASeed = 1_000_000;
+const minWaitMs = 1;
+const maxRequestsPerSeed = 1_000_000;
 const appWeights = 'app-1';
 const groupWidth = 18;
 
@@ -80,7 +80,7 @@
   if (isBroken || !isEnded) return { status: 200, outcome: 'cut', code: 'cut', ran: 'unknown', firstMs, runId };
   if (error !== null) return { status: 200, outcome: 'wrong', code: 'cut', ran: 'unknown', firstMs, runId };
   const isRight = [...weights, appWeights].some(
-    (name) => generatedText.whole(sample.prompt, name, runId, sample.maxTokens) === text,
+    (name) => generatedText.fullText(sample.prompt, name, runId, sample.maxTokens) === text,
   );
   return { status: 200, outcome: isRight ? 'whole' : 'wrong', firstMs, runId };
 };
@@ -109,18 +109,18 @@
 
 /** Sends at Poisson times whatever the fleet does, and resolves once every request has ended. */
 export const generateLoad = async (plan: LoadPlan): Promise<Outcome[]> => {
-  const agent = new Agent({ connections: connectionsAHost, pipelining: 1 });
-  const random = seeded(plan.seed);
+  const agent = new Agent({ connections: connectionsPerHost, pipelining: 1 });
+  const random = seededRandom(plan.seed);
   const count = Math.floor(plan.ratePerSecond * plan.seconds);
   const beganAt = performance.now();
   const pending: Promise<Outcome>[] = [];
   let dueMs = 0;
   for (let at = 0; at < count; at += 1) {
     dueMs += (-Math.log(1 - random()) * msPerSecond) / plan.ratePerSecond;
-    const sample = sampleWorkload.request(random, plan.seed * requestsASeed + at, plan.longShare);
+    const sample = sampleWorkload.request(random, plan.seed * maxRequestsPerSeed + at, plan.longShare);
     const host = plan.hosts[Math.floor(random() * plan.hosts.length)] as string;
     const waitMs = dueMs - (performance.now() - beganAt);
-    if (waitMs > leastWaitMs) await sleep(waitMs);
+    if (waitMs > minWaitMs) await sleep(waitMs);
     pending.push(send(agent, host, sample, `load-${plan.seed}-${at}`, plan));
   }
   const outcomes = await Promise.all(pending);
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -15,7 +15,7 @@
 };
 
 /** A generator of numbers from 0 up to 1 (mulberry32); equal seeds give equal sequences. */
-export const seeded = (seed: number): (() => number) => {
+export const seededRandom = (seed: number): (() => number) => {
   let state = seed >>> 0 || 1;
   return () => {
     state = (state + 0x6d2b79f5) >>> 0;
@@ -70,7 +70,7 @@
 export const sampleWorkload = {
   tenantNames,
   tiers,
-  prober: 'prober',
+  probeTenant: 'prober',
   config: (weights: string): Record<string, unknown> => ({
     tiers: {
       prompt: { rank: 0, horizonMs: 10_000 },
--- a/packages/test-fleet/src/workload/trafficGenerator.ts
+++ b/packages/test-fleet/src/workload/trafficGenerator.ts
@@ -8,11 +8,11 @@
 const abortShare = 0.02;
 const duplicatePromptShare = 0.06;
 const unknownKeyShare = 0.01;
-const longestAbortMs = 400;
-const callerRetryMs = 300;
-const callerRetries = 3;
+const maxAbortDelayMs = 400;
+const callerRetryDelayMs = 300;
+const maxCallerRetries = 3;
 const concurrentDuplicateShare = 0.4;
-const longestDuplicateDelayMs = 60;
+const maxDuplicateDelayMs = 60;
 /** A draw that stands for an ordinary request. */
 const ordinaryDraw = 0.25;
 
@@ -63,7 +63,7 @@
     const request = sampleWorkload.request(random, this.sender.calls.length, longShare);
     const draw = hasAborts ? random() : ordinaryDraw;
     const abortion = new AbortController();
-    if (draw < abortShare) after(random() * longestAbortMs, () => abortion.abort());
+    if (draw < abortShare) after(random() * maxAbortDelayMs, () => abortion.abort());
     this.sender.send(request, this.randomGateway(), { signal: abortion.signal });
     if (draw > 1 - duplicatePromptShare) this.sendDuplicatePrompt(request);
     if (draw > 0.5 && draw < 0.5 + unknownKeyShare) this.sendUnknownKey(request);
@@ -87,12 +87,12 @@
     const request = { ...sample, kind };
     const idempotencyKey = `order-${this.sender.calls.length}`;
     const send = (): Call => this.sender.send(request, this.randomGateway(), { idempotencyKey });
-    this.retry(send, send(), callerRetries);
-    if (random() < concurrentDuplicateShare) after(random() * longestDuplicateDelayMs, () => void send());
+    this.retry(send, send(), maxCallerRetries);
+    if (random() < concurrentDuplicateShare) after(random() * maxDuplicateDelayMs, () => void send());
   };
 
   private readonly retry = (send: () => Call, call: Call, retriesLeft: number): void => {
-    this.options.after(callerRetryMs, () => {
+    this.options.after(callerRetryDelayMs, () => {
       if (call.outcome === 'open') return this.retry(send, call, retriesLeft);
       if (call.outcome === 'whole' || retriesLeft === 0) return;
       this.retry(send, send(), retriesLeft - 1);
--- a/packages/test-fleet/test/faultInjection.test.ts
+++ b/packages/test-fleet/test/faultInjection.test.ts
@@ -12,8 +12,8 @@
 
 describe('storms', () => {
   it('given one seed, when its storm is run twice, then both runs are the same to the event', async () => {
-    const first = await new FaultInjectionRun({ seed: 77, faults: 8 }).run();
-    const second = await new FaultInjectionRun({ seed: 77, faults: 8 }).run();
+    const first = await new FaultInjectionRun({ seed: 77, faultCount: 8 }).run();
+    const second = await new FaultInjectionRun({ seed: 77, faultCount: 8 }).run();
     expect(second).to.deep.equal(first);
   });
 
@@ -22,7 +22,7 @@
       const report = await new FaultInjectionRun({
         seed: 500 + at,
         kinds: [kind],
-        faults: 2,
+        faultCount: 2,
         spanMs: 8_000,
         permanentLoss: permanentLossKinds[at % permanentLossKinds.length] as PermanentLossKind,
       }).run();
@@ -33,7 +33,7 @@
 
   for (const seed of manyFaultsSeeds) {
     it(`given many faults at once, when storm ${seed} passes, then no line of the never list is broken`, async () => {
-      const report = await new FaultInjectionRun({ seed, faults: 12 }).run();
+      const report = await new FaultInjectionRun({ seed, faultCount: 12 }).run();
       expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
     });
   }
@@ -43,7 +43,7 @@
     ['stations', 53_000],
   ] as const) {
     it(`given the users' full size (${size}), when storm ${seed} passes, then no line of the never list is broken`, async () => {
-      const report = await new FaultInjectionRun({ seed, faults: 10, ...deploymentSizes[size] }).run();
+      const report = await new FaultInjectionRun({ seed, faultCount: 10, ...deploymentSizes[size] }).run();
       expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
       expect(report.calls).to.be.greaterThan(5_000);
     });
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -54,12 +54,12 @@
     plan: {
       longShare: 0.5,
       ratePerSecond: 45,
-      faults: 16,
+      faultCount: 16,
       overrides: {
         portsFor: carriageBroken((httpClient) => ({
           send: async (request) => (await httpClient.send(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
         })),
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stages.sendStage).retry = (parcel: never) => gateway.stages.placementStage.enqueue(parcel);
         },
       },
@@ -70,9 +70,9 @@
     rule: 'runs twice',
     kinds: ['counter dies'],
     plan: {
-      faults: 2,
+      faultCount: 2,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.claims).acquire = async (key, digest) => ({
             kind: 'claimed',
             claim: { key, turn: 0, claimant: { id: key, gateway: '', address: '', digest } },
@@ -87,7 +87,7 @@
     kinds: ['counter dies', 'counters die in a herd'],
     plan: {
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.claims).fetchState = async () => ({ kind: 'not run' });
         },
       },
@@ -100,7 +100,7 @@
     plan: {
       longShare: 0.4,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           const refuse = gateway.stages.rejector.reject;
           loosened(gateway.stages.rejector).reject = (parcel, code, detail) => {
             parcel.mayHaveRun = false;
@@ -116,7 +116,7 @@
     kinds: ['replica cuts streams'],
     plan: {
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           const next = loosened(gateway.stages.relayStage).nextEvent as (
             ...args: unknown[]
           ) => Promise<{ kind: string }>;
@@ -134,7 +134,7 @@
     kinds: ['layout changes'],
     plan: {
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           let count = 0;
           const next = loosened(gateway.stages.relayStage).nextEvent as (
             ...args: unknown[]
@@ -164,7 +164,7 @@
     what: 'a counter never hears of revoked keys and holds itself fresh',
     rule: 'a key not granted',
     kinds: ['key is revoked'],
-    plan: { faults: 2, overrides: { onCounter: deafTo('change', upGeneration + 1) } },
+    plan: { faultCount: 2, overrides: { onGatewayStarted: deafTo('change', upGeneration + 1) } },
   },
   {
     what: 'any holder is named, and isolated tenants run anywhere',
@@ -174,7 +174,7 @@
     plan: {
       longShare: 0.5,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stateView.tenantPartitions).mayBeSource = () => true;
           loosened(gateway.stateView.tenantPartitions).mayRun = () => true;
           const kept = gateway.stateView.index.match;
@@ -189,9 +189,9 @@
     kinds: ['new weights'],
     plan: {
       longShare: 0.5,
-      faults: 3,
+      faultCount: 3,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stateView).holdersIn = (poolName) => gateway.stateView.inPool(poolName);
           loosened(gateway.stateView.index).reconcile = (
             (reconcile) => (records: Parameters<typeof reconcile>[0]) =>
@@ -207,7 +207,7 @@
     kinds: ['layout changes', 'many lanes'],
     plan: {
       overrides: {
-        onCounter: (gateway) =>
+        onGatewayStarted: (gateway) =>
           gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
       },
     },
@@ -217,9 +217,9 @@
     rule: 'old weights started',
     kinds: ['new weights'],
     plan: {
-      faults: 2,
+      faultCount: 2,
       overrides: {
-        onCounter: (gateway) =>
+        onGatewayStarted: (gateway) =>
           gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
       },
     },
@@ -229,7 +229,7 @@
     rule: 'an accepted change is lost',
     kinds: ['control nodes die in a herd', 'layout changes', 'many lanes'],
     plan: {
-      faults: 10,
+      faultCount: 10,
       overrides: {
         portsFor: diskBroken((disk) => ({
           open: async (name) => (await disk.open(name)).map((file) => ({ ...file, sync: async () => ok(undefined) })),
@@ -243,7 +243,7 @@
     kinds: ['rival changes'],
     plan: {
       overrides: {
-        onControlNode: (controlNode) => {
+        onControlNodeStarted: (controlNode) => {
           const config = controlNode.changeService.changeConfig;
           loosened(controlNode.changeService).changeConfig = async (id, base, edit) => {
             const outcome = await config(id, base, edit);
@@ -261,7 +261,7 @@
     kinds: ['rival changes'],
     plan: {
       overrides: {
-        onControlNode: (controlNode) => {
+        onControlNodeStarted: (controlNode) => {
           const config = controlNode.changeService.changeConfig;
           loosened(controlNode.changeService).changeConfig = async (id, base, edit) =>
             (await config(id, base, edit)).orElse((fault) =>
@@ -277,7 +277,7 @@
     kinds: ['replica leaves'],
     plan: {
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stateView).applyReplicas = (
             (take) => (records: Parameters<typeof take>[0]) =>
               take(records.map((record) => ({ ...record, state: 'ready' as const })))
@@ -292,9 +292,9 @@
     kinds: ['whole pool errs'],
     plan: {
       ratePerSecond: 60,
-      faults: 3,
+      faultCount: 3,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stages.sendStage).budgetOf = () => ({
             trySpend: () => true,
             recordFirstAttempt: () => {},
@@ -309,9 +309,9 @@
     rule: 'service still mostly absent',
     kinds: ['all machines die', 'control nodes die in a herd'],
     plan: {
-      faults: 3,
+      faultCount: 3,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.peerPool).stop = () => {};
         },
         portsFor: (role, ports) =>
@@ -370,20 +370,20 @@
     what: "an equal prompt is answered with another request's run",
     rule: 'wrong or cut answer looks whole',
     kinds: ['layout changes'],
-    plan: { faults: 1, overrides: { portsFor: carriageBroken(replaying(0)) } },
+    plan: { faultCount: 1, overrides: { portsFor: carriageBroken(replaying(0)) } },
   },
   {
     what: 'two runs of one prompt are spliced',
     rule: 'wrong or cut answer looks whole',
     kinds: ['layout changes'],
-    plan: { faults: 1, overrides: { portsFor: carriageBroken(replaying(2)) } },
+    plan: { faultCount: 1, overrides: { portsFor: carriageBroken(replaying(2)) } },
   },
   {
     what: 'tiers change on paper but not towards replicas',
     rule: 'an accepted change is not in force',
     kinds: ['layout is probed'],
     plan: {
-      faults: 2,
+      faultCount: 2,
       overrides: {
         portsFor: carriageBroken((httpClient) => ({
           send: (request) =>
@@ -401,9 +401,9 @@
     rule: 'a losing change took effect',
     kinds: ['rival changes', 'layout is probed'],
     plan: {
-      faults: 3,
+      faultCount: 3,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           const view = gateway.stateView.view;
           loosened(gateway.stateView).view = () => {
             const held = view();
@@ -434,9 +434,9 @@
     rule: 'another tenant',
     kinds: ['key is revoked'],
     plan: {
-      faults: 4,
+      faultCount: 4,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           const first = new Map<string, string>();
           const view = gateway.stateView.view;
           loosened(gateway.stateView).view = () => {
@@ -459,9 +459,9 @@
     rule: 'a key not granted',
     kinds: ['layout changes'],
     plan: {
-      faults: 1,
+      faultCount: 1,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           const view = gateway.stateView.view;
           loosened(gateway.stateView).view = () => {
             const held = view();
@@ -490,11 +490,11 @@
     kinds: ['counters die in a herd', 'whole pool errs'],
     plan: {
       ratePerSecond: 60,
-      faults: 14,
+      faultCount: 14,
       spanMs: 24_000,
       longShare: 0,
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.stages.sendStage).budgetOf = ((budgetOf) => (pool: string) => {
             const budget = budgetOf(pool) as { tokens: number; isFilled?: boolean };
             if (budget.isFilled !== true)
@@ -510,10 +510,10 @@
     rule: 'service still mostly absent',
     kinds: ['layout changes'],
     plan: {
-      faults: 1,
+      faultCount: 1,
       permanentLoss: 'control node lost for good',
       overrides: {
-        onCounter: (gateway) => {
+        onGatewayStarted: (gateway) => {
           loosened(gateway.freshness).isFresh = () => gateway.freshness.freshNodeCount() === 3;
         },
       },
@@ -528,7 +528,7 @@
       const heard: string[] = [];
       for (const seed of seedsOf(broken)) {
         if (heard.includes(rule)) break;
-        const report = await new FaultInjectionRun({ seed, kinds, faults: 6, ...plan }).run();
+        const report = await new FaultInjectionRun({ seed, kinds, faultCount: 6, ...plan }).run();
         heard.push(...report.violations.map((told) => told.rule));
       }
       expect(heard).to.include(rule);
--- a/packages/write-ahead-log/test/killedProcess.test.ts
+++ b/packages/write-ahead-log/test/killedProcess.test.ts
@@ -67,7 +67,7 @@
   readonly killBeforeSync = async (): Promise<void> => {
     this.written += 1;
     const killed = new Promise<void>((resolve) => {
-      this.disk.beforeStep = ({ operation }) => {
+      this.disk.beforeMutation = ({ operation }) => {
         if (operation !== 'sync') return;
         this.kill();
         resolve();
@@ -75,7 +75,7 @@
     });
     void this.process?.log.wal.append(this.written);
     await killed;
-    this.disk.beforeStep = () => {};
+    this.disk.beforeMutation = () => {};
   };
 }
 
--- a/packages/write-ahead-log/test/lostFiles.test.ts
+++ b/packages/write-ahead-log/test/lostFiles.test.ts
@@ -101,7 +101,7 @@
     let acknowledged = 0;
     let attempted = 0;
     const images: { disk: SimDisk; acknowledged: number; attempted: number }[] = [];
-    disk.beforeStep = () => void images.push({ disk: disk.copy(), acknowledged, attempted });
+    disk.beforeMutation = () => void images.push({ disk: disk.copy(), acknowledged, attempted });
     const write = async (log: OpenedLog, count: number): Promise<void> => {
       for (let end = acknowledged + count; acknowledged < end; ) {
         attempted = acknowledged + 1;
