--- a/packages/model-check/src/checker.ts
+++ b/packages/model-check/src/checker.ts
@@ -1,20 +1,33 @@
-/** The rules that every schedule must keep, judged from what nodes show outside (docs/proof.md). */
+/** Checks the rules that every schedule must keep, using only what nodes show to the outside (docs/proof.md). */
 import type { CommittedState, Change } from '@martenworks/core-types';
 
-/** The rules that a schedule must keep. */
+/** A rule that every schedule must keep: a safety invariant, or, for `catching up` and `progress`, a liveness property. */
 export type Rule =
+  // At most one change is chosen for a log index, and a change is acknowledged at one log index only.
   | 'one change a generation'
+  // All nodes have the same state at a log index.
   | 'one history'
+  // No member is listed as two voters.
   | 'seats distinct'
+  // A committed change was accepted by a majority.
   | 'settled by a majority'
+  // A linearizable read is not older than a change acknowledged, or a read confirmed, before it began.
   | 'stale read'
+  // The newest acknowledged change is never missing at a majority of the current voters.
   | 'acknowledged change held'
+  // An acknowledged change is the one chosen for its log index.
   | 'acknowledged in force'
+  // An active change that is sent again is not rejected.
   | 'resend refused'
+  // A change request based on the newest version is not rejected.
   | 'newest base refused'
+  // At most one node holds the lease.
   | 'leases disjoint'
+  // Each new lease has a higher fencing token than all before it.
   | 'fences rising'
+  // Every live voter reaches the newest log index in the liveness phase.
   | 'catching up'
+  // A change is acknowledged in the liveness phase.
   | 'progress';
 
 /** A rule that a schedule broke, and how. */
@@ -23,25 +36,25 @@
   readonly detail: string;
 }
 
-/** A change of configuration that an operator asked for, built on the version `base`. */
+/** An operator's request to change the configuration from version `base` to `configVersion`. */
 export interface ChangeRequest {
   readonly id: string;
   readonly base: number;
   readonly configVersion: number;
 }
 
-/** What the checker may look at on one node, from outside. */
+/** The externally visible state of one node. */
 export interface NodeObservation {
   readonly node: string;
   readonly incarnation: string;
   readonly isAlive: boolean;
-  /** No disk holds this incarnation any more. */
+  /** Whether no disk has this incarnation: it was lost, or the node has never started. */
   readonly isLost: boolean;
-  /** The state that is durable there, as far as it was seen. */
+  /** The last durable state that was seen on the node. */
   readonly state: CommittedState | null;
-  /** The change that is accepted there and not known to be committed. */
+  /** The change that the node has accepted and does not know to be committed. */
   readonly accepted: { readonly slot: number; readonly changeId: string } | null;
-  /** The fence of the lease that it holds at this moment. */
+  /** The fencing token of the lease that the node holds now. */
   readonly fencingToken: number | null;
 }
 
@@ -53,9 +66,9 @@
 
 const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
 
-/** Judges one schedule from outside: it counts votes by itself and compares what nodes tell with it. */
+/** Checks one schedule from the outside: counts the votes itself and compares the nodes' states and replies with them. */
 export class Checker {
-  /** The violations so far, the oldest first. */
+  /** The violations found so far, oldest first. */
   readonly violations: Violation[] = [];
   private readonly states = new Map<number, CommittedState>();
   private readonly stateTexts = new Map<number, string>();
@@ -72,7 +85,7 @@
   private highestFencingToken = 0;
 
   constructor(initialState: CommittedState) {
-    this.recordState(initialState, 'the founding');
+    this.recordState(initialState, 'the initial state');
   }
 
   private readonly report = (rule: Rule, detail: string): void => void this.violations.push({ rule, detail });
@@ -80,7 +93,7 @@
   /** The highest log index for which a change was chosen. */
   readonly newestChosenIndex = (): number => this.highestChosenIndex;
 
-  /** The committed state of the highest log index that is known whole. */
+  /** The committed state of the highest log index whose state is known. */
   readonly newestState = (): CommittedState => this.states.get(this.newestStateIndex()) as CommittedState;
 
   private readonly newestStateIndex = (): number => {
@@ -89,30 +102,34 @@
     return newest;
   };
 
-  /** The committed state of a log index, where any node has shown it. */
+  /** The committed state of a log index, if any node has shown it. */
   readonly stateAt = (logIndex: number): CommittedState | undefined => this.states.get(logIndex);
 
-  /** Takes note of a state that a node holds durable; states of one log index must be equal. */
+  /** Records a durable state of a node. States of one log index must be equal. */
   readonly recordState = (state: CommittedState, where: string): void => {
     if (this.recordedStates.has(state)) return;
     this.recordedStates.add(state);
     const text = JSON.stringify([state.members, state.routing, Object.keys(state.changeIds).sort()]);
     const known = this.stateTexts.get(state.logIndex);
     if (known !== undefined) {
-      if (known !== text) this.report('one history', `generation ${state.logIndex} at ${where}: ${text}, not ${known}`);
+      if (known !== text)
+        this.report('one history', `log index ${state.logIndex} at ${where}: got ${text}, expected ${known}`);
       return;
     }
     this.stateTexts.set(state.logIndex, text);
     this.states.set(state.logIndex, state);
     const voterIncarnations = new Set(state.members.map((member) => member.incarnation));
     if (voterIncarnations.size !== state.members.length)
-      this.report('seats distinct', `generation ${state.logIndex}: ${state.members.map((one) => one.name).join()}`);
+      this.report(
+        'seats distinct',
+        `log index ${state.logIndex}: duplicate voters in ${state.members.map((one) => one.name).join()}`,
+      );
     if (state.logIndex > 0 && !this.chosen.has(state.logIndex))
-      this.report('settled by a majority', `generation ${state.logIndex} at ${where} was accepted by no majority`);
+      this.report('settled by a majority', `log index ${state.logIndex} at ${where} was not accepted by a majority`);
     this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, state.routing?.configVersion ?? 0);
   };
 
-  /** An acceptor reported, or was about to report, that it has accepted a change. */
+  /** Records that an acceptor has accepted a change, before its reply is sent. */
   readonly recordAcceptance = (voter: string, slot: number, ballot: string, change: Change): void => {
     const tallies = this.tallies.get(slot) ?? [];
     this.tallies.set(slot, tallies);
@@ -131,7 +148,8 @@
   private readonly recordChosen = (slot: number, change: Change): void => {
     const known = this.chosen.get(slot);
     if (known !== undefined) {
-      if (known !== change.id) this.report('one change a generation', `generation ${slot}: ${known} and ${change.id}`);
+      if (known !== change.id)
+        this.report('one change a generation', `log index ${slot}: ${known} and ${change.id} were both chosen`);
       return;
     }
     this.chosen.set(slot, change.id);
@@ -141,41 +159,44 @@
       this.newestChosenConfigVersion = Math.max(this.newestChosenConfigVersion, change.body.routing.configVersion);
   };
 
-  /** An operator got the reply that its change was committed at a log index. */
+  /** Records that an operator was told that its change is committed at `logIndex`. */
   readonly recordAcknowledgement = (request: ChangeRequest, logIndex: number): void => {
     const known = this.acknowledged.get(request.id);
     if (known !== undefined && known !== logIndex)
-      this.report('one change a generation', `${request.id} acknowledged as ${known} and as ${logIndex}`);
+      this.report('one change a generation', `${request.id} was acknowledged at log index ${known} and at ${logIndex}`);
     this.acknowledged.set(request.id, logIndex);
     this.newestAcknowledgedIndex = Math.max(this.newestAcknowledgedIndex, logIndex);
     const chosen = this.chosen.get(logIndex);
     if (chosen !== request.id)
       this.report(
         'acknowledged in force',
-        `${request.id} acknowledged as ${logIndex}, which is ${chosen ?? 'not chosen'}`,
+        `${request.id} was acknowledged at log index ${logIndex}, where ${chosen ?? 'no change'} was chosen`,
       );
   };
 
-  /** An operator got the reply that its change cannot be made on the version it named. */
+  /** Records that an operator's change was rejected because its base is not the active version. */
   readonly recordRejection = (request: ChangeRequest, node: string): void => {
-    const isInForce =
+    const isActive =
       [...this.chosen.values()].includes(request.id) && this.newestChosenConfigVersion === request.configVersion;
-    if (isInForce) this.report('resend refused', `${request.id} is in force and was refused at ${node}`);
+    if (isActive) this.report('resend refused', `${request.id} is active and was rejected at ${node}`);
     else if (this.newestChosenConfigVersion <= request.base)
-      this.report('newest base refused', `${request.id} on ${request.base}, the newest, was refused at ${node}`);
+      this.report(
+        'newest base refused',
+        `${request.id} on base ${request.base}, the newest version, was rejected at ${node}`,
+      );
   };
 
-  /** The log index that a read beginning now may not fall short of. */
+  /** The lowest log index that a read which begins now may return. */
   readonly minReadIndex = (): number => Math.max(this.newestAcknowledgedIndex, this.newestReadIndex);
 
-  /** A node confirmed a read as of `logIndex`; `floor` is what `readFloor` gave when the read began. */
+  /** Records a read that a node confirmed at `logIndex`; `minIndex` is the result of `minReadIndex` when the read began. */
   readonly recordRead = (minIndex: number, logIndex: number, node: string): void => {
     if (logIndex < minIndex)
-      this.report('stale read', `${node} confirmed generation ${logIndex}, ${minIndex} was known`);
+      this.report('stale read', `${node} confirmed log index ${logIndex}, expected at least ${minIndex}`);
     this.newestReadIndex = Math.max(this.newestReadIndex, logIndex);
   };
 
-  /** Checks what holds between any two steps. */
+  /** Checks the invariants that hold between any two steps. */
   readonly observe = (nodes: readonly NodeObservation[]): void => {
     for (const node of nodes) {
       if (node.state !== null) this.recordState(node.state, node.node);
@@ -199,7 +220,7 @@
     if (lacking.length >= majorityOf(members.length))
       this.report(
         'acknowledged change held',
-        `generation ${logIndex} is lacking at ${lacking.map((node) => node.node).join()}, a majority of those who vote next`,
+        `log index ${logIndex} is missing at ${lacking.map((node) => node.node).join()}, a majority of the current voters`,
       );
   };
 
@@ -208,19 +229,19 @@
     if (holders.length > 1)
       this.report(
         'leases disjoint',
-        holders.map((node) => `${node.node} with fence ${node.fencingToken}`).join(' and '),
+        holders.map((node) => `${node.node} with fencing token ${node.fencingToken}`).join(' and '),
       );
     for (const { node, fencingToken } of holders) {
       if (fencingToken === null || (this.leaseHolder?.node === node && this.leaseHolder.fencingToken === fencingToken))
         continue;
       if (fencingToken <= this.highestFencingToken)
-        this.report('fences rising', `${node} got ${fencingToken} after ${this.highestFencingToken}`);
+        this.report('fences rising', `${node} got fencing token ${fencingToken} after ${this.highestFencingToken}`);
       this.leaseHolder = { node, fencingToken: fencingToken };
       this.highestFencingToken = Math.max(this.highestFencingToken, fencingToken);
     }
   };
 
-  /** Checks the end of a schedule, after the bounded number of fair steps. */
+  /** Checks the liveness properties at the end of a schedule, after the bounded number of rounds of its liveness phase. */
   readonly finish = (nodes: readonly NodeObservation[], isChangeAcknowledged: boolean, rounds: number): void => {
     const members = this.newestState().members;
     const voterIncarnations = new Set(members.map((member) => member.incarnation));
@@ -229,8 +250,8 @@
       if ((node.state?.logIndex ?? -1) < this.highestChosenIndex)
         this.report(
           'catching up',
-          `${node.node} holds ${node.state?.logIndex ?? 'nothing'} after ${rounds} fair rounds, ${this.highestChosenIndex} is the newest`,
+          `${node.node} is at log index ${node.state?.logIndex ?? 'none'} after ${rounds} rounds, the newest is ${this.highestChosenIndex}`,
         );
-    if (!isChangeAcknowledged) this.report('progress', `no order was acknowledged in ${rounds} fair rounds`);
+    if (!isChangeAcknowledged) this.report('progress', `no change was acknowledged in ${rounds} rounds`);
   };
 }
--- a/packages/model-check/src/choices.ts
+++ b/packages/model-check/src/choices.ts
@@ -1,32 +1,40 @@
-/** Steps of a schedule, and scripts of them that run again. */
+/** Steps of a schedule, and scripts that replay them. */
 
-/** One step of a schedule. A script is a list of these; a step that is not possible where it stands is skipped. */
+/** One step of a schedule. A step of a script that is not possible in the current state is skipped. */
 export type Choice =
+  // A message in flight: `message` is its label, `at` its index among those with the same label.
   | { readonly do: 'deliver'; readonly message: string; readonly at: number }
   | { readonly do: 'drop'; readonly message: string; readonly at: number }
   | { readonly do: 'double'; readonly message: string; readonly at: number }
+  // The oldest pending sync of a node.
   | { readonly do: 'sync'; readonly node: string }
   | { readonly do: 'failSync'; readonly node: string }
+  // Processes and disks. `keptShare` of the unsynced bytes (0 to 1) survive the crash.
   | { readonly do: 'crash'; readonly node: string; readonly keptShare: number }
   | { readonly do: 'restart'; readonly node: string }
   | { readonly do: 'loseDisk'; readonly node: string }
+  // One direction of a link. With `isNoticed` both ends lose their connection; otherwise messages vanish silently.
   | { readonly do: 'cut'; readonly from: string; readonly to: string; readonly isNoticed: boolean }
   | { readonly do: 'heal'; readonly from: string; readonly to: string }
+  // Nodes that join or leave the fleet.
   | { readonly do: 'join'; readonly node: string }
   | { readonly do: 'leave'; readonly node: string }
+  // An operator sends a new change request, resends its last one, or reads.
   | { readonly do: 'order'; readonly operator: number; readonly node: string }
   | { readonly do: 'resend'; readonly operator: number; readonly node: string }
   | { readonly do: 'read'; readonly operator: number; readonly node: string }
+  // Steps that timers of the control node run: membership check, commit of a pending change, lease renewal.
   | { readonly do: 'upkeep'; readonly node: string }
   | { readonly do: 'settleRival'; readonly node: string }
   | { readonly do: 'dutyTick'; readonly node: string }
+  // Virtual time: to the next timer, or by `ms` milliseconds.
   | { readonly do: 'nextTimer' }
   | { readonly do: 'pass'; readonly ms: number };
 
 /** The kinds of step. */
 export type ChoiceKind = Choice['do'];
 
-/** What a run needs to happen again: `--replay` takes this as JSON. */
+/** Everything needed to replay a run. `--replay` reads it as JSON. */
 export interface Script {
   readonly voters: number;
   readonly seed: number;
@@ -34,7 +42,7 @@
   readonly choices: readonly Choice[];
 }
 
-/** All kinds of step, in the order in which counts of them are printed. */
+/** All kinds of step, in the order in which their counts are printed. */
 export const choiceKinds: readonly ChoiceKind[] = [
   'deliver',
   'drop',
--- a/packages/model-check/src/explorer.ts
+++ b/packages/model-check/src/explorer.ts
@@ -1,4 +1,4 @@
-/** Explores schedules by seeds, and shrinks a schedule that breaks a rule to a short script. */
+/** Explores schedules drawn from seeds, and shrinks a schedule that breaks a rule to a short script. */
 import { injectedFaults } from './injectedFaults.js';
 import type { Rule, Violation } from './checker.js';
 import type { Choice, ChoiceKind, Script } from './choices.js';
@@ -8,7 +8,7 @@
 import { Scheduler } from './scheduler.js';
 import { World } from './world.js';
 
-/** What is explored: `schedules` of `depth` steps each, by the seeds from `seed` on, `stride` apart. */
+/** What to explore: `schedules` schedules of up to `depth` steps each, with the seeds `seed`, `seed + stride`, and so on. */
 export interface Plan {
   readonly voters: number;
   readonly depth: number;
@@ -16,27 +16,27 @@
   readonly schedules: number;
   readonly stride: number;
   readonly breakName: string | null;
-  /** Only a violation of these ends the search; a schedule that breaks another rule first is passed over. All rules where absent. */
+  /** The rules whose violation ends the search; a schedule that breaks another rule first is only counted. Default: all rules. */
   readonly rules?: readonly Rule[];
-  /** Ends the search after so many seconds, where given. */
+  /** Time limit of the search in seconds. Default: none. */
   readonly seconds?: number;
-  /** The only profile of steps to draw by; all of them in turn where absent. */
+  /** The profile from which all schedules are drawn. Default: all profiles in turn. */
   readonly profile?: string;
 }
 
-/** A schedule that breaks a rule, with the script that shows it again. */
+/** A schedule that breaks a rule, as a script that reproduces the violation. */
 export interface Counterexample {
   readonly script: Script;
   readonly violation: Violation;
 }
 
-/** What an exploration has covered, and the counterexample that ended it, if any. */
+/** What an exploration covered, and the counterexample that ended it, if any. */
 export interface Outcome {
   readonly schedules: number;
   readonly steps: Partial<Record<ChoiceKind, number>>;
-  /** Changes that were chosen, over all schedules. */
+  /** Number of changes chosen, over all schedules. */
   readonly chosenChanges: number;
-  /** Schedules that ended at a rule that was not looked for. */
+  /** Number of schedules that ended in a violation of a rule outside `Plan.rules`, by rule. */
   readonly otherViolations: Partial<Record<Rule, number>>;
   readonly counterexample: Counterexample | null;
 }
@@ -72,7 +72,7 @@
   }
 };
 
-/** Runs one script and ends it fairly; the first violation, or null. */
+/** Runs a script and its liveness phase; returns the first violation, or null. */
 const replay = (script: Script): Promise<Violation | null> =>
   withWorld(script.voters, script.seed, script.breakName, async (world) => {
     for (const choice of script.choices) {
@@ -87,7 +87,7 @@
 const profileOf = (plan: Plan, seed: number): Profile =>
   profiles.find((profile) => profile.name === plan.profile) ?? (profiles[seed % profiles.length] as Profile);
 
-/** Runs one schedule drawn by its seed, up to the first rule that it breaks. */
+/** Runs the schedule of one seed up to its first violation. */
 const runSchedule = (plan: Plan, seed: number, count: (choice: Choice) => void): Promise<ScheduleResult> =>
   withWorld(plan.voters, seed, plan.breakName, async (world) => {
     const scheduler = new Scheduler(world, new SeededRandom(seed ^ schedulerSeedSalt), profileOf(plan, seed));
@@ -103,7 +103,7 @@
     return { script, violation: firstViolation(world), chosenChanges: world.checker().newestChosenIndex() };
   });
 
-/** Explores schedules until one breaks a rule that is looked for, or all are done. */
+/** Explores schedules until one breaks a rule of the plan, the time limit is reached, or all are done. */
 const explore = async (plan: Plan): Promise<Outcome> => {
   const steps: Partial<Record<ChoiceKind, number>> = {};
   const otherViolations: Partial<Record<Rule, number>> = {};
@@ -123,7 +123,7 @@
   return { schedules: at, steps, chosenChanges, otherViolations, counterexample: null };
 };
 
-/** Drops steps of a script for as long as what is left still breaks the same rule. */
+/** Removes steps from a script as long as the remaining ones still break the same rule. */
 const shrink = async (counterexample: Counterexample): Promise<Counterexample> => {
   let shortest = counterexample;
   let runs = 0;
@@ -146,5 +146,5 @@
   return shortest;
 };
 
-/** The explorer of schedules. */
+/** Explores, replays and shrinks schedules. */
 export const explorer = { explore, replay, shrink };
--- a/packages/model-check/src/fleetUnderTest.ts
+++ b/packages/model-check/src/fleetUnderTest.ts
@@ -1,18 +1,18 @@
-/** The view of a schedule's fleet that its fair end needs; the world of the schedule implements it. */
+/** The part of a schedule's world that its liveness phase uses. */
 import type { Checker, NodeObservation } from './checker.js';
 import type { ModelNode } from './modelNode.js';
 import type { Network } from './network.js';
 import type { VirtualClock } from './virtualClock.js';
 
-/** The nodes of one schedule, the network between them and the checker that judges them. */
+/** The nodes of one schedule, the network between them and the checker of their invariants. */
 export interface FleetUnderTest {
   readonly clock: VirtualClock;
   readonly network: Network;
   readonly nodes: readonly ModelNode[];
-  /** Throws before the fleet is founded. */
+  /** Throws before the initial members have started. */
   readonly checker: () => Checker;
-  /** The state of every node, as the checker sees it. */
+  /** The externally visible state of every node. */
   readonly observations: () => NodeObservation[];
-  /** Lets everything run that waits for neither a message, a disk nor the clock. */
+  /** Runs all work that waits for neither a message, a disk nor the clock. */
   readonly drain: () => Promise<void>;
 }
--- a/packages/model-check/src/index.ts
+++ b/packages/model-check/src/index.ts
@@ -1,4 +1,4 @@
-/** Explores schedules of the consensus group over simulated disks and links, and checks them (docs/proof.md). */
+/** Model checker: explores schedules of the consensus group on simulated disks and links, and checks each one (docs/proof.md). */
 export * from './injectedFaults.js';
 export * from './checker.js';
 export * from './choices.js';
--- a/packages/model-check/src/injectedFaults.ts
+++ b/packages/model-check/src/injectedFaults.ts
@@ -1,4 +1,4 @@
-/** Faults put into the product on purpose, each of which the checker must find: the check of the check. */
+/** Faults that are injected into the product on purpose. The checker must find each one, which tests the checker itself. */
 import { LeaseTable } from '@martenworks/cluster-membership';
 import type { LeaseTerms } from '@martenworks/cluster-membership';
 import type { Acceptor, Ballot, Proposer, CommittedChange, MemberStatus, Voters } from '@martenworks/control-plane';
@@ -7,21 +7,21 @@
 import { writeAheadLogs } from '@martenworks/write-ahead-log';
 import type { ModelDisk } from './modelDisk.js';
 
-/** A fault put into the product on purpose, from outside, to show that the checker finds it. */
+/** A deliberate fault, injected from outside the product's code. */
 export interface InjectedFault {
   readonly name: string;
   readonly description: string;
-  /** Replaces shared functions of the product for one schedule; gives what puts them back. */
+  /** Replaces shared functions of the product for one schedule; returns a function that restores them. */
   readonly install?: () => () => void;
   readonly disk?: (disk: ModelDisk) => void;
   readonly acceptor?: (acceptor: Acceptor) => void;
   readonly voters?: (voters: Voters, own: () => string) => Voters;
   readonly swapProposer?: (proposer: Proposer) => Proposer;
-  /** Reads, and the checks that refusals rest on, use the node's own state. */
+  /** Reads, and the checks that precede a rejection, use the node's own state without asking a majority. */
   readonly readsLocalState?: boolean;
-  /** Leases are granted to whoever asks, whatever voters it takes for the electorate. */
+  /** A voter grants a lease also to a node that counts a different set of voters. */
   readonly grantsAcrossSwaps?: boolean;
-  /** Nothing that was missed is fetched or supplied. */
+  /** A node neither fetches the log entries it misses nor sends them to others. */
   readonly neverCatchesUp?: boolean;
   readonly leaseTable?: (clock: Clock, terms: LeaseTerms) => LeaseTable;
   readonly memberStatus?: (status: MemberStatus, caller: Acceptor) => MemberStatus;
@@ -50,7 +50,7 @@
 
 const swapAnySeat: InjectedFault = {
   name: 'swap-any-seat',
-  description: 'a swap is applied whatever seats there are, and its check is not made again before a further try',
+  description: 'a swap is applied without a check of the current voters, and a retry does not check it again',
   install: () => {
     stateMachine.apply = applyAnySwap;
     return () => {
@@ -62,7 +62,7 @@
 
 const forgetPromises: InjectedFault = {
   name: 'forget-promises',
-  description: 'a restarted acceptor does not know the newest ballot that it promised',
+  description: 'a restarted acceptor has forgotten the highest ballot that it promised',
   install: () => {
     const open = writeAheadLogs.open;
     writeAheadLogs.open = async (disk, prefix) =>
@@ -78,30 +78,31 @@
 
 const readAlone: InjectedFault = {
   name: 'read-alone',
-  description: 'a read, or a refusal, rests on the own state without asking a majority',
+  description: 'a read or a rejection uses the local state without asking a majority',
   readsLocalState: true,
 };
 
 const grantUnwritten: InjectedFault = {
   name: 'grant-unwritten',
-  description: 'a lease is granted and its fence is not written',
+  description: 'a lease is granted without writing its fencing token to disk',
   leaseTable: (clock, terms) => new LeaseTable(clock, async () => true, [], false, terms),
 };
 
-/** What the acceptor does with an event once the log has it; private there. */
+/** A private method of the acceptor that applies an event once the log has stored it. */
 interface EventApplier {
   readonly applyEvent: (record: { readonly t: 'adopted'; readonly agreed: CommittedState }) => void;
 }
 
 const grantAcrossSwaps: InjectedFault = {
   name: 'grant-across-swaps',
-  description: 'a voter grants leases to nodes that count other voters than it does',
+  description: 'a voter grants leases to nodes that count a different set of voters',
   grantsAcrossSwaps: true,
 };
 
 const seatWithoutState: InjectedFault = {
   name: 'seat-without-state',
-  description: 'a newcomer is seated before it is known to hold the state, and holds it in memory alone',
+  description:
+    'a joining node becomes a voter before it is known to have the state, and keeps that state only in memory',
   memberStatus: (status, caller) => {
     const state = caller.committedState();
     if (state === null) return status;
@@ -120,7 +121,7 @@
 
 const acceptLowerBallot: InjectedFault = {
   name: 'accept-lower-ballot',
-  description: 'an acceptor takes a change under a lower ballot than it has promised',
+  description: 'an acceptor accepts a change under a lower ballot than it has promised',
   acceptor: (acceptor) => {
     const accept = acceptor.accept;
     overridable(acceptor).accept = async (slot: number, ballot: Ballot, change: Change) => {
@@ -132,7 +133,7 @@
 
 const countTwice: InjectedFault = {
   name: 'count-twice',
-  description: 'the own vote counts again in the place of each member that does not answer',
+  description: 'the proposer counts its own vote again for each member that does not reply',
   voters: (voters, own) => {
     let promised: Awaited<ReturnType<Voters['prepare']>> = null;
     return {
@@ -151,7 +152,7 @@
 
 const settleEarly: InjectedFault = {
   name: 'settle-early',
-  description: 'a change is told as settled once a single member has accepted it',
+  description: 'a change is announced as committed once a single member has accepted it',
   voters: (voters) => ({
     ...voters,
     accept: async (member, slot, ballot, change) => {
@@ -164,7 +165,7 @@
 
 const lyingDisk: InjectedFault = {
   name: 'lying-disk',
-  description: 'votes are told before they are durable',
+  description: 'votes are sent before they are durable',
   disk: (disk) => {
     disk.acknowledgesWithoutSync = true;
   },
@@ -172,7 +173,7 @@
 
 const forgetEnds: InjectedFault = {
   name: 'forget-ends',
-  description: 'a record that a process wrote and did not sync before its end is told by the next one without a sync',
+  description: 'after a restart, records that the previous process wrote but did not sync are used without a sync',
   disk: (disk) => {
     disk.skipsRecoverySync = true;
   },
@@ -180,7 +181,7 @@
 
 const ignoreAccepted: InjectedFault = {
   name: 'ignore-accepted',
-  description: 'a proposer offers its own change where a promise told of an accepted one',
+  description: 'a proposer proposes its own change although a promise reported an accepted one',
   voters: (voters) => ({
     ...voters,
     prepare: async (member, slot, ballot) => {
@@ -192,7 +193,7 @@
 
 const forgetRecords: InjectedFault = {
   name: 'forget-records',
-  description: 'no record is kept of the changes that were agreed on',
+  description: 'the ids of committed changes are not recorded',
   install: () => {
     stateMachine.apply = (state, change) => ({ ...originalApply(state, change), changeIds: {} });
     return () => {
@@ -203,7 +204,7 @@
 
 const settleOther: InjectedFault = {
   name: 'settle-other',
-  description: 'one node puts another configuration in force than the one that was chosen',
+  description: 'one node commits a different configuration from the one that was chosen',
   acceptor: (acceptor) => {
     const commit = acceptor.commit;
     overridable(acceptor).commit = ({ logIndex, change }) => {
@@ -217,13 +218,13 @@
 
 const neverCatchUp: InjectedFault = {
   name: 'never-catch-up',
-  description: 'a member that missed a change is never brought forward',
+  description: 'a member that missed a change never catches up',
   neverCatchesUp: true,
 };
 
 const askNobody: InjectedFault = {
   name: 'ask-nobody',
-  description: 'a proposer asks no other voter for its promise',
+  description: 'a proposer asks no other voter for a promise',
   voters: (voters, own) => ({
     ...voters,
     prepare: async (member, slot, ballot) =>
@@ -250,7 +251,7 @@
   askNobody,
 ];
 
-/** The deliberate breaks, by name. */
+/** All injected faults, and a lookup by name. */
 export const injectedFaults = {
   all,
   find: (name: string | null): InjectedFault | null => all.find((one) => one.name === name) ?? null,
--- a/packages/model-check/src/livenessPhase.ts
+++ b/packages/model-check/src/livenessPhase.ts
@@ -1,4 +1,4 @@
-/** The fair end of a schedule, in which progress is checked: safety rules alone would allow to do nothing. */
+/** The liveness phase at the end of a schedule. It checks progress, since a group that does nothing breaks no safety rule. */
 import type { Checker, NodeObservation } from './checker.js';
 import type { FleetUnderTest } from './fleetUnderTest.js';
 import type { ModelNode } from './modelNode.js';
@@ -10,7 +10,10 @@
 const requestTimeoutRounds = 15;
 const maxExchangesPerInstant = 200;
 
-/** The fair end of a schedule: everything that can run does, and all must reach the newest state and take an order. */
+/**
+ * Runs everything that can run, without further faults: every live voter must reach the newest state, and a change must
+ * be acknowledged.
+ */
 export class LivenessPhase {
   private isAcknowledged = false;
   private requestedInRound = Number.NEGATIVE_INFINITY;
@@ -21,7 +24,7 @@
     private readonly operator: Operator,
   ) {}
 
-  /** Runs rounds until all nodes have caught up and an order was acknowledged, for 80 rounds at most. */
+  /** Runs rounds until all live voters have caught up and a change was acknowledged, but at most 80. */
   readonly run = async (): Promise<void> => {
     for (let round = 0; round < maxRounds; round += 1) {
       await this.beginRound(round);
@@ -85,7 +88,7 @@
     clock.advanceTo(until);
   };
 
-  /** Delivers all messages in their order and completes all writes, until nothing is on the way or time must pass. */
+  /** Delivers messages in the order sent and completes pending syncs, until none are left or the limit of exchanges is reached. */
   private readonly exchange = async (): Promise<void> => {
     const { network, nodes } = this.fleet;
     for (let count = 0; count < maxExchangesPerInstant; count += 1) {
--- a/packages/model-check/src/lossBound.ts
+++ b/packages/model-check/src/lossBound.ts
@@ -1,17 +1,17 @@
-/** Which losses a schedule may contain: no more at once than the consensus group is built to survive. */
+/** Limits the losses in a schedule to what the consensus group is designed to survive. */
 import type { Change, Member } from '@martenworks/core-types';
 import type { Checker, NodeObservation } from './checker.js';
 
-/** Milliseconds after a newcomer reported its status in which it may be proposed for a seat: the timeouts of request and proposal. */
+/** How long after its status report a joining node may still be proposed as a voter: the timeouts of the request and the proposal. */
 const candidacyMs = 4_000;
 
-/** Who would vote after log index `slot`. */
+/** The members that vote after log index `slot`. */
 interface VoterSet {
   readonly slot: number;
   readonly members: readonly Member[];
 }
 
-/** How much may be lost at once: at most f of 2f+1 seats of each set of members whose majority may be needed. */
+/** Decides which nodes may be lost: at most f of the 2f+1 voters in each set whose majority may still be needed. */
 export class LossBound {
   private readonly proposedVoterSets = new Map<string, VoterSet>();
   private readonly candidatesUntil = new Map<string, number>();
@@ -22,7 +22,7 @@
     private readonly now: () => number,
   ) {}
 
-  /** A change was offered to a member: if it is a swap, it may be chosen from now on. */
+  /** Records a change that was proposed to a member. If it is a swap, it may be chosen from now on. */
   readonly recordProposal = (slot: number, { body }: Change): void => {
     if (body.kind !== 'swap') return;
     const before = this.checker().stateAt(slot - 1)?.members ?? [];
@@ -30,11 +30,11 @@
     this.proposedVoterSets.set(`${slot} ${body.outgoing} ${body.incoming.incarnation}`, { slot, members });
   };
 
-  /** A newcomer reported its status: whoever received it may be about to seat it. */
+  /** Records that a joining node reported its status, after which the receiver may propose it as a voter. */
   readonly recordMemberStatus = (incarnation: string): void =>
     void this.candidatesUntil.set(incarnation, this.now() + candidacyMs);
 
-  /** Whether these incarnations may be missing beside those that are lost already. */
+  /** Whether these incarnations may be missing in addition to those already lost. */
   readonly allows = (missing: readonly string[]): boolean => {
     const available = new Set(this.observations().map((node) => node.incarnation));
     for (const incarnation of missing) available.delete(incarnation);
@@ -51,8 +51,8 @@
     [...this.candidatesUntil].flatMap(([incarnation, until]) => (until >= this.now() ? [incarnation] : []));
 
   /**
-   * The sets of seats whose majority may be needed: the newest, older ones until a majority of the newer has settled
-   * it, and those that a swap would make that was offered to members and may still be chosen.
+   * The voter sets whose majority may be needed: those from the newest back to the first that a majority of its own
+   * members has committed, and the results of proposed swaps that may still be chosen.
    */
   private readonly relevantVoterSets = (): VoterSet[] => {
     const voterSets: VoterSet[] = [];
--- a/packages/model-check/src/modelCommand.ts
+++ b/packages/model-check/src/modelCommand.ts
@@ -1,4 +1,4 @@
-/** The command `npm run model`: explores schedules, on several cores where asked, or replays a script. */
+/** The command `npm run model`: explores schedules, on several cores with `--jobs`, or replays a script. */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
@@ -13,8 +13,8 @@
 const usage = `npm run model -- [--schedules N] [--seconds T] [--depth D] [--seed S] [--voters 3|5] [--break NAME] [--rules A,B] [--profile NAME] [--jobs N]
 npm run model -- --replay FILE
 
-Explores schedules of the agreement: the product's own proposer, acceptor, log, membership and leases over simulated
-disks and links. Prints counts by kind of step; a counterexample is shrunk and printed as a script.
+Explores schedules of the consensus group: the product's own proposer, acceptor, log, membership and leases on simulated
+disks and links. Prints the number of steps of each kind; a counterexample is shrunk and printed as a script.
 profiles: ${profiles.map((one) => one.name).join(', ')}
 breaks: ${injectedFaults.all.map((one) => one.name).join(', ')}
 `;
@@ -67,7 +67,7 @@
 
 const printShrunk = async (counterexample: Counterexample): Promise<void> => {
   const { script, violation } = await explorer.shrink(counterexample);
-  print(`broken, ${violation.rule}: ${violation.detail}`);
+  print(`rule broken, ${violation.rule}: ${violation.detail}`);
   print(
     `found by seed ${script.seed}, ${counterexample.script.choices.length} steps, shrunk to ${script.choices.length}:`,
   );
@@ -85,7 +85,8 @@
   print(`${schedules} schedules, ${values.voters} voters, depth ${values.depth}, ${seconds} s, ${jobs} jobs`);
   print(`changes chosen ${chosenChanges}; steps ${choiceKinds.map((kind) => `${kind} ${steps(kind)}`).join(', ')}`);
   for (const { otherViolations } of outcomes)
-    for (const [rule, count] of Object.entries(otherViolations)) print(`passed over, ${rule}: ${count}`);
+    for (const [rule, count] of Object.entries(otherViolations))
+      print(`schedules that broke another rule, ${rule}: ${count}`);
   const counterexamples = outcomes.flatMap((outcome) => outcome.counterexample ?? []);
   for (const counterexample of counterexamples) await printShrunk(counterexample);
   if (counterexamples.length === 0) print('no rule is broken');
--- a/packages/model-check/src/modelDisk.ts
+++ b/packages/model-check/src/modelDisk.ts
@@ -1,4 +1,4 @@
-/** A disk in memory with scheduled syncs, crashes and losses. */
+/** An in-memory disk with scheduled syncs, crashes and losses. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
@@ -24,21 +24,21 @@
 
 const diskError = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
-/** A disk whose syncs wait for the scheduler, so that a crash can fall before or after each write. */
+/** A disk whose syncs wait for the scheduler, so that a crash can happen before or after each sync. */
 export class ModelDisk {
   private files = new Map<string, StoredFile>();
   private pending: PendingSync[] = [];
-  /** While false, syncs complete at once: for founding and restarts, which are one step of a schedule. */
+  /** Whether syncs wait for the scheduler. While false they complete at once: bootstrap and restart are each a single step. */
   defersSyncs = false;
-  /** A deliberate fault: syncs are acknowledged and nothing becomes durable. */
+  /** Injected fault: syncs are acknowledged, but nothing becomes durable. */
   acknowledgesWithoutSync = false;
-  /** A deliberate fault: what a process that ended had not synced is not made durable when its file is read again. */
+  /** Injected fault: a restarted process does not sync the bytes that the previous process wrote but did not sync. */
   skipsRecoverySync = false;
 
-  /** Syncs that wait for the scheduler. */
+  /** Number of syncs that wait for the scheduler. */
   readonly pendingCount = (): number => this.pending.length;
 
-  /** Completes the oldest waiting sync. */
+  /** Completes the oldest pending sync; returns false if there is none. */
   readonly completeSync = (): boolean => {
     const sync = this.pending.shift();
     if (sync === undefined) return false;
@@ -47,7 +47,7 @@
     return true;
   };
 
-  /** Fails the oldest waiting sync; what it was to make durable may or may not survive a crash. */
+  /** Fails the oldest pending sync; returns false if there is none. Its bytes may or may not survive a crash. */
   readonly failSync = (): boolean => {
     const sync = this.pending.shift();
     sync?.finish(err(diskError('EIO')));
@@ -61,8 +61,8 @@
   };
 
   /**
-   * The end of the process, where all of what was not synced is kept: it can be read, and a later loss of power may still
-   * take it. Else a loss of power: of what was not synced, the given share (0 to 1) has reached the disk.
+   * Ends the process. With `keptShare` 1 only the process ends: unsynced bytes stay readable, and a later power loss may
+   * still take them. With less it is a power loss: of the unsynced bytes of each file, this share has reached the disk.
    */
   readonly crash = (keptShare: number): void => {
     this.pending = [];
@@ -73,13 +73,13 @@
     }
   };
 
-  /** Loses all files, as with a replaced disk. */
+  /** Loses all files, as when the disk is replaced. */
   readonly lose = (): void => {
     this.pending = [];
     this.files = new Map();
   };
 
-  /** What a restart would find now, on a disk of its own. */
+  /** A separate disk with the content that a restart would find now. */
   readonly copy = (): ModelDisk => {
     const copy = new ModelDisk();
     for (const [name, file] of this.files) copy.files.set(name, file);
@@ -96,7 +96,7 @@
   private readonly recoverySync = (name: string): Promise<Result<void, DiskError>> =>
     this.skipsRecoverySync ? Promise.resolve(ok(undefined)) : this.sync(name);
 
-  /** The disk as one run of a process sees it; once `isLive` is false no call of it has an effect or an answer. */
+  /** The disk as seen by one run of a process. Once `isLive` returns false, calls have no effect and never resolve. */
   readonly view = (isLive: () => boolean): Disk => {
     const never = new Promise<never>(() => {});
     const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> =>
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -1,4 +1,4 @@
-/** One control node of a schedule: the product's consensus member over a simulated disk, clock and network. */
+/** One control node of a schedule: the product's consensus member on a simulated disk, clock and network. */
 import { err, ok } from 'neverthrow';
 import { MemberList } from '@martenworks/cluster-membership';
 import type { LeaseTerms, PeerPool } from '@martenworks/cluster-membership';
@@ -27,12 +27,12 @@
 const leaveTimeoutMs = 3_000;
 const orderGapMs = 200;
 const log = logs.silent();
-/** Messages without a reply; all others are requests. */
+/** Topics of messages without a reply; all others are calls. */
 const oneWayTopics: ReadonlySet<string> = new Set(['committed', 'leaseRelease', 'leaving']);
-/** Connections are modelled above the network, so nothing is ever dialled. */
+/** Connections are modelled by `Network`, so the nodes never dial or listen. */
 const unreachableNet = { dial: () => new Promise<never>(() => {}), listen: () => new Promise<never>(() => {}) };
 
-/** What nodes share within one schedule. */
+/** What the nodes of one schedule share, and the callbacks that observe them. */
 export interface NodeEnvironment {
   readonly clock: VirtualClock;
   readonly random: SeededRandom;
@@ -41,7 +41,7 @@
   readonly nodes: () => readonly ModelNode[];
   readonly onAccepted: (voter: Acceptor, slot: number, ballot: Ballot, change: Change) => void;
   readonly onProposed: (slot: number, change: Change) => void;
-  /** A node has reported its status, on which the one that asked may give it a seat. */
+  /** Called when a node has reported its status, after which the caller may propose it as a voter. */
   readonly onMemberStatus: (incarnation: string) => void;
 }
 
@@ -50,10 +50,13 @@
   readonly changeId: string;
 }
 
-/** A held connection as the product's nodes use it, over the modelled network. */
+/** The part of a peer connection that the consensus member uses, on the simulated network. */
 type Connection = Pick<PeerConnection, 'peer' | 'call' | 'send' | 'isLive' | 'close'>;
 
-/** Steps of the consensus member that its own timers would take, and parts of it that breaks replace. */
+/**
+ * Private members of the consensus member, by their names there: steps that its own timers would run, and parts that
+ * injected faults replace.
+ */
 interface MemberInternals {
   peerPool: PeerPool;
   readonly checkMembership: () => void;
@@ -77,9 +80,9 @@
   readonly process: Process;
 }
 
-/** One control node: the product's own agreement, membership and leases, wired as the control node wires them. */
+/** One control node: the product's own consensus, membership and leases, wired as in the control node. */
 export class ModelNode {
-  /** The node's disk; it outlives the process. */
+  /** The node's disk, which outlives its processes. */
   readonly disk = new ModelDisk();
   private parts: Parts | null = null;
   private run = 0;
@@ -87,7 +90,7 @@
   private lastState: CommittedState | null = null;
   private lastIncarnation = '';
   private vote: AcceptedVote | null = null;
-  /** It has left for good, or its machine was never started. */
+  /** Whether the node has left for good or has not joined yet. */
   isAbsent = true;
 
   constructor(
@@ -99,7 +102,7 @@
   /** Whether its process runs. */
   readonly isAlive = (): boolean => this.parts !== null;
 
-  /** The running process's acceptor; null while none runs. */
+  /** The acceptor of the running process; null if no process runs. */
   readonly acceptor = (): Acceptor | null => this.parts?.acceptor ?? null;
 
   /** The incarnation of the last process; empty after the disk was lost. */
@@ -119,7 +122,7 @@
     token: () => `${this.name}-${++this.tokenCount}`,
   });
 
-  /** Starts the process on its disk. The start itself is one step: nothing else happens within it. */
+  /** Starts a process on the node's disk. The start is a single step: no other step happens during it. */
   readonly start = async (): Promise<void> => {
     const run = ++this.run;
     const isLive = (): boolean => this.run === run;
@@ -129,7 +132,7 @@
     const random = this.randomOf();
     const disk = this.disk.view(isLive);
     const opened = await acceptors.open(disk, clock, random, log, false);
-    if (opened.isErr()) throw new Error(`${this.name} did not open: ${JSON.stringify(opened.error)}`);
+    if (opened.isErr()) throw new Error(`${this.name} failed to open its acceptor: ${JSON.stringify(opened.error)}`);
     const acceptor = opened.value;
     this.environment.injectedFault?.acceptor?.(acceptor);
     const terms = controlNodeSettings.leaseTerms(acceptor, orderGapMs);
@@ -170,7 +173,7 @@
       internals.membership.proposer = injectedFault.swapProposer(internals.membership.proposer);
   };
 
-  /** Both ends see a connection made. */
+  /** Opens the connection to `node` and notifies both ends. */
   readonly connectTo = (node: ModelNode): void => {
     if (this.parts === null || node.parts === null) return;
     this.parts.handlers.onOpen(this.connectionTo(this.parts.process, node.parts) as PeerConnection);
@@ -201,11 +204,11 @@
     const faultyTable = this.environment.injectedFault?.leaseTable?.(clock, terms);
     if (faultyTable !== undefined) return { table: faultyTable, close: async () => {} };
     const opened = await leaseTables.open(disk, clock, log, terms);
-    if (opened.isErr()) throw new Error(`${this.name} did not open its leases: ${JSON.stringify(opened.error)}`);
+    if (opened.isErr()) throw new Error(`${this.name} failed to open its leases: ${JSON.stringify(opened.error)}`);
     return opened.value;
   };
 
-  /** Tells the checker of each vote that the product's acceptor gives. */
+  /** Reports each change proposed to the acceptor, and each vote it gives, to the environment. */
   private readonly reportVotes = (acceptor: Acceptor): void => {
     const accept = acceptor.accept;
     (acceptor as { -readonly [Key in keyof Acceptor]: Acceptor[Key] }).accept = async (slot, ballot, change) => {
@@ -219,7 +222,7 @@
     };
   };
 
-  /** Puts the founding state on disk, before the schedule begins. */
+  /** Writes the initial state to disk before the schedule begins. */
   readonly bootstrap = async (state: CommittedState): Promise<void> => {
     this.disk.defersSyncs = false;
     await this.parts?.acceptor.adopt(state);
@@ -228,7 +231,7 @@
     this.disk.defersSyncs = true;
   };
 
-  /** Ends the process. What the disk holds is read back on a copy, since that is what a restart finds. */
+  /** Ends the process. Its state is then read from a copy of the disk, since that is what a restart finds. */
   readonly crash = async (keptShare: number): Promise<void> => {
     this.run += 1;
     this.parts = null;
@@ -245,7 +248,7 @@
       log,
       false,
     );
-    if (opened.isErr()) throw new Error(`${this.name} cannot be read back: ${JSON.stringify(opened.error)}`);
+    if (opened.isErr()) throw new Error(`${this.name} could not read back its disk: ${JSON.stringify(opened.error)}`);
     const acceptor = opened.value;
     this.lastState = acceptor.committedState();
     this.vote = null;
@@ -255,7 +258,7 @@
     if (reply.kind === 'promised' && reply.accepted !== null) this.vote = { slot, changeId: reply.accepted.change.id };
   };
 
-  /** Ends the process and loses its disk. */
+  /** Ends the process and loses the node's disk. */
   readonly loseDisk = async (): Promise<void> => {
     this.run += 1;
     this.parts = null;
@@ -265,7 +268,10 @@
     this.vote = null;
   };
 
-  /** An orderly end, as after SIGTERM: leases and the seat are handed over; then the machine is given away, or else kept with its disk. */
+  /**
+   * A graceful shutdown, as after SIGTERM: leases and the vote are handed over. Then the machine is removed with its disk
+   * if `mayLoseDisk` allows it; otherwise only the process ends.
+   */
   readonly leave = async (mayLoseDisk: () => boolean): Promise<void> => {
     const parts = this.parts;
     if (parts === null) return;
@@ -314,7 +320,7 @@
       peer.acceptor.incarnation,
     );
 
-  /** The held connections, as the product's own keeper of them shows them. */
+  /** A stand-in for the product's peer pool, with the connections of the simulated network. */
   private readonly peerPool = (process: Process): PeerPool => {
     const open = (): Connection[] =>
       this.connectedNodes(process).flatMap((node) =>
@@ -342,28 +348,28 @@
     return this.environment.injectedFault?.memberStatus?.(reply as MemberStatus, sender.acceptor) ?? reply;
   };
 
-  /** What the control node does each 300 ms: fetch what it lacks, then look after the seats. */
+  /** Runs the control node's membership check, which it runs every 300 ms: fetches missing log entries, then checks the voters. */
   readonly checkMembership = (): void => this.parts?.internals.checkMembership();
 
-  /** What the control node does where an accepted change stays unsettled. */
+  /** Runs what the control node does when an accepted change stays uncommitted. */
   readonly commitPending = (): void => this.parts?.internals.commitPending();
 
-  /** What the control node does each 300 ms: ask for the leases it wants. */
+  /** Runs what the control node does every 300 ms for its leases: acquires or renews those it wants. */
   readonly tickLeases = (): void => void this.parts?.member.leaseManager.tick();
 
-  /** The state of a confirmed read; null where no majority answered. */
+  /** The state returned by a linearizable read; null if no majority replied or no process runs. */
   readonly read = async (): Promise<CommittedState | null> => {
     if (this.parts === null) return null;
     return this.parts.member.proposer.linearizableRead(confirmTimeoutMs);
   };
 
-  /** Proposes as the product's proposer does; throws where no process runs. */
-  readonly propose: Proposer['propose'] = (...order) => {
+  /** Proposes through the product's proposer; throws if no process runs. */
+  readonly propose: Proposer['propose'] = (...args) => {
     if (this.parts === null) throw new Error(`${this.name} is not running`);
-    return this.parts.member.proposer.propose(...order);
+    return this.parts.member.proposer.propose(...args);
   };
 
-  /** What the checker may see of the node now. */
+  /** The externally visible state of the node. */
   readonly observation = (): NodeObservation => {
     const acceptor = this.acceptor();
     if (acceptor !== null) this.lastState = acceptor.committedState();
--- a/packages/model-check/src/operator.ts
+++ b/packages/model-check/src/operator.ts
@@ -1,4 +1,4 @@
-/** Operators of a schedule, who order changes of the configuration and judge the answers. */
+/** Operators of a schedule, who request configuration changes and report the replies to the checker. */
 import { err, ok } from 'neverthrow';
 import { proposalErrors } from '@martenworks/control-plane';
 import type { Proposer } from '@martenworks/control-plane';
@@ -8,19 +8,19 @@
 
 const proposeTimeoutMs = 3_000;
 
-/** Turns an operator's order into what the configuration service proposes for it. */
+/** The arguments of the proposal that the configuration service would make for a request. */
 const proposalOf = (request: ChangeRequest): Parameters<Proposer['propose']> => {
   const routing = { configVersion: request.configVersion, table: {}, source: request.id } as unknown as ActiveRouting;
   const change: Change = { id: request.id, digest: request.id, body: { kind: 'routing', base: request.base, routing } };
   const check = (state: CommittedState) => {
     const configVersion = state.routing?.configVersion ?? 0;
     if (configVersion === request.base) return ok(change);
-    return err(proposalErrors.conflict(configVersion, `${configVersion} is in force`));
+    return err(proposalErrors.conflict(configVersion, `version ${configVersion} is active`));
   };
   return [check, request.id, request.id, proposeTimeoutMs];
 };
 
-/** One operator: builds each order on the newest version it knows, and may send its last one again. */
+/** One operator. It bases each change request on the newest version it knows, and may resend its last one. */
 export class Operator {
   private newestKnownVersion = 0;
   private requestCount = 0;
@@ -31,7 +31,7 @@
     private readonly checker: () => Checker,
   ) {}
 
-  /** Sends a new order to a node; true once it was acknowledged. */
+  /** Sends a new change request to a node; resolves to whether it was acknowledged. */
   readonly requestChange = (node: ModelNode): Promise<boolean> => {
     this.requestCount += 1;
     this.lastRequest = {
@@ -42,7 +42,7 @@
     return this.submit(this.lastRequest, node);
   };
 
-  /** Sends the last order again; false where there is none. */
+  /** Resends the last request; returns false if there is none. */
   readonly resend = (node: ModelNode): boolean => {
     if (this.lastRequest === null) return false;
     void this.submit(this.lastRequest, node);
@@ -61,7 +61,7 @@
     return false;
   };
 
-  /** Reads what is in force; true where the node confirmed it. */
+  /** Reads the active configuration version; resolves to whether the node confirmed the read. */
   readonly read = async (node: ModelNode): Promise<boolean> => {
     const minIndex = this.checker().minReadIndex();
     const state = await node.read();
--- a/packages/model-check/src/profiles.ts
+++ b/packages/model-check/src/profiles.ts
@@ -1,21 +1,21 @@
-/** Profiles: how often each kind of step is drawn, with the weight on one part of the product in each. */
+/** Profiles: how often each kind of step is drawn. Each profile except `mixed` emphasizes one part of the product. */
 import type { ChoiceKind } from './choices.js';
 
 type Weights = Readonly<Record<ChoiceKind, number>>;
 
-/** How often each kind of step is drawn, against the others, and how often one of the planned courses begins. */
+/** Relative frequency of each kind of step, and the probabilities of scenarios and of faults after a vote. */
 export interface Profile {
   readonly name: string;
   readonly weights: Weights;
-  /** Probabilities of trouble for the voter right after its vote was asked or told. */
+  /** Probabilities that the receiver of a vote request, or of the reply, crashes or is partitioned right after the delivery. */
   readonly crashAfterVote: number;
   readonly cutAfterVote: number;
-  /** Probability at each step that a course begins: a few steps that are meant to bring a rare state about. */
+  /** Probability at each step that one of `scenarios` begins, if none is running. */
   readonly scenarioProbability: number;
   readonly scenarios: readonly ScenarioName[];
 }
 
-/** Planned steps that are meant to bring a rare state about. */
+/** Name of a scenario: a sequence of planned steps that leads to a rare state. */
 export type ScenarioName =
   | 'calm'
   | 'newcomer'
@@ -104,5 +104,5 @@
   scenarios: ['calm', 'newcomer', 'differing losses', 'lease moves', 'minority', 'rivals'],
 };
 
-/** All profiles; an exploration takes them in turn. */
+/** All profiles; by default an exploration uses them in turn. */
 export const profiles: readonly Profile[] = [ballots, membership, leases, mixed];
--- a/packages/model-check/src/scenarioPlanner.ts
+++ b/packages/model-check/src/scenarioPlanner.ts
@@ -1,10 +1,10 @@
-/** Courses: short plans of steps that bring about states which random steps alone rarely reach. */
+/** Scenarios: short sequences of steps that lead to states which random steps alone rarely reach. */
 import type { Choice } from './choices.js';
 import type { ScenarioName } from './profiles.js';
 import type { SeededRandom } from './seededRandom.js';
 import type { World } from './world.js';
 
-/** A planned step: a choice, or whatever message or write may go on. */
+/** A planned step: a choice, or `calm`, which delivers any message in flight or completes any pending sync. */
 export type PlannedStep = Choice | 'calm';
 
 const calmSteps = 30;
@@ -12,17 +12,17 @@
 const pastFailureTimeoutMs = 2_600;
 const pastLeaseExpiryMs = 2_000;
 
-/** Shares of the unsynced bytes that a crash leaves on disk. */
+/** Shares of the unsynced bytes that survive a crash. With 1 only the process ends; the machine keeps its power. */
 export const crashKeptShares: readonly number[] = [0, 0.5, 1];
 
-/** Plans the courses of a schedule. */
+/** Plans the scenarios of a schedule. */
 export class ScenarioPlanner {
   constructor(
     private readonly world: World,
     private readonly random: SeededRandom,
   ) {}
 
-  /** The steps of a course, for nodes drawn at random. */
+  /** The steps of a scenario, on nodes drawn at random. */
   readonly plan = (name: ScenarioName | undefined): PlannedStep[] => {
     switch (name) {
       case 'newcomer':
@@ -51,14 +51,14 @@
     return names;
   };
 
-  /** A machine joins and copies the state. */
+  /** A spare machine joins and copies the state. */
   private readonly newcomer = (): PlannedStep[] => {
     const node = this.random.pick(this.world.nodes.filter((one) => one.isAbsent))?.name;
     if (node === undefined) return [...calm];
     return [{ do: 'join', node }, { do: 'upkeep', node }, ...calm, { do: 'upkeep', node }, ...calm];
   };
 
-  /** Two members miss different others for long enough to give their seats away, then their link heals. */
+  /** Two members each lose contact with different members for long enough to replace them, then the link between the two heals. */
   private readonly differingLosses = (): PlannedStep[] => {
     const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
@@ -84,7 +84,7 @@
     ];
   };
 
-  /** A holder takes the lease, grantors start again, the lease runs out and another one asks. */
+  /** A node acquires the lease, voters that granted it restart, the lease may expire, and other nodes request it. */
   private readonly leaseMoves = (): PlannedStep[] => {
     const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
@@ -107,7 +107,7 @@
     ];
   };
 
-  /** A member is cut off while the others go on, then an order and a read meet it. */
+  /** A member is partitioned while the others commit a change, then receives a read and a change request. */
   private readonly minority = (): PlannedStep[] => {
     const [first, second] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined) return [...calm];
@@ -126,7 +126,7 @@
     ];
   };
 
-  /** A holder keeps its lease by one member while another one, which misses it, gives its seat away and asks for the lease. */
+  /** A lease holder renews with one voter while another member, partitioned from it, replaces it as a voter and requests the lease. */
   private readonly leaseAcrossSwap = (): PlannedStep[] => {
     const [holder, other] = this.shuffledLiveNodes();
     if (holder === undefined || other === undefined) return [...calm];
@@ -150,7 +150,7 @@
     ];
   };
 
-  /** Two members propose at once, and a third starts again between their ballots. */
+  /** Two members propose concurrently, and a third restarts between their ballots. */
   private readonly rivals = (): PlannedStep[] => {
     const [first, second, third] = this.shuffledLiveNodes();
     if (first === undefined || second === undefined || third === undefined) return [...calm];
--- a/packages/model-check/src/scheduler.ts
+++ b/packages/model-check/src/scheduler.ts
@@ -10,7 +10,7 @@
 const passLengthsMs = [300, 700, 1_300, 2_600];
 const voteLabel = /:(accept|leaseRequest)(:reply)?$/;
 
-/** Draws the next step of a schedule from those that are possible. */
+/** Draws each next step of a schedule from the steps that are possible in the current state. */
 export class Scheduler {
   private previous: Choice | null = null;
   private planned: PlannedStep[] = [];
@@ -24,7 +24,7 @@
     this.scenarios = new ScenarioPlanner(world, random);
   }
 
-  /** The next step: trouble for a voter right after its vote, a planned step, or one drawn by the profile's weights. */
+  /** The next step: a fault at a voter right after its vote, else a planned step, else one drawn by the profile's weights. */
   readonly next = (): Choice => {
     if (this.planned.length === 0 && this.random.chance(this.profile.scenarioProbability))
       this.planned = this.scenarios.plan(this.random.pick(this.profile.scenarios));
--- a/packages/model-check/src/seededRandom.ts
+++ b/packages/model-check/src/seededRandom.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers, so that a schedule runs the same again. */
+/** Seeded random numbers, which make schedules reproducible. */
 
 /** A seeded generator of pseudo-random numbers (mulberry32): equal seeds give equal sequences. */
 export class SeededRandom {
@@ -8,7 +8,7 @@
     this.state = seed >>> 0;
   }
 
-  /** A number from 0 (included) to 1 (excluded). */
+  /** A number in [0, 1). */
   readonly fraction = (): number => {
     this.state = (this.state + 0x6d2b79f5) >>> 0;
     let mixed = this.state;
@@ -17,9 +17,9 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
   };
 
-  /** One element, each equally likely; undefined for an empty list. */
+  /** One element, drawn uniformly; undefined if the list is empty. */
   readonly pick = <T>(list: readonly T[]): T | undefined => list[Math.floor(this.fraction() * list.length)];
 
-  /** True with the given probability, 0 to 1. */
+  /** True with the given probability (0 to 1). */
   readonly chance = (probability: number): boolean => this.fraction() < probability;
 }
--- a/packages/model-check/src/virtualClock.ts
+++ b/packages/model-check/src/virtualClock.ts
@@ -1,4 +1,4 @@
-/** The clock of a schedule. */
+/** Virtual time of a schedule. */
 import type { Timer } from '@martenworks/core-types';
 
 interface ScheduledTimer {
@@ -7,7 +7,7 @@
   readonly callback: () => void;
 }
 
-/** Time of one schedule in milliseconds. It stands still until the scheduler moves it on. */
+/** The clock of one schedule, in milliseconds. Time advances only when the scheduler advances it. */
 export class VirtualClock {
   private timers: ScheduledTimer[] = [];
   private timerCount = 0;
@@ -16,9 +16,7 @@
   /** The time in milliseconds. */
   readonly now = (): number => this.time;
 
-  /**
-   * Rings once, `delayMs` milliseconds from now at the earliest; timers of equal time ring in the order they were set.
-   */
+  /** Calls `callback` once, no earlier than `delayMs` from now. Timers due at the same time fire in the order they were set. */
   readonly after = (delayMs: number, callback: () => void): Timer => {
     const timer: ScheduledTimer = { at: this.time + Math.max(0, delayMs), sequence: ++this.timerCount, callback };
     this.timers.push(timer);
@@ -40,7 +38,7 @@
   /** Whether any timer is set. */
   readonly hasTimers = (): boolean => this.timers.length > 0;
 
-  /** Moves to the next timer and rings it; false where none is set, or none is due by `until`. */
+  /** Advances to the next timer and fires it; returns false if none is due by `until`. */
   readonly fireNext = (until = Number.POSITIVE_INFINITY): boolean => {
     const timer = this.next();
     if (timer === undefined || timer.at > until) return false;
@@ -50,7 +48,7 @@
     return true;
   };
 
-  /** Sets the time without ringing anything; only for the end of a step that rang all that was due. */
+  /** Advances the time without firing timers. For the end of a step that has fired all timers due by `time`. */
   readonly advanceTo = (time: number): void => {
     this.time = Math.max(this.time, time);
   };
--- a/packages/model-check/src/world.ts
+++ b/packages/model-check/src/world.ts
@@ -1,4 +1,4 @@
-/** The world of one schedule: nodes, network, clock, operators and checker. */
+/** The simulated world of one schedule: nodes, network, clock, operators and checker. */
 import { stateMachine } from '@martenworks/core-types';
 import type { Member } from '@martenworks/core-types';
 import type { InjectedFault } from './injectedFaults.js';
@@ -18,12 +18,12 @@
 const spareCount = 2;
 const leaveDownProbability = 0.3;
 
-/** One schedule's fleet: voters, spare machines and operators, moved on by one choice at a time. */
+/** The fleet of one schedule: voters, spare machines and operators. It performs one choice at a time. */
 export class World implements FleetUnderTest {
   readonly clock = new VirtualClock();
   readonly network = new Network(this.clock);
   readonly nodes: readonly ModelNode[];
-  /** The operators. */
+  /** The operators, by the number that a choice names. */
   readonly operators: readonly Operator[];
   private readonly random: SeededRandom;
   private readonly leavesNodesDown: boolean;
@@ -32,7 +32,7 @@
   private currentChecker: Checker | null = null;
 
   constructor(
-    /** Number of founding voters. */
+    /** Number of initial voters. */
     readonly voterCount: number,
     seed: number,
     injectedFault: InjectedFault | null,
@@ -66,11 +66,11 @@
   };
 
   readonly checker = (): Checker => {
-    if (this.currentChecker === null) throw new Error('the world is not founded yet');
+    if (this.currentChecker === null) throw new Error('the initial members have not started yet');
     return this.currentChecker;
   };
 
-  /** Starts the voters on one founding state; the spare machines stay away until they join. */
+  /** Starts the initial voters on a common initial state. The spare machines stay absent until they join. */
   readonly bootstrap = async (): Promise<void> => {
     const voters = this.nodes.slice(0, this.voterCount);
     for (const node of voters) await node.start();
@@ -82,21 +82,21 @@
     this.currentChecker = new Checker(initialState);
   };
 
-  /** Lets everything run on until it waits for the scheduler: all work between two steps is promises alone. */
+  /** Runs all work up to the next wait for the scheduler. Work between steps uses only promises, so one `setImmediate` suffices. */
   readonly drain = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-  /** The node of this name, if there is one. */
+  /** The node with this name, if any. */
   readonly node = (name: string): ModelNode | undefined => this.nodes.find((node) => node.name === name);
 
-  /** What the checker may see of each node now. */
+  /** The externally visible state of each node. */
   readonly observations = (): NodeObservation[] => this.nodes.map((node) => node.observation());
 
-  /** Whether what `node` holds may be lost. */
+  /** Whether `node` has a disk and may lose it. */
   readonly mayLoseDisk = (node: ModelNode): boolean =>
     node.incarnation() !== '' &&
     this.lossBound.allows([node, ...this.nodesKeptDown].map((missing) => missing.incarnation()));
 
-  /** Does one step and checks the rules after it; false where the step is not possible now. */
+  /** Performs one step and checks the rules after it; resolves to false if the step is not possible now. */
   readonly apply = async (choice: Choice): Promise<boolean> => {
     const isDone = await this.perform(choice);
     if (!isDone) return false;
@@ -219,7 +219,10 @@
     }
   };
 
-  /** Ends the schedule fairly: links heal, processes start again, all messages and writes go through. */
+  /**
+   * Ends the schedule with its liveness phase: links heal, processes restart, and messages and syncs go through. In some
+   * schedules the nodes that are down stay down, if the loss bound allows it.
+   */
   readonly finish = async (): Promise<void> => {
     for (const [from, to] of this.network.partitionedLinks()) this.heal(from, to);
     const down = this.nodes.filter((node) => !node.isAlive() && !node.isAbsent);
--- a/packages/model-check/test/agreement.test.ts
+++ b/packages/model-check/test/agreement.test.ts
@@ -12,12 +12,12 @@
   'catching up',
 ];
 
-describe('agreement over explored schedules', () => {
+describe('agreement in explored schedules', () => {
   for (const profile of ['ballots', 'membership', 'leases', 'mixed']) {
-    it(`given three voters, when schedules of ${profile} are explored, then one history holds all that was acknowledged`, () =>
+    it(`given three voters, when schedules of profile ${profile} are explored, then one history contains all acknowledged changes`, () =>
       expectNoViolation({ schedules: 60, voters: 3, profile, rules }));
 
-    it(`given five voters, when schedules of ${profile} are explored, then one history holds all that was acknowledged`, () =>
+    it(`given five voters, when schedules of profile ${profile} are explored, then one history contains all acknowledged changes`, () =>
       expectNoViolation({ schedules: 40, voters: 5, profile, rules }));
   }
 });
--- a/packages/model-check/test/counterexamples.ts
+++ b/packages/model-check/test/counterexamples.ts
@@ -1,8 +1,8 @@
 import type { Script } from '@martenworks/model-check';
 
-/** Shrunk schedules that broke a rule when they were found, with the break that they need, if any. */
+/** Shrunk schedules that broke a rule when they were found, with the injected fault that they need, if any. */
 
-/** Two members miss different others, and both give a seat to one newcomer. */
+/** Two members have lost contact with different members, and both replace the lost one by the same joining node. */
 export const oneNewcomerForTwoVoters: Script = {
   voters: 3,
   seed: 74,
@@ -38,7 +38,7 @@
   ],
 };
 
-/** An order on the newest version meets a member that holds an older one. */
+/** A change request based on the newest version reaches a member that has an older one. */
 export const rejectionFromStaleState: Script = {
   voters: 3,
   seed: 13,
@@ -59,7 +59,7 @@
   ],
 };
 
-/** A holder loses its seat while the new members grant its lease to another one. */
+/** A lease holder is replaced as a voter while the new members grant its lease to another node. */
 export const leaseAcrossSwap: Script = {
   voters: 3,
   seed: 54,
@@ -78,7 +78,7 @@
   ],
 };
 
-/** A holder starts again after its lease ran out and renews it at a voter that is writing a grant to another one. */
+/** A lease holder restarts, and after its lease has expired renews it at a voter that is writing a grant to another node. */
 export const renewalDuringGrant: Script = {
   voters: 5,
   seed: 1078,
--- a/packages/model-check/test/expectations.ts
+++ b/packages/model-check/test/expectations.ts
@@ -4,7 +4,7 @@
 
 const defaultPlan = { voters: 3, depth: 150, seed: 1, stride: 1, breakName: null };
 
-/** Explores and expects that no schedule breaks one of the rules; a counterexample is shrunk and told as a script. */
+/** Explores and expects that no schedule breaks a rule of the plan; a counterexample is shrunk and shown as a script. */
 export const expectNoViolation = async (plan: Partial<Plan> & { schedules: number }): Promise<void> => {
   const outcome = await explorer.explore({ ...defaultPlan, ...plan });
   if (outcome.counterexample === null) return;
@@ -12,7 +12,7 @@
   expect.fail(`${violation.rule}: ${violation.detail}\n${JSON.stringify(script)}`);
 };
 
-/** Explores with a deliberate break and expects that one of `rules` is broken within the budget of schedules. */
+/** Explores with an injected fault and expects that one of `rules` is broken within `plan.schedules` schedules. */
 export const expectViolationFound = async (
   breakName: string,
   rules: readonly Rule[],
@@ -22,8 +22,8 @@
   expect(outcome.counterexample, `${breakName} within ${plan.schedules} schedules`).to.not.equal(null);
 };
 
-/** Replays a script twice: with its break it must break `rule`, without it none. */
+/** Replays a script twice: with its injected fault it must break `rule`, without the fault it must break no rule. */
 export const expectViolationOnlyWithFault = async (script: Script, rule: Rule): Promise<void> => {
-  expect((await explorer.replay(script))?.rule, 'with the break').to.equal(rule);
-  expect(await explorer.replay({ ...script, breakName: null }), 'without the break').to.equal(null);
+  expect((await explorer.replay(script))?.rule, 'with the injected fault').to.equal(rule);
+  expect(await explorer.replay({ ...script, breakName: null }), 'without the injected fault').to.equal(null);
 };
--- a/packages/model-check/test/laggingNewcomer.test.ts
+++ b/packages/model-check/test/laggingNewcomer.test.ts
@@ -2,7 +2,7 @@
 import { explorer } from '@martenworks/model-check';
 import type { Script } from '@martenworks/model-check';
 
-/** A newcomer tells its standing, a change is acknowledged, and the swap is tried again on the generation after it. */
+/** A joining node reports its status, a change is acknowledged, and the swap is retried on the next log index. */
 const changeBetweenStatusAndSwap: Script = {
   voters: 3,
   seed: 30010859,
@@ -66,7 +66,7 @@
   ],
 };
 
-describe('a newcomer behind at its swap', () => {
-  it('given a change acknowledged after a newcomer told its standing, when it gets the seat of a leaving member, then a majority of the new members holds that change', async () =>
+describe('a joining node that is behind when it becomes a voter', () => {
+  it('given a change acknowledged after a joining node reported its status, when that node replaces a leaving voter, then a majority of the new voters has the change', async () =>
     expect(await explorer.replay(changeBetweenStatusAndSwap)).to.equal(null));
 });
--- a/packages/model-check/test/membership.test.ts
+++ b/packages/model-check/test/membership.test.ts
@@ -1,14 +1,14 @@
 import { oneNewcomerForTwoVoters } from './counterexamples.js';
 import { expectViolationOnlyWithFault, expectNoViolation } from './expectations.js';
 
-describe('seats over explored schedules', () => {
-  it('given two members that miss different others, when both give a seat away, then the newcomer gets one', () =>
+describe('voting membership in explored schedules', () => {
+  it('given two members that have lost contact with different members, when both replace one, then the joining node becomes one voter, not two', () =>
     expectViolationOnlyWithFault(oneNewcomerForTwoVoters, 'seats distinct'));
 
-  it('given three voters, when schedules of membership are explored, then seats are distinct and a majority is left', () =>
+  it('given three voters, when schedules of profile membership are explored, then voters are distinct and a majority remains', () =>
     expectNoViolation({ schedules: 400, profile: 'membership', rules: ['seats distinct', 'progress', 'catching up'] }));
 
-  it('given five voters, when schedules of membership are explored, then seats are distinct and a majority is left', () =>
+  it('given five voters, when schedules of profile membership are explored, then voters are distinct and a majority remains', () =>
     expectNoViolation({
       schedules: 100,
       voters: 5,
--- a/packages/model-check/test/renewals.test.ts
+++ b/packages/model-check/test/renewals.test.ts
@@ -2,7 +2,7 @@
 import { explorer } from '@martenworks/model-check';
 import { renewalDuringGrant } from './counterexamples.js';
 
-describe('renewals of leases over explored schedules', () => {
-  it('given a lease that ran out, when its holder renews it while a grant to another is written, then one holds it', async () =>
+describe('lease renewals in explored schedules', () => {
+  it('given an expired lease, when its holder renews it while a grant to another node is being written, then only one holds it', async () =>
     expect(await explorer.replay(renewalDuringGrant)).to.equal(null));
 });
