--- a/packages/dev-tools/src/docBudgets.ts
+++ b/packages/dev-tools/src/docBudgets.ts
@@ -1,8 +1,8 @@
 /**
- * Holds the number of undocumented items of each package to what the settings file allows.
+ * Limits the number of undocumented items in each package to what the settings file allows.
  *
- * A package is either done, and then has none, or has a ceiling, so that the count cannot rise while it is being
- * worked off. A package that the settings do not name counts as done: a new package starts documented.
+ * A package is either done and may have none, or has a ceiling, so that the count cannot rise while its comments are
+ * being added. A package that the settings do not name has a ceiling of 0, so new packages are documented from the start.
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -14,12 +14,12 @@
   ceilings: v.record(v.string(), v.pipe(v.number(), v.integer(), v.minValue(0))),
 });
 
-/** The settings file: packages by their folder, relative to the root of the repository. */
+/** The settings file. Packages are named by their folder, relative to the repository root. */
 export type DocBudgets = v.InferOutput<typeof settingsSchema>;
 
-/** The number of undocumented items that was found in one package. */
+/** The number of undocumented items found in one package. */
 export interface PackageCount {
-  /** Folder of the package, relative to the root of the repository. */
+  /** Folder of the package, relative to the repository root. */
   readonly name: string;
   /** Undocumented items and modules. */
   readonly missing: number;
@@ -37,14 +37,14 @@
 interface DocCheckResult {
   /** One entry for each package, in the order of the counts. */
   readonly packages: readonly PackageResult[];
-  /** What makes the check fail, one sentence each; empty if it passes. */
+  /** The reasons why the check fails, one sentence each; empty if it passes. */
   readonly failures: readonly string[];
 }
 
 /**
- * Reads the settings.
+ * Parses the settings.
  *
- * @param file name of the settings file, for messages
+ * @param file name of the settings file, for error messages
  * @param text its content
  */
 const parse = (file: string, text: string): Result<DocBudgets, CheckSettingsError> => {
@@ -71,7 +71,8 @@
 /**
  * Compares the counts of all packages with the settings.
  *
- * Fails on a count over its ceiling, and on settings that name a package that does not exist or name one twice.
+ * Fails if a count exceeds its ceiling, or if the settings name a package that does not exist or list one as done and
+ * with a ceiling.
  */
 const evaluate = (budgets: DocBudgets, counts: readonly PackageCount[]): DocCheckResult => {
   const packages = counts.map((count) => {
@@ -85,7 +86,7 @@
   return { packages, failures: [...settingsFailures(budgets, counts), ...failures] };
 };
 
-/** The settings with each ceiling lowered to the count found, and packages without a missing comment listed as done. */
+/** The settings with each ceiling lowered to the count found, and with fully documented packages listed as done. */
 const lowerCeilings = (budgets: DocBudgets, counts: readonly PackageCount[]): DocBudgets => {
   const results = evaluate(budgets, counts).packages;
   const isDone = ({ isDone, missing }: PackageResult): boolean => isDone || missing === 0;
@@ -96,7 +97,7 @@
   };
 };
 
-/** The lines that the command prints: a line a package, then the failures. */
+/** The output of the command: one line per package, then the failures. */
 const formatLines = ({ packages, failures }: DocCheckResult): string[] => [
   ...packages.map(({ name, missing, ceiling, isDone }) =>
     isDone ? `${name}: ${missing} missing, done` : `${name}: ${missing} missing, ceiling ${ceiling}`,
@@ -104,5 +105,5 @@
   ...failures.map((failure) => `FAILED ${failure}`),
 ];
 
-/** Reads the settings of the doc check and compares counts with them. */
+/** Parses the settings of the documentation check and compares counts with them. */
 export const docBudgets = { parse, evaluate, lowerCeilings, formatLines };
--- a/packages/dev-tools/src/docsCheckCommand.ts
+++ b/packages/dev-tools/src/docsCheckCommand.ts
@@ -1,10 +1,11 @@
 /**
- * The command `npm run docs:check`: fails where an exported item lacks its doc comment.
+ * The command `npm run docs:check`: fails if a package has more undocumented exported items than its settings allow.
  *
  *     docsCheckCommand [--list PACKAGE] [--lower]
  *
- * `--list` prints what is missing in one package as `file:line kind name` and checks nothing. `--lower` writes the
- * settings file anew with each ceiling at the count found. Exit code 0: passed; 1: failed; 2: bad arguments or settings.
+ * `--list` prints the undocumented items of one package as `file:line kind name` and checks nothing. `--lower` rewrites
+ * the settings file with each ceiling lowered to the count found. Exit codes: 0 passed, 1 failed, 2 bad arguments or
+ * settings.
  */
 import { existsSync, readFileSync, readdirSync, writeFileSync } from 'node:fs';
 import { dirname, join, relative } from 'node:path';
@@ -50,7 +51,7 @@
 const listPackage = (folders: readonly string[], requested: string): number => {
   const folder = folders.find((name) => name === requested.replace(/\/$/, '') || name === `packages/${requested}`);
   if (folder === undefined) {
-    print([`no package ${requested}; there are ${folders.join(', ')}`]);
+    print([`unknown package ${requested}; known packages: ${folders.join(', ')}`]);
     return usageExitCode;
   }
   const missing = missingIn(openProject(folders), folder);
--- a/packages/dev-tools/src/errors.ts
+++ b/packages/dev-tools/src/errors.ts
@@ -1,13 +1,13 @@
-/** Failures of the development checks, each with a `code` that does not change between releases. */
+/** Errors of the development checks, each with a `code` that does not change between releases. */
 
-/** The settings file of a check cannot be read, is not JSON, or does not have the expected form. */
+/** The settings file of a check is not JSON or does not match its schema. */
 export class CheckSettingsError extends Error {
-  /** Stable name of this failure. */
+  /** Stable identifier of this error. */
   readonly code = 'CHECK_SETTINGS_INVALID';
 
   /**
    * @param file name of the settings file
-   * @param reason what is wrong with it
+   * @param reason what is wrong with its content
    */
   constructor(
     readonly file: string,
--- a/packages/dev-tools/src/index.ts
+++ b/packages/dev-tools/src/index.ts
@@ -1,4 +1,4 @@
-/** Checks of the source tree that run in `npm test`; nothing here is part of a shipped program. */
+/** Checks of the source tree. Development only: no shipped program uses this package. */
 export { docBudgets } from './docBudgets.js';
 export type { DocBudgets } from './docBudgets.js';
 export { missingDocs } from './missingDocs.js';
--- a/packages/dev-tools/src/missingDocs.ts
+++ b/packages/dev-tools/src/missingDocs.ts
@@ -1,20 +1,20 @@
 /**
- * Finds what a source file exports without a doc comment.
+ * Finds the items that a source file exports without a doc comment.
  *
- * ts-morph, with the compiler it brings, parses the files: TypeScript 7 has no programming interface in JavaScript.
+ * The files are parsed by ts-morph with its bundled compiler, since TypeScript 7 has no JavaScript API.
  */
 import { Node, Scope, SyntaxKind, ts } from 'ts-morph';
 import type { ClassDeclaration, ClassMemberTypes, ParameterDeclaration, SourceFile } from 'ts-morph';
 
 /** One item that lacks a doc comment. */
 export interface MissingDoc {
-  /** Path of the file, as the project knows it. */
+  /** Path of the file in the ts-morph project. */
   readonly file: string;
-  /** Line of the item, counted from 1. */
+  /** Line of the item, from 1. */
   readonly line: number;
   /** What the item is: `module`, `function`, `const`, `class`, `interface`, `type`, `enum` or `member`. */
   readonly kind: string;
-  /** Name of the item; of a member, with its class: `Class.member`; of a module, its file's base name. */
+  /** Name of the item: `Class.member` for a member, the base name of the file for a module. */
   readonly name: string;
 }
 
@@ -39,14 +39,14 @@
 
 const hasDoc = (node: Node): boolean => docsBefore(node).length > 0;
 
-/** To the compiler, a comment between a bracket or comma and a parameter on the same line trails the bracket. */
+/** The compiler treats a comment between a bracket or comma and a parameter on the same line as trailing that token. */
 const hasParameterDoc = (parameter: ParameterDeclaration): boolean => {
   const text = parameter.getSourceFile().getFullText();
   const ranges = ts.getTrailingCommentRanges(text, parameter.getPos()) ?? [];
   return hasDoc(parameter) || ranges.some(({ pos, end }) => isDoc(text.slice(pos, end)));
 };
 
-/** A comment before an import or a re-export speaks of the module; before a declaration, the last one speaks of that. */
+/** Doc comments before an import or a re-export belong to the module. Before a declaration, the last one belongs to it. */
 const hasModuleDoc = (file: SourceFile): boolean => {
   const first = file.getStatements()[0];
   if (first === undefined) return true;
@@ -63,7 +63,7 @@
   !member.hasModifier(SyntaxKind.ProtectedKeyword) &&
   !(Node.hasName(member) && member.getName().startsWith('#'));
 
-/** What a base class or an implemented interface declares is documented there. */
+/** Names of the members that a base class or an implemented interface declares, and documents. */
 const inheritedNames = (owner: ClassDeclaration): ReadonlySet<string> => {
   const bases = [...owner.getImplements(), ...[owner.getExtends()].filter((base) => base !== undefined)];
   return new Set(
@@ -136,8 +136,8 @@
 /**
  * Finds exported items without a doc comment.
  *
- * An item is a function, const, class, interface, type alias or enum that its own file exports, or a public member of
- * an exported class that neither overrides nor implements a member of a base class or interface. A module needs a
- * comment of its own at its head. A comment counts if it begins with two stars and holds a letter.
+ * An item is a function, const, class, interface, type alias or enum that the file that declares it exports, or a public
+ * member of an exported class that neither overrides nor implements a member of a base class or interface. A module
+ * needs its own comment at the top of the file. A comment counts if it begins with two stars and contains a letter.
  */
 export const missingDocs = { inFile };
--- a/packages/dev-tools/test/docBudgets.test.ts
+++ b/packages/dev-tools/test/docBudgets.test.ts
@@ -9,13 +9,13 @@
     { name: 'packages/b', missing: b },
   ]).failures;
 
-describe('budgets of missing doc comments', () => {
+describe('limits on missing doc comments', () => {
   it('given a package that is done, when one comment is missing, then the check fails', () => {
     expect(failuresOf(0, 3)).to.deep.equal([]);
     expect(failuresOf(1, 3)).to.deep.equal(['packages/a: 1 without a doc comment, at most 0']);
   });
 
-  it('given a package with a ceiling, when its count rises over it, then the check fails', () => {
+  it('given a package with a ceiling, when its count exceeds it, then the check fails', () => {
     expect(failuresOf(0, 2)).to.deep.equal([]);
     expect(failuresOf(0, 4)).to.deep.equal(['packages/b: 4 without a doc comment, at most 3']);
   });
@@ -26,7 +26,7 @@
     ]);
   });
 
-  it('given settings that name a package that is gone, or one as done and with a ceiling, when they are judged, then the check fails', () => {
+  it('given settings that name a missing package, or one package as done and with a ceiling, when they are evaluated, then the check fails', () => {
     const settings = { done: ['packages/a', 'packages/gone'], ceilings: { 'packages/a': 2, 'packages/b': 3 } };
     expect(failuresOf(0, 3, settings)).to.deep.equal([
       'packages/a is listed as done and has a ceiling as well',
@@ -34,7 +34,7 @@
     ]);
   });
 
-  it('given counts under their ceilings, when the settings are lowered, then no ceiling rises and a package with none missing is done', () => {
+  it('given counts below their ceilings, when the ceilings are lowered, then none rises and a fully documented package is listed as done', () => {
     const counts = [
       { name: 'packages/a', missing: 1 },
       { name: 'packages/b', missing: 2 },
@@ -48,7 +48,7 @@
     expect(lowered).to.deep.equal({ done: [], ceilings: { 'packages/b': 3 } });
   });
 
-  it('given settings that are no JSON or of another form, when they are read, then the error names the file', () => {
+  it('given settings that are not JSON or do not match the schema, when they are parsed, then the error names the file', () => {
     for (const text of ['{', '[]', '{"done":[],"ceilings":{"packages/b":-1}}', '{"done":[],"ceilings":{},"more":1}']) {
       const error = docBudgets.parse('docs-check.json', text)._unsafeUnwrapErr();
       expect(error.code).to.equal('CHECK_SETTINGS_INVALID');
--- a/packages/dev-tools/test/docLinks.test.ts
+++ b/packages/dev-tools/test/docLinks.test.ts
@@ -7,7 +7,7 @@
 const fencedBlock = /^```[\s\S]*?^```/gm;
 const hasScheme = /^[a-z]+:/;
 
-/** The anchor that GitHub gives a heading. */
+/** The anchor that GitHub generates for a heading. */
 const anchorOf = (heading: string): string =>
   heading
     .toLowerCase()
@@ -35,15 +35,15 @@
   return anchor !== undefined && !anchorsIn(repository.read(file)).has(anchor);
 };
 
-describe('links of the documentation', () => {
-  it('given each link to a file or heading, when it is followed, then it is there', () => {
+describe('links in the documentation', () => {
+  it('given each link to a file or heading, when it is followed, then its target exists', () => {
     const links = repository.pages().flatMap(linksOf);
     expect(links).to.have.length.above(50);
     const broken = links.filter(isBroken).map(({ page, target }) => `${page}: ${target}`);
     expect(broken, broken.join('\n')).to.deep.equal([]);
   });
 
-  it('given a link to a file or heading that is not there, when it is followed, then it is found', () => {
+  it('given a link to a file or heading that does not exist, when it is checked, then it is reported as broken', () => {
     expect(isBroken({ page: 'README.md', target: 'docs/none.md' })).to.equal(true);
     expect(isBroken({ page: 'docs/style.md', target: 'glossary.md#no-such-heading' })).to.equal(true);
     expect(isBroken({ page: 'docs/style.md', target: 'glossary.md#names-kept-on-purpose' })).to.equal(false);
--- a/packages/dev-tools/test/glossary.test.ts
+++ b/packages/dev-tools/test/glossary.test.ts
@@ -3,7 +3,7 @@
 
 const identifier = /^[A-Za-z]\w*$/;
 
-/** The names in the last column of the glossary's tables "in the code", with the line that each stands on. */
+/** The names in the last column, "in the code", of the glossary's tables, each with its line. */
 const namesInGlossary = (page: string): { name: string; line: string }[] => {
   const [tables = ''] = page.split('## Names kept on purpose');
   return tables
@@ -17,7 +17,7 @@
 };
 
 describe('the glossary', () => {
-  it('given the names it says are in the code, when the sources are searched, then each is there', () => {
+  it('given the names in the column "in the code", when the sources are searched, then each is found', () => {
     const words = new Set(repository.sources().flatMap((path) => repository.read(path).match(/\w+/g) ?? []));
     const names = namesInGlossary(repository.read('docs/glossary.md'));
     expect(names).to.have.length.above(100);
@@ -25,7 +25,7 @@
     expect(missing, missing.join('\n')).to.deep.equal([]);
   });
 
-  it('given a table row, when it is read, then it has a users’ word, a term and a place in the code', () => {
+  it('given each table row, when it is read, then it has three columns: the users’ word, the term and the name in the code', () => {
     const rows = repository
       .read('docs/glossary.md')
       .split('\n')
--- a/packages/dev-tools/test/missingDocs.test.ts
+++ b/packages/dev-tools/test/missingDocs.test.ts
@@ -14,7 +14,7 @@
 };
 
 describe('missing doc comments', () => {
-  it('given exported items of each kind without a comment, when the file is read, then each is found with its line', () => {
+  it('given exported items of each kind without a comment, when the file is checked, then each is reported with its line', () => {
     const text = `${head}
 export function call(): void {}
 export const limitMs = 1;
@@ -36,7 +36,7 @@
     ]);
   });
 
-  it('given a doc comment on each item, when the file is read, then nothing is found', () => {
+  it('given a doc comment on each item, when the file is checked, then nothing is reported', () => {
     const text = `${head}
 /** Calls. */
 export function call(): void {}
@@ -56,7 +56,7 @@
     expect(missingIn(text)).to.deep.equal([]);
   });
 
-  it('given line comments, plain block comments and empty doc comments, when the file is read, then none of them counts', () => {
+  it('given line comments, plain block comments and empty doc comments, when the file is checked, then none of them counts', () => {
     const text = `${head}
 // The limit.
 export const a = 1;
@@ -68,7 +68,7 @@
     expect(missingIn(text)).to.deep.equal(['5 const a', '7 const b', '9 const c']);
   });
 
-  it('given public members without a comment, when the file is read, then each is found but the private and protected ones', () => {
+  it('given members without a comment, when the file is checked, then only the public ones are reported', () => {
     const text = `${head}
 /** A queue. */
 export class Queue {
@@ -89,7 +89,7 @@
     ]);
   });
 
-  it('given members that override or implement what a base declares, when the file is read, then only the others are found', () => {
+  it('given members that override or implement a member of a base, when the file is checked, then only the others are reported', () => {
     const text = `/** A module. */
 import { Base } from './base.js';
 import type { Port } from './base.js';
@@ -103,7 +103,7 @@
     expect(missingIn(text)).to.deep.equal(['8 member Line.close']);
   });
 
-  it('given a constructor that describes its parameters, when the file is read, then its parameter properties are documented', () => {
+  it('given a constructor comment that describes a parameter, when the file is checked, then that parameter property is documented', () => {
     const text = `${head}
 /** A queue. */
 export class Queue {
@@ -114,16 +114,16 @@
     expect(missingIn(text)).to.deep.equal(['7 member Queue.owner']);
   });
 
-  it('given no comment at the head, when the file is read, then its module is found', () => {
+  it('given no comment at the top of a file, when the file is checked, then its module is reported', () => {
     expect(missingIn('import "./base.js";\n')).to.deep.equal(['1 module file.ts']);
   });
 
-  it('given one comment before the first item and no import, when the file is read, then it is the comment of the item alone', () => {
+  it('given one comment before the first item and no import, when the file is checked, then it belongs to the item alone', () => {
     expect(missingIn('/** The limit. */\nexport const limit = 1;\n')).to.deep.equal(['2 module file.ts']);
     expect(missingIn('/** A module. */\n\n/** The limit. */\nexport const limit = 1;\n')).to.deep.equal([]);
   });
 
-  it('given a re-export, when the file is read, then the item counts where it is declared and not here', () => {
+  it('given a re-export, when the file is checked, then the item is not reported, since it counts where it is declared', () => {
     expect(missingIn('/** A module. */\nexport { Base } from "./base.js";\n')).to.deep.equal([]);
   });
 });
--- a/packages/dev-tools/test/onCallPage.test.ts
+++ b/packages/dev-tools/test/onCallPage.test.ts
@@ -47,22 +47,22 @@
 describe('the on-call page', () => {
   const page = repository.read('docs/on-call.md');
 
-  it('given each log message of the programs, when the page is searched, then it is described there', () => {
+  it('given each log message of the programs, when the page is searched, then it is found', () => {
     expect(logMessages).to.have.length.above(30);
     expectAllDescribed(page, logMessages, isQuoted);
   });
 
-  it('given each counter of the programs, when the page is searched, then it is described there', () => {
+  it('given each counter of the programs, when the page is searched, then it is found', () => {
     expect(metricNames).to.have.length.above(20);
     expectAllDescribed(page, metricNames, isQuotedOrIsPrefix);
   });
 
-  it('given each line of the pages /metrics, when the page is searched, then it is described there', () => {
+  it('given each line of the /metrics pages, when the page is searched, then it is found', () => {
     expect(metricLines).to.have.length.above(10);
     expectAllDescribed(page, metricLines, isQuotedOrIsPrefix);
   });
 
-  it('given a message that no page describes, when it is looked up, then it is found missing', () => {
+  it('given a name that the page does not contain, when it is looked up, then it is not found', () => {
     expect(isQuoted(page, 'a message of no program')).to.equal(false);
     expect(isQuotedOrIsPrefix(page, 'denied_')).to.equal(true);
     expect(isQuotedOrIsPrefix(page, 'denie_')).to.equal(false);
--- a/packages/dev-tools/test/repository.ts
+++ b/packages/dev-tools/test/repository.ts
@@ -1,4 +1,4 @@
-/** The repository's own files, as the tests of its documentation read them. */
+/** Access to the repository's files for the tests of its documentation. */
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -19,8 +19,8 @@
 export const repository = {
   root,
   read: (path: string): string => readFileSync(join(root, path), 'utf8'),
-  /** The Markdown pages: the README, the contributing page and everything below `docs/`. */
+  /** The Markdown pages: README.md, CONTRIBUTING.md and all files below `docs/`. */
   pages: (): string[] => ['README.md', 'CONTRIBUTING.md', ...filesBelow('docs', '.md')],
-  /** The TypeScript sources of all packages and of the platform's adapter, without tests and emulators. */
+  /** The TypeScript sources of all packages and of `platform/src`, without tests and emulators. */
   sources: (): string[] => sourceFolders().flatMap((folder) => filesBelow(folder, '.ts')),
 };
