--- a/packages/model-check/src/choices.ts
+++ b/packages/model-check/src/choices.ts
@@ -13,7 +13,7 @@
   | { readonly do: 'crash'; readonly node: string; readonly keptShare: number }
   | { readonly do: 'restart'; readonly node: string }
   | { readonly do: 'loseDisk'; readonly node: string }
-  // One direction of a link. With `isNoticed` both ends lose their connection; otherwise messages vanish silently.
+  // One direction of a link; `isNoticed` as in `Network.partition`.
   | { readonly do: 'cut'; readonly from: string; readonly to: string; readonly isNoticed: boolean }
   | { readonly do: 'heal'; readonly from: string; readonly to: string }
   // Nodes that join or leave the fleet.
@@ -23,7 +23,7 @@
   | { readonly do: 'order'; readonly operator: number; readonly node: string }
   | { readonly do: 'resend'; readonly operator: number; readonly node: string }
   | { readonly do: 'read'; readonly operator: number; readonly node: string }
-  // Steps that timers of the control node run: membership check, commit of a pending change, lease renewal.
+  // Timed steps of the control node: membership check, commit of a pending change, lease renewal.
   | { readonly do: 'upkeep'; readonly node: string }
   | { readonly do: 'settleRival'; readonly node: string }
   | { readonly do: 'dutyTick'; readonly node: string }
--- a/packages/model-check/src/injectedFaults.ts
+++ b/packages/model-check/src/injectedFaults.ts
@@ -13,9 +13,10 @@
   readonly description: string;
   /** Replaces shared functions of the product for one schedule; returns a function that restores them. */
   readonly install?: () => () => void;
+  // The members below change, wrap or replace a part of each node.
   readonly disk?: (disk: ModelDisk) => void;
   readonly acceptor?: (acceptor: Acceptor) => void;
-  readonly voters?: (voters: Voters, own: () => string) => Voters;
+  readonly voters?: (voters: Voters, ownIncarnation: () => string) => Voters;
   readonly swapProposer?: (proposer: Proposer) => Proposer;
   /** Reads, and the checks that precede a rejection, use the node's own state without asking a majority. */
   readonly readsLocalState?: boolean;
@@ -42,8 +43,8 @@
 
 const checkOnce = (proposer: Proposer): Proposer => {
   const propose: Proposer['propose'] = (check, ...rest) => {
-    let first: ReturnType<typeof check> | null = null;
-    return proposer.propose((state) => (first ??= check(state)), ...rest);
+    let firstResult: ReturnType<typeof check> | null = null;
+    return proposer.propose((state) => (firstResult ??= check(state)), ...rest);
   };
   return Object.assign(Object.create(proposer), { propose });
 };
@@ -134,18 +135,18 @@
 const countTwice: InjectedFault = {
   name: 'count-twice',
   description: 'the proposer counts its own vote again for each member that does not reply',
-  voters: (voters, own) => {
+  voters: (voters, ownIncarnation) => {
     let promised: Awaited<ReturnType<Voters['prepare']>> = null;
     return {
       ...voters,
       prepare: async (member, slot, ballot) => {
         const vote = await voters.prepare(member, slot, ballot);
-        if (member.incarnation === own()) promised = vote;
+        if (member.incarnation === ownIncarnation()) promised = vote;
         return vote ?? promised;
       },
       accept: async (member, slot, ballot, change) =>
         (await voters.accept(member, slot, ballot, change)) ??
-        voters.accept({ ...member, incarnation: own() } satisfies Member, slot, ballot, change),
+        voters.accept({ ...member, incarnation: ownIncarnation() } satisfies Member, slot, ballot, change),
     };
   },
 };
@@ -225,10 +226,10 @@
 const askNobody: InjectedFault = {
   name: 'ask-nobody',
   description: 'a proposer asks no other voter for a promise',
-  voters: (voters, own) => ({
+  voters: (voters, ownIncarnation) => ({
     ...voters,
     prepare: async (member, slot, ballot) =>
-      member.incarnation === own() ? voters.prepare(member, slot, ballot) : null,
+      member.incarnation === ownIncarnation() ? voters.prepare(member, slot, ballot) : null,
   }),
 };
 
--- a/packages/model-check/src/livenessPhase.ts
+++ b/packages/model-check/src/livenessPhase.ts
@@ -1,4 +1,4 @@
-/** The liveness phase at the end of a schedule. It checks progress, since a group that does nothing breaks no safety rule. */
+/** Checks progress at the end of a schedule, since a group that does nothing breaks no safety rule. */
 import type { Checker, NodeObservation } from './checker.js';
 import type { FleetUnderTest } from './fleetUnderTest.js';
 import type { ModelNode } from './modelNode.js';
@@ -10,10 +10,7 @@
 const requestTimeoutRounds = 15;
 const maxExchangesPerInstant = 200;
 
-/**
- * Runs everything that can run, without further faults: every live voter must reach the newest state, and a change must
- * be acknowledged.
- */
+/** The fault-free end of a schedule, in which every live voter must reach the newest state and a change be acknowledged. */
 export class LivenessPhase {
   private isAcknowledged = false;
   private requestedInRound = Number.NEGATIVE_INFINITY;
--- a/packages/model-check/src/modelCommand.ts
+++ b/packages/model-check/src/modelCommand.ts
@@ -59,10 +59,10 @@
 });
 
 const exploreInWorker = (plan: Plan): Promise<Outcome> =>
-  new Promise((done, fail) => {
+  new Promise((resolve, reject) => {
     const worker = new Worker(new URL(import.meta.url), { workerData: plan, argv: process.argv.slice(2) });
-    worker.once('message', done);
-    worker.once('error', fail);
+    worker.once('message', resolve);
+    worker.once('error', reject);
   });
 
 const printShrunk = async (counterexample: Counterexample): Promise<void> => {
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -348,13 +348,13 @@
     return this.environment.injectedFault?.memberStatus?.(reply as MemberStatus, sender.acceptor) ?? reply;
   };
 
-  /** Runs the control node's membership check, which it runs every 300 ms: fetches missing log entries, then checks the voters. */
+  /** Runs the control node's 300 ms membership check: fetches missing log entries, then checks the voters. */
   readonly checkMembership = (): void => this.parts?.internals.checkMembership();
 
-  /** Runs what the control node does when an accepted change stays uncommitted. */
+  /** Runs the control node's step for an accepted change that stays uncommitted. */
   readonly commitPending = (): void => this.parts?.internals.commitPending();
 
-  /** Runs what the control node does every 300 ms for its leases: acquires or renews those it wants. */
+  /** Runs the control node's 300 ms lease check: acquires or renews the leases it wants. */
   readonly tickLeases = (): void => void this.parts?.member.leaseManager.tick();
 
   /** The state returned by a linearizable read; null if no majority replied or no process runs. */
--- a/packages/model-check/src/scheduler.ts
+++ b/packages/model-check/src/scheduler.ts
@@ -61,10 +61,10 @@
 
   private readonly drawKind = (): ChoiceKind => {
     const total = choiceKinds.reduce((sum, kind) => sum + this.profile.weights[kind], 0);
-    let left = this.random.fraction() * total;
+    let remaining = this.random.fraction() * total;
     for (const kind of choiceKinds) {
-      left -= this.profile.weights[kind];
-      if (left < 0) return kind;
+      remaining -= this.profile.weights[kind];
+      if (remaining < 0) return kind;
     }
     return 'nextTimer';
   };
--- a/packages/model-check/test/explorer.test.ts
+++ b/packages/model-check/test/explorer.test.ts
@@ -12,14 +12,14 @@
 
   it('given a counterexample, when its script is replayed, then it gives the same violation', async () => {
     const { counterexample } = await explorer.explore(faultyPlan);
-    if (counterexample === null) return expect.fail('nothing was found');
+    if (counterexample === null) return expect.fail('no counterexample was found');
     const script = JSON.parse(JSON.stringify(counterexample.script)) as typeof counterexample.script;
     expect(await explorer.replay(script)).to.deep.equal(counterexample.violation);
   });
 
   it('given a counterexample, when it is shrunk, then fewer steps break the same rule and each of them is needed', async () => {
     const { counterexample } = await explorer.explore(faultyPlan);
-    if (counterexample === null) return expect.fail('nothing was found');
+    if (counterexample === null) return expect.fail('no counterexample was found');
     const { script, violation } = await explorer.shrink(counterexample);
     expect(script.choices.length).to.be.lessThan(counterexample.script.choices.length);
     expect(violation.rule).to.equal(counterexample.violation.rule);
