--- a/packages/test-fleet/src/commands/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:capacity`: measures what each part costs as the fleet grows; writes tables, JSON and a plot. */
+/** `npm run measure:capacity`: measures the cost of each component by fleet size; writes tables, JSON and a plot. */
 import { fork } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { cpus, totalmem } from 'node:os';
@@ -14,8 +14,8 @@
 
 const failureExitCode = 1;
 const usageExitCode = 2;
-const probeLimitMs = 90_000;
-const totalLimitMs = 350_000;
+const probeTimeoutMs = 90_000;
+const totalTimeoutMs = 350_000;
 const heapMegabytes = 4_500;
 const msPerSecond = 1_000;
 const probeFile = fileURLToPath(new URL('../capacity/probeProcess.js', import.meta.url));
@@ -30,61 +30,66 @@
   },
 });
 
-const usage = `measures what each part costs as the fleet grows and writes a table, JSON and a plot: --out FOLDER --only NAME,NAME --from FILE, which works the lines of the size out and plots again from a slopes.json (without it all: ${knownNames.join(', ')})\n`;
+const usage = `measures the cost of each component by fleet size and writes tables, JSON and a plot
 
-/** One probe that ran, or failed where it has no outcome. */
+  --out FOLDER      the folder of the files (docs/capacity)
+  --only NAME,NAME  the probes to run (all: ${knownNames.join(', ')})
+  --from FILE       runs no probe; computes the estimates and the plot from this slopes.json
+`;
+
+/** A run of one probe; `outcome` is null where it failed. */
 interface ProbeRun {
   readonly name: string;
   readonly seconds: number;
   readonly outcome: ProbeOutcome | null;
 }
 
-const sizePage = (measured: readonly Measurement[]): string =>
+const estimatesPage = (measured: readonly Measurement[]): string =>
   [
-    '# Worked out at the size',
+    '# Capacity estimates for the planned fleet',
     '',
-    'Each line is a product of the runs in [`slopes.md`](slopes.md), each taken at the size (measured there, on its line, or by its exponent at the top; that table tells which).',
+    'Each estimate is computed from the runs in [`slopes.md`](slopes.md) at the planned size. That table says for each run whether its value there was measured, interpolated or extrapolated, and the shape of its fit.',
     '',
     capacityModel.markdown(measured),
     '',
   ].join('\n');
 
-const writeForecasts = (measured: readonly Measurement[]): void => {
-  writeFileSync(join(values.out, 'size.md'), sizePage(measured));
+const writeEstimates = (measured: readonly Measurement[]): void => {
+  writeFileSync(join(values.out, 'size.md'), estimatesPage(measured));
   writeFileSync(join(values.out, 'slopes.svg'), plots.svg(measured));
 };
 
-/** Each probe has a process of its own, so that none runs on the heap of another. Null: it failed or took too long. */
-const runProbe = (name: string, limitMs: number): Promise<ProbeOutcome | null> =>
+/** Runs a probe in a process of its own, so that no other probe's heap affects it; null where it failed or timed out. */
+const runProbe = (name: string, timeoutMs: number): Promise<ProbeOutcome | null> =>
   new Promise((resolve) => {
     const child = fork(probeFile, [name], { execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`] });
     let outcome: ProbeOutcome | null = null;
-    const limit = setTimeout(() => child.kill('SIGKILL'), limitMs);
+    const timer = setTimeout(() => child.kill('SIGKILL'), timeoutMs);
     child.on('message', (message) => (outcome = message as ProbeOutcome));
     child.on('exit', () => {
-      clearTimeout(limit);
+      clearTimeout(timer);
       resolve(outcome);
     });
   });
 
-const timeOf = ({ name, seconds, outcome }: ProbeRun): string => {
-  const peak = outcome === null ? '' : `, ${Math.round(outcome.peakBytes / 2 ** 20)} MB at its peak`;
+const formatRun = ({ name, seconds, outcome }: ProbeRun): string => {
+  const peak = outcome === null ? '' : `, peak memory ${Math.round(outcome.peakBytes / 2 ** 20)} MB`;
   return `${name} ${seconds.toFixed(0)} s${peak}`;
 };
 
 const printRun = (run: ProbeRun): void => {
   const rows = (run.outcome?.measured ?? []).map((one) => `${tables.row(one)}\n`);
-  process.stdout.write(`${run.outcome === null ? 'FAILED ' : ''}${timeOf(run)}\n${rows.join('')}`);
+  process.stdout.write(`${run.outcome === null ? 'FAILED ' : ''}${formatRun(run)}\n${rows.join('')}`);
 };
 
 const runProbes = async (names: readonly string[]): Promise<ProbeRun[]> => {
-  const endAt = performance.now() + totalLimitMs;
+  const endAt = performance.now() + totalTimeoutMs;
   const runs: ProbeRun[] = [];
   for (const name of names) {
-    const beganAt = performance.now();
-    const limitMs = Math.min(probeLimitMs, endAt - beganAt);
-    const outcome = limitMs <= 0 ? null : await runProbe(name, limitMs);
-    const run = { name, seconds: (performance.now() - beganAt) / msPerSecond, outcome };
+    const startedAt = performance.now();
+    const timeoutMs = Math.min(probeTimeoutMs, endAt - startedAt);
+    const outcome = timeoutMs <= 0 ? null : await runProbe(name, timeoutMs);
+    const run = { name, seconds: (performance.now() - startedAt) / msPerSecond, outcome };
     printRun(run);
     runs.push(run);
   }
@@ -98,8 +103,8 @@
   return [
     '# Measured slopes',
     '',
-    `Written by \`npm run measure:capacity\` in ${seconds.toFixed(0)} s on ${machine}. Read \`../CAPACITY.md\` for what follows from it.`,
-    `A run's name is its row. Spread: the widest (most - least) / median over one point's repeats. Time each: ${runs.map(timeOf).join('; ')}.`,
+    `Written by \`npm run measure:capacity\` in ${seconds.toFixed(0)} s on ${machine}. See \`../CAPACITY.md\` for the conclusions.`,
+    `Each row is a run. Widest spread: the largest (max - min) / median of the repeats at one size. Duration of each probe: ${runs.map(formatRun).join('; ')}.`,
     ...(missing.length === 0 ? [] : ['', `Not measured: ${missing.join(', ')}.`]),
     '',
     tables.markdown(measured),
@@ -113,7 +118,7 @@
   mkdirSync(values.out, { recursive: true });
   writeFileSync(join(values.out, 'slopes.md'), slopesPage(runs, measured));
   writeFileSync(join(values.out, 'slopes.json'), `${JSON.stringify(tables.asJson(measured), null, 1)}\n`);
-  writeForecasts(measured);
+  writeEstimates(measured);
   return runs.every(({ outcome }) => outcome !== null) ? 0 : failureExitCode;
 };
 
@@ -123,13 +128,13 @@
     return 0;
   }
   if (values.from !== undefined) {
-    writeForecasts(JSON.parse(readFileSync(values.from, 'utf8')) as Measurement[]);
+    writeEstimates(JSON.parse(readFileSync(values.from, 'utf8')) as Measurement[]);
     return 0;
   }
   const names = values.only === undefined ? knownNames : values.only.split(',');
   const unknown = names.filter((name) => !knownNames.includes(name));
   if (unknown.length > 0) {
-    process.stderr.write(`--only: no such measurement: ${unknown.join(', ')}\nknown: ${knownNames.join(', ')}\n`);
+    process.stderr.write(`--only: unknown probe: ${unknown.join(', ')}\nknown: ${knownNames.join(', ')}\n`);
     return usageExitCode;
   }
   return measureAll(names);
--- a/packages/test-fleet/src/commands/failureDetectionCommand.ts
+++ b/packages/test-fleet/src/commands/failureDetectionCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:rounds [KILLS] [ROUNDS]`: how soon a killed gateway is held to be down, and how often noise is taken for a failure. */
+/** `npm run measure:rounds [KILLS] [ROUNDS]`: measures how fast killed gateways are detected, and false positives. */
 import { SimFleet } from '../simulator/simFleet.js';
 
 const kills = Number(process.argv[2] ?? '30');
@@ -11,27 +11,31 @@
   return fleet;
 };
 
-const isDown = (fleet: SimFleet, node: string, least: number): boolean =>
-  fleet.controlNodes.filter((controlNode) => controlNode?.failureVerdicts.isDown(node) === true).length >= least;
+const isDown = (fleet: SimFleet, node: string, minNodes: number): boolean =>
+  fleet.controlNodes.filter((controlNode) => controlNode?.failureVerdicts.isDown(node) === true).length >= minNodes;
 
 const fleet = await startedFleet(1);
 const detectionTimesMs: number[] = [];
 for (let at = 0; at < kills; at += 1) {
   const gateway = at % 9;
   fleet.killCounter(gateway);
-  detectionTimesMs.push(await fleet.world.until('the verdict', () => isDown(fleet, `counter-${gateway + 1}`, 2)));
+  detectionTimesMs.push(
+    await fleet.world.until('the failure verdict', () => isDown(fleet, `counter-${gateway + 1}`, 2)),
+  );
   await fleet.bootCounter(gateway);
   await fleet.world.run(5_000);
 }
 detectionTimesMs.sort((a, b) => a - b);
-const at = (share: number): number =>
+const quantileOf = (share: number): number =>
   Math.round(detectionTimesMs[Math.min(detectionTimesMs.length - 1, Math.floor(detectionTimesMs.length * share))] ?? 0);
-process.stdout.write(`kills ${kills}: told after ms least ${at(0)} median ${at(0.5)} p90 ${at(0.9)} most ${at(1)}\n`);
+process.stdout.write(
+  `${kills} kills: detected after ms min ${quantileOf(0)} median ${quantileOf(0.5)} p90 ${quantileOf(0.9)} max ${quantileOf(1)}\n`,
+);
 
 for (const freezeMs of [300, 600, 1_000, 1_400, 1_800, 2_400]) {
   const noisyFleet = await startedFleet(2);
-  let alarms = 0;
-  let single = 0;
+  let falsePositives = 0;
+  let singleReports = 0;
   for (let round = 0; round < noiseRounds; round += 1) {
     const hosts = [...noisyFleet.gatewayHosts, ...noisyFleet.controlNodeHosts];
     const pick = (): string => hosts[Math.floor(noisyFleet.world.random() * hosts.length)] as string;
@@ -41,20 +45,20 @@
     frozen.freeze();
     await noisyFleet.world.run(freezeMs);
     for (const controlNode of noisyFleet.controlNodes)
-      for (const line of controlNode?.failureVerdicts.status() ?? []) {
-        if (line.isDown) alarms += 1;
-        else single += 1;
+      for (const verdict of controlNode?.failureVerdicts.status() ?? []) {
+        if (verdict.isDown) falsePositives += 1;
+        else singleReports += 1;
       }
     frozen.thaw();
     await noisyFleet.world.run(1_500);
     for (const controlNode of noisyFleet.controlNodes)
-      for (const line of controlNode?.failureVerdicts.status() ?? []) {
-        if (line.isDown) alarms += 1;
-        else single += 1;
+      for (const verdict of controlNode?.failureVerdicts.status() ?? []) {
+        if (verdict.isDown) falsePositives += 1;
+        else singleReports += 1;
       }
     noisyFleet.world.healAll();
   }
   process.stdout.write(
-    `noise ${noiseRounds} rounds of a ${freezeMs} ms freeze, a slow link and a one-way cut: held to be down ${alarms}, missed by one watcher only ${single}\n`,
+    `${noiseRounds} rounds of noise, a ${freezeMs} ms freeze, a slow link and a one-way partition each: false positives ${falsePositives}, reported by one watcher only ${singleReports}\n`,
   );
 }
--- a/packages/test-fleet/src/commands/faultInjectionCommand.ts
+++ b/packages/test-fleet/src/commands/faultInjectionCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run trials`: seeded fault-injection runs on the simulated fleet, several at once, with a summary of all. */
+/** `npm run trials`: seeded fault-injection runs on the simulated fleet, in parallel, with a summary of all runs. */
 import { availableParallelism } from 'node:os';
 import { parseArgs } from 'node:util';
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
@@ -12,20 +12,20 @@
 const singleFaultSpanMs = 14_000;
 const workerRole = 'fault injection';
 
-const usage = `seeded storms over the in-memory fleet; every line of the never list is judged
+const usage = `seeded fault-injection runs on the simulated fleet, checked against every safety invariant
 
   --from N       first seed (1)
-  --seeds N      how many seeds (20)
-  --faults N     faults in a storm (6)
-  --only "KIND"  one kind of fault, or several parted by commas
-  --each         one storm of one fault for each kind and seed, with its recovery
-  --final KIND   what is lost for good at the end of each storm (drawn by seed)
-  --size SIZE    small (4 counters, 6 replicas), stations or sawmill: the users' full sizes (small)
-  --jobs N       storms at once (all cores)
-  --verbose      the log of each failing seed
+  --seeds N      number of seeds (20)
+  --faults N     faults per run (6)
+  --only "KIND"  one kind of fault, or several separated by commas
+  --each         one run with one fault for each kind and seed, with its recovery time
+  --final KIND   the permanent loss at the end of each run (chosen by seed)
+  --size SIZE    small (4 gateways, 6 replicas), or stations or sawmill: full deployment sizes (small)
+  --jobs N       concurrent runs (all cores)
+  --verbose      print the log of each failing run
 
 kinds: ${faultKinds.join(', ')}
-finals: ${permanentLossKinds.join(', ')}
+permanent losses: ${permanentLossKinds.join(', ')}
 `;
 
 const logOf = ({ fleet }: FaultInjectionRun): string[] =>
@@ -63,7 +63,7 @@
 
 type Flags = ReturnType<typeof readFlags>;
 
-const checkedFlags = (): Flags => {
+const readFlagsOrExit = (): Flags => {
   try {
     return readFlags();
   } catch (cause) {
@@ -71,12 +71,12 @@
   }
 };
 
-const wholeNumber = (name: string, raw: string, least: number): number =>
-  /^\d+$/.test(raw) && Number(raw) >= least
+const parseInteger = (name: string, raw: string, min: number): number =>
+  /^\d+$/.test(raw) && Number(raw) >= min
     ? Number(raw)
-    : exitWithUsageError(`--${name}: must be a whole number of ${least} or more`);
+    : exitWithUsageError(`--${name}: must be a whole number of ${min} or more`);
 
-const named = <Name extends string>(flag: string, names: readonly Name[], raw: string): Name =>
+const findName = <Name extends string>(flag: string, names: readonly Name[], raw: string): Name =>
   names.find((name) => name === raw.trim()) ??
   exitWithUsageError(`--${flag}: no such fault: ${raw.trim()}\nknown: ${names.join(', ')}`);
 
@@ -88,21 +88,21 @@
 const schedulesOf = (flags: Flags): FaultSchedule[] => {
   const { only, final } = flags;
   const kinds: readonly FaultKind[] =
-    only === undefined ? faultKinds : only.split(',').map((kind) => named('only', faultKinds, kind));
+    only === undefined ? faultKinds : only.split(',').map((kind) => findName('only', faultKinds, kind));
   const loss: { permanentLoss?: PermanentLossKind } =
-    final === undefined ? {} : { permanentLoss: named('final', permanentLossKinds, final) };
+    final === undefined ? {} : { permanentLoss: findName('final', permanentLossKinds, final) };
   const common = { ...sizeOf(flags.size), ...loss };
-  const from = wholeNumber('from', flags.from, 0);
-  const seeds = Array.from({ length: wholeNumber('seeds', flags.seeds, 1) }, (_, at) => from + at);
+  const from = parseInteger('from', flags.from, 0);
+  const seeds = Array.from({ length: parseInteger('seeds', flags.seeds, 1) }, (_, at) => from + at);
   if (!flags.each) {
-    const faults = wholeNumber('faults', flags.faults, 0);
+    const faults = parseInteger('faults', flags.faults, 0);
     return seeds.map((seed) => ({ seed, kinds, faults, ...common }));
   }
   const single = { faults: 1, spanMs: singleFaultSpanMs, ...common };
   return seeds.flatMap((seed) => kinds.map((kind) => ({ seed, kinds: [kind], ...single })));
 };
 
-/** Takes schedules off the queue until it is empty. */
+/** Runs a worker thread that processes schedules from the queue until it is empty. */
 const runWorker = (queue: FaultSchedule[], onResult: (result: RunResult) => void): Promise<void> =>
   new Promise((done, fail) => {
     const worker = new Worker(new URL(import.meta.url), { workerData: workerRole });
@@ -120,14 +120,14 @@
   });
 
 const main = async (): Promise<number> => {
-  const flags = checkedFlags();
+  const flags = readFlagsOrExit();
   if (flags.help === true) {
     process.stdout.write(usage);
     return 0;
   }
   const queue = schedulesOf(flags);
   const summary = new FaultInjectionSummary(queue, flags.size, flags.verbose);
-  const workers = Math.min(queue.length, wholeNumber('jobs', flags.jobs, 1));
+  const workers = Math.min(queue.length, parseInteger('jobs', flags.jobs, 1));
   await Promise.all(Array.from({ length: workers }, () => runWorker(queue, summary.add)));
   summary.print();
   return summary.hasFailures() ? 1 : 0;
--- a/packages/test-fleet/src/commands/faultInjectionSummary.ts
+++ b/packages/test-fleet/src/commands/faultInjectionSummary.ts
@@ -1,4 +1,4 @@
-/** Sums fault-injection runs up and prints what a user reads. */
+/** Aggregates fault-injection runs and prints a summary. */
 import type { FaultInjectionReport } from '../faults/faultInjectionRun.js';
 import type { FaultSchedule } from '../faults/faultSchedule.js';
 import type { Violation } from '../invariants/violation.js';
@@ -8,24 +8,24 @@
 const kindWidth = 40;
 const tierWidth = 8;
 
-/** What a worker tells of one run; the report is null where the run itself failed. */
+/** The result of one run; `report` is null where the run ended with an error. */
 export interface RunResult {
   readonly schedule: FaultSchedule;
   readonly report: FaultInjectionReport | null;
   readonly injected: Record<string, number>;
-  /** The error that ended the run. */
+  /** The error that ended the run, or empty. */
   readonly error: string;
-  /** The log, where a rule was broken or the run failed. */
+  /** The log, where an invariant was violated or the run ended with an error. */
   readonly logLines: readonly string[];
 }
 
 type Counts = Record<string, number>;
 
-/** Calls of a tier answered whole and all of them, during faults and after. */
+/** Complete and total calls of a tier, during the faults and after them. */
 interface TierTotals {
-  duringWhole: number;
+  duringComplete: number;
   duringAll: number;
-  afterWhole: number;
+  afterComplete: number;
   afterAll: number;
 }
 
@@ -59,14 +59,14 @@
   /** Adds one run, and prints it if it failed. */
   readonly add = (result: RunResult): void => {
     for (const [kind, times] of Object.entries(result.injected)) count(this.injected, kind, times);
-    if (result.report === null) count(this.rules, 'the storm did not end');
+    if (result.report === null) count(this.rules, 'the run ended with an error');
     else this.addReport(result.report);
     if (result.report !== null && result.report.violations.length === 0) return;
     this.failing += 1;
     this.printFailure(result);
   };
 
-  /** Whether any run failed or broke a rule. */
+  /** Whether any run ended with an error or violated an invariant. */
   readonly hasFailures = (): boolean => this.failing > 0;
 
   private readonly addReport = (report: FaultInjectionReport): void => {
@@ -76,11 +76,11 @@
     for (const { kind, recoveryMs } of report.intervals)
       this.recoveries.set(kind, [...(this.recoveries.get(kind) ?? []), recoveryMs]);
     for (const { tier, during, after } of report.shares) {
-      const totals = this.tiers.get(tier) ?? { duringWhole: 0, duringAll: 0, afterWhole: 0, afterAll: 0 };
+      const totals = this.tiers.get(tier) ?? { duringComplete: 0, duringAll: 0, afterComplete: 0, afterAll: 0 };
       this.tiers.set(tier, {
-        duringWhole: totals.duringWhole + during[0],
+        duringComplete: totals.duringComplete + during[0],
         duringAll: totals.duringAll + during[1],
-        afterWhole: totals.afterWhole + after[0],
+        afterComplete: totals.afterComplete + after[0],
         afterAll: totals.afterAll + after[1],
       });
     }
@@ -97,14 +97,14 @@
   /** Prints the totals of all runs. */
   readonly print = (): void => {
     const span = `${Math.min(...this.seeds)}..${Math.max(...this.seeds)}`;
-    print(`seeds ${span}, ${this.size}: ${this.total} storms, ${this.calls} calls, ${this.failing} failing`);
-    print(`brought: ${JSON.stringify(this.injected)}`);
-    print(`lost for good: ${JSON.stringify(this.losses)}`);
-    print(`rules: ${JSON.stringify(this.rules)}`);
+    print(`seeds ${span}, ${this.size}: ${this.total} runs, ${this.calls} calls, ${this.failing} failing`);
+    print(`injected faults: ${JSON.stringify(this.injected)}`);
+    print(`permanent losses: ${JSON.stringify(this.losses)}`);
+    print(`violations: ${JSON.stringify(this.rules)}`);
     for (const [kind, times] of [...this.recoveries].sort()) this.printRecovery(kind, times);
-    for (const [tier, { duringWhole, duringAll, afterWhole, afterAll }] of this.tiers)
+    for (const [tier, { duringComplete, duringAll, afterComplete, afterAll }] of this.tiers)
       print(
-        `  tier ${tier.padEnd(tierWidth)} whole during faults ${duringWhole} of ${duringAll}, after ${afterWhole} of ${afterAll}`,
+        `  tier ${tier.padEnd(tierWidth)} complete during faults ${duringComplete} of ${duringAll}, after ${afterComplete} of ${afterAll}`,
       );
   };
 
@@ -112,7 +112,7 @@
     const times = all.filter((time) => time !== null).sort((a, b) => a - b);
     const [p50, p95] = [quantile(times, 0.5), quantile(times, 0.95)].map(Math.round);
     print(
-      `  ${kind.padEnd(kindWidth)} n=${all.length} back after p50=${p50} p95=${p95} max=${times.at(-1) ?? '-'} ms, not within 12 s: ${all.length - times.length}`,
+      `  ${kind.padEnd(kindWidth)} n=${all.length} recovered after p50=${p50} p95=${p95} max=${times.at(-1) ?? '-'} ms, not within 12 s: ${all.length - times.length}`,
     );
   };
 }
--- a/packages/test-fleet/src/commands/fleetCommand.ts
+++ b/packages/test-fleet/src/commands/fleetCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run fleet`: starts a fleet of real processes on loopback, and drives load if told to. */
+/** `npm run fleet`: starts a fleet of real processes on loopback addresses and optionally generates load. */
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { generateLoad, summaries } from '../workload/loadGenerator.js';
@@ -20,24 +20,24 @@
 });
 
 if (values.help === true) {
-  process.stdout.write(`a whole fleet on this machine, one loopback IP a machine, against stand-in replicas
+  process.stdout.write(`a fleet of processes on this machine, one loopback IP per node, with emulated replicas
 
-  --firm stations|sawmill   which firm's sizes (stations)
+  --firm stations|sawmill   the sample deployment (stations)
   --net N                   the fleet's addresses are 127.N.x.x (10)
   --folder DIR              logs and data; emptied at the start (.fleet)
-  --seconds N               drive load for N seconds, report, stop; 0 keeps it up until Ctrl-C (0)
-  --rate N                  requests a second (the firm's)
+  --seconds N               generate load for N seconds, report and stop; 0: no load, run until Ctrl-C (0)
+  --rate N                  requests per second (that of the deployment)
   --seed N                  seed of the load (1)
   --long SHARE              share of long prompts (0.06)
-  --profile NAME            a CPU profile of that node, such as gateway-1, into the folder
-  --index on|off            whether counters use the index of kept prompts (on)
+  --profile NAME            write a CPU profile of this node, such as gateway-1, to the folder
+  --index on|off            whether gateways use the prefix-cache index (on)
 `);
   process.exit(0);
 }
 
 const deployment = sampleDeployments[values.firm];
 if (deployment === undefined) {
-  process.stderr.write(`no such firm: ${values.firm}\n`);
+  process.stderr.write(`--firm: unknown deployment: ${values.firm}\n`);
   process.exit(2);
 }
 const fleet = new LocalFleet(
@@ -48,22 +48,22 @@
   ['--index', values.index],
   values.profile ?? null,
 );
-const quit = async (code: number): Promise<never> => {
+const stopAndExit = async (code: number): Promise<never> => {
   await fleet.down();
   process.exit(code);
 };
-process.once('SIGINT', () => void quit(0));
-process.once('SIGTERM', () => void quit(0));
+process.once('SIGINT', () => void stopAndExit(0));
+process.once('SIGTERM', () => void stopAndExit(0));
 try {
-  const begin = performance.now();
+  const startedAt = performance.now();
   await fleet.up();
-  process.stdout.write(`up in ${Math.round(performance.now() - begin)} ms\n`);
+  process.stdout.write(`ready in ${Math.round(performance.now() - startedAt)} ms\n`);
   process.stdout.write(
-    `operator and platform: http://${fleet.controlNodeHosts[0]}:7101  callers: http://${fleet.gatewayHosts[0]}:7101 (and ${fleet.gatewayHosts.length - 1} more)\n`,
+    `operator and platform API: http://${fleet.controlNodeHosts[0]}:7101  request API: http://${fleet.gatewayHosts[0]}:7101 (and ${fleet.gatewayHosts.length - 1} more)\n`,
   );
 } catch (cause) {
   process.stderr.write(`${String(cause)}\n`);
-  await quit(1);
+  await stopAndExit(1);
 }
 const seconds = Number(values.seconds);
 if (seconds > 0) {
@@ -76,9 +76,9 @@
     longShare: Number(values.long),
   });
   process.stdout.write(
-    `${JSON.stringify(summaries.counts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nstand-ins: ${JSON.stringify(await fleet.replicaTotals())}\n`,
+    `${JSON.stringify(summaries.counts(outcomes))}\n${summaries.lines(outcomes).join('\n')}\nemulated replicas: ${JSON.stringify(await fleet.replicaTotals())}\n`,
   );
   process.stdout.write(`${(await fleet.processMetrics()).join('\n')}\n`);
   if (values.profile !== undefined) await fleet.signal(values.profile, 'SIGTERM');
-  await quit(0);
+  await stopAndExit(0);
 }
--- a/packages/test-fleet/src/commands/priorityWaitCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:urgency`: how long requests of each tier wait, and behind whose prefills, on the simulated fleet. */
+/** `npm run measure:urgency`: measures how long requests of each tier wait, and which prefills block them, on the simulated fleet. */
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
@@ -16,13 +16,15 @@
 });
 if (values.help === true) {
   process.stdout.write(
-    'who waits behind what, on the virtual clock, cold start included: --firm stations|sawmill --from N --seeds N --seconds N\n',
+    'wait times by tier and by the prefill that blocked them, in virtual time from a cold start: --firm stations|sawmill --from N --seeds N --seconds N\n',
   );
   process.exit(0);
 }
 const deployment = sampleDeployments[values.firm];
 if (deployment === undefined) {
-  process.stderr.write(`--firm: no such firm: ${values.firm}\nknown: ${Object.keys(sampleDeployments).join(', ')}\n`);
+  process.stderr.write(
+    `--firm: unknown deployment: ${values.firm}\nknown: ${Object.keys(sampleDeployments).join(', ')}\n`,
+  );
   process.exit(2);
 }
 
@@ -41,7 +43,7 @@
   await fleet.world.run(Number(values.seconds) * 1_000 + 15_000);
   const byId = new Map(checker.calls.map((call) => [call.requestId, call]));
   const counts: Record<string, number> = {};
-  const note = (what: string): void => {
+  const addCount = (what: string): void => {
     counts[what] = (counts[what] ?? 0) + 1;
   };
   let prefilled = 0;
@@ -51,17 +53,18 @@
     prefilled += run.prefilledTokens;
     if (run.prefilledTokens > longTokens) cold += 1;
     if (call.request.kind === 'diagnose' || run.waitedMs < reportedWaitMs || run.replica === 'app-1') continue;
-    const behind = run.blockedBy === null ? undefined : byId.get(run.blockedBy.requestId);
-    if (run.blockedBy === null || behind === undefined || run.blockedBy.tokens < longTokens) note('behind short ones');
+    const blocker = run.blockedBy === null ? undefined : byId.get(run.blockedBy.requestId);
+    if (run.blockedBy === null || blocker === undefined || run.blockedBy.tokens < longTokens)
+      addCount('behind short prefills');
     else {
       const age = call.sentAt - run.blockedBy.beganAt;
-      const whose =
-        behind.host === call.host
-          ? 'own long prefill'
+      const category =
+        blocker.host === call.host
+          ? 'long prefill of the same gateway'
           : age < noticeMs
-            ? "another counter's long prefill, under 600 ms old"
-            : "another counter's long prefill, older";
-      note(`${whose}${isolatedTenants.has(call.request.tenant) ? ', isolated tenant' : ''}`);
+            ? 'long prefill of another gateway, under 600 ms old'
+            : 'long prefill of another gateway, older';
+      addCount(`${category}${isolatedTenants.has(call.request.tenant) ? ', isolated tenant' : ''}`);
     }
   }
   const waitsOf = (kinds: readonly string[], tier: string, isIsolated: boolean | null = null): number[] =>
--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -10,21 +10,21 @@
 import { exitWithUsageError } from './usageError.js';
 
 const gatewayCount = 9;
-const settleMs = 12_000;
+const recoveryMs = 12_000;
 const lastFaultMs = 4_000;
 const keyedRatePerSecond = 4;
 const probeRatePerSecond = 50;
 const probeMs = 3_000;
 const probesEndMs = 4_000;
 const callsTimeoutMs = 90_000;
-const leastServed = 0.95;
-const mostPrinted = 20;
+const minServedShare = 0.95;
+const maxPrinted = 20;
 const msPerSecond = 1_000;
 
-const usage = `faults on a real local fleet under load: kills, freezes, wiped disks, roll-outs, and cuts through relays of ours;
-judged by the simulator's rules from the callers' side and the stand-ins' records
+const usage = `injects faults into a local fleet of processes under load: kills, freezes, wiped data, rollouts, and network faults by
+proxies; checks the simulator's invariants from the callers' side and the records of the emulated replicas
 
-  --seed N --firm stations|sawmill --net N --folder DIR --seconds N (120) --rate N (the firm's) --only "KIND,KIND"
+  --seed N --firm stations|sawmill --net N --folder DIR --seconds N (120) --rate N (that of the deployment) --only "KIND,KIND"
 
 kinds: ${processFaultKinds.join(', ')}
 `;
@@ -49,13 +49,13 @@
 
 const deployment =
   sampleDeployments[values.firm] ??
-  exitWithUsageError(`--firm: no such firm: ${values.firm}\nknown: ${Object.keys(sampleDeployments).join(', ')}`);
+  exitWithUsageError(`--firm: unknown deployment: ${values.firm}\nknown: ${Object.keys(sampleDeployments).join(', ')}`);
 
-const kindNamed = (name: string): ProcessFaultKind =>
+const findKind = (name: string): ProcessFaultKind =>
   processFaultKinds.find((kind) => kind === name.trim()) ??
   exitWithUsageError(`--only: no such fault: ${name}\nknown: ${processFaultKinds.join(', ')}`);
 
-const kinds = values.only === undefined ? processFaultKinds : values.only.split(',').map(kindNamed);
+const kinds = values.only === undefined ? processFaultKinds : values.only.split(',').map(findKind);
 const numbers = {
   seconds: Number(values.seconds),
   rate: Number(values.rate ?? deployment.ratePerSecond),
@@ -73,22 +73,22 @@
 
 const startFleet = async (): Promise<void> => {
   const config = sampleWorkload.config('weights-1');
-  const granted = {
+  const tenantConfigs = {
     ...(config.tenants as Record<string, unknown>),
     [sampleWorkload.prober]: { tier: 'patient', lanes: ['query'] },
   };
-  await fleet.up({ ...config, tenants: granted }, tenants);
+  await fleet.up({ ...config, tenants: tenantConfigs }, tenants);
   for (const tenant of tenants) checker.grant(keyOf(tenant), tenant);
   checker.traffic(numbers.rate, durationMs, undefined, true);
   checker.keyedTraffic(keyedRatePerSecond, durationMs);
 };
 
-/** One fault after the other, until the time to settle must begin. */
+/** Injects one fault after the other, until the recovery phase begins; returns the number of each kind. */
 const injectFaults = async (): Promise<Record<string, number>> => {
   const injected: Record<string, number> = {};
-  const endAt = now() + durationMs - settleMs - lastFaultMs;
+  const endAt = now() + durationMs - recoveryMs - lastFaultMs;
   while (now() < endAt) {
-    const kind = kinds[run.pick(kinds.length)] as ProcessFaultKind;
+    const kind = kinds[run.randomInt(kinds.length)] as ProcessFaultKind;
     injected[kind] = (injected[kind] ?? 0) + 1;
     await injectProcessFault(run, kind);
     await run.waitBetween(100, 800);
@@ -96,27 +96,27 @@
   return injected;
 };
 
-/** Milliseconds until every gateway that is not lost is ready. */
-const untilReady = async (): Promise<number> => {
-  const beganAt = now();
+/** Waits until every gateway that is not lost is ready; returns the milliseconds that took. */
+const waitUntilReady = async (): Promise<number> => {
+  const startedAt = now();
   const isReady = (at: number): Promise<boolean> => fleet.isReady(fleet.gatewayHosts[at] as string);
-  await fleet.until('every counter ready', async () =>
+  await fleet.until('all gateways to be ready', async () =>
     (await Promise.all(checker.liveGateways().map(isReady))).every(Boolean),
   );
-  return now() - beganAt;
+  return now() - startedAt;
 };
 
-/** Sends traffic when the time to settle is over, and waits for all calls to end; gives the share served. */
+/** Sends traffic after the recovery phase and waits for all calls to end; returns how many of them were served. */
 const probeRecovery = async (): Promise<string> => {
   const startedAt = now();
   checker.traffic(probeRatePerSecond, probeMs);
-  const isOver = async (): Promise<boolean> =>
+  const isDone = async (): Promise<boolean> =>
     now() - startedAt > probesEndMs && checker.calls.every((call) => call.outcome !== 'open' && call.endedAt > 0);
-  await fleet.until('all calls ended', isOver, callsTimeoutMs).catch(() => 0);
+  await fleet.until('all calls to end', isDone, callsTimeoutMs).catch(() => 0);
   const probes = checker.calls.filter((call) => call.sentAt >= startedAt);
   const served = probes.filter((call) => call.outcome === 'whole').length;
   const detail = `${served} of ${probes.length}`;
-  if (served < probes.length * leastServed) run.violations.push({ rule: 'service still mostly absent', detail });
+  if (served < probes.length * minServedShare) run.violations.push({ rule: 'service still mostly absent', detail });
   return detail;
 };
 
@@ -135,15 +135,15 @@
   await startFleet();
   const injected = await injectFaults();
   const loss = await injectRandomLoss(run);
-  const readyMs = await untilReady();
-  await sleep(Math.max(0, settleMs - readyMs));
+  const readyMs = await waitUntilReady();
+  await sleep(Math.max(0, recoveryMs - readyMs));
   const served = await probeRecovery();
   const violations = await allViolations();
   process.stdout.write(
-    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\nbrought: ${JSON.stringify(injected)}\nlost for good: ${loss}\ncalls: ${JSON.stringify(checker.metrics())}\nready again ${Math.round(readyMs)} ms after the last fault; 12 s after it ${served} whole\n`,
+    `seed ${numbers.seed}, ${values.firm}: ${checker.calls.length} calls in ${numbers.seconds} s\ninjected faults: ${JSON.stringify(injected)}\npermanent loss: ${loss}\ncalls: ${JSON.stringify(checker.metrics())}\nready ${Math.round(readyMs)} ms after the last fault; 12 s after it ${served} calls complete\n`,
   );
-  for (const { rule, detail } of violations.slice(0, mostPrinted)) process.stdout.write(`${rule}: ${detail}\n`);
-  process.stdout.write(violations.length === 0 ? 'no rule broken\n' : `${violations.length} breaches\n`);
+  for (const { rule, detail } of violations.slice(0, maxPrinted)) process.stdout.write(`${rule}: ${detail}\n`);
+  process.stdout.write(violations.length === 0 ? 'no violations\n' : `${violations.length} violations\n`);
   return violations.length === 0 ? 0 : 1;
 };
 
--- a/packages/test-fleet/src/commands/usageError.ts
+++ b/packages/test-fleet/src/commands/usageError.ts
@@ -1,9 +1,9 @@
-/** How commands end that were called with arguments they cannot take. */
+/** Ends a command that was called with invalid arguments. */
 
-/** The exit code of a command whose arguments cannot be taken. */
+/** The exit code for invalid arguments. */
 const usageExitCode = 2;
 
-/** Writes the message to standard error and ends the process with code 2. */
+/** Writes the message to standard error and exits with code 2. */
 export const exitWithUsageError = (message: string): never => {
   process.stderr.write(`${message}\n`);
   process.exit(usageExitCode);
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy on loopback that can hold back or delay what passes through it, by the address it came from. */
+/** A TCP proxy on loopback that can block traffic by source address, or delay all traffic. */
 import { createConnection, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 import { addresses } from '@martenworks/core-types';
@@ -7,7 +7,7 @@
 const backlog = 1_024;
 const anySource = '*';
 
-/** Bytes that are held back are not lost: they go on once the link is healed. */
+/** Blocked bytes are not lost: they are forwarded once the link is healed. */
 export class FaultProxy {
   private readonly blockedSources = new Set<string>();
   private readonly sockets = new Set<Socket>();
@@ -16,24 +16,24 @@
 
   /**
    * @param address the address `IP:PORT` that callers use
-   * @param target the address that it passes on to; a change holds for connections opened after it
+   * @param target the address that it forwards to; a change applies to connections opened afterwards
    */
   constructor(
     readonly address: string,
     public target: string,
   ) {}
 
-  /** Rejects where the address cannot be bound. */
+  /** Starts listening; rejects where the address cannot be bound. */
   readonly open = (): Promise<void> =>
-    new Promise((resolve, fail) => {
+    new Promise((resolve, reject) => {
       const { host, port } = addresses.split(this.address);
-      const server = createServer({ allowHalfOpen: false }, this.join);
-      server.once('error', fail);
+      const server = createServer({ allowHalfOpen: false }, this.onConnection);
+      server.once('error', reject);
       server.listen(port, host, backlog, () => resolve());
       this.server = server;
     });
 
-  private readonly join = (inbound: Socket): void => {
+  private readonly onConnection = (inbound: Socket): void => {
     const source = inbound.remoteAddress ?? '';
     const { host, port } = addresses.split(this.target);
     const outbound = createConnection({ host, port });
@@ -59,28 +59,28 @@
     });
   };
 
-  private readonly afterDelay = (source: string, delayMs: number, act: () => void): void => {
-    setTimeout(() => (this.isBlocked(source) ? this.afterDelay(source, blockedPollMs, act) : act()), delayMs);
+  private readonly afterDelay = (source: string, delayMs: number, callback: () => void): void => {
+    setTimeout(() => (this.isBlocked(source) ? this.afterDelay(source, blockedPollMs, callback) : callback()), delayMs);
   };
 
   private readonly isBlocked = (source: string): boolean =>
     this.blockedSources.has(source) || this.blockedSources.has(anySource);
 
-  /** Holds back both directions of connections from that IP, or of all with `*`. */
+  /** Blocks both directions of connections from this source IP, or of all connections with `*`. */
   readonly block = (source: string): void => void this.blockedSources.add(source);
 
-  /** Delays everything by milliseconds. */
+  /** Delays all traffic by this many milliseconds. */
   readonly delay = (delayMs: number): void => {
     this.delayMs = delayMs;
   };
 
-  /** Ends all blocks and the delay. */
+  /** Removes all blocks and the delay. */
   readonly heal = (): void => {
     this.blockedSources.clear();
     this.delayMs = 0;
   };
 
-  /** Stops listening and breaks all connections; `open` may follow. */
+  /** Stops listening and destroys all connections; `open` may be called again. */
   readonly close = async (): Promise<void> => {
     const { server } = this;
     this.server = null;
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes on loopback, one IP a machine, with emulated replicas and, if wanted, proxies between them. */
+/** A fleet of real processes on loopback, one IP per node, with emulated replicas and optional proxies between them. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, rmSync } from 'node:fs';
@@ -19,7 +19,7 @@
 const program = join(dirname(createRequire(import.meta.url).resolve('@martenworks/cli')), 'martenworks.js');
 const zones = ['a', 'b', 'c'];
 
-/** The answer of a node; a body that is no JSON object stands under `text`. */
+/** The HTTP response of a node; a body that is not a JSON object is stored as `text`. */
 export interface Reply {
   readonly status: number;
   readonly body: Record<string, unknown>;
@@ -37,27 +37,27 @@
   readonly replicaHosts: string[];
   /** The IP of the replica of the app pool. */
   readonly appHost: string;
-  /** A proxy before each control node; empty without proxies. */
+  /** The proxy in front of each control node; empty without proxies. */
   readonly peerProxies: FaultProxy[] = [];
-  /** A proxy before each replica, by name; empty without proxies. */
+  /** The proxy in front of each replica, by replica name; empty without proxies. */
   readonly replicaProxies = new Map<string, FaultProxy>();
-  /** The control addresses of the processes that serve the replicas. */
+  /** The control addresses `IP:PORT` of the processes that serve the replicas. */
   readonly replicaControlAddresses: string[];
   private readonly incarnations = new Map<string, number>();
-  private restarted = 0;
+  private restartCount = 0;
 
   constructor(
-    /** How many replicas, and the rate of requests. */
+    /** The number of replicas and the request rate. */
     readonly deployment: SampleDeployment,
-    /** Logs and data; emptied at the start. */
+    /** The folder of logs and data, which `up` empties. */
     readonly folder: string,
-    /** Addresses are 127.NET.x.x. */
+    /** The second octet of all addresses, 127.NET.x.x. */
     readonly net: number,
-    /** How many gateways. */
+    /** The number of gateways. */
     readonly gatewayCount = 9,
-    /** Further flags of every gateway. */
+    /** Additional flags of every gateway. */
     readonly extraFlags: readonly string[] = [],
-    private readonly profiled: string | null = null,
+    private readonly profiledNode: string | null = null,
     hasProxies = false,
   ) {
     const host = (group: number, at: number): string => `127.${net}.${group}.${at}`;
@@ -72,26 +72,26 @@
       this.replicaProxies.set(name, new FaultProxy(`${host(6, at + 1)}:8000`, this.listenAddressOf(name)));
   }
 
-  /** The name of a gateway's process, node and log. */
+  /** The name of a gateway's process, node and log file. */
   readonly gatewayName = (at: number): string => `gateway-${at + 1}`;
 
-  /** The name of a control node's process, node, log and data folder. */
+  /** The name of a control node's process, node, log file and data folder. */
   readonly controlNodeName = (at: number): string => `control-${at + 1}`;
 
-  /** All replicas of both pools. */
+  /** The names of all replicas of both pools. */
   readonly replicaNames = (): string[] => [...this.replicaHosts.map((_, at) => `replica-${at + 1}`), 'app-1'];
   /** The address that a replica listens on. */
   readonly listenAddressOf = (name: string): string =>
     `${name === 'app-1' ? this.appHost : this.replicaHosts[Number(name.split('-')[1]) - 1]}:8000`;
-  /** The address that others use: that of its proxy, where it has one. */
+  /** The address that others use: that of its proxy, if it has one, else its own. */
   readonly addressOf = (name: string): string => this.replicaProxies.get(name)?.address ?? this.listenAddressOf(name);
-  /** The incarnation of a replica that runs or ran last. */
+  /** The latest incarnation of a replica. */
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 1;
   private readonly peerAddressOf = (at: number): string =>
     this.peerProxies[at]?.address ?? `${this.controlNodeHosts[at]}:7100`;
 
   private readonly nodeFlags = (name: string): string[] =>
-    name === this.profiled ? ['--cpu-prof', `--cpu-prof-dir=${this.folder}`] : [];
+    name === this.profiledNode ? ['--cpu-prof', `--cpu-prof-dir=${this.folder}`] : [];
 
   private readonly start = (name: string, args: string[], script = program): ChildProcess => {
     mkdirSync(this.folder, { recursive: true });
@@ -105,14 +105,14 @@
     return child;
   };
 
-  private readonly commonFlags = (name: string, host: string, at: number, connection: string): string[] => [
+  private readonly commonFlags = (name: string, host: string, at: number, peerAddress: string): string[] => [
     ...[
       '--name',
       name,
       '--zone',
       zones[at % 3] as string,
       '--peer-address',
-      connection,
+      peerAddress,
       '--peer-listen-address',
       `${host}:7100`,
       '--http',
@@ -146,7 +146,7 @@
     ]);
   };
 
-  /** Size and speed of a replica. */
+  /** Returns the settings of a replica. */
   readonly replicaSettings = (name: string): EmulatedReplicaSettings => ({
     name,
     address: this.addressOf(name),
@@ -161,16 +161,16 @@
 
   /** Starts the two processes that serve all replicas. */
   readonly startReplicas = async (): Promise<void> => {
-    const seats = this.replicaNames().map(
+    const specs = this.replicaNames().map(
       (name): EmulatedReplicaSpec => ({ settings: this.replicaSettings(name), listen: this.listenAddressOf(name) }),
     );
-    const half = Math.ceil(seats.length / 2);
+    const half = Math.ceil(specs.length / 2);
     await Promise.all(
-      [seats.slice(0, half), seats.slice(half)].map(
+      [specs.slice(0, half), specs.slice(half)].map(
         (some, at) =>
           new Promise<void>((ready) => {
             this.start(
-              `stand-ins-${at + 1}`,
+              `emulated-replicas-${at + 1}`,
               [JSON.stringify(some), this.replicaControlAddresses[at] as string],
               join(here, 'emulatedReplicasProcess.js'),
             ).stdout?.once('data', () => ready());
@@ -200,21 +200,21 @@
     };
   };
 
-  /** Waits until the test holds, and gives the milliseconds that took; rejects after `limitMs` or 15 s. */
-  readonly until = async (what: string, test: () => Promise<boolean>, timeoutMs = 15_000): Promise<number> => {
-    const begin = performance.now();
-    while (performance.now() - begin < timeoutMs) {
-      if (await test().catch(() => false)) return performance.now() - begin;
+  /** Waits until the condition holds and returns the milliseconds that took; rejects after `timeoutMs`. */
+  readonly until = async (what: string, condition: () => Promise<boolean>, timeoutMs = 15_000): Promise<number> => {
+    const startedAt = performance.now();
+    while (performance.now() - startedAt < timeoutMs) {
+      if (await condition().catch(() => false)) return performance.now() - startedAt;
       await sleep(25);
     }
-    throw new Error(`timed out: ${what}`);
+    throw new Error(`timed out waiting for ${what}`);
   };
 
   /** Whether the node at that IP is ready. */
   readonly isReady = async (host: string): Promise<boolean> =>
     (await this.call(`${host}:7101`, 'GET', '/readyz')).status === 200;
 
-  /** Starts everything, puts the first layout and grants the keys; resolves once every gateway is ready. */
+  /** Starts all processes, stores the initial configuration and the keys, and waits until every gateway is ready. */
   readonly up = async (
     config: Record<string, unknown> = sampleWorkload.config('weights-1'),
     tenants: readonly string[] = sampleWorkload.tenantNames,
@@ -228,7 +228,7 @@
     this.gatewayHosts.forEach((_, at) => {
       this.startGateway(at);
     });
-    await this.until('the founding', async () =>
+    await this.until('the cluster bootstrap', async () =>
       (await Promise.all(this.controlNodeHosts.map(this.isReady))).every(Boolean),
     );
     await this.registerReplicas();
@@ -238,14 +238,15 @@
         tenant,
         key: keyOf(tenant),
       });
-      if (granted.status !== 200) throw new Error(`grant: ${granted.status} ${JSON.stringify(granted.body)}`);
+      if (granted.status !== 200)
+        throw new Error(`granting the key of ${tenant} failed: ${granted.status} ${JSON.stringify(granted.body)}`);
     }
-    await this.until('every counter ready', async () =>
+    await this.until('all gateways to be ready', async () =>
       (await Promise.all(this.gatewayHosts.map(this.isReady))).every(Boolean),
     );
   };
 
-  /** What the platform tells control nodes of a replica. */
+  /** Returns the body with which the platform announces a replica to control nodes. */
   readonly announcement = (name: string): Record<string, unknown> => ({
     name,
     address: this.addressOf(name),
@@ -253,7 +254,7 @@
     incarnation: this.incarnationOf(name),
   });
 
-  /** Breaks all connections to a replica; needs proxies. */
+  /** Simulates the death of a replica by closing its proxy; needs proxies. */
   readonly killReplica = async (name: string): Promise<void> => this.replicaProxies.get(name)?.close();
 
   /** Starts a new incarnation of a replica behind its proxy. */
@@ -261,7 +262,7 @@
     const proxy = this.replicaProxies.get(name);
     if (proxy === undefined) return;
     this.incarnations.set(name, this.incarnationOf(name) + 1);
-    const listen = `${addresses.split(this.listenAddressOf(name)).host}:${10_000 + ++this.restarted}`;
+    const listen = `${addresses.split(this.listenAddressOf(name)).host}:${10_000 + ++this.restartCount}`;
     const restarted = await this.call(this.replicaControlAddresses[0] as string, 'POST', '/start', {
       settings: this.replicaSettings(name),
       listen,
@@ -271,7 +272,7 @@
     await proxy.open();
   };
 
-  /** What all incarnations of all replicas recorded. */
+  /** Returns the records of all incarnations of all replicas. */
   readonly replicaIncarnations = async (): Promise<ReplicaIncarnation[]> =>
     (await Promise.all(this.replicaControlAddresses.map((control) => this.call(control, 'GET', '/replicas')))).flatMap(
       ({ body }) => body.replicas as ReplicaIncarnation[],
@@ -284,20 +285,22 @@
   private readonly registerReplicas = async (): Promise<void> => {
     const replicas = this.replicaNames().map(this.announcement);
     const announced = await this.call(`${this.controlNodeHosts[1]}:7101`, 'POST', '/platform/replicas', replicas);
-    if (announced.status !== 200) throw new Error(`announce: ${announced.status} ${JSON.stringify(announced.body)}`);
+    if (announced.status !== 200)
+      throw new Error(`announcing the replicas failed: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
   /** Replaces the whole layout; rejects where that is refused. */
   readonly putConfiguration = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
-    const held = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
+    const current = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
-      'if-match': `"${String(held.body.generation)}"`,
+      'if-match': `"${String(current.body.generation)}"`,
     });
-    if (put.status !== 200) throw new Error(`layout: ${put.status} ${JSON.stringify(put.body)}`);
+    if (put.status !== 200)
+      throw new Error(`storing the configuration failed: ${put.status} ${JSON.stringify(put.body)}`);
     return put;
   };
 
-  /** Signals a process and, unless it is paused or resumed, waits for its exit code. */
+  /** Sends a signal to a process and, unless that pauses or resumes it, waits for its exit code. */
   readonly signal = (name: string, signal: NodeJS.Signals): Promise<number | null> => {
     const child = this.children.get(name);
     if (child === undefined) return Promise.resolve(null);
@@ -310,7 +313,7 @@
     return signal === 'SIGSTOP' || signal === 'SIGCONT' ? Promise.resolve(null) : ended;
   };
 
-  /** Sums over all replicas. */
+  /** Returns the totals of all replicas, summed by name. */
   readonly replicaTotals = async (): Promise<Record<string, number>> => {
     const sums: Record<string, number> = {};
     for (const host of [...this.replicaHosts, this.appHost]) {
@@ -320,7 +323,7 @@
     return sums;
   };
 
-  /** A line of processor time, memory and event-loop delay for each node. */
+  /** Returns a line with CPU time, memory and event-loop delay for each node. */
   readonly processMetrics = async (): Promise<string[]> => {
     const rows: string[] = [];
     for (const address of [
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -1,4 +1,4 @@
-/** What faults on a fleet of real processes work with: the fleet, the checker, and operator requests that are retried. */
+/** A fault-injection run on a fleet of real processes: the fleet, the invariant checker, and operator requests with retries. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { httpClients } from '@martenworks/upstream';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
@@ -8,27 +8,27 @@
 import type { LocalFleet, Reply } from './localFleet.js';
 
 const controlNodeCount = 3;
-const mostAttempts = 300;
+const maxAttempts = 300;
 const acceptRetryMs = 200;
 const readRetryMs = 100;
 const changeRetryMs = 150;
 const voteTimeoutMs = 40_000;
 const rejectedStatuses = new Set([409, 422]);
-/** Spreads neighbouring seeds over the generator's sequence. */
+/** Separates the random sequences of consecutive seeds. */
 const seedFactor = 7_919;
 
 type Method = 'GET' | 'POST' | 'PATCH' | 'DELETE';
 
-/** Milliseconds on the clock that emulated replicas record with. */
+/** Returns milliseconds of the clock that emulated replicas use for their records. */
 export const now = (): number => performance.timeOrigin + performance.now();
 
-/** The draws of a seed are the same, but processes are not: a seed does not repeat its run. */
+/** The random choices of a seed are the same in each run, but the timing of the processes is not. */
 export class ProcessFaultRun {
   /** Sends the traffic and checks the invariants. */
   readonly checker: InvariantChecker;
-  /** A seeded number from 0 up to 1. */
+  /** Returns a seeded random number in [0, 1). */
   readonly random: () => number;
-  /** Violations that faults saw themselves. */
+  /** Violations detected by the faults. */
   readonly violations: Violation[] = [];
   private replicas: readonly ReplicaIncarnation[] = [];
   private changeCount = 0;
@@ -51,22 +51,22 @@
     this.checker = new InvariantChecker(observed, `${seed}-`);
   }
 
-  /** A whole number from 0 up to `count`. */
-  readonly pick = (count: number): number => Math.floor(this.random() * count);
+  /** Returns a random integer in [0, `count`). */
+  readonly randomInt = (count: number): number => Math.floor(this.random() * count);
 
-  /** Waits for a random span of milliseconds. */
+  /** Waits for a random duration. */
   readonly waitBetween = (lowMs: number, highMs: number): Promise<void> =>
     sleep(lowMs + this.random() * (highMs - lowMs));
 
-  /** A number for names that no other change has. */
-  readonly countChange = (): number => ++this.changeCount;
+  /** Returns a number that makes the names of a change unique. */
+  readonly nextChangeNumber = (): number => ++this.changeCount;
 
-  /** Reads what the emulated replicas recorded, for the checker. */
+  /** Fetches the records of the emulated replicas for the checker. */
   readonly collectReplicas = async (): Promise<void> => {
     this.replicas = await this.fleet.replicaIncarnations();
   };
 
-  /** Asks one control node; status 0 where it cannot be reached. */
+  /** Sends a request to one control node; the status is 0 where it cannot be reached. */
   readonly call = (
     at: number,
     method: Method,
@@ -78,18 +78,22 @@
       .call(`${this.fleet.controlNodeHosts[at]}:7101`, method, path, body, headers)
       .catch((): Reply => ({ status: 0, body: {} }));
 
-  /** @throws Error where no control node accepts within 300 attempts */
+  /**
+   * Sends a request to random control nodes until one accepts it.
+   *
+   * @throws Error where none accepts it within 300 attempts
+   */
   readonly retryUntilAccepted = async (send: (at: number) => Promise<Reply>): Promise<void> => {
-    for (let attempt = 0; attempt < mostAttempts; attempt += 1) {
-      if ((await send(this.pick(controlNodeCount))).status === 200) return;
+    for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
+      if ((await send(this.randomInt(controlNodeCount))).status === 200) return;
       await sleep(acceptRetryMs);
     }
-    throw new Error('no control node accepted the request');
+    throw new Error(`no control node accepted the request in ${maxAttempts} attempts`);
   };
 
-  private readonly readLayout = async (): Promise<{ at: number; base: number }> => {
+  private readonly readConfiguration = async (): Promise<{ at: number; base: number }> => {
     for (;;) {
-      const at = this.pick(controlNodeCount);
+      const at = this.randomInt(controlNodeCount);
       const config = await this.call(at, 'GET', '/operator/layout');
       if (config.status === 200) return { at, base: Number(config.body.generation) };
       await sleep(readRetryMs);
@@ -99,17 +103,17 @@
   /**
    * Sends a change until it is accepted (true) or rejected (false).
    *
-   * @param onFirstAccepted called with the control node, where that accepted the change at the first attempt
+   * @param onFirstAccepted called with the control node, if it accepted the change at the first attempt
    */
   readonly change = async (
     part: Record<string, unknown>,
     onFirstAccepted: (at: number) => Promise<void> = async () => {},
   ): Promise<boolean> => {
-    const { at, base } = await this.readLayout();
-    const id = `real-${this.countChange()}`;
+    const { at, base } = await this.readConfiguration();
+    const id = `real-${this.nextChangeNumber()}`;
     const headers = { 'if-match': `"${base}"`, 'change-id': id };
     for (let attempt = 0; ; attempt += 1) {
-      const node = attempt === 0 ? at : this.pick(controlNodeCount);
+      const node = attempt === 0 ? at : this.randomInt(controlNodeCount);
       const response = await this.call(node, 'PATCH', '/operator/layout', part, headers);
       if (response.status === 200) {
         this.checker.acceptedIds.set(id, Number(response.body.generation));
@@ -124,24 +128,24 @@
     }
   };
 
-  /** Kills a control node, in part with its data, starts it and waits until it votes. */
+  /** Kills a control node, optionally deletes its data, restarts it and waits until it is a voter. */
   readonly restartControlNode = async (at: number, losesData: boolean): Promise<void> => {
     await this.fleet.signal(this.fleet.controlNodeName(at), 'SIGKILL');
     if (losesData) this.fleet.wipeControlNode(at);
     await this.waitBetween(300, 2_000);
     this.fleet.startControlNode(at);
     const isVoter = async (): Promise<boolean> => (await this.call(at, 'GET', '/operator/status')).body.voter === true;
-    await this.fleet.until(`control node ${at + 1} votes`, isVoter, voteTimeoutMs);
+    await this.fleet.until(`control node ${at + 1} to become a voter`, isVoter, voteTimeoutMs);
   };
 
-  /** Starts a new incarnation of a replica and announces it. */
+  /** Starts a new incarnation of a replica and announces it to the control nodes. */
   readonly replaceReplica = async (name: string): Promise<void> => {
     await this.fleet.restartReplica(name);
     const announcement = [this.fleet.announcement(name)];
     await this.retryUntilAccepted((at) => this.call(at, 'POST', '/platform/replicas', announcement));
   };
 
-  /** Checks that every control node that runs knows each accepted change, and no rejected one. */
+  /** Checks that every reachable control node knows each accepted change, and no rejected one. */
   readonly stateViolations = async (): Promise<Violation[]> => {
     const violations: Violation[] = [];
     for (let at = 0; at < controlNodeCount; at += 1) {
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -1,4 +1,4 @@
-/** The faults that real processes are put under: kills, pauses, wiped data, roll-outs, cut and slow links, and changes. */
+/** Faults for real processes: kills, pauses, wiped data, rollouts, blocked and slow links, and configuration changes. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { propagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
@@ -8,15 +8,15 @@
 
 const zoneCount = 3;
 const keyTrafficMs = 9_000;
-const keyRequestEveryMs = 200;
-const keyHeldMs = 3_000;
-const longAnswerTokens = 300;
+const keyRequestIntervalMs = 200;
+const keyValidMs = 3_000;
+const longResponseTokens = 300;
 const drainMs = 4_000;
 const probeRounds = 2;
 const laneCount = 200;
 const tierCount = 3;
 
-/** The parts of the fleet that one fault disturbs, drawn anew for each. */
+/** The nodes that a fault affects, chosen at random for each fault. */
 interface Targets {
   readonly gateway: number;
   readonly controlNode: number;
@@ -25,20 +25,20 @@
 
 type ProcessFault = (run: ProcessFaultRun, targets: Targets) => Promise<unknown>;
 
-const pause = async (run: ProcessFaultRun, name: string, longestMs: number): Promise<void> => {
+const pause = async (run: ProcessFaultRun, name: string, maxMs: number): Promise<void> => {
   await run.fleet.signal(name, 'SIGSTOP');
-  await run.waitBetween(500, longestMs);
+  await run.waitBetween(500, maxMs);
   await run.fleet.signal(name, 'SIGCONT');
 };
 
-const throughProxy = async (
+const disturbProxy = async (
   run: ProcessFaultRun,
   proxy: FaultProxy | undefined,
   disturb: (proxy: FaultProxy) => void,
-  lowMs: number,
+  minMs: number,
 ): Promise<void> => {
   if (proxy !== undefined) disturb(proxy);
-  await run.waitBetween(lowMs, 5_000);
+  await run.waitBetween(minMs, 5_000);
   proxy?.heal();
 };
 
@@ -59,8 +59,8 @@
   hosts.forEach((_, at) => void start(at));
 };
 
-const killAcknowledged: ProcessFault = (run) =>
-  run.change({ tiers: { steady: { rank: 1, horizonMs: 20_000 + run.pick(1_000) } } }, (at) =>
+const killAfterAcknowledgement: ProcessFault = (run) =>
+  run.change({ tiers: { steady: { rank: 1, horizonMs: 20_000 + run.randomInt(1_000) } } }, (at) =>
     run.restartControlNode(at, false),
   );
 
@@ -87,7 +87,7 @@
   for (const proxy of peerProxies) proxy.heal();
 };
 
-const rollOut = async (
+const rollingRestart = async (
   run: ProcessFaultRun,
   hosts: readonly string[],
   nameOf: (at: number) => string,
@@ -96,18 +96,18 @@
   const { fleet, violations } = run;
   for (const [at, host] of hosts.entries()) {
     const name = nameOf(at);
-    await fleet.until(`${name} is up`, () => fleet.isReady(host));
+    await fleet.until(`${name} to be ready`, () => fleet.isReady(host));
     const exitCode = await fleet.signal(name, 'SIGTERM');
     if (exitCode !== 0) violations.push({ rule: 'a roll-out was not clean', detail: `${name} ended with ${exitCode}` });
     start(at);
-    await fleet.until(`${name} is back`, () => fleet.isReady(host));
+    await fleet.until(`${name} to be ready again`, () => fleet.isReady(host));
   }
 };
 
-const rollOutAll: ProcessFault = async (run) => {
+const rollingRestartAll: ProcessFault = async (run) => {
   const { fleet } = run;
-  await rollOut(run, fleet.gatewayHosts, fleet.gatewayName, fleet.startGateway);
-  await rollOut(run, fleet.controlNodeHosts, fleet.controlNodeName, fleet.startControlNode);
+  await rollingRestart(run, fleet.gatewayHosts, fleet.gatewayName, fleet.startGateway);
+  await rollingRestart(run, fleet.controlNodeHosts, fleet.controlNodeName, fleet.startControlNode);
 };
 
 const changeWeights: ProcessFault = async ({ change, checker: { weightsChanges } }) => {
@@ -119,7 +119,7 @@
 };
 
 const addManyLanes: ProcessFault = (run) => {
-  const count = run.countChange();
+  const count = run.nextChangeNumber();
   const lanes = Array.from({ length: laneCount }, (_, at) => [
     `lane-${count}-${at}`,
     { pool: 'main', repeat: 'freely' },
@@ -127,9 +127,9 @@
   return run.change({ lanes: Object.fromEntries(lanes) });
 };
 
-const probeLayout: ProcessFault = async ({ change, checker, countChange, pick, random }) => {
-  const name = `probe-${countChange()}`;
-  const tier = Object.keys(sampleWorkload.tiers)[pick(tierCount)] as string;
+const probeConfiguration: ProcessFault = async ({ change, checker, nextChangeNumber, randomInt, random }) => {
+  const name = `probe-${nextChangeNumber()}`;
+  const tier = Object.keys(sampleWorkload.tiers)[randomInt(tierCount)] as string;
   const repeat = random() < 0.5 ? 'once' : 'freely';
   const isAccepted = await change(checker.probeChange(name, tier, repeat));
   for (let round = 0; round < probeRounds; round += 1) {
@@ -138,27 +138,27 @@
   }
 };
 
-const startKeyTraffic = ({ checker, fleet, pick, random }: ProcessFaultRun, key: string, tenant: string): void => {
+const startKeyTraffic = ({ checker, fleet, randomInt, random }: ProcessFaultRun, key: string, tenant: string): void => {
   const stopAt = now() + keyTrafficMs;
   const sendNext = (): void => {
     if (now() >= stopAt) return;
     const sample = sampleWorkload.request(random, checker.calls.length, 0);
-    checker.send({ ...sample, key, tenant, maxTokens: longAnswerTokens }, pick(fleet.gatewayHosts.length));
-    setTimeout(sendNext, keyRequestEveryMs);
+    checker.send({ ...sample, key, tenant, maxTokens: longResponseTokens }, randomInt(fleet.gatewayHosts.length));
+    setTimeout(sendNext, keyRequestIntervalMs);
   };
   sendNext();
 };
 
 const revokeKey: ProcessFault = async (run) => {
-  const { checker, pick } = run;
-  const tenant = sampleWorkload.tenantNames[pick(sampleWorkload.tenantNames.length)] as string;
-  const key = `held-key-${run.countChange()}`;
+  const { checker, randomInt } = run;
+  const tenant = sampleWorkload.tenantNames[randomInt(sampleWorkload.tenantNames.length)] as string;
+  const key = `held-key-${run.nextChangeNumber()}`;
   const grant = checker.grant(key, tenant);
   const send = (path: string, body: unknown, changeId: string): Promise<void> =>
     run.retryUntilAccepted((at) => run.call(at, 'POST', path, body, { 'change-id': changeId }));
   await send('/platform/clients', { tenant, key }, `grant-${key}`);
   startKeyTraffic(run, key, tenant);
-  await sleep(keyHeldMs);
+  await sleep(keyValidMs);
   await send('/platform/keys/revoke', { key }, `revoke-${key}`);
   grant.to = now();
   const open = checker.calls.filter((call) => call.request.key === key && call.outcome === 'open');
@@ -168,7 +168,7 @@
       run.violations.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.outcome}` });
 };
 
-/** Every fault by the name that the user gives in `--only`. */
+/** All faults, by the name that `--only` accepts. */
 const processFaults = {
   'counter killed': killGateway,
   'counters killed in a herd': (run) =>
@@ -179,38 +179,38 @@
   'control nodes killed in a herd': (run) =>
     killAll(run, run.fleet.controlNodeHosts, run.fleet.controlNodeName, run.fleet.startControlNode),
   'control node frozen': (run, { controlNode }) => pause(run, run.fleet.controlNodeName(controlNode), 4_000),
-  'control node killed having confirmed': killAcknowledged,
+  'control node killed having confirmed': killAfterAcknowledgement,
   'replica killed and replaced': killReplica,
   'replica leaves and is replaced': drainReplica,
   'replica silent': (run, { replica }) =>
-    throughProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.block('*'), 500),
+    disturbProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.block('*'), 500),
   'replica slow to reach': (run, { replica }) =>
-    throughProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.delay(100 + run.random() * 500), 500),
+    disturbProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.delay(100 + run.random() * 500), 500),
   'control node link cut': (run, { controlNode }) =>
-    throughProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.block('*'), 500),
+    disturbProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.block('*'), 500),
   'control node link slow': (run, { controlNode }) =>
-    throughProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.delay(50 + run.random() * 350), 1_000),
+    disturbProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.delay(50 + run.random() * 350), 1_000),
   'counter cut from two control nodes': partitionGateway,
-  'whole fleet rolled out': rollOutAll,
+  'whole fleet rolled out': rollingRestartAll,
   'new weights': changeWeights,
   'many lanes': addManyLanes,
-  'layout probed': probeLayout,
+  'layout probed': probeConfiguration,
   'key revoked from held streams': revokeKey,
 } satisfies Record<string, ProcessFault>;
 
-/** See `processFaultKinds`. */
+/** The name of a fault. */
 export type ProcessFaultKind = keyof typeof processFaults;
 
 /** The names of all faults. */
 export const processFaultKinds = Object.keys(processFaults) as ProcessFaultKind[];
 
-/** Brings a fault about on random targets and undoes it. */
+/** Injects a fault on random targets and reverts it. */
 export const injectProcessFault = async (run: ProcessFaultRun, kind: ProcessFaultKind): Promise<void> => {
-  const { fleet, pick } = run;
+  const { fleet, randomInt } = run;
   const targets = {
-    gateway: pick(fleet.gatewayHosts.length),
-    controlNode: pick(fleet.controlNodeHosts.length),
-    replica: `replica-${pick(fleet.replicaHosts.length) + 1}`,
+    gateway: randomInt(fleet.gatewayHosts.length),
+    controlNode: randomInt(fleet.controlNodeHosts.length),
+    replica: `replica-${randomInt(fleet.replicaHosts.length) + 1}`,
   };
   await processFaults[kind](run, targets);
 };
@@ -222,18 +222,18 @@
   for (const at of lost) checker.lostGateways.add(at);
 };
 
-/** Loses a random part for good, and names it. */
+/** Causes a random permanent loss, and returns its name. */
 export const injectRandomLoss = async (run: ProcessFaultRun): Promise<string> => {
-  const { fleet, pick } = run;
-  const loss = permanentLosses[pick(permanentLosses.length)] as (typeof permanentLosses)[number];
-  const zone = pick(zoneCount);
-  if (loss === 'counter lost') await loseGateways(run, [pick(fleet.gatewayHosts.length)]);
+  const { fleet, randomInt } = run;
+  const loss = permanentLosses[randomInt(permanentLosses.length)] as (typeof permanentLosses)[number];
+  const zone = randomInt(zoneCount);
+  if (loss === 'counter lost') await loseGateways(run, [randomInt(fleet.gatewayHosts.length)]);
   else if (loss === 'front of a zone lost') {
     const inZone = fleet.gatewayHosts.map((_, at) => at).filter((at) => at % zoneCount === zone);
     await loseGateways(run, inZone);
   } else if (loss === 'control node lost') await fleet.signal(fleet.controlNodeName(zone), 'SIGKILL');
   else {
-    const name = `replica-${pick(fleet.replicaHosts.length) + 1}`;
+    const name = `replica-${randomInt(fleet.replicaHosts.length) + 1}`;
     await fleet.killReplica(name);
     await run.retryUntilAccepted((at) => run.call(at, 'DELETE', `/platform/replicas/${name}`));
   }
