--- a/packages/test-fleet/src/commands/processFaultsCommand.ts
+++ b/packages/test-fleet/src/commands/processFaultsCommand.ts
@@ -116,7 +116,7 @@
   const probes = checker.calls.filter((call) => call.sentAt >= startedAt);
   const served = probes.filter((call) => call.outcome === 'whole').length;
   const detail = `${served} of ${probes.length}`;
-  if (served < probes.length * leastServed) run.violations.push({ rule: 'service still mostly absent', detail });
+  if (served < probes.length * leastServed) run.violations.push({ rule: 'service did not recover', detail });
   return detail;
 };
 
--- a/packages/test-fleet/src/faults/cacheFaults.ts
+++ b/packages/test-fleet/src/faults/cacheFaults.ts
@@ -1,4 +1,4 @@
-/** Faults of the cache events that replicas send, and of the store that keeps offloaded cache. */
+/** Faults of the cache events that replicas send, and of the cache store. */
 import type { ReplicaFaults } from '../replica/replicaRecords.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
@@ -12,7 +12,7 @@
     replica?.setFaults({ eventDelayMs: 0, dropsEvents: false });
   });
 
-/** In one half of the cases the store comes back under its old incarnation and unannounced. */
+/** In half of the cases the store restarts with its old incarnation and without an announcement. */
 const restartStore = async (context: FaultContext): Promise<void> => {
   const { fleet, world } = context;
   if (context.random() < 0.5) return context.restartReplica(store);
@@ -35,7 +35,7 @@
   });
 };
 
-/** Gateways must then name no cache that is gone. */
+/** Gateways must not name cache sources whose blocks are lost. */
 export const cacheFaults = {
   'kv news is late': (context) => injectEventFault(context, { eventDelayMs: 3_000 }),
   'kv news is lost': (context) => injectEventFault(context, { dropsEvents: true }),
--- a/packages/test-fleet/src/faults/clockFaults.ts
+++ b/packages/test-fleet/src/faults/clockFaults.ts
@@ -1,4 +1,4 @@
-/** Jumps of wall clocks, and monotonic clocks that stand still in a pause. */
+/** Jumps of wall clocks, and monotonic clocks that stop while a process is frozen. */
 import type { FaultContext, Injections } from './faultContext.js';
 
 const minJumpMs = 2_000;
@@ -15,22 +15,22 @@
   return context.wait(1);
 };
 
-/** In one half of the cases the wall clock jumps, in the other the monotonic clock stood still. */
+/** In half of the cases the wall clock jumps over the pause, in the others the monotonic clock stands still. */
 const jumpOverPause = (context: FaultContext): Promise<void> | null => {
   const isGateway = context.random() < 0.6;
-  const work = async (at: number): Promise<void> => {
+  const inject = async (at: number): Promise<void> => {
     const machine = context.fleet.machineOf(isGateway ? 'gateway' : 'control', at);
     machine.freeze();
     await context.waitBetween(300, 8_000);
-    const keepsWallClock = context.random() < 0.5;
-    if (!keepsWallClock) machine.wallClockOffset += randomJump(context);
-    machine.thaw(keepsWallClock);
+    const stopsMonotonic = context.random() < 0.5;
+    if (!stopsMonotonic) machine.wallClockOffset += randomJump(context);
+    machine.thaw(stopsMonotonic);
     await context.wait(1_000);
   };
-  return isGateway ? context.withRandomGateway(work) : context.withRandomControlNode(work);
+  return isGateway ? context.withRandomGateway(inject) : context.withRandomControlNode(inject);
 };
 
-/** Wall clocks stay wrong to the end of the run. */
+/** Wall clocks keep their offset until the end of the run. */
 export const clockFaults = {
   'clock jumps': jump,
   'clock jumps over a freeze': jumpOverPause,
--- a/packages/test-fleet/src/faults/configurationChanges.ts
+++ b/packages/test-fleet/src/faults/configurationChanges.ts
@@ -1,4 +1,4 @@
-/** Changes of the configuration: plain, conflicting, large, of weights, and with probes at every gateway. */
+/** Configuration changes: simple, conflicting, large, of weights, and with probes at every gateway. */
 import { maxPropagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultContext, Injections } from './faultContext.js';
@@ -7,15 +7,17 @@
 const prober = 'prober';
 const rivalCount = 3;
 const probeRounds = 2;
-const laneCount = 200;
+const manyLanesCount = 200;
 
 const changeTier = async ({ operator, randomInt }: FaultContext): Promise<void> => {
   const base = await operator.readConfiguration();
   await operator.change({ tiers: { prompt: { rank: 0, horizonMs: 8_000 + randomInt(4_000) } } }, base);
 };
 
-/** Sends conflicting changes on one base, each to another control node; at most one may be accepted. */
-const changeByRivals = async ({ checker, operator, state, wait }: FaultContext): Promise<void> => {
+/**
+ * Sends conflicting changes with the same base version, each to a different control node; at most one may be accepted.
+ */
+const sendConflictingChanges = async ({ checker, operator, state, wait }: FaultContext): Promise<void> => {
   const { base } = await operator.readConfiguration();
   const names = Array.from({ length: rivalCount }, () => `rival-${++state.probeCount}`);
   const isAccepted = await Promise.all(
@@ -24,7 +26,8 @@
       return operator.change({ tiers, ...checker.probeChange(name, 'patient', 'freely') }, { at, base });
     }),
   );
-  if (isAccepted.filter(Boolean).length > 1) checker.acceptedChanges.set('two rivals were both accepted', -1);
+  if (isAccepted.filter(Boolean).length > 1)
+    checker.acceptedChanges.set('several conflicting changes were accepted', -1);
   state.lastProbedLane = names.find((_, at) => isAccepted[at]) ?? state.lastProbedLane;
   await wait(maxPropagationMs);
   names.forEach((name, at) => {
@@ -39,16 +42,18 @@
   base: ConfigurationBase,
 ): Promise<void> => {
   const isAccepted = await operator.change(checker.probeChange(lane, 'absent', repeat), base);
-  if (isAccepted) checker.rejectedChangeIds.add('a faulty change was accepted');
+  if (isAccepted) checker.rejectedChangeIds.add('an invalid change was accepted');
 };
 
-/** Probes an accepted lane, an invalid one, and the lane that the accepted one replaced. */
+/**
+ * Probes the lane of an accepted change, the lane of an invalid change, and the lane that the accepted change replaced.
+ */
 const probeChanges = async (context: FaultContext): Promise<void> => {
   const { checker, operator, state } = context;
   const base = await operator.readConfiguration();
   const name = `probe-${++state.probeCount}`;
   const invalidName = `${name}-faulty`;
-  const before = state.lastProbedLane;
+  const replacedLane = state.lastProbedLane;
   const tier = Object.keys(sampleWorkload.tiers)[context.randomInt(3)] as string;
   const repeat = context.random() < 0.5 ? 'once' : 'freely';
   await sendInvalidChange(context, invalidName, repeat, base);
@@ -57,16 +62,16 @@
   for (let round = 0; round < probeRounds; round += 1) {
     await context.wait(maxPropagationMs);
     checker.probeEveryGateway(name, `probe ${name}`, isAccepted, tier, repeat);
-    checker.probeEveryGateway(invalidName, 'a faulty change', false, tier, repeat);
-    if (isAccepted && before.startsWith('probe-'))
-      checker.probeEveryGateway(before, `probe ${name} took ${before} away`, false, tier, repeat);
+    checker.probeEveryGateway(invalidName, 'an invalid change', false, tier, repeat);
+    if (isAccepted && replacedLane.startsWith('probe-'))
+      checker.probeEveryGateway(replacedLane, `probe ${name} replaced ${replacedLane}`, false, tier, repeat);
   }
 };
 
 const addManyLanes = async ({ operator, randomInt }: FaultContext): Promise<void> => {
   const base = await operator.readConfiguration();
   const from = randomInt(100_000);
-  const lanes = Array.from({ length: laneCount }, (_, index) => [
+  const lanes = Array.from({ length: manyLanesCount }, (_, index) => [
     `extra-${from}-${index}`,
     { pool: 'main', repeat: 'freely' },
   ]);
@@ -76,17 +81,17 @@
 const changeWeights = async ({ checker, operator, state, world }: FaultContext): Promise<void> => {
   const base = await operator.readConfiguration();
   const weights = `weights-${++state.weightsCount}`;
-  const marker = { sentAt: world.time, acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
-  checker.weightsChanges.push(marker);
+  const weightsChange = { sentAt: world.time, acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  checker.weightsChanges.push(weightsChange);
   const isAccepted = await operator.change({ pools: { main: { weights } } }, base);
-  if (isAccepted) marker.acknowledgedAt = world.time;
-  else checker.weightsChanges.splice(checker.weightsChanges.indexOf(marker), 1);
+  if (isAccepted) weightsChange.acknowledgedAt = world.time;
+  else checker.weightsChanges.splice(checker.weightsChanges.indexOf(weightsChange), 1);
 };
 
-/** Accepted changes must be in force in time, and rejected ones never. */
+/** Accepted changes must take effect in time, and rejected ones never. */
 export const configurationChanges = {
   'layout changes': changeTier,
-  'rival changes': (context) => context.withClaim(prober, () => changeByRivals(context)),
+  'rival changes': (context) => context.withClaim(prober, () => sendConflictingChanges(context)),
   'layout is probed': (context) => context.withClaim(prober, () => probeChanges(context)),
   'many lanes': addManyLanes,
   'new weights': (context) => context.withClaim('weights', () => changeWeights(context)),
--- a/packages/test-fleet/src/faults/crashes.ts
+++ b/packages/test-fleet/src/faults/crashes.ts
@@ -67,17 +67,17 @@
   }
 };
 
-/** The machines stay down together and are free for other faults only when all of them are up again. */
+/** The machines are down at the same time, and are released for other faults only when all of them are up again. */
 const crashTogether = async (
   context: FaultContext,
   gateways: readonly number[],
   controlNodes: readonly number[],
-  outage: readonly [lowMs: number, highMs: number],
+  outageMs: readonly [lowMs: number, highMs: number],
 ): Promise<void> => {
   const { fleet } = context;
   for (const at of gateways) fleet.killGateway(at);
   for (const at of controlNodes) fleet.killControlNode(at);
-  await context.waitBetween(...outage);
+  await context.waitBetween(...outageMs);
   for (const at of controlNodes) await fleet.bootControlNode(at);
   for (const at of gateways) await fleet.bootGateway(at);
   controlNodes.forEach(context.releaseControlNode);
@@ -95,7 +95,7 @@
   return crashTogether(context, gateways, context.claimControlNodes([zone]), [1_000, 8_000]);
 };
 
-/** What crashes comes back after some seconds. */
+/** The crashed machines restart after a few seconds. */
 export const crashes = {
   'replica crashes': crashReplica,
   'replica vanishes': vanishReplica,
--- a/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
+++ b/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
@@ -1,4 +1,4 @@
-/** Control nodes that crash right after they acknowledged something, in part with the loss of their disk. */
+/** Control nodes that crash right after they acknowledge a change, in some cases with the loss of their disk. */
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultContext, Injections } from './faultContext.js';
 import { startKeyTraffic } from './keyedTraffic.js';
@@ -7,14 +7,14 @@
 
 const acknowledgeChange = async (context: FaultContext, at: number): Promise<void> => {
   const { fleet, operator } = context;
-  const config = await fleet.callControlNode(at, 'GET', '/operator/layout');
+  const current = await fleet.callControlNode(at, 'GET', '/operator/layout');
   const id = `last-word-${operator.nextChangeNumber()}`;
   const response = await fleet.callControlNode(
     at,
     'PATCH',
     '/operator/layout',
     { tiers: { steady: { rank: 1, horizonMs: 20_000 + context.randomInt(1_000) } } },
-    { 'if-match': `"${Number(config.body.generation)}"`, 'change-id': id },
+    { 'if-match': `"${Number(current.body.generation)}"`, 'change-id': id },
   );
   if (response.status === 200) operator.recordAccepted(id, Number(response.body.generation));
 };
@@ -60,7 +60,7 @@
     if (losesDisk) await context.waitUntilVoter(at, votePolls);
   }, true);
 
-/** What was acknowledged must outlast the crash. */
+/** An acknowledged change must survive the crash. */
 export const crashesAfterAcknowledgement = {
   'control node dies having confirmed': crashAfterAcknowledgement,
 } satisfies Injections;
--- a/packages/test-fleet/src/faults/diskFaults.ts
+++ b/packages/test-fleet/src/faults/diskFaults.ts
@@ -1,4 +1,4 @@
-/** Faults of the disks of control nodes. */
+/** Disk faults of control nodes. */
 import type { FaultContext, Injections } from './faultContext.js';
 
 const votePolls = 300;
@@ -19,7 +19,7 @@
     disk.unstall();
   });
 
-/** A restart in between clears both faults as well. */
+/** A restart in the meantime also clears both faults. */
 const failWrites = (context: FaultContext, fault: 'isFull' | 'failsSync'): Promise<void> | null =>
   context.withRandomControlNode(async (at) => {
     const { disk } = context.fleet.machineOf('control', at);
@@ -37,7 +37,7 @@
     disk.faults.delayMs = 0;
   });
 
-/** A lost disk comes back empty; the others recover with what they hold. */
+/** A lost disk comes back empty; the other disks recover with their contents. */
 export const diskFaults = {
   'control node loses its disk': loseDisk,
   'disk stalls': stall,
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -1,4 +1,6 @@
-/** What fault injections work with: the fleet, seeded randomness, virtual time, and claims on what they disturb. */
+/**
+ * The context of fault injections: the fleet, seeded randomness, virtual time, and claims on the parts under a fault.
+ */
 import type { InvariantChecker } from '../invariants/invariantChecker.js';
 import type { Violation } from '../invariants/violation.js';
 import type { SimFleet } from '../simulator/simFleet.js';
@@ -9,120 +11,132 @@
 const votePollMs = 100;
 const controlNodes = [0, 1, 2];
 
-/** Gateways from which injections make names that no other uses. */
+/** Counters with which injections generate unique names. */
 interface RunState {
   weightsCount: number;
   probeCount: number;
-  /** The lane that the prober was last granted. */
+  /** The lane that the probe tenant was granted last. */
   lastProbedLane: string;
   replacementCount: number;
 }
 
-/** Brings one fault about and undoes it; null where what it disturbs is claimed by another fault. */
+/** Injects one fault and ends it; returns null if the target is claimed by another fault. */
 type Injection = (context: FaultContext) => Promise<void> | null;
 
-/** The injections of one module by the kind of fault. */
+/** The injections of one module by kind of fault. */
 export type Injections = { readonly [Kind in FaultKind]?: Injection };
 
-/** Shared by all injections of one run. All randomness comes from the seed, so the order of draws must not change. */
+/**
+ * Shared by all injections of a run. All randomness comes from the seed, so the order of random draws must not change.
+ */
 export class FaultContext {
   /** The simulated world of the fleet. */
   readonly world: SimWorld;
-  /** The operator and platform of the run. */
+  /** The client with which injections act as operator and platform. */
   readonly operator: OperatorClient;
-  /** Violations that injections saw themselves. */
+  /** Violations that injections detected themselves. */
   readonly violations: Violation[] = [];
-  /** Counters that injections share. */
+  /** Counters shared by the injections. */
   readonly state: RunState = { weightsCount: 1, probeCount: 0, lastProbedLane: 'query', replacementCount: 0 };
   private readonly claimed = new Set<string>();
 
   constructor(
     /** The fleet under test. */
     readonly fleet: SimFleet,
-    /** Takes the observations of the run. */
+    /** Collects the observations of the run. */
     readonly checker: InvariantChecker,
   ) {
     this.world = fleet.world;
     this.operator = new OperatorClient(fleet, checker, this.violations);
   }
 
-  /** A number from 0 up to 1. */
+  /** Returns a random number in [0, 1). */
   readonly random = (): number => this.world.random();
 
-  /** A whole number from 0 up to `count`. */
+  /** Returns a random integer in [0, `count`). */
   readonly randomInt = (count: number): number => Math.floor(this.random() * count);
 
-  /** A number from `low` up to `high`. */
+  /** Returns a random number in [`low`, `high`). */
   readonly randomBetween = (low: number, high: number): number => low + this.random() * (high - low);
 
-  /** Waits for virtual milliseconds. */
+  /** Waits for the given virtual milliseconds. */
   readonly wait = (delayMs: number): Promise<void> => this.world.sleep(delayMs);
 
-  /** Waits for a random span of virtual milliseconds. */
+  /** Waits for a random number of virtual milliseconds. */
   readonly waitBetween = (lowMs: number, highMs: number): Promise<void> => this.wait(this.randomBetween(lowMs, highMs));
 
-  /** Takes a part of the fleet for one fault; false where another fault has it. */
+  /** Claims a part of the fleet for one fault; returns false if another fault has claimed it. */
   readonly claim = (part: string): boolean => {
     if (this.claimed.has(part)) return false;
     this.claimed.add(part);
     return true;
   };
 
-  /** Gives a claimed part back. */
+  /** Releases a claimed part. */
   readonly release = (part: string): void => void this.claimed.delete(part);
 
-  /** Runs `work` with a part claimed; null where another fault has it. */
-  readonly withClaim = (part: string, work: () => Promise<void>): Promise<void> | null =>
-    this.claim(part) ? work().finally(() => this.release(part)) : null;
+  /** Runs `inject` with a part claimed; returns null if another fault has claimed it. */
+  readonly withClaim = (part: string, inject: () => Promise<void>): Promise<void> | null =>
+    this.claim(part) ? inject().finally(() => this.release(part)) : null;
 
-  /** Claims those of the gateways that are free. */
-  readonly claimGateways = (among: readonly number[]): number[] => among.filter((at) => this.claim(`counter ${at}`));
+  /** Claims the unclaimed gateways among the given ones, and returns them. */
+  readonly claimGateways = (among: readonly number[]): number[] => among.filter((at) => this.claim(`gateway ${at}`));
 
-  /** Claims those of the control nodes that are free. */
+  /** Claims the unclaimed control nodes among the given ones, and returns them. */
   readonly claimControlNodes = (among: readonly number[] = controlNodes): number[] =>
     among.filter((at) => this.claim(`control node ${at}`));
 
-  /** Gives a claimed gateway back. */
-  readonly releaseGateway = (at: number): void => this.release(`counter ${at}`);
+  /** Releases a claimed gateway. */
+  readonly releaseGateway = (at: number): void => this.release(`gateway ${at}`);
 
-  /** Gives a claimed control node back. */
+  /** Releases a claimed control node. */
   readonly releaseControlNode = (at: number): void => this.release(`control node ${at}`);
 
-  /** The index of every gateway. */
+  /** Returns the index of every gateway. */
   readonly gateways = (): number[] => this.fleet.gatewayHosts.map((_, at) => at);
 
-  /** Disturbs a random replica of any pool. */
-  readonly withRandomReplica = (work: (name: string) => Promise<void>): Promise<void> | null => {
+  /** Injects a fault into a random replica of any pool. */
+  readonly withRandomReplica = (inject: (name: string) => Promise<void>): Promise<void> | null => {
     const names = [...this.fleet.replicaNames(), 'app-1'];
     const name = names[this.randomInt(names.length)] as string;
-    return this.withClaim(name, () => work(name));
+    return this.withClaim(name, () => inject(name));
   };
 
-  /** Disturbs a random gateway. */
-  readonly withRandomGateway = (work: (at: number) => Promise<void>): Promise<void> | null => {
+  /** Injects a fault into a random gateway. */
+  readonly withRandomGateway = (inject: (at: number) => Promise<void>): Promise<void> | null => {
     const at = this.randomInt(this.fleet.options.gatewayCount);
-    return this.withClaim(`counter ${at}`, () => work(at));
+    return this.withClaim(`gateway ${at}`, () => inject(at));
   };
 
-  /** Disturbs a random control node; with `needsCalm` only while no other fault disturbs any of them. */
-  readonly withRandomControlNode = (work: (at: number) => Promise<void>, needsCalm = false): Promise<void> | null => {
+  /**
+   * Injects a fault into a random control node; with `isExclusive` only if no control node has another fault, and
+   * claims all of them.
+   */
+  readonly withRandomControlNode = (
+    inject: (at: number) => Promise<void>,
+    isExclusive = false,
+  ): Promise<void> | null => {
     const at = this.randomInt(controlNodes.length);
-    if (!needsCalm) return this.withClaim(`control node ${at}`, () => work(at));
+    if (!isExclusive) return this.withClaim(`control node ${at}`, () => inject(at));
     if (controlNodes.some((one) => this.claimed.has(`control node ${one}`))) return null;
     this.claimControlNodes();
-    return work(at).finally(() => controlNodes.forEach(this.releaseControlNode));
+    return inject(at).finally(() => controlNodes.forEach(this.releaseControlNode));
   };
 
-  /** Starts a replica anew and announces it. */
+  /** Restarts a replica and announces it. */
   readonly restartReplica = async (name: string): Promise<void> => {
     this.fleet.bootReplica(name);
     await this.operator.retryUntilAccepted((at) => this.fleet.announce(name, at));
   };
 
-  /** @throws Error where the control node does not vote within that many polls of 100 ms */
+  /**
+   * Waits until a control node is a voter.
+   *
+   * @throws Error if it is not within `polls` polls of 100 ms
+   */
   readonly waitUntilVoter = async (at: number, polls: number): Promise<void> => {
     const isVoter = (): boolean => this.fleet.controlNodes[at]?.acceptor.isVoter() === true;
     for (let poll = 0; poll < polls && !isVoter(); poll += 1) await this.wait(votePollMs);
-    if (!isVoter()) throw new Error('the empty control node was never swapped in');
+    if (!isVoter()) throw new Error('the empty control node did not become a voter');
   };
 }
--- a/packages/test-fleet/src/faults/faultInjectionRun.ts
+++ b/packages/test-fleet/src/faults/faultInjectionRun.ts
@@ -1,4 +1,4 @@
-/** One seeded run of faults against the simulated fleet under traffic, checked against the invariants at its end. */
+/** A seeded fault injection run on the simulated fleet under traffic, checked against the invariants at its end. */
 import { InvariantChecker } from '../invariants/invariantChecker.js';
 import { stateViolations } from '../invariants/stateInvariants.js';
 import type { Violation } from '../invariants/violation.js';
@@ -16,24 +16,24 @@
 const tenants = [...sampleWorkload.tenantNames, sampleWorkload.probeTenant];
 const keyedRatePerSecond = 4;
 const extraTrafficMs = 3_000;
-const firstFaultMs = 500;
-const lastFaultShare = 0.7;
-const faultsEndLimitMs = 90_000;
-const lossLimitMs = 60_000;
+const firstFaultDelayMs = 500;
+const lastFaultStartShare = 0.7;
+const faultsEndTimeoutMs = 90_000;
+const lossTimeoutMs = 60_000;
 const probeRatePerSecond = 20;
 const probeMs = 2_000;
-const lastCallsMs = 45_000;
+const maxCallDurationMs = 45_000;
 const minServedShare = 0.8;
 
-/** What one run did and found; equal for equal schedules. */
+/** The result of one run; equal for equal schedules. */
 export interface FaultInjectionReport {
   readonly seed: number;
   /** A digest of all events of the simulation. */
   readonly digest: number;
-  /** How often each kind of fault was injected. */
+  /** Number of injections by kind of fault. */
   readonly injected: Record<string, number>;
   readonly violations: Violation[];
-  /** How many calls ended in which way. */
+  /** Number of calls by outcome. */
   readonly outcomeCounts: Record<string, number>;
   readonly calls: number;
   readonly permanentLoss: PermanentLossKind;
@@ -41,11 +41,11 @@
   readonly shares: readonly ServedShare[];
 }
 
-/** Runs once. The fleet stays readable afterwards. */
+/** Executes one schedule, once. The fleet can still be inspected afterwards. */
 export class FaultInjectionRun {
   /** The fleet under test. */
   readonly fleet: SimFleet;
-  /** How often each kind of fault was injected so far. */
+  /** Number of injections so far by kind of fault. */
   readonly injected: Record<string, number> = {};
   private readonly checker: InvariantChecker;
   private readonly context: FaultContext;
@@ -66,14 +66,18 @@
     this.context = new FaultContext(this.fleet, this.checker);
   }
 
-  /** @throws Error where the fleet does not start, a fault does not end, or a loss cannot be brought about */
+  /**
+   * Runs the schedule.
+   *
+   * @throws Error if the fleet does not start, a fault does not end, or a loss cannot be injected
+   */
   readonly run = async (): Promise<FaultInjectionReport> => {
     const { fleet, checker, schedule } = this;
     await fleet.up();
     for (const tenant of tenants) checker.grant(keyOf(tenant), tenant);
     const permanentLoss = schedule.permanentLoss ?? this.randomLoss();
     await this.runFaults();
-    await fleet.finish(injectPermanentLoss(this.context, permanentLoss), lossLimitMs);
+    await fleet.finish(injectPermanentLoss(this.context, permanentLoss), lossTimeoutMs);
     const recovery = await this.probeRecovery();
     return {
       seed: schedule.seed,
@@ -96,7 +100,7 @@
   private readonly randomLoss = (): PermanentLossKind =>
     permanentLossKinds[this.context.randomInt(permanentLossKinds.length)] as PermanentLossKind;
 
-  /** Starts traffic, injects the faults at random times, and runs until all of them have passed. */
+  /** Starts traffic, injects the faults at random times, and runs until all of them have ended. */
   private readonly runFaults = async (): Promise<void> => {
     const { context, checker, schedule } = this;
     const { world } = this.fleet;
@@ -105,50 +109,50 @@
     checker.startKeyedTraffic(keyedRatePerSecond, spanMs + recoveryLimitMs);
     for (let at = 0; at < faultCount; at += 1) {
       const kind = kinds[context.randomInt(kinds.length)] as FaultKind;
-      const delayMs = context.randomBetween(firstFaultMs, spanMs * lastFaultShare);
+      const delayMs = context.randomBetween(firstFaultDelayMs, spanMs * lastFaultStartShare);
       world.schedule(null, delayMs, () => this.inject(kind));
     }
     await world.run(spanMs);
-    await world.until('the faults to pass', () => this.activeFaults.size === 0, faultsEndLimitMs);
+    await world.until('the faults to end', () => this.activeFaults.size === 0, faultsEndTimeoutMs);
     world.healAll();
   };
 
   private readonly inject = (kind: FaultKind): void => {
-    const work = injections[kind](this.context);
-    if (work === null) return;
+    const injection = injections[kind](this.context);
+    if (injection === null) return;
     this.injected[kind] = (this.injected[kind] ?? 0) + 1;
     const from = this.fleet.world.time;
-    const tracked = work.finally(() => {
+    const tracked = injection.finally(() => {
       this.intervals.push({ kind, from, to: this.fleet.world.time });
       this.activeFaults.delete(tracked);
     });
     this.activeFaults.add(tracked);
   };
 
-  /** After the time to settle, sends traffic and runs until the last call must have ended. */
+  /** After the recovery time, sends traffic and runs until the last call must have ended. */
   private readonly probeRecovery = async (): Promise<Violation[]> => {
     const { world } = this.fleet;
-    const healedAt = world.time;
+    const faultsEndedAt = world.time;
     await world.run(recoveryLimitMs);
     const probesStartedAt = world.time;
     this.checker.startTraffic(probeRatePerSecond, probeMs);
-    await world.run(lastCallsMs);
+    await world.run(maxCallDurationMs);
     return [
-      ...this.serviceViolations(healedAt, probesStartedAt),
+      ...this.serviceViolations(faultsEndedAt, probesStartedAt),
       ...this.openCallViolations(),
-      ...this.generationViolations(),
+      ...this.logIndexViolations(),
     ];
   };
 
-  private readonly serviceViolations = (healedAt: number, probesStartedAt: number): Violation[] => {
+  private readonly serviceViolations = (faultsEndedAt: number, probesStartedAt: number): Violation[] => {
     const probes = this.checker.calls.filter(
       (call) => call.sentAt >= probesStartedAt && call.sentAt < probesStartedAt + probeMs,
     );
     const served = probes.filter((call) => call.outcome === 'whole').length;
     if (served >= probes.length * minServedShare) return [];
-    const sinceMs = Math.round(probesStartedAt - healedAt);
-    const detail = `${served} of ${probes.length} whole ${sinceMs} ms after healing`;
-    return [{ rule: 'service still mostly absent', detail }];
+    const sinceMs = Math.round(probesStartedAt - faultsEndedAt);
+    const detail = `${served} of ${probes.length} calls complete ${sinceMs} ms after the faults ended`;
+    return [{ rule: 'service did not recover', detail }];
   };
 
   private readonly openCallViolations = (): Violation[] =>
@@ -156,11 +160,11 @@
       .filter((call) => call.outcome === 'open')
       .map((call) => ({ rule: 'a call never ended', detail: call.requestId }));
 
-  private readonly generationViolations = (): Violation[] => {
+  private readonly logIndexViolations = (): Violation[] => {
     const { gateways } = this.fleet;
-    const generations = new Set(this.checker.liveGateways().map((at) => gateways[at]?.stateView.logIndex()));
-    if (generations.size === 1) return [];
-    const detail = `counters hold generations ${[...generations].join(', ')}`;
-    return [{ rule: 'an accepted change is not in force', detail }];
+    const logIndexes = new Set(this.checker.liveGateways().map((at) => gateways[at]?.stateView.logIndex()));
+    if (logIndexes.size === 1) return [];
+    const detail = `gateways have log indexes ${[...logIndexes].join(', ')}`;
+    return [{ rule: 'an accepted change is not in effect', detail }];
   };
 }
--- a/packages/test-fleet/src/faults/faultSchedule.ts
+++ b/packages/test-fleet/src/faults/faultSchedule.ts
@@ -1,8 +1,8 @@
-/** The kinds of faults, and what a fault-injection run is made of. */
+/** The kinds of faults, and the schedule of a fault injection run. */
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { SimFleetOptions } from '../simulator/simFleet.js';
 
-/** Every kind of fault that passes again, as the user names it in `--only`. */
+/** The kinds of temporary faults, as named in the option `--only`. */
 export const faultKinds = [
   'replica crashes',
   'replica vanishes',
@@ -54,7 +54,7 @@
   'layout is probed',
 ] as const;
 
-/** What may be lost for good at the end of a run, as the user names it in `--final`. */
+/** The kinds of permanent loss at the end of a run, as named in the option `--final`. */
 export const permanentLossKinds = [
   'counter lost for good',
   'front of a zone lost for good',
@@ -69,22 +69,22 @@
 /** See `faultKinds`. */
 export type FaultKind = (typeof faultKinds)[number];
 
-/** A run; what is left out has a default or is drawn by the seed. */
+/** The schedule of a run; omitted fields have a default or are drawn from the seed. */
 export interface FaultSchedule {
   readonly seed: number;
-  /** The kinds that are drawn from; all by default. */
+  /** The kinds from which faults are drawn; all by default. */
   readonly kinds?: readonly FaultKind[];
-  /** How many faults are drawn; those that another fault blocks are left out. */
+  /** Number of faults drawn; a fault whose target is claimed by another fault is skipped. */
   readonly faultCount?: number;
   readonly ratePerSecond?: number;
-  /** Virtual milliseconds in the first part of which faults begin. */
+  /** Virtual milliseconds under faults; faults start in the first 70 %. */
   readonly spanMs?: number;
   readonly gatewayCount?: number;
   readonly replicaCount?: number;
   /** The share of requests with long prompts. */
   readonly longShare?: number;
   readonly permanentLoss?: PermanentLossKind;
-  /** Changes the fleet, so that tests can break the product and see that it is noticed. */
+  /** Changes to the fleet, with which tests break an invariant on purpose to check that it is detected. */
   readonly overrides?: Partial<SimFleetOptions>;
 }
 
@@ -97,11 +97,11 @@
 
 const noIsolationSeedInterval = 3;
 
-/** The configuration that runs begin with; with one seed in three no tenant is isolated. */
+/** Returns the initial configuration of a run; with every third seed no tenant is isolated. */
 export const initialConfiguration = (seed: number): Record<string, unknown> => {
   const config = sampleWorkload.config('weights-1');
   const tenants = config.tenants as Record<string, Record<string, unknown>>;
-  const isApart = seed % noIsolationSeedInterval !== 0;
+  const hasIsolation = seed % noIsolationSeedInterval !== 0;
   return {
     ...config,
     pools: { main: { weights: 'weights-1', slots: 8, store: 'store-1' }, app: { weights: 'app-1', slots: 32 } },
@@ -109,7 +109,7 @@
       ...Object.fromEntries(
         Object.entries(tenants).map(([name, tenant]) => [
           name,
-          { ...tenant, isolated: isApart && tenant.isolated === true },
+          { ...tenant, isolated: hasIsolation && tenant.isolated === true },
         ]),
       ),
       [sampleWorkload.probeTenant]: { tier: 'patient', lanes: ['query'] },
--- a/packages/test-fleet/src/faults/gracefulShutdowns.ts
+++ b/packages/test-fleet/src/faults/gracefulShutdowns.ts
@@ -1,4 +1,4 @@
-/** Graceful shutdowns: replicas that drain, and gateways and control nodes that are told to stop. */
+/** Graceful shutdowns: replicas that drain, and gateways and control nodes that are stopped. */
 import type { FaultContext, Injections } from './faultContext.js';
 
 const drain = async (context: FaultContext, name: string): Promise<void> => {
@@ -29,7 +29,7 @@
   }
 };
 
-/** In one half of the cases the gateway is killed before it has drained. */
+/** In half of the cases the gateway is killed, possibly before it has drained. */
 const stopGateway = (context: FaultContext): Promise<void> | null =>
   context.withRandomGateway(async (at) => {
     const { fleet } = context;
@@ -43,7 +43,7 @@
 const stopControlNode = (context: FaultContext): Promise<void> | null =>
   context.withRandomControlNode((at) => context.fleet.restartControlNode(at));
 
-/** What stops is started again. */
+/** The stopped processes are started again. */
 export const gracefulShutdowns = {
   'replica leaves': drainReplica,
   'replicas are replaced in turn': replaceReplicasInTurn,
--- a/packages/test-fleet/src/faults/injections.ts
+++ b/packages/test-fleet/src/faults/injections.ts
@@ -1,4 +1,4 @@
-/** The injection of every kind of fault. */
+/** The injection for every kind of fault. */
 import { cacheFaults } from './cacheFaults.js';
 import { clockFaults } from './clockFaults.js';
 import { configurationChanges } from './configurationChanges.js';
@@ -13,7 +13,7 @@
 import { responseFaults } from './responseFaults.js';
 import { tenantChanges } from './tenantChanges.js';
 
-/** The compiler checks that no kind lacks its injection. */
+/** All injections by kind; the compiler checks that no kind is missing. */
 export const injections: Required<Injections> = {
   ...cacheFaults,
   ...clockFaults,
--- a/packages/test-fleet/src/faults/keyedTraffic.ts
+++ b/packages/test-fleet/src/faults/keyedTraffic.ts
@@ -1,8 +1,8 @@
-/** Steady requests under one key, which injections start before they revoke it. */
+/** Requests at a fixed interval with one API key, which injections start before they revoke the key. */
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultContext } from './faultContext.js';
 
-/** How the requests are sent; the tenant may change while they are. */
+/** The parameters of the requests; the expected tenant may change while they are sent. */
 export interface KeyTraffic {
   readonly key: string;
   tenant: string;
@@ -11,7 +11,7 @@
   readonly longShare: number;
 }
 
-/** Starts sending to random gateways and returns at once. */
+/** Starts sending to random gateways and returns immediately. */
 export const startKeyTraffic = ({ checker, world, random, randomInt }: FaultContext, traffic: KeyTraffic): void => {
   const stopAt = world.time + traffic.durationMs;
   const sendNext = (): void => {
--- a/packages/test-fleet/src/faults/memberReplacements.ts
+++ b/packages/test-fleet/src/faults/memberReplacements.ts
@@ -1,4 +1,4 @@
-/** Control nodes that come back empty at another address, under the same name or a new one. */
+/** Control nodes that are replaced by an empty one at another address, with the same name or a new one. */
 import type { FaultContext, Injections } from './faultContext.js';
 
 const votePolls = 600;
@@ -11,7 +11,7 @@
     await context.waitUntilVoter(at, votePolls);
   }, true);
 
-/** The newcomer must be voted in. */
+/** The replacement must become a voter. */
 export const memberReplacements = {
   'control node returns empty elsewhere': (context) => replace(context, false),
   'control node is swapped for a stranger': (context) => replace(context, true),
--- a/packages/test-fleet/src/faults/networkPartitions.ts
+++ b/packages/test-fleet/src/faults/networkPartitions.ts
@@ -13,10 +13,10 @@
   context: FaultContext,
   host: string,
   others: readonly string[],
-  span: readonly [lowMs: number, highMs: number],
+  durationMs: readonly [lowMs: number, highMs: number],
 ): Promise<void> => {
   for (const other of others) context.world.partition(host, other);
-  await context.waitBetween(...span);
+  await context.waitBetween(...durationMs);
   for (const other of others) context.world.heal(host, other);
 };
 
@@ -76,7 +76,7 @@
     replica?.setFaults({ pullDelayMs: 0 });
   });
 
-/** Each heals after some seconds. */
+/** Each partition or delay ends after a few seconds. */
 export const networkPartitions = {
   'counter is isolated': isolateGateway,
   'counter hears a minority': partitionGatewayFromMajority,
--- a/packages/test-fleet/src/faults/operatorClient.ts
+++ b/packages/test-fleet/src/faults/operatorClient.ts
@@ -1,4 +1,7 @@
-/** Operator and platform of a fault-injection run: changes, grants and drain notices, retried until they are accepted. */
+/**
+ * Acts as operator and platform in a fault injection run: sends changes, grants and drain notices until they are
+ * accepted.
+ */
 import type { InvariantChecker } from '../invariants/invariantChecker.js';
 import { maxPropagationMs } from '../invariants/observations.js';
 import type { Grant } from '../invariants/observations.js';
@@ -12,18 +15,18 @@
 const changeRetryMs = 150;
 const rejectedStatuses = new Set([409, 422]);
 
-/** A version of the configuration and the control node that told it. */
+/** A configuration version and the control node that returned it. */
 export interface ConfigurationBase {
   readonly at: number;
   readonly base: number;
 }
 
-/** Notes with the checker what was accepted, rejected and granted. */
+/** Sends requests to control nodes, and records accepted changes, rejected changes and grants with the checker. */
 export class OperatorClient {
   private readonly world: SimWorld;
   private changeCount = 0;
 
-  /** @param violations takes accepted changes that are not in force in time */
+  /** @param violations receives a violation for each accepted change that does not take effect in time */
   constructor(
     private readonly fleet: SimFleet,
     private readonly checker: InvariantChecker,
@@ -32,39 +35,43 @@
     this.world = fleet.world;
   }
 
-  private readonly anyNode = (): number => Math.floor(this.world.random() * controlNodeCount);
+  private readonly randomNode = (): number => Math.floor(this.world.random() * controlNodeCount);
 
-  /** How many changes were made, for names that no other change has. */
+  /** Returns the number of changes so far, for unique names. */
   readonly lastChangeNumber = (): number => this.changeCount;
 
-  /** Counts a change that is made elsewhere. */
+  /** Counts one more change and returns its number. */
   readonly nextChangeNumber = (): number => ++this.changeCount;
 
-  /** @throws Error where no control node accepts within 200 attempts */
+  /**
+   * Sends a request to random control nodes until one accepts it.
+   *
+   * @throws Error if none accepts within 200 attempts
+   */
   readonly retryUntilAccepted = async (send: (at: number) => Promise<{ status: number }>): Promise<void> => {
     for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
-      const response = await send(this.anyNode());
+      const response = await send(this.randomNode());
       if (response.status === 200) return;
       await this.world.sleep(retryMs);
     }
     throw new Error('no control node accepted the request');
   };
 
-  /** Asks until a control node tells the version of the layout. */
+  /** Reads the current configuration version from a random control node; retries until one responds. */
   readonly readConfiguration = async (): Promise<ConfigurationBase> => {
     for (;;) {
-      const at = this.anyNode();
-      const config = await this.fleet.callControlNode(at, 'GET', '/operator/layout');
-      if (config.status === 200) return { at, base: Number(config.body.generation) };
+      const at = this.randomNode();
+      const current = await this.fleet.callControlNode(at, 'GET', '/operator/layout');
+      if (current.status === 200) return { at, base: Number(current.body.generation) };
       await this.world.sleep(retryMs);
     }
   };
 
-  /** Sends a change until it is accepted (true) or rejected (false). */
+  /** Sends a change until it is accepted (returns true) or rejected (returns false). */
   readonly change = async (part: Record<string, unknown>, { at, base }: ConfigurationBase): Promise<boolean> => {
     const id = `change-${this.nextChangeNumber()}`;
     const headers = { 'if-match': `"${base}"`, 'change-id': id };
-    for (let node = at; ; node = this.anyNode()) {
+    for (let node = at; ; node = this.randomNode()) {
       const response = await this.fleet.callControlNode(node, 'PATCH', '/operator/layout', part, headers);
       if (response.status === 200) {
         this.recordAccepted(id, Number(response.body.generation));
@@ -78,23 +85,26 @@
     }
   };
 
-  /** Notes an accepted change and checks in time whether gateways serve under it. */
+  /** Records an accepted change, and checks after the propagation time that every up-to-date gateway applies it. */
   readonly recordAccepted = (id: string, logIndex: number): void => {
     this.checker.acceptedChanges.set(id, logIndex);
-    this.world.schedule(null, maxPropagationMs, () => this.checkInForce(id, logIndex));
+    this.world.schedule(null, maxPropagationMs, () => this.checkInEffect(id, logIndex));
   };
 
-  private readonly checkInForce = (id: string, logIndex: number): void => {
+  private readonly checkInEffect = (id: string, logIndex: number): void => {
     this.fleet.gateways.forEach((gateway, at) => {
       if (gateway === null || !gateway.freshness.isFresh() || gateway.stateView.logIndex() >= logIndex) return;
       this.violations.push({
-        rule: 'an accepted change is not in force',
-        detail: `${id}: counter ${at + 1} serves under ${gateway.stateView.logIndex()}, not ${logIndex}, after ${maxPropagationMs} ms`,
+        rule: 'an accepted change is not in effect',
+        detail: `${id}: gateway ${at + 1} is at log index ${gateway.stateView.logIndex()}, not ${logIndex}, after ${maxPropagationMs} ms`,
       });
     });
   };
 
-  /** Grants a key; `entry` makes a tenant of the configuration for it, `prefix` tells a repeated grant apart. */
+  /**
+   * Grants a key; `entry` also adds the tenant to the configuration, `prefix` distinguishes the change id of a repeated
+   * grant.
+   */
   readonly grant = async (
     key: string,
     tenant: string,
@@ -108,19 +118,19 @@
     return grant;
   };
 
-  /** Asks one control node to revoke a key. */
+  /** Sends the revocation of a key to one control node. */
   readonly revokeAt = (at: number, key: string): Promise<{ readonly status: number }> =>
     this.fleet.callControlNode(at, 'POST', '/platform/keys/revoke', { key }, { 'change-id': `revoke-${key}` });
 
-  /** Asks one control node to drain a replica. */
+  /** Sends a drain notice for a replica to one control node. */
   readonly drainAt = (at: number, name: string): Promise<{ readonly status: number }> =>
     this.fleet.callControlNode(at, 'POST', `/platform/replicas/${name}/leaving`);
 
-  /** Notes that the running incarnation of a replica drains from now on. */
+  /** Records that an incarnation of a replica, by default the running one, is draining from now on. */
   readonly recordDraining = (name: string, incarnation = this.fleet.incarnationOf(name)): void =>
     void this.checker.drainNotices.push({ name, incarnation, at: this.world.time });
 
-  /** Takes a replica off the list. */
+  /** Removes a replica. */
   readonly removeReplica = (name: string): Promise<void> =>
     this.retryUntilAccepted((at) => this.fleet.callControlNode(at, 'DELETE', `/platform/replicas/${name}`));
 }
--- a/packages/test-fleet/src/faults/permanentLosses.ts
+++ b/packages/test-fleet/src/faults/permanentLosses.ts
@@ -1,4 +1,4 @@
-/** What never comes back: at the end of each run a part of the fleet may be lost for good. */
+/** Permanent losses: a part of the fleet may be lost permanently at the end of a run. */
 import type { FaultContext } from './faultContext.js';
 import type { PermanentLossKind } from './faultSchedule.js';
 
@@ -17,7 +17,7 @@
   return name;
 };
 
-/** Brings the loss about; the service must go on without what was lost. */
+/** Injects the loss; the rest of the fleet must continue to serve. */
 export const injectPermanentLoss = async (context: FaultContext, kind: PermanentLossKind): Promise<void> => {
   const { fleet, randomInt } = context;
   switch (kind) {
--- a/packages/test-fleet/src/faults/processPauses.ts
+++ b/packages/test-fleet/src/faults/processPauses.ts
@@ -2,9 +2,9 @@
 import type { SimMachine } from '../simulator/simMachine.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
-const pause = async (context: FaultContext, machine: SimMachine, longestMs: number): Promise<void> => {
+const pause = async (context: FaultContext, machine: SimMachine, maxPauseMs: number): Promise<void> => {
   machine.freeze();
-  await context.waitBetween(500, longestMs);
+  await context.waitBetween(500, maxPauseMs);
   machine.thaw();
 };
 
@@ -17,7 +17,7 @@
 const pauseControlNode = (context: FaultContext): Promise<void> | null =>
   context.withRandomControlNode((at) => pause(context, context.fleet.machineOf('control', at), 8_000));
 
-/** The process goes on afterwards as if no time had passed. */
+/** The process continues afterwards as if no time had passed. */
 export const processPauses = {
   'replica freezes': pauseReplica,
   'counter freezes': pauseGateway,
--- a/packages/test-fleet/src/faults/responseFaults.ts
+++ b/packages/test-fleet/src/faults/responseFaults.ts
@@ -1,4 +1,4 @@
-/** Faults in what replicas answer: error statuses, truncated streams, missing end markers, wrong weights. */
+/** Faults in the responses of replicas: error statuses, truncated streams, missing end markers, wrong weights. */
 import type { ReplicaFaults } from '../replica/replicaRecords.js';
 import type { FaultContext, Injections } from './faultContext.js';
 
@@ -16,11 +16,11 @@
 
 type ResponseFaults = { [K in keyof typeof noFault]?: ReplicaFaults[K] };
 
-/** Clears what `faults` sets and nothing else, since another injection may have set the rest. */
+/** Returns the settings that clear the given faults only, since another injection may have set the others. */
 const cleared = (faults: ResponseFaults): ResponseFaults =>
   Object.fromEntries(Object.entries(noFault).filter(([name]) => name in faults));
 
-/** `draw` is called only where the replica runs, so that each seed keeps its sequence of random numbers. */
+/** `draw` is called only if the replica is running, so that each seed keeps its sequence of random numbers. */
 const injectOnReplica = (context: FaultContext, draw: () => ResponseFaults): Promise<void> | null =>
   context.withRandomReplica(async (name) => {
     const replica = context.fleet.runningReplicas.get(name);
@@ -50,7 +50,7 @@
     truncateAfterChunks: context.random() < 0.5 ? context.randomInt(maxChunksBeforeTruncation) : null,
   }));
 
-/** Replicas answer well again after some seconds. */
+/** Replicas respond correctly again after a few seconds. */
 export const responseFaults = {
   'replica errs': fail,
   'whole pool errs': failPool,
--- a/packages/test-fleet/src/faults/serviceReport.ts
+++ b/packages/test-fleet/src/faults/serviceReport.ts
@@ -1,31 +1,31 @@
-/** How well callers were served while faults lasted and after them. */
+/** Measures how well callers were served during and after faults. */
 import type { Call } from '../workload/callSender.js';
 import { keyOf, sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultKind } from './faultSchedule.js';
 
-/** Milliseconds after which service must have recovered from a fault. */
+/** Milliseconds within which service must recover from a fault. */
 export const recoveryLimitMs = 12_000;
 const serviceShare = 0.9;
 const serviceWindowMs = 1_000;
-const windowStepMs = 100;
+const serviceWindowStepMs = 100;
 
-/** The span of one injected fault, in virtual milliseconds. */
+/** The start and end of one injected fault, in virtual milliseconds. */
 export interface FaultInterval {
   readonly kind: FaultKind;
   readonly from: number;
   readonly to: number;
 }
 
-/** A fault and the milliseconds until nine in ten calls of a second were served again; null: not within 12 s. */
+/** A fault and the time until 90 % of the calls of one second were served again; null if not within 12 s. */
 export interface RecoveredInterval extends FaultInterval {
   readonly recoveryMs: number | null;
 }
 
-/** The calls of a tier that were answered whole, and all of them, while faults lasted and after the last. */
+/** The number of completely served calls of a tier and of all its calls, during faults and between or after them. */
 export interface ServedShare {
   readonly tier: string;
-  readonly during: readonly [whole: number, all: number];
-  readonly after: readonly [whole: number, all: number];
+  readonly during: readonly [served: number, all: number];
+  readonly after: readonly [served: number, all: number];
 }
 
 const isServed = (call: Call): boolean => call.outcome === 'whole';
@@ -39,14 +39,18 @@
   !call.isAborted;
 
 const recoveryTime = (calls: readonly Call[], endedAt: number): number | null => {
-  for (let at = endedAt; at < endedAt + recoveryLimitMs; at += windowStepMs) {
-    const inWindow = calls.filter((call) => call.sentAt >= at && call.sentAt < at + serviceWindowMs);
-    if (inWindow.length > 0 && inWindow.filter(isServed).length >= inWindow.length * serviceShare) return at - endedAt;
+  for (let at = endedAt; at < endedAt + recoveryLimitMs; at += serviceWindowStepMs) {
+    const callsInWindow = calls.filter((call) => call.sentAt >= at && call.sentAt < at + serviceWindowMs);
+    if (callsInWindow.length > 0 && callsInWindow.filter(isServed).length >= callsInWindow.length * serviceShare)
+      return at - endedAt;
   }
   return null;
 };
 
-/** Adds the time of recovery to each fault; probes, keyed, aborted and unauthorized calls do not count. */
+/**
+ * Adds the recovery time to each fault; probes, aborted calls and calls with idempotency or other API keys do not
+ * count.
+ */
 export const recoveredIntervals = (
   calls: readonly Call[],
   intervals: readonly FaultInterval[],
@@ -55,7 +59,7 @@
   return intervals.map((interval) => ({ ...interval, recoveryMs: recoveryTime(ordinary, interval.to) }));
 };
 
-/** The shares of each tier that had calls; the same calls count as for recovery. */
+/** Returns the served share of each tier that had calls; counts the same calls as `recoveredIntervals`. */
 export const servedShares = (calls: readonly Call[], intervals: readonly FaultInterval[]): ServedShare[] => {
   const ordinary = calls.filter(isOrdinary);
   const isDuring = (call: Call): boolean => intervals.some(({ from, to }) => call.sentAt >= from && call.sentAt <= to);
--- a/packages/test-fleet/src/faults/tenantChanges.ts
+++ b/packages/test-fleet/src/faults/tenantChanges.ts
@@ -1,4 +1,4 @@
-/** Keys that are granted, revoked and granted anew, while requests are sent under them. */
+/** Keys that are granted, revoked and granted again while requests are sent with them. */
 import { sampleWorkload } from '../workload/sampleDeployments.js';
 import type { FaultContext, Injections } from './faultContext.js';
 import { startKeyTraffic } from './keyedTraffic.js';
@@ -28,7 +28,7 @@
   await context.wait(3_000);
 };
 
-/** A revoked key must soon run nothing, and one granted anew only for its new tenant. */
+/** Requests with a revoked key must soon stop running; a key granted again must only run for its new tenant. */
 export const tenantChanges = {
   'key is revoked': (context) => grantAndRevoke(context, false),
   'new client with a new tenant': (context) => grantAndRevoke(context, true),
--- a/packages/test-fleet/src/index.ts
+++ b/packages/test-fleet/src/index.ts
@@ -1,4 +1,7 @@
-/** The test fleet: the simulator, fault injection, invariants, capacity figures and the handling of known failures. */
+/**
+ * The test fleet: simulator, fault injection, invariant checks, capacity measurements and the handling of known
+ * failures.
+ */
 export { fits } from './capacity/curveFit.js';
 export type { Point } from './capacity/curveFit.js';
 export { capacityEstimates, capacityModel } from './capacity/model.js';
--- a/packages/test-fleet/src/invariants/draining.ts
+++ b/packages/test-fleet/src/invariants/draining.ts
@@ -1,19 +1,19 @@
-/** Draining: a replica that was told to leave gets no new requests once the notice has spread. */
+/** Draining: a draining replica gets no new requests once the drain notice has propagated. */
 import type { Evidence } from './observations.js';
 import type { Violation } from './violation.js';
 
-/** Milliseconds in which every gateway must know that a replica drains. */
+/** Time within which every gateway must know that a replica is draining. */
 const drainNoticeMs = 3_000;
 
 /** Checks the start of every run against the drain notices. */
 export const drainingViolations = (evidence: Evidence): Violation[] =>
   evidence.runs.flatMap((run): Violation[] => {
-    const drained = evidence.observations.drainNotices.find(
+    const notice = evidence.observations.drainNotices.find(
       (one) => one.name === run.replica && one.incarnation === run.incarnation,
     );
-    if (drained === undefined || run.startedAt <= drained.at + drainNoticeMs) return [];
-    const lateMs = Math.round(run.startedAt - drained.at);
+    if (notice === undefined || run.startedAt <= notice.at + drainNoticeMs) return [];
+    const lateMs = Math.round(run.startedAt - notice.at);
     return [
-      { rule: 'a leaving replica got a request', detail: `${run.requestId} on ${run.replica} ${lateMs} ms after` },
+      { rule: 'a draining replica got a request', detail: `${run.requestId} on ${run.replica} ${lateMs} ms after` },
     ];
   });
--- a/packages/test-fleet/src/invariants/invariantChecker.ts
+++ b/packages/test-fleet/src/invariants/invariantChecker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a fleet from outside: sends traffic as callers do, notes what operators were told, and compares both with what
- * the replicas recorded. It sees nothing of the fleet's own state, so that it holds for any implementation.
+ * Checks a fleet from outside: sends traffic as callers do, records the responses to operators, and compares both with
+ * the records of the replicas. It does not read the state of the fleet, so that it works with any implementation.
  */
 import { CallSender } from '../workload/callSender.js';
 import type { Call } from '../workload/callSender.js';
@@ -38,16 +38,16 @@
   readonly drainNotices: DrainNotice[] = [];
   /** The log position at which each accepted change was acknowledged, by its change id. */
   readonly acceptedChanges = new Map<string, number>();
-  /** The change ids that were rejected. */
+  /** The ids of rejected changes. */
   readonly rejectedChangeIds = new Set<string>();
-  /** The indices of the gateways that never come back. */
+  /** The indices of the permanently lost gateways. */
   readonly lostGateways = new Set<number>();
   /** All calls in the order in which they were sent. */
   readonly calls: readonly Call[];
   private readonly sender: CallSender;
   private readonly generator: TrafficGenerator;
 
-  /** @param salt tells the request ids of several runs against the same replicas apart */
+  /** @param salt distinguishes the request ids of several runs against the same replicas */
   constructor(
     private readonly fleet: ObservedFleet,
     salt = '',
@@ -70,30 +70,33 @@
   readonly send: CallSender['send'];
   /** Starts ordinary traffic; see `TrafficGenerator`. */
   readonly startTraffic: TrafficGenerator['start'];
-  /** Starts traffic under idempotency keys; see `TrafficGenerator`. */
+  /** Starts traffic with idempotency keys; see `TrafficGenerator`. */
   readonly startKeyedTraffic: TrafficGenerator['startKeyed'];
 
-  /** The indices of the gateways that are not lost for good. */
+  /** Returns the indices of the gateways that are not permanently lost. */
   readonly liveGateways = (): number[] =>
     this.fleet.gatewayHosts.map((_, at) => at).filter((at) => !this.lostGateways.has(at));
 
-  /** Every run that any replica recorded so far. */
+  /** Returns every run that any replica recorded so far. */
   readonly allRuns = (): ObservedRun[] => observedRuns(this.fleet);
 
-  /** Notes that a key is valid for a tenant from now on; the caller sets `to` once it is revoked. */
+  /** Records that a key is valid for a tenant from now on; the caller sets `validUntil` once the key is revoked. */
   readonly grant = (key: string, tenant: string): Grant => {
     const grant: Grant = { tenant, validFrom: this.fleet.now(), validUntil: Number.POSITIVE_INFINITY };
     this.grantsByKey.set(key, [...(this.grantsByKey.get(key) ?? []), grant]);
     return grant;
   };
 
-  /** The change of the configuration that `probeEveryGateway` looks for. */
+  /** Returns the configuration change whose effect `probeEveryGateway` checks: a lane, granted to the probe tenant. */
   readonly probeChange = (lane: string, tier: string, repeat: 'once' | 'freely'): Record<string, unknown> => ({
     lanes: { [lane]: { pool: 'main', repeat } },
     tenants: { [sampleWorkload.probeTenant]: { tier, lanes: [lane] } },
   });
 
-  /** Sends one request for the lane to every live gateway, which must run at the tier or, if not wanted, not at all. */
+  /**
+   * Sends one request for the lane to every live gateway; it must run with the priority of the tier or, unless
+   * `shouldRun`, not at all.
+   */
   readonly probeEveryGateway = (
     lane: string,
     change: string,
@@ -113,13 +116,13 @@
     }
   };
 
-  /** Every breach of a rule so far. */
+  /** Returns every violation so far. */
   readonly violations = (): Violation[] => {
     const evidence = new Evidence(this, this.fleet);
     return checks.flatMap((check) => check(evidence));
   };
 
-  /** How many calls ended in which way. */
+  /** Returns the number of calls by outcome; rejections are counted by code. */
   readonly outcomeCounts = (): Record<string, number> => {
     const counts: Record<string, number> = {};
     for (const call of this.calls) {
--- a/packages/test-fleet/src/invariants/observations.ts
+++ b/packages/test-fleet/src/invariants/observations.ts
@@ -1,9 +1,9 @@
-/** What a test run did and saw: the evidence that the invariants are checked against. */
+/** The actions and observations of a test run, against which the invariants are checked. */
 import type { Call } from '../workload/callSender.js';
 import { poolOfReplica } from './observedFleet.js';
 import type { ObservedFleet, ObservedRun } from './observedFleet.js';
 
-/** A key that is valid for one tenant in a span of time. */
+/** A period in which a key is valid for one tenant. */
 export interface Grant {
   readonly tenant: string;
   /** Milliseconds of the fleet's clock. */
@@ -12,56 +12,56 @@
   validUntil: number;
 }
 
-/** A call sent after a change of the configuration, to see whether the change is in force. */
+/** A call sent after a configuration change to check whether the change is in effect. */
 export interface Probe {
   readonly call: Call;
   readonly change: string;
-  /** False for a change that was rejected: its call must not run. */
+  /** False for a rejected change, whose call must not run. */
   readonly shouldRun: boolean;
   readonly priority: number;
   readonly repeat: 'once' | 'freely';
 }
 
-/** A change of the weights that a pool runs. */
+/** A change of the weights of a pool. */
 export interface WeightsChange {
-  /** When the change was sent. */
+  /** Time at which the change was sent. */
   readonly sentAt: number;
-  /** When it was acknowledged; infinite until then. */
+  /** Time at which it was acknowledged; infinite until then. */
   acknowledgedAt: number;
   readonly pool: string;
   readonly weights: string;
 }
 
-/** A replica incarnation that was told to drain, and when. */
+/** A drain notice for a replica incarnation, with its time. */
 export interface DrainNotice {
   readonly name: string;
   readonly incarnation: number;
   readonly at: number;
 }
 
-/** Milliseconds in which an acknowledged change must have reached every gateway. */
+/** Time within which an acknowledged change must reach every gateway. */
 export const maxPropagationMs = 2_000;
 
-/** Records that accumulate over a run. */
+/** The records of a run so far. */
 export interface Observations {
   readonly calls: readonly Call[];
   readonly weightsChanges: readonly WeightsChange[];
-  /** The grants of each key in turn; an empty list for a key that was never granted. */
+  /** The grants of each key in order; an empty list for a key that was never granted. */
   readonly grantsByKey: ReadonlyMap<string, readonly Grant[]>;
   readonly probes: readonly Probe[];
   readonly drainNotices: readonly DrainNotice[];
 }
 
-/** The observations together with the replicas' records, indexed for the checks. */
+/** Combines the observations with the records of the replicas, indexed for the checks. */
 export class Evidence {
   /** Every run that any replica recorded. */
   readonly runs: readonly ObservedRun[];
   private readonly byRequest = new Map<string, ObservedRun[]>();
 
   constructor(
-    /** What the run did and saw. */
+    /** The observations of the run. */
     readonly observations: Observations,
-    /** The fleet whose replicas were read. */
+    /** The fleet whose replica records are used. */
     readonly fleet: ObservedFleet,
   ) {
     this.runs = observedRuns(fleet);
@@ -72,14 +72,14 @@
     }
   }
 
-  /** All runs of one call, on any replica. */
+  /** Returns all runs of one call on any replica. */
   readonly runsOf = (call: Call): readonly ObservedRun[] => this.byRequest.get(call.requestId) ?? [];
 
-  /** The weights changes of the pool that a replica belongs to, in order. */
+  /** Returns the weights changes of the pool of a replica, in order. */
   readonly weightsChangesFor = (replica: string): readonly WeightsChange[] =>
     this.observations.weightsChanges.filter((change) => change.pool === poolOfReplica(replica));
 
-  /** The calls that carry an idempotency key, grouped by tenant and key. */
+  /** Returns the calls with an idempotency key, grouped by tenant and key. */
   readonly callsByIdempotencyKey = (): ReadonlyMap<string, readonly Call[]> => {
     const keyed = new Map<string, Call[]>();
     for (const call of this.observations.calls) {
@@ -91,11 +91,11 @@
   };
 }
 
-/** Every run that any replica incarnation recorded. */
+/** Returns every run that any replica incarnation recorded. */
 export const observedRuns = (fleet: ObservedFleet): ObservedRun[] =>
   fleet
     .replicaIncarnations()
     .flatMap(({ name, incarnation, runs }) => runs.map((run) => ({ ...run, replica: name, incarnation })));
 
-/** How a call is named in reports. */
+/** Returns the label of a call in reports. */
 export const labelOf = (call: Call): string => `${call.requestId} ${call.request.kind} ${call.outcome}`;
--- a/packages/test-fleet/src/invariants/responseIntegrity.ts
+++ b/packages/test-fleet/src/invariants/responseIntegrity.ts
@@ -1,4 +1,4 @@
-/** Response integrity: callers get exactly what one run produced, and rejections tell when to retry. */
+/** Response integrity: callers get exactly the output of one run, and rejections say when to retry. */
 import { generatedText } from '../replica/generatedText.js';
 import type { Run } from '../replica/replicaRecords.js';
 import type { Call } from '../workload/callSender.js';
@@ -8,19 +8,24 @@
 
 const statusesWithRetryAfter = new Set([429, 503]);
 
-/** `runs`: the runs that the response may come from; under an idempotency key also those of other calls. */
+/** `runs` are the possible sources of the response; with an idempotency key they include the runs of other calls. */
 const textViolations = (call: Call, runs: readonly Run[]): Violation[] => {
   const detail = labelOf(call);
   const textOf = (run: Run): string =>
     generatedText.fullText(call.request.prompt, run.weights, run.runId, call.request.maxTokens);
   const isPrefix = runs.some((run) => textOf(run).startsWith(call.text));
   if (call.outcome !== 'whole')
-    return call.text === '' || isPrefix ? [] : [{ rule: 'skipped, repeated or spliced piece', detail }];
+    return call.text === '' || isPrefix ? [] : [{ rule: 'skipped, repeated or spliced chunk', detail }];
   const finished = runs.filter((run) => run.isFinished);
   if (finished.length === 0)
-    return [{ rule: isPrefix ? 'wrong or cut answer looks whole' : 'success the replica never gave', detail }];
+    return [
+      {
+        rule: isPrefix ? 'wrong or truncated response looks complete' : 'complete response without a finished run',
+        detail,
+      },
+    ];
   const isComplete = finished.some((run) => textOf(run) === call.text);
-  return isComplete ? [] : [{ rule: 'wrong or cut answer looks whole', detail }];
+  return isComplete ? [] : [{ rule: 'wrong or truncated response looks complete', detail }];
 };
 
 const retryAfterViolations = (calls: readonly Call[]): Violation[] =>
@@ -28,7 +33,7 @@
     .filter((call) => call.outcome === 'denied' && statusesWithRetryAfter.has(call.status) && call.retryAfter === null)
     .map((call) => ({ rule: 'no Retry-After', detail: labelOf(call) }));
 
-/** Checks the text of every response and the headers of rejections. */
+/** Checks the text of every response and the `Retry-After` header of rejections. */
 export const responseViolations = (evidence: Evidence): Violation[] => {
   const { calls } = evidence.observations;
   const unkeyed = calls.filter((call) => call.idempotencyKey === null);
--- a/packages/test-fleet/src/invariants/retryBudget.ts
+++ b/packages/test-fleet/src/invariants/retryBudget.ts
@@ -1,6 +1,6 @@
 /**
- * Retry budget: in every window of time that begins and ends in a retry, a pool gets no more retries than a fifth of the
- * first attempts in the window and a fixed allowance.
+ * Retry budget: in every time window that begins and ends with a retry, a pool gets at most a fifth of the first
+ * attempts in the window, plus a fixed allowance, as retries.
  */
 import { poolOfKind, poolOfReplica } from './observedFleet.js';
 import type { Evidence } from './observations.js';
@@ -8,7 +8,9 @@
 
 const retryShare = 0.2;
 const retryAllowance = 18;
-/** First attempts count from this long before the window, since one may wait that long between gateway and replica. */
+/**
+ * First attempts count from this long before the window, since a request may take that long from gateway to replica.
+ */
 const connectSlackMs = 1_500;
 
 /** Times of attempts in one pool, in milliseconds of the fleet's clock. */
@@ -61,7 +63,7 @@
   return table;
 };
 
-/** How many of the sorted times are at or before `at`. */
+/** Returns how many of the sorted times are at or before `at`. */
 const countUpTo = (sorted: readonly number[], at: number): number => {
   let low = 0;
   let high = sorted.length;
@@ -73,30 +75,30 @@
   return low;
 };
 
-/** The largest excess over the budget in any window; zero or less where the budget was kept. */
-const worstExcess = ({ firsts, retries }: PoolAttempts): number => {
+/** Returns the largest excess over the budget in any window; 0 if the budget was respected. */
+const largestExcess = ({ firsts, retries }: PoolAttempts): number => {
   const sorted = [...firsts].sort((a, b) => a - b);
-  let worst = 0;
+  let maxExcess = 0;
   for (const [end, endAt] of retries.entries()) {
     for (let begin = 0; begin <= end; begin += 1) {
       const beginAt = retries[begin] as number;
       const firstsInWindow = countUpTo(sorted, endAt) - countUpTo(sorted, beginAt - connectSlackMs);
       const retriesInWindow = end - begin + 1;
-      worst = Math.max(worst, retriesInWindow - firstsInWindow * retryShare - retryAllowance);
+      maxExcess = Math.max(maxExcess, retriesInWindow - firstsInWindow * retryShare - retryAllowance);
     }
   }
-  return worst;
+  return maxExcess;
 };
 
 /** Checks every window of every pool. */
 export const retryBudgetViolations = (evidence: Evidence): Violation[] =>
   [...attemptsOf(evidence).entries()].flatMap(([pool, attempts]): Violation[] => {
-    const worst = worstExcess(attempts);
-    if (worst <= 0) return [];
+    const maxExcess = largestExcess(attempts);
+    if (maxExcess <= 0) return [];
     return [
       {
-        rule: 'extra shots',
-        detail: `pool ${pool}: ${worst.toFixed(1)} more than a fifth and the allowance in some window, ${attempts.retries.length} in all`,
+        rule: 'retry budget exceeded',
+        detail: `pool ${pool}: ${maxExcess.toFixed(1)} more than a fifth and the allowance in some window, ${attempts.retries.length} in all`,
       },
     ];
   });
--- a/packages/test-fleet/src/invariants/stateInvariants.ts
+++ b/packages/test-fleet/src/invariants/stateInvariants.ts
@@ -1,9 +1,9 @@
-/** Invariants of the agreed state, read from the simulated control nodes themselves. */
+/** Invariants of the committed state, read directly from the simulated control nodes. */
 import type { InvariantChecker } from './invariantChecker.js';
 import type { Violation } from './violation.js';
 import type { SimFleet } from '../simulator/simFleet.js';
 
-/** Checks that every control node that runs knows each accepted change at its log position, and no rejected one. */
+/** Checks that every running control node has each accepted change at its log index, and no rejected change. */
 export const stateViolations = (fleet: SimFleet, checker: InvariantChecker): Violation[] => {
   const violations: Violation[] = [];
   fleet.controlNodes.forEach((controlNode, at) => {
@@ -18,7 +18,7 @@
     }
     for (const id of checker.rejectedChangeIds)
       if (state.changeIds[id] !== undefined)
-        violations.push({ rule: 'a losing change took effect', detail: `${id} at control node ${at + 1}` });
+        violations.push({ rule: 'a rejected change took effect', detail: `${id} at control node ${at + 1}` });
   });
   return violations;
 };
--- a/packages/test-fleet/src/invariants/tenantIsolation.ts
+++ b/packages/test-fleet/src/invariants/tenantIsolation.ts
@@ -1,4 +1,4 @@
-/** Tenant isolation: requests run for the tenant that holds the key, and KV cache is never taken from a foreign scope. */
+/** Tenant isolation: requests run for the tenant that owns the key, and KV cache is never taken from another scope. */
 import type { Call } from '../workload/callSender.js';
 import { maxPropagationMs } from './observations.js';
 import type { Evidence } from './observations.js';
@@ -10,10 +10,12 @@
     .get(call.request.key)
     ?.filter((grant) => run.startedAt >= grant.validFrom && run.startedAt <= grant.validUntil + maxPropagationMs);
   if (grants?.length === 0)
-    return [{ rule: 'a key not granted', detail: `${call.requestId} at ${Math.round(run.startedAt)}` }];
-  const holders = grants?.map((grant) => grant.tenant) ?? [call.request.tenant];
-  if (holders.includes(run.tenant)) return [];
-  return [{ rule: 'another tenant', detail: `${call.requestId} of ${holders.join()} ran for ${run.tenant}` }];
+    return [
+      { rule: 'ran with a key that is not granted', detail: `${call.requestId} at ${Math.round(run.startedAt)}` },
+    ];
+  const owners = grants?.map((grant) => grant.tenant) ?? [call.request.tenant];
+  if (owners.includes(run.tenant)) return [];
+  return [{ rule: 'ran for another tenant', detail: `${call.requestId} of ${owners.join()} ran for ${run.tenant}` }];
 };
 
 const cacheViolations = (evidence: Evidence): Violation[] =>
@@ -26,7 +28,7 @@
     ),
   );
 
-/** Checks each run against the grants of its key, and each pull of KV cache against its scope. */
+/** Checks each run against the grants of its key, and reports the scope violations that replicas recorded. */
 export const tenantViolations = (evidence: Evidence): Violation[] => [
   ...evidence.observations.calls.flatMap((call) =>
     evidence.runsOf(call).flatMap((run) => runViolations(evidence, call, run)),
--- a/packages/test-fleet/src/invariants/violation.ts
+++ b/packages/test-fleet/src/invariants/violation.ts
@@ -1,30 +1,30 @@
-/** The rules that the fleet must never break, and how a breach of one is reported. */
+/** The safety invariants of the fleet, and the report of a violation. */
 
-/** A stable name for each rule; tests and reports refer to rules by these. */
+/** Stable names of the invariants, used by tests and reports. */
 type InvariantRule =
   | 'a call never ended'
-  | 'a key not granted'
-  | 'a leaving replica got a request'
-  | 'a losing change took effect'
-  | "a revoked key's stream went on"
+  | 'ran with a key that is not granted'
+  | 'a draining replica got a request'
+  | 'a rejected change took effect'
+  | "a revoked key's stream continued"
   | 'a roll-out was not clean'
   | 'an accepted change is lost'
-  | 'an accepted change is not in force'
+  | 'an accepted change is not in effect'
   | 'an accepted change moved'
-  | 'another tenant'
-  | 'extra shots'
+  | 'ran for another tenant'
+  | 'retry budget exceeded'
   | 'foreign KV (tenant)'
   | 'foreign KV (weights)'
   | 'no Retry-After'
-  | 'not run, yet ran'
-  | 'old weights started'
+  | 'reported as not run, but ran'
+  | 'started on old weights'
   | 'runs twice'
-  | 'service still mostly absent'
-  | 'skipped, repeated or spliced piece'
-  | 'success the replica never gave'
-  | 'wrong or cut answer looks whole';
+  | 'service did not recover'
+  | 'skipped, repeated or spliced chunk'
+  | 'complete response without a finished run'
+  | 'wrong or truncated response looks complete';
 
-/** One breach of a rule, with what a reader needs to find it in the logs. */
+/** One violation of an invariant, with the details needed to find it in the logs. */
 export interface Violation {
   readonly rule: InvariantRule;
   readonly detail: string;
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -163,7 +163,7 @@
         });
     }
     for (const id of this.checker.rejectedChangeIds)
-      if ((await find(id)).status === 200) violations.push({ rule: 'a losing change took effect', detail: id });
+      if ((await find(id)).status === 200) violations.push({ rule: 'a rejected change took effect', detail: id });
     return violations;
   };
 }
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -165,7 +165,7 @@
   await sleep(maxPropagationMs);
   for (const call of open)
     if (call.outcome === 'open' || call.outcome === 'whole')
-      run.violations.push({ rule: "a revoked key's stream went on", detail: `${call.requestId} ${call.outcome}` });
+      run.violations.push({ rule: "a revoked key's stream continued", detail: `${call.requestId} ${call.outcome}` });
 };
 
 /** Every fault by the name that the user gives in `--only`. */
--- a/packages/test-fleet/src/replica/blockCache.ts
+++ b/packages/test-fleet/src/replica/blockCache.ts
@@ -1,7 +1,7 @@
-/** The blocks of KV cache that an emulated replica keeps, least recently used first out. */
+/** The KV cache blocks of an emulated replica, with least-recently-used eviction. */
 import type { CacheEventLog } from './cacheEventLog.js';
 
-/** The weights that made a block, and the isolated tenant whose it is; null: shared. */
+/** The weights that computed a block, and the isolated tenant that owns it; null if it is shared. */
 export interface CachedCopy {
   readonly weights: string;
   readonly scope: string | null;
@@ -9,7 +9,7 @@
 
 const isSame = (a: CachedCopy, b: CachedCopy): boolean => a.weights === b.weights && a.scope === b.scope;
 
-/** Publishes an event for what it stores and evicts. */
+/** Publishes an event for each store and eviction. */
 export class BlockCache {
   private readonly copies = new Map<string, CachedCopy[]>();
 
@@ -18,7 +18,7 @@
     private readonly events: CacheEventLog,
   ) {}
 
-  /** A copy of each block from the first on, up to the first that is not kept. */
+  /** Returns one copy of each block of the longest cached prefix. */
   readonly prefix = (blocks: readonly string[]): CachedCopy[] => {
     const copies: CachedCopy[] = [];
     for (const block of blocks) {
@@ -29,7 +29,10 @@
     return copies;
   };
 
-  /** How many blocks from the first on are kept in just that copy; they count as used now. */
+  /**
+   * Returns the number of leading blocks that are cached with the same weights and scope, and marks them as recently
+   * used.
+   */
   readonly touchPrefix = (blocks: readonly string[], wanted: CachedCopy): number => {
     let count = 0;
     for (const block of blocks) {
@@ -42,12 +45,12 @@
     return count;
   };
 
-  /** Keeps the blocks, and evicts the least recently used beyond the capacity. */
+  /** Stores the blocks, and evicts the least recently used ones beyond the capacity. */
   readonly store = (blocks: readonly string[], copy: CachedCopy): void => {
     const added: string[] = [];
     for (const block of blocks) {
       const copies = this.copies.get(block) ?? [];
-      if (copies.some((one) => isSame(one, copy))) continue;
+      if (copies.some((existing) => isSame(existing, copy))) continue;
       this.copies.set(block, [...copies, copy]);
       added.push(block);
     }
--- a/packages/test-fleet/src/replica/completionApi.ts
+++ b/packages/test-fleet/src/replica/completionApi.ts
@@ -1,4 +1,4 @@
-/** The completions API as a replica speaks it: requests, streamed chunks and errors. */
+/** The completions API of a replica: requests, streamed chunks and errors. */
 import type { Run } from './replicaRecords.js';
 
 const maxTokens = 4_096;
@@ -6,12 +6,12 @@
 const chatPath = '/v1/chat';
 const encoder = new TextEncoder();
 
-/** What a replica needs of a request's body. */
+/** The fields of a request body that a replica uses. */
 export interface CompletionRequest {
   readonly prompt: string;
   readonly weights: string;
   readonly priority: number;
-  /** How many tokens to generate, at least one. */
+  /** Number of tokens to generate, at least one. */
   readonly tokens: number;
 }
 
@@ -40,7 +40,7 @@
   };
 };
 
-/** `read` gives null where the body is no JSON. */
+/** `read` returns null if the body is not JSON. */
 export const completionRequest = { read };
 
 const fault = (status: number, retryAfterSeconds: number | null): Response => {
@@ -51,7 +51,7 @@
 
 const badBody = (): Response => new Response('{"error":"bad body"}', { status: 400 });
 
-/** Frames are made only as the reader takes them; an error of the source breaks the stream off. */
+/** Generates frames only as the reader consumes them; an error of the source aborts the stream. */
 const stream = (frames: AsyncGenerator<string>): Response => {
   const body = new ReadableStream<Uint8Array>(
     {
@@ -71,7 +71,7 @@
   return new Response(body, { headers: { 'content-type': 'text/event-stream' } });
 };
 
-/** Counts that the last chunk carries. */
+/** The token counts in the last chunk. */
 interface Usage {
   readonly promptTokens: number;
   readonly tokens: number;
@@ -92,5 +92,5 @@
   return `data: ${JSON.stringify(chunk)}\n\n`;
 };
 
-/** `frame` is one chunk of a stream, `endFrame` its end marker. */
+/** `frame` returns one chunk of a stream, `endFrame` is the end marker. */
 export const completionResponse = { fault, badBody, stream, frame, endFrame: 'data: [DONE]\n\n' };
--- a/packages/test-fleet/src/replica/emulatedReplica.ts
+++ b/packages/test-fleet/src/replica/emulatedReplica.ts
@@ -1,6 +1,6 @@
 /**
- * An emulated inference replica: it answers the completions API at a model's speed, keeps blocks of KV cache, pulls them
- * from other replicas, tells of them by events, and records all that it did. No model runs.
+ * An emulated inference replica: it serves the completions API at the speed of a model, caches KV blocks, pulls them
+ * from other replicas, reports them with events, and records every run. No model runs.
  */
 import { timing, prompts } from '@martenworks/core-types';
 import type { HttpClient, Clock } from '@martenworks/core-types';
@@ -33,17 +33,17 @@
   if (records.length > maxRecords) records.shift();
 };
 
-/** Serves its wire through `app`; time is that of the clock, so that it runs in the simulator as well. */
+/** Serves its HTTP API through `app`; all timing uses the given clock, so that it also runs in the simulator. */
 export class EmulatedReplica {
   /** The HTTP routes. */
   readonly app = new Hono();
-  /** All runs in the order in which they began. */
+  /** All runs in the order in which they started. */
   readonly runs: Run[] = [];
-  /** Cache that was taken from a foreign scope. */
+  /** Cached blocks that were taken from other weights or another tenant. */
   readonly breaches: Breach[] = [];
-  /** All requests that came, run or not. */
+  /** All requests received, whether they ran or not. */
   readonly arrivals: Arrival[] = [];
-  /** The faults in force. */
+  /** The active faults. */
   readonly faults: ReplicaFaults = {
     failStatus: null,
     failRetryAfter: null,
@@ -56,7 +56,7 @@
     eventDelayMs: 0,
     pullDelayMs: 0,
   };
-  /** Tokens generated so far. */
+  /** Number of tokens generated so far. */
   generatedTokens = 0;
   private runCount = 0;
   private prefilling: BlockingPrefill | null = null;
@@ -77,13 +77,13 @@
     this.addRoutes();
   }
 
-  /** Sets or clears some faults; those not named stay as they are. */
+  /** Sets or clears the given faults; the others are unchanged. */
   readonly setFaults = (faults: Partial<ReplicaFaults>): void => void Object.assign(this.faults, faults);
 
-  /** How many cache events were published. */
+  /** Returns the number of cache events published. */
   readonly eventCount = (): number => this.events.lastSeq();
 
-  /** Sums over all runs. */
+  /** Returns totals over all runs. */
   readonly totals = (): Record<string, number> => ({
     runs: this.runs.length,
     finished: this.runs.filter((run) => run.isFinished).length,
@@ -126,16 +126,16 @@
   private readonly offload = (store: string, blocks: readonly string[], copy: CachedCopy): Promise<unknown> =>
     this.post(`http://${store}/kv-keep`, { blocks, copy }, new AbortController().signal);
 
-  /** Takes blocks behind the first `have` from another replica; gives how many came, none where that failed. */
+  /** Pulls the blocks after the first `localCount` from another replica; returns how many arrived, 0 on failure. */
   private readonly pull = async (
     run: Run,
     holder: string,
     blocks: readonly string[],
-    have: number,
+    localCount: number,
   ): Promise<number> => {
-    const abortion = new AbortController();
-    this.clock.after(pullTimeoutMs, () => abortion.abort());
-    const response = await this.post(`http://${holder}/kv-parts`, { blocks }, abortion.signal);
+    const abortController = new AbortController();
+    this.clock.after(pullTimeoutMs, () => abortController.abort());
+    const response = await this.post(`http://${holder}/kv-parts`, { blocks }, abortController.signal);
     if (response.isErr() || response.value.status !== 200) return 0;
     const bytes: Uint8Array[] = [];
     try {
@@ -147,12 +147,15 @@
       parts: CachedCopy[];
       slowMs: number;
     };
-    const taken = parts.slice(have);
-    taken.forEach((copy, at) => {
-      this.recordBreaches(run, holder, blocks[have + at] ?? '', copy);
+    const pulledCopies = parts.slice(localCount);
+    pulledCopies.forEach((copy, at) => {
+      this.recordBreaches(run, holder, blocks[localCount + at] ?? '', copy);
     });
-    await timing.sleep(this.clock, slowMs + (taken.length * prompts.blockTokens) / this.settings.pullTokensPerMs);
-    return taken.length;
+    await timing.sleep(
+      this.clock,
+      slowMs + (pulledCopies.length * prompts.blockTokens) / this.settings.pullTokensPerMs,
+    );
+    return pulledCopies.length;
   };
 
   private readonly recordBreaches = (run: Run, holder: string, block: string, copy: CachedCopy): void => {
@@ -208,7 +211,10 @@
     }
   };
 
-  /** Uses what cache is kept or can be pulled, and computes the rest behind the other prefills. */
+  /**
+   * Uses cached blocks and blocks pulled from another replica, and computes the rest after the prefills queued before
+   * it.
+   */
   private readonly prefill = async (run: Run, prompt: string): Promise<void> => {
     const blocks = prompts.blocks(prompt);
     const copy: CachedCopy = { weights: run.weights, scope: run.isIsolated ? run.tenant : null };
@@ -216,9 +222,9 @@
     const holder = run.cacheFrom === this.settings.address ? null : run.cacheFrom;
     const pulled = holder === null ? 0 : await this.pull(run, holder, blocks, localBefore);
     run.blockedBy = this.prefillSlot.isFull() ? this.prefilling : null;
-    const cameAt = this.clock.now();
+    const queuedAt = this.clock.now();
     await this.prefillSlot.acquire(run.priority);
-    run.waitedMs = this.clock.now() - cameAt;
+    run.waitedMs = this.clock.now() - queuedAt;
     try {
       const local = Math.max(localBefore, this.cache.touchPrefix(blocks, copy) - pulled);
       run.localTokens = local * prompts.blockTokens;
@@ -246,7 +252,7 @@
       if (faults.stallMs > 0) await timing.sleep(this.clock, faults.stallMs);
       if (faults.truncateAfterChunks !== null && at >= faults.truncateAfterChunks) {
         if (faults.omitsEnd) return;
-        throw new Error('cut by a fault');
+        throw new Error('response truncated by an injected fault');
       }
       await timing.sleep(this.clock, this.settings.decodeMs);
       const text = generatedText.tokenText(digest, run.weights, run.runId, at);
--- a/packages/test-fleet/src/replica/generatedText.ts
+++ b/packages/test-fleet/src/replica/generatedText.ts
@@ -1,4 +1,7 @@
-/** The text that emulated replicas answer with: it names the weights, the run and the prompt, so that a checker sees mixed-up responses. */
+/**
+ * The text that emulated replicas generate: it depends on the weights, the run and the prompt, so that a checker
+ * detects mixed-up responses.
+ */
 import { createHash } from 'node:crypto';
 
 const digestOf = (text: string): string => createHash('sha256').update(text).digest('hex');
@@ -12,5 +15,5 @@
   return Array.from({ length: count }, (_, at) => tokenText(digest, weights, runId, at)).join('');
 };
 
-/** `digest` is of the prompt, `piece` the text of one token, `whole` that of all `count` tokens. */
+/** `digest` hashes the prompt, `tokenText` returns the text of one token, `fullText` the text of all `count` tokens. */
 export const generatedText = { digest: digestOf, tokenText, fullText };
--- a/packages/test-fleet/src/replica/prioritySlots.ts
+++ b/packages/test-fleet/src/replica/prioritySlots.ts
@@ -1,27 +1,27 @@
-/** A fixed number of slots that waiting requests get by priority, and among equals in the order in which they came. */
+/** A fixed number of slots, granted to waiting requests by priority, and in order of arrival among equal priorities. */
 
-/** A request that waits for a slot. */
+/** A request waiting for a slot. */
 interface Waiting {
   readonly priority: number;
   readonly order: number;
   readonly wake: () => void;
 }
 
-/** Lower priorities go first. */
+/** Grants slots; lower priority values go first. */
 export class PrioritySlots {
   private readonly waiting: Waiting[] = [];
-  private taken = 0;
+  private inUse = 0;
   private order = 0;
 
   constructor(private readonly count: number) {}
 
-  /** Whether nobody would get a slot at once. */
-  readonly isFull = (): boolean => this.taken >= this.count;
+  /** Whether all slots are in use. */
+  readonly isFull = (): boolean => this.inUse >= this.count;
 
-  /** Resolves once a slot is the caller's, who must release it. */
+  /** Resolves once the caller has a slot, which it must release. */
   readonly acquire = (priority: number): Promise<void> => {
     if (!this.isFull()) {
-      this.taken += 1;
+      this.inUse += 1;
       return Promise.resolve();
     }
     return new Promise((wake) => {
@@ -30,10 +30,10 @@
     });
   };
 
-  /** Hands the slot to the next that waits. */
+  /** Passes the slot to the next waiting request, if any. */
   readonly release = (): void => {
     const next = this.waiting.shift();
-    if (next === undefined) this.taken -= 1;
+    if (next === undefined) this.inUse -= 1;
     else next.wake();
   };
 }
--- a/packages/test-fleet/src/replica/replicaRecords.ts
+++ b/packages/test-fleet/src/replica/replicaRecords.ts
@@ -1,34 +1,34 @@
-/** What an emulated replica is set up with and what it records. Times are milliseconds of its clock. */
+/** The settings, faults and records of an emulated replica. Times are milliseconds of its clock. */
 
-/** Size and speed of a replica. */
+/** Identity, size and speed of a replica. */
 export interface EmulatedReplicaSettings {
   readonly name: string;
-  /** The address by which others name it in `Cache-From`. */
+  /** The address with which `Cache-From` headers refer to this replica. */
   readonly address: string;
   readonly incarnation: number;
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Blocks of KV cache that it keeps. */
+  /** Capacity of the KV cache in blocks. */
   readonly capacityBlocks: number;
   readonly prefillTokensPerMs: number;
   readonly pullTokensPerMs: number;
-  /** Milliseconds for one token. */
+  /** Milliseconds per generated token. */
   readonly decodeMs: number;
-  /** The address of the store that it offloads its cache to. */
+  /** The address of the cache store to which it offloads blocks; null without one. */
   readonly store: string | null;
 }
 
-/** Faults in force; null, 0 or false: none. */
+/** The active faults; null, 0 or false means none. */
 export interface ReplicaFaults {
   failStatus: number | null;
-  /** Seconds. */
+  /** The `Retry-After` value in seconds. */
   failRetryAfter: number | null;
   truncateAfterChunks: number | null;
-  /** Milliseconds before each piece. */
+  /** Milliseconds of delay before each token. */
   stallMs: number;
   /** Streams end without the end marker. */
   omitsEnd: boolean;
-  /** The weights that responses name in place of the right ones. */
+  /** The weights that responses report instead of the actual ones. */
   claimedWeights: string | null;
   /** Cache events are recorded but not sent. */
   dropsEvents: boolean;
@@ -38,14 +38,14 @@
   pullDelayMs: number;
 }
 
-/** The prefill that a request had to wait for. */
+/** The prefill that a request waited for. */
 export interface BlockingPrefill {
   readonly requestId: string;
   readonly tokens: number;
   readonly beganAt: number;
 }
 
-/** One run of a request. */
+/** One run of a request on a replica. */
 export interface Run {
   readonly requestId: string;
   readonly runId: string;
@@ -66,13 +66,13 @@
   idempotencyKey: string | null;
 }
 
-/** A request that reached the replica, run or not. */
+/** A request that reached the replica, whether it ran or not. */
 export interface Arrival {
   readonly requestId: string;
   readonly at: number;
 }
 
-/** A block of cache that was taken though it belongs to other weights or to another tenant. */
+/** A cached block that was pulled although it belongs to other weights or to another tenant. */
 export interface Breach {
   readonly rule: 'weights' | 'tenant';
   readonly requestId: string;
--- a/packages/test-fleet/src/simulator/simConnection.ts
+++ b/packages/test-fleet/src/simulator/simConnection.ts
@@ -1,15 +1,15 @@
-/** Simulated connections: bytes arrive in order; a blocked link holds them back, as TCP's retransmissions would. */
+/** Simulated connections: bytes arrive in order; a blocked link delays them, as TCP retransmission would. */
 import type { NetworkError, RawConnection } from '@martenworks/core-types';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { SimSender } from './simLink.js';
 import type { SimulatedMachine, Simulation } from './simulation.js';
 
-/** How often a blocked message is tried again. */
+/** Interval at which a blocked message is sent again. */
 export const retransmitMs = 200;
 const refusalMs = 1;
 
-/** The host of an address `HOST:PORT`. */
+/** Returns the host of an address `HOST:PORT`. */
 export const hostOf = (address: string): string => address.slice(0, address.lastIndexOf(':'));
 
 /** One direction of a connection. */
@@ -17,10 +17,10 @@
   isClosed = false;
   onBytes: ((bytes: Uint8Array) => void) | null = null;
   onClose: (() => void) | null = null;
-  /** What arrived before anyone listened. */
+  /** Bytes that arrived before a listener was attached. */
   readonly undelivered: Uint8Array[] = [];
-  private lastAt = 0;
-  private blocked: (() => void)[] = [];
+  private lastArrivalAt = 0;
+  private blockedActions: (() => void)[] = [];
 
   constructor(
     private readonly world: Simulation,
@@ -28,11 +28,11 @@
     readonly to: SimulatedMachine,
   ) {}
 
-  /** Calls `act` at the far end, behind all that was delivered before. */
-  readonly deliver = (act: () => void): void => {
-    const at = Math.max(this.lastAt, this.world.time + this.world.latency(this.from.host, this.to.host));
-    this.lastAt = at;
-    this.world.schedule(this.to, at - this.world.time, () => this.arrive(act));
+  /** Runs `action` at the receiving end, after all earlier deliveries. */
+  readonly deliver = (action: () => void): void => {
+    const at = Math.max(this.lastArrivalAt, this.world.time + this.world.latency(this.from.host, this.to.host));
+    this.lastArrivalAt = at;
+    this.world.schedule(this.to, at - this.world.time, () => this.arrive(action));
   };
 
   readonly receiveBytes = (bytes: Uint8Array): void => {
@@ -40,7 +40,7 @@
     else this.onBytes(bytes);
   };
 
-  /** Tells the listener at the far end that the connection is closed. */
+  /** Notifies the listener at the receiving end that the connection is closed. */
   readonly closeReceiver = (): void => {
     if (this.isClosed) return;
     this.isClosed = true;
@@ -51,14 +51,14 @@
 
   private readonly isBlocked = (): boolean => this.world.isBlocked(this.from.host, this.to.host);
 
-  private readonly arrive = (act: () => void): void => {
+  private readonly arrive = (action: () => void): void => {
     if (this.isClosed) return;
-    const isFirst = this.blocked.length === 0;
+    const isFirst = this.blockedActions.length === 0;
     if (isFirst && !this.isBlocked()) {
-      act();
+      action();
       return;
     }
-    this.blocked.push(act);
+    this.blockedActions.push(action);
     if (isFirst) this.retry();
   };
 
@@ -66,57 +66,57 @@
     this.world.schedule(this.to, retransmitMs, () => {
       if (this.isClosed) return;
       if (this.isBlocked()) return this.retry();
-      const acts = this.blocked;
-      this.blocked = [];
-      for (const act of acts) act();
+      const actions = this.blockedActions;
+      this.blockedActions = [];
+      for (const action of actions) action();
     });
   };
 }
 
-/** The end of a connection that belongs to `owner`; it stops working when that machine crashes. */
+/** Returns the end of a connection that belongs to `owner`; it stops working when that machine crashes. */
 const endpointOf = (
-  send: OrderedChannel,
-  receive: OrderedChannel,
+  outgoing: OrderedChannel,
+  incoming: OrderedChannel,
   owner: SimulatedMachine,
   ownerIncarnation: number,
 ): RawConnection => {
   const { world } = owner;
   const sender = new SimSender(
     () => owner.outbound,
-    () => send.to.inbound,
-    (bytes, arrived) =>
-      send.deliver(() => {
-        arrived();
-        send.receiveBytes(bytes);
+    () => outgoing.to.inbound,
+    (bytes, onArrived) =>
+      outgoing.deliver(() => {
+        onArrived();
+        outgoing.receiveBytes(bytes);
       }),
   );
   const close = (): void => {
-    if (receive.isClosed) return;
+    if (incoming.isClosed) return;
     sender.discard();
-    send.deliver(send.closeReceiver);
-    receive.closeReceiver();
+    outgoing.deliver(outgoing.closeReceiver);
+    incoming.closeReceiver();
     owner.crashListeners.delete(crash);
   };
   const crash = (isReset: boolean): void => {
     sender.discard();
-    if (isReset && !receive.isClosed)
-      world.schedule(send.to, world.latency(owner.host, send.to.host), send.closeReceiver);
-    receive.isClosed = true;
-    receive.onClose = null;
+    if (isReset && !incoming.isClosed)
+      world.schedule(outgoing.to, world.latency(owner.host, outgoing.to.host), outgoing.closeReceiver);
+    incoming.isClosed = true;
+    incoming.onClose = null;
   };
   owner.crashListeners.add(crash);
   return {
-    remoteAddress: send.to.host,
+    remoteAddress: outgoing.to.host,
     write: (bytes) => {
-      if (receive.isClosed || owner.incarnation !== ownerIncarnation) return;
-      world.onWrite?.(owner.host, send.to.host, bytes);
+      if (incoming.isClosed || owner.incarnation !== ownerIncarnation) return;
+      world.onWrite?.(owner.host, outgoing.to.host, bytes);
       sender.write(bytes.slice());
     },
     bufferedBytes: sender.backlog,
     listen: (onBytes, onClose) => {
-      receive.onBytes = onBytes;
-      receive.onClose = onClose;
-      for (const bytes of receive.undelivered.splice(0)) onBytes(bytes);
+      incoming.onBytes = onBytes;
+      incoming.onClose = onClose;
+      for (const bytes of incoming.undelivered.splice(0)) onBytes(bytes);
     },
     close,
   };
@@ -127,14 +127,14 @@
   nearIncarnation: number,
   far: SimulatedMachine,
 ): [RawConnection, RawConnection] => {
-  const outward = new OrderedChannel(near.world, near, far);
-  const inward = new OrderedChannel(near.world, far, near);
-  return [endpointOf(outward, inward, near, nearIncarnation), endpointOf(inward, outward, far, far.incarnation)];
+  const outgoing = new OrderedChannel(near.world, near, far);
+  const incoming = new OrderedChannel(near.world, far, near);
+  return [endpointOf(outgoing, incoming, near, nearIncarnation), endpointOf(incoming, outgoing, far, far.incarnation)];
 };
 
 /**
- * Opens a connection to a listener of another machine. Fails with `ECONNREFUSED` where nothing listens and with
- * `ETIMEDOUT` after `patienceMs`; never settles for an incarnation that is gone.
+ * Opens a connection to a listener of another machine. Fails with `ECONNREFUSED` if nothing listens and with
+ * `ETIMEDOUT` after `timeoutMs`; never resolves for an incarnation that has ended.
  */
 export const connectTo = (
   own: SimulatedMachine,
@@ -156,13 +156,13 @@
     if (world.isBlocked(own.host, target.host)) return;
     world.schedule(target, world.latency(own.host, target.host), () => {
       if (isDone || world.isBlocked(target.host, own.host)) return;
-      const onWire = target.listenerAt(address);
-      if (onWire === undefined) {
+      const accept = target.listenerAt(address);
+      if (accept === undefined) {
         world.schedule(own, world.latency(target.host, own.host), () => fail('ECONNREFUSED'));
         return;
       }
       const [near, far] = connectionBetween(own, incarnation, target);
-      onWire(far);
+      accept(far);
       world.schedule(own, world.latency(target.host, own.host), () => (isDone ? near.close() : finish(ok(near))));
     });
     if (target.isUp) return;
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -1,4 +1,4 @@
-/** A simulated disk that tells synced from unsynced bytes, and that may fail, stall and lose what was not synced. */
+/** A simulated disk that tracks synced and unsynced bytes; it can fail, stall and lose unsynced bytes. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Disk, DiskError, DiskFile } from '@martenworks/core-types';
@@ -8,7 +8,7 @@
   unsynced: Uint8Array;
 }
 
-/** Faults in force; `delayMs` is added to every operation. */
+/** The active faults; `delayMs` is added to every operation. */
 export interface DiskFaults {
   isFull: boolean;
   failsSync: boolean;
@@ -16,47 +16,56 @@
   isStalled: boolean;
 }
 
-const joined = (a: Uint8Array, b: Uint8Array): Uint8Array => {
-  const whole = new Uint8Array(a.length + b.length);
-  whole.set(a);
-  whole.set(b, a.length);
-  return whole;
+const concatenated = (a: Uint8Array, b: Uint8Array): Uint8Array => {
+  const bytes = new Uint8Array(a.length + b.length);
+  bytes.set(a);
+  bytes.set(b, a.length);
+  return bytes;
 };
 
 const fault = (code: string): DiskError => ({ kind: 'disk', code, detail: code });
 
-/** One operation that changes the disk, told right before it takes effect. */
+/** One operation that changes the disk, reported right before it takes effect. */
 export interface DiskMutation {
   readonly operation: 'open' | 'append' | 'sync' | 'replace' | 'truncate' | 'remove';
   readonly name: string;
 }
 
-/** A disk whose bytes are safe once synced, and whose names are safe once the operation that made or removed them is over. */
+/**
+ * A disk whose bytes are durable once synced, and whose file names are durable once the operation that created or
+ * removed them has completed.
+ */
 export class SimDisk {
-  /** Called before each operation that changes the disk, so that a test may copy it as a loss of power would leave it, or end the process before the operation. */
+  /**
+   * Called before each operation that changes the disk, so that a test can copy the disk as a power loss would leave
+   * it, or end the process before the operation.
+   */
   beforeMutation: (step: DiskMutation) => void = () => {};
   /** The bytes of each file by name. */
   readonly files = new Map<string, FileBytes>();
-  /** The faults in force. */
+  /** The active faults. */
   readonly faults: DiskFaults = { isFull: false, failsSync: false, delayMs: 0, isStalled: false };
-  /** How many syncs succeeded. */
+  /** Number of successful syncs. */
   syncs = 0;
   private stalled: (() => void)[] = [];
 
   constructor(private readonly wait: (delayMs: number) => Promise<void> = () => Promise.resolve()) {}
 
-  /** A loss of power: loses what was not synced, but for that share of each file. The end of a process loses nothing. */
+  /**
+   * Simulates a power loss: drops unsynced bytes except for the given share of each file. The end of a process alone
+   * loses nothing.
+   */
   readonly crash = (unsyncedShareKept: number): void => {
-    for (const held of this.files.values()) {
-      held.synced = joined(
-        held.synced,
-        held.unsynced.subarray(0, Math.floor(held.unsynced.length * unsyncedShareKept)),
+    for (const stored of this.files.values()) {
+      stored.synced = concatenated(
+        stored.synced,
+        stored.unsynced.subarray(0, Math.floor(stored.unsynced.length * unsyncedShareKept)),
       );
-      held.unsynced = new Uint8Array();
+      stored.unsynced = new Uint8Array();
     }
   };
 
-  /** This disk as it is now, written and unsynced bytes apart. */
+  /** Returns a copy of the current contents, with synced and unsynced bytes kept apart. */
   readonly copy = (): SimDisk => {
     const copy = new SimDisk();
     for (const [name, { synced, unsynced }] of this.files)
@@ -64,10 +73,10 @@
     return copy;
   };
 
-  /** Loses all files. */
+  /** Removes all files. */
   readonly wipe = (): void => this.files.clear();
 
-  /** Ends a stall: what waited goes on. */
+  /** Ends a stall: the waiting operations continue. */
   readonly unstall = (): void => {
     this.faults.isStalled = false;
     const waiting = this.stalled;
@@ -80,12 +89,12 @@
     if (this.faults.delayMs > 0) await this.wait(this.faults.delayMs);
   };
 
-  /** The disk as a process sees it; its operations never end once `isLive` is false. */
+  /** Returns the disk as a process sees it; its operations never complete once `isLive` returns false. */
   readonly view = (isLive: () => boolean): Disk => {
-    const never = new Promise<never>(() => {});
+    const neverResolves = new Promise<never>(() => {});
     const step = async <T>(work: () => Result<T, DiskError>): Promise<Result<T, DiskError>> => {
       await this.awaitFaults();
-      return isLive() ? work() : never;
+      return isLive() ? work() : neverResolves;
     };
     const change = async <T>(
       operation: DiskMutation['operation'],
@@ -94,28 +103,28 @@
     ): Promise<Result<T, DiskError>> => {
       await this.awaitFaults();
       if (isLive()) this.beforeMutation({ operation, name });
-      return isLive() ? work() : never;
+      return isLive() ? work() : neverResolves;
     };
     const sync = (name: string): Promise<Result<void, DiskError>> =>
       change('sync', name, () => {
         if (this.faults.failsSync) return err(fault('EIO'));
-        const held = this.files.get(name);
-        if (held === undefined) return err(fault('ENOENT'));
-        held.synced = joined(held.synced, held.unsynced);
-        held.unsynced = new Uint8Array();
+        const stored = this.files.get(name);
+        if (stored === undefined) return err(fault('ENOENT'));
+        stored.synced = concatenated(stored.synced, stored.unsynced);
+        stored.unsynced = new Uint8Array();
         this.syncs += 1;
         return ok(undefined);
       });
     const file = (name: string): DiskFile => ({
       append: (bytes) =>
         change('append', name, () => {
-          const held = this.files.get(name);
-          if (held === undefined) return err(fault('ENOENT'));
+          const stored = this.files.get(name);
+          if (stored === undefined) return err(fault('ENOENT'));
           if (this.faults.isFull) {
-            held.unsynced = joined(held.unsynced, bytes.slice(0, Math.floor(bytes.length / 2)));
+            stored.unsynced = concatenated(stored.unsynced, bytes.slice(0, Math.floor(bytes.length / 2)));
             return err(fault('ENOSPC'));
           }
-          held.unsynced = joined(held.unsynced, bytes);
+          stored.unsynced = concatenated(stored.unsynced, bytes);
           return ok(undefined);
         }),
       sync: () => sync(name),
@@ -125,8 +134,8 @@
       list: () => step(() => ok([...this.files.keys()])),
       read: (name) =>
         step(() => {
-          const held = this.files.get(name);
-          return ok(held === undefined ? null : joined(held.synced, held.unsynced));
+          const stored = this.files.get(name);
+          return ok(stored === undefined ? null : concatenated(stored.synced, stored.unsynced));
         }),
       open: (name) =>
         change('open', name, () => {
@@ -143,10 +152,10 @@
       sync,
       truncate: (name, size) =>
         change('truncate', name, () => {
-          const held = this.files.get(name);
-          if (held === undefined) return ok(undefined);
-          const whole = joined(held.synced, held.unsynced);
-          this.files.set(name, { synced: whole.slice(0, size), unsynced: new Uint8Array() });
+          const stored = this.files.get(name);
+          if (stored === undefined) return ok(undefined);
+          const bytes = concatenated(stored.synced, stored.unsynced);
+          this.files.set(name, { synced: bytes.slice(0, size), unsynced: new Uint8Array() });
           return ok(undefined);
         }),
       remove: (name) =>
--- a/packages/test-fleet/src/simulator/simFleet.ts
+++ b/packages/test-fleet/src/simulator/simFleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in the simulator: control nodes, gateways and emulated replicas, with an operator outside. */
+/** A complete simulated fleet: control nodes, gateways and emulated replicas, with an external operator. */
 import { callerApi, gateways, operatorPages } from '@martenworks/gateway';
 import type { Gateway } from '@martenworks/gateway';
 import { operatorApi, replicaApi, gatewayControlNodes } from '@martenworks/control-plane';
@@ -13,7 +13,7 @@
 import { SimWorld } from './simWorld.js';
 import type { SimMachine } from './simMachine.js';
 
-/** Size and settings of the fleet, and hooks by which tests change nodes as they start. */
+/** Size and settings of the fleet, and hooks with which tests modify nodes as they start. */
 export interface SimFleetOptions {
   readonly seed: number;
   readonly gatewayCount: number;
@@ -29,7 +29,7 @@
   readonly portsFor?: (role: 'gateway' | 'control', ports: Ports) => Ports;
 }
 
-/** The answer of a node; status 0 where none came. */
+/** The response of a node; status 0 if there was none. */
 export interface HttpReply {
   readonly status: number;
   readonly body: Record<string, unknown>;
@@ -44,9 +44,9 @@
 }
 
 const zoneNames = ['a', 'b', 'c'];
-const outsideHost = '10.9.0.1';
+const externalHost = '10.9.0.1';
 
-/** Nodes are named by index from 0; null where one is not running. */
+/** Runs the nodes, identified by an index from 0; the entry of a node that is not running is null. */
 export class SimFleet implements ObservedFleet {
   /** Time, network and machines. */
   readonly world: SimWorld;
@@ -72,20 +72,20 @@
   private readonly incarnations = new Map<string, number>();
 
   constructor(
-    /** Size and settings; the machines are made at once, `up` starts them. */
+    /** Size and settings; `up` starts the nodes. */
     readonly options: SimFleetOptions,
   ) {
     this.world = new SimWorld(options.seed);
     this.gateways = Array.from({ length: options.gatewayCount }, () => null);
     this.gatewayHosts = Array.from({ length: options.gatewayCount }, (_, at) => `10.1.0.${at + 1}`);
     this.replicaHosts = Array.from({ length: options.replicaCount }, (_, at) => `10.2.0.${at + 1}`);
-    this.world.machine(outsideHost);
+    this.world.machine(externalHost);
   }
 
   readonly now = (): number => this.world.time;
   readonly random = (): number => this.world.random();
   readonly after = (delayMs: number, callback: () => void): void => void this.world.schedule(null, delayMs, callback);
-  readonly externalClient = (): HttpClient => this.world.machine(outsideHost).httpClient();
+  readonly externalClient = (): HttpClient => this.world.machine(externalHost).httpClient();
   readonly replicaIncarnations = (): ReplicaIncarnation[] =>
     this.startedReplicas.map(({ replica, name }) => ({
       name,
@@ -100,9 +100,9 @@
     name: string,
     host: string,
     at: number,
-    more: Record<string, unknown>,
+    overrides: Record<string, unknown>,
   ): GatewaySettings => {
-    const checked = gatewaySettings.check(
+    const result = gatewaySettings.check(
       role,
       {
         name,
@@ -111,11 +111,11 @@
         http: `${host}:7101`,
         seeds: this.controlNodeHosts.slice(0, 3).map((one) => `${one}:7100`),
         gatewayCount: this.options.gatewayCount,
-        ...more,
+        ...overrides,
       },
       {},
     );
-    return checked._unsafeUnwrap();
+    return result._unsafeUnwrap();
   };
 
   private readonly portsOf = (role: 'gateway' | 'control', machine: SimMachine): Ports => {
@@ -134,7 +134,7 @@
       }),
       this.portsOf('control', machine),
     );
-    if (started.isErr()) throw new Error(`control node ${at}: ${JSON.stringify(started.error)}`);
+    if (started.isErr()) throw new Error(`control node ${at} failed to start: ${JSON.stringify(started.error)}`);
     this.controlNodes[at] = started.value;
     this.options.onControlNodeStarted?.(started.value);
     const app = operatorApi(started.value).route('/', replicaApi(started.value));
@@ -152,7 +152,7 @@
       }),
       this.portsOf('gateway', machine),
     );
-    if (started.isErr()) throw new Error(`counter ${at}: ${JSON.stringify(started.error)}`);
+    if (started.isErr()) throw new Error(`gateway ${at} failed to start: ${JSON.stringify(started.error)}`);
     this.gateways[at] = started.value;
     this.options.onGatewayStarted?.(started.value);
     machine.serveHttp(`${host}:7101`, callerApi(started.value).fetch);
@@ -160,7 +160,7 @@
   };
 
   /** Starts a new incarnation of a replica. */
-  readonly startReplica = (name: string, host: string, more: Partial<EmulatedReplicaSettings> = {}): void => {
+  readonly startReplica = (name: string, host: string, overrides: Partial<EmulatedReplicaSettings> = {}): void => {
     const machine = this.world.machine(host);
     const incarnation = (this.incarnations.get(name) ?? 0) + 1;
     this.incarnations.set(name, incarnation);
@@ -177,7 +177,7 @@
         store: this.options.hasStore === true && name.startsWith('replica-') ? `${this.storeHost}:8000` : null,
         ...this.options.replicaSettings,
         ...(name === 'store-1' ? { store: null, capacityBlocks: 20_000 } : {}),
-        ...more,
+        ...overrides,
       },
       machine.clock(),
       machine.httpClient(),
@@ -187,16 +187,16 @@
     this.startedReplicas.push({ replica, host, name });
   };
 
-  /** The last incarnation of a replica. */
+  /** Returns the latest incarnation of a replica; 0 if it never started. */
   readonly incarnationOf = (name: string): number => this.incarnations.get(name) ?? 0;
 
-  /** The name of a replica of the main pool by index. */
+  /** Returns the name of a replica of the main pool by its index. */
   readonly replicaName = (at: number): string => `replica-${at + 1}`;
 
-  /** The replicas of the main pool, running or not. */
+  /** Returns the names of the replicas of the main pool, running or not. */
   readonly replicaNames = (): string[] => this.replicaHosts.map((_, at) => this.replicaName(at));
 
-  /** The host of any replica or of the store. */
+  /** Returns the host of any replica or of the store. */
   readonly hostOfReplica = (name: string): string =>
     name === 'app-1'
       ? this.appHost
@@ -213,7 +213,7 @@
     signal: AbortSignal = new AbortController().signal,
   ): Promise<HttpReply> => {
     const response = await this.world
-      .machine(outsideHost)
+      .machine(externalHost)
       .httpClient()
       .send({
         method: method as 'POST',
@@ -248,7 +248,7 @@
     headers?: Record<string, string>,
   ): Promise<HttpReply> => this.call(`http://${this.controlNodeHosts[at]}:7101${path}`, method, body, headers);
 
-  /** Runs virtual time until the promise settles, and gives its value. */
+  /** Advances virtual time until the promise settles, and returns its value. */
   readonly finish = async <T>(work: Promise<T>, timeoutMs = 30_000): Promise<T> => {
     let outcome: { value: T } | null = null;
     let fault: unknown = null;
@@ -256,7 +256,7 @@
       (value) => (outcome = { value }),
       (cause: unknown) => (fault = cause),
     );
-    await this.world.until('a call to end', () => outcome !== null || fault !== null, timeoutMs);
+    await this.world.until('the promise to settle', () => outcome !== null || fault !== null, timeoutMs);
     if (fault !== null) throw fault;
     return (outcome as unknown as { value: T }).value;
   };
@@ -307,19 +307,21 @@
     await Promise.all(this.gatewayHosts.map((_, at) => this.startGateway(at)));
   };
 
-  /** Starts everything, puts the first layout and grants the keys, and runs until every gateway serves. */
+  /**
+   * Starts everything, writes the initial configuration, grants the keys, and runs until every gateway is up to date.
+   */
   readonly up = async (): Promise<void> => {
     await this.startAll();
-    await this.world.until('the founding', () => this.controlNodes.every((one) => one?.isReady() === true));
+    await this.world.until('the cluster bootstrap', () => this.controlNodes.every((one) => one?.isReady() === true));
     const put = await this.finish(
       this.callControlNode(0, 'PUT', '/operator/layout', this.options.config ?? sampleWorkload.config('weights-1'), {
         'if-match': '"0"',
         'change-id': 'first-layout',
       }),
     );
-    if (put.status !== 200) throw new Error(`layout: ${JSON.stringify(put)}`);
+    if (put.status !== 200) throw new Error(`initial configuration rejected: ${JSON.stringify(put)}`);
     const announced = await this.finish(this.announceAll());
-    if (announced.status !== 200) throw new Error(`announce: ${JSON.stringify(announced)}`);
+    if (announced.status !== 200) throw new Error(`replica announcement rejected: ${JSON.stringify(announced)}`);
     const tenants = this.options.tenants ?? sampleWorkload.tenantNames;
     for (const tenant of tenants) {
       const granted = await this.finish(
@@ -331,18 +333,21 @@
           { 'change-id': `grant-${tenant}` },
         ),
       );
-      if (granted.status !== 200) throw new Error(`grant: ${JSON.stringify(granted)}`);
+      if (granted.status !== 200) throw new Error(`key grant rejected: ${JSON.stringify(granted)}`);
     }
-    await this.world.until('every counter ready', () =>
+    await this.world.until('every gateway to be up to date', () =>
       this.gateways.every((one) => one?.freshness.isFresh() === true && one.stateView.logIndex() >= 1 + tenants.length),
     );
   };
 
-  /** The machine of a node. */
+  /** Returns the machine of a node. */
   readonly machineOf = (kind: 'control' | 'gateway', at: number): SimMachine =>
     this.world.machine((kind === 'control' ? this.controlNodeHosts[at] : this.gatewayHosts[at]) as string);
 
-  /** Kills a control node, in part with its disk. */
+  /**
+   * Cuts the power of a control node: a random share of the unsynced bytes survives; with `losesDisk` the disk is
+   * wiped.
+   */
   readonly killControlNode = (at: number, losesDisk = false): void => {
     const machine = this.machineOf('control', at);
     machine.kill(this.world.random());
@@ -350,25 +355,25 @@
     this.controlNodes[at] = null;
   };
 
-  /** Restarts the machine and node of a control node. */
+  /** Boots the machine of a control node and starts the node. */
   readonly bootControlNode = async (at: number): Promise<void> => {
     this.machineOf('control', at).boot();
     await this.startControlNode(at);
   };
 
-  /** Kills a gateway. */
+  /** Cuts the power of a gateway. */
   readonly killGateway = (at: number): void => {
     this.machineOf('gateway', at).kill();
     this.gateways[at] = null;
   };
 
-  /** Restarts the machine and node of a gateway. */
+  /** Boots the machine of a gateway and starts the gateway. */
   readonly bootGateway = async (at: number): Promise<void> => {
     this.machineOf('gateway', at).boot();
     await this.startGateway(at);
   };
 
-  /** Drains, stops and restarts a gateway. */
+  /** Drains, stops and restarts a gateway, as a rolling restart does. */
   readonly restartGateway = async (at: number): Promise<void> => {
     const gateway = this.gateways[at];
     await gateway?.drain();
@@ -378,20 +383,20 @@
     await this.bootGateway(at);
   };
 
-  /** Stops and restarts a control node. */
+  /** Stops and restarts a control node, as a rolling restart does. */
   readonly restartControlNode = async (at: number): Promise<void> => {
     await this.controlNodes[at]?.stop();
     this.killControlNode(at);
     await this.bootControlNode(at);
   };
 
-  /** Kills a replica. */
+  /** Cuts the power of a replica. */
   readonly killReplica = (name: string): void => {
     this.world.machine(this.hostOfReplica(name)).kill();
     this.runningReplicas.delete(name);
   };
 
-  /** Brings a control node back empty at another host and name. */
+  /** Replaces a control node by an empty one with another host and name. */
   readonly replaceControlNode = async (at: number, host: string, name: string): Promise<void> => {
     this.killControlNode(at, true);
     this.controlNodeHosts[at] = host;
@@ -399,7 +404,7 @@
     await this.bootControlNode(at);
   };
 
-  /** Restarts the machine of a replica with a new incarnation. */
+  /** Boots the machine of a replica and starts a new incarnation. */
   readonly bootReplica = (name: string): void => {
     const host = this.hostOfReplica(name);
     this.world.machine(host).boot();
--- a/packages/test-fleet/src/simulator/simHttpExchange.ts
+++ b/packages/test-fleet/src/simulator/simHttpExchange.ts
@@ -1,4 +1,4 @@
-/** One simulated HTTP request and its response, with the routes in which machines and links may fail under it. */
+/** One simulated HTTP request and its response, including failures of the machines and links involved. */
 import type { HttpClient, HttpClientResponse, NetworkError } from '@martenworks/core-types';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -9,8 +9,8 @@
 
 const connectTimeoutMs = 1_000;
 
-const pairsOf = (list: readonly string[]): [string, string][] =>
-  list.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, list[at + 1] ?? '']] : []));
+const headerPairs = (flat: readonly string[]): [string, string][] =>
+  flat.flatMap((name, at): [string, string][] => (at % 2 === 0 ? [[name, flat[at + 1] ?? '']] : []));
 
 const aborted = (signal: AbortSignal): Promise<void> =>
   new Promise((wake) => {
@@ -20,18 +20,18 @@
 
 const resetError = (): Error => Object.assign(new Error('reset'), { code: 'ECONNRESET' });
 
-/** Lives from the request's start until its body ended or either machine crashed. */
+/** Lasts from the start of the request until the response body ends or either machine crashes. */
 export class SimHttpExchange {
   private readonly world: Simulation;
   private readonly url: URL;
   private readonly target: SimulatedMachine;
   private readonly targetIncarnation: number;
-  /** Aborts the handler and the reading of its response. */
+  /** Aborts the handler and the reading of its response body. */
   private readonly handlerAbort = new AbortController();
   private readonly callerAbort = new AbortController();
   private isSettled = false;
   private isConnected = false;
-  /** The target vanished: its response neither goes on nor breaks off. */
+  /** The target vanished: its response neither continues nor fails. */
   private isUnresponsive = false;
 
   constructor(
@@ -45,7 +45,7 @@
     this.targetIncarnation = this.target.incarnation;
   }
 
-  /** Connects and sends; the outcome settles in virtual time. */
+  /** Connects and sends the request; the outcome resolves in virtual time. */
   readonly start = (): void => {
     const { world, caller, target, request } = this;
     if (request.signal.aborted) {
@@ -62,7 +62,7 @@
     }
     if (world.isBlocked(caller.host, target.host) || this.isReturnPathBlocked() || !target.isUp) return;
     const roundTripMs = this.latencyOut() + this.latencyBack();
-    world.schedule(caller, roundTripMs, this.connected);
+    world.schedule(caller, roundTripMs, this.onConnected);
   };
 
   private readonly latencyOut = (): number => this.world.latency(this.caller.host, this.target.host);
@@ -85,7 +85,7 @@
     this.fail('ABORTED', false);
   };
 
-  private readonly connected = (): void => {
+  private readonly onConnected = (): void => {
     if (this.isSettled) return;
     this.isConnected = this.isTargetSame() && this.target.isUp;
     if (!this.isConnected) this.fail('ECONNREFUSED', true);
@@ -94,12 +94,12 @@
   };
 
   private readonly send = (): void => {
-    this.target.crashListeners.add(this.targetCrashed);
-    this.caller.crashListeners.add(this.callerCrashed);
+    this.target.crashListeners.add(this.onTargetCrash);
+    this.caller.crashListeners.add(this.onCallerCrash);
     this.world.schedule(this.target, this.latencyOut(), this.handle);
   };
 
-  private readonly targetCrashed = (isReset: boolean): void => {
+  private readonly onTargetCrash = (isReset: boolean): void => {
     this.isUnresponsive = !isReset;
     this.handlerAbort.abort();
     if (isReset)
@@ -109,12 +109,12 @@
       });
   };
 
-  private readonly callerCrashed = (): void => this.handlerAbort.abort();
+  private readonly onCallerCrash = (): void => this.handlerAbort.abort();
 
-  private readonly ended = (): void => {
-    this.target.openResponses.delete(this.ended);
-    this.target.crashListeners.delete(this.targetCrashed);
-    this.caller.crashListeners.delete(this.callerCrashed);
+  private readonly onEnded = (): void => {
+    this.target.openResponses.delete(this.onEnded);
+    this.target.crashListeners.delete(this.onTargetCrash);
+    this.caller.crashListeners.delete(this.onCallerCrash);
     this.request.signal.removeEventListener('abort', this.abandon);
   };
 
@@ -124,7 +124,7 @@
       this.world.schedule(this.caller, this.latencyBack(), () => this.fail('ECONNREFUSED', true));
       return;
     }
-    this.target.openResponses.add(this.ended);
+    this.target.openResponses.add(this.onEnded);
     void Promise.resolve(handler(this.receivedRequest())).then((response) => {
       if (this.isTargetSame() && this.target.isUp) this.sendHead(response);
     });
@@ -135,7 +135,7 @@
     const { host, pathname, search } = this.url;
     return new Request(`http://${host}${pathname}${search}`, {
       method,
-      headers: Array.isArray(headers) ? pairsOf(headers as string[]) : (headers as Record<string, string>),
+      headers: Array.isArray(headers) ? headerPairs(headers as string[]) : (headers as Record<string, string>),
       signal: this.handlerAbort.signal,
       ...(body === null ? {} : { body: body as string }),
     });
@@ -153,23 +153,23 @@
     body: this.bodyOf(response),
   });
 
-  /** Resolves once a piece of the body has crossed the network; false where it never will. */
+  /** Resolves to true once a chunk of the body has crossed the network, and to false if it never will. */
   private readonly transmitChunk = (): Promise<boolean> =>
     new Promise((resolve) => {
-      const leave = (): void => {
+      const attempt = (): void => {
         if (this.handlerAbort.signal.aborted) resolve(false);
-        else if (this.isReturnPathBlocked()) this.world.schedule(null, retransmitMs, leave);
+        else if (this.isReturnPathBlocked()) this.world.schedule(null, retransmitMs, attempt);
         else
           this.world.schedule(this.caller, this.latencyBack(), () =>
             resolve(!this.handlerAbort.signal.aborted || this.isTargetSame()),
           );
       };
-      leave();
+      attempt();
     });
 
   private readonly bodyOf = async function* (this: SimHttpExchange, response: Response): AsyncGenerator<Uint8Array> {
     const reader = response.body?.getReader();
-    if (reader === undefined) return this.ended();
+    if (reader === undefined) return this.onEnded();
     const { signal } = this.handlerAbort;
     const cancel = (): void => void reader.cancel().catch(() => {});
     signal.addEventListener('abort', cancel, { once: true });
@@ -188,7 +188,7 @@
       }
     } finally {
       if (!isDone) cancel();
-      this.ended();
+      this.onEnded();
     }
   };
 }
--- a/packages/test-fleet/src/simulator/simLink.ts
+++ b/packages/test-fleet/src/simulator/simLink.ts
@@ -1,6 +1,6 @@
-/** Links of a limited width for the simulated world: a first-in-first-out link for each machine and direction. */
+/** Simulated links of limited bandwidth: a first-in-first-out queue for each machine and direction. */
 
-/** Bytes that cross a link at once, and bytes that a sender may have under way. */
+/** Size of a segment, and the maximum number of bytes that a sender may have in flight. */
 const segmentBytes = 8 * 1_024;
 const windowBytes = 128 * 1_024;
 const msPerSecond = 1_000;
@@ -15,35 +15,38 @@
   readonly done: () => void;
 }
 
-/** One direction of a machine's link. Senders put in at most a window each, so that none is starved for long. */
+/** One direction of a machine's link. Each sender enqueues at most one window, so that none starves. */
 export class SimLink {
   private readonly waiting: Transfer[] = [];
   private isBusy = false;
 
-  /** @param bytesPerSecond the width that all connections of the machine share */
+  /** @param bytesPerSecond the bandwidth that all connections of the machine share */
   constructor(
     private readonly world: LinkWorld,
     readonly bytesPerSecond: number,
   ) {}
 
-  /** Calls `done` once `bytes` have crossed this link behind all that was put in before. */
+  /** Calls `done` once `bytes` have crossed this link, after all earlier transfers. */
   readonly transmit = (bytes: number, done: () => void): void => {
     this.waiting.push({ bytes, done });
-    if (!this.isBusy) this.next();
+    if (!this.isBusy) this.startNext();
   };
 
-  private readonly next = (): void => {
+  private readonly startNext = (): void => {
     const transfer = this.waiting.shift();
     this.isBusy = transfer !== undefined;
     if (transfer === undefined) return;
     this.world.schedule(null, (transfer.bytes * msPerSecond) / this.bytesPerSecond, () => {
       transfer.done();
-      this.next();
+      this.startNext();
     });
   };
 }
 
-/** The sending side of one direction of a connection: segments in order, with at most a window of bytes not yet arrived. */
+/**
+ * The sending side of one direction of a connection: sends segments in order, with at most one window of bytes in
+ * flight.
+ */
 export class SimSender {
   private readonly queue: Uint8Array[] = [];
   private queuedBytes = 0;
@@ -52,39 +55,39 @@
   constructor(
     private readonly outbound: () => SimLink | null,
     private readonly inbound: () => SimLink | null,
-    private readonly deliver: (bytes: Uint8Array, arrived: () => void) => void,
+    private readonly deliver: (bytes: Uint8Array, onArrived: () => void) => void,
   ) {}
 
-  /** Puts bytes in behind all that wait. */
+  /** Enqueues bytes. */
   readonly write = (bytes: Uint8Array): void => {
-    const isNarrow = this.outbound() !== null || this.inbound() !== null;
-    if (!isNarrow && this.inFlightBytes === 0 && this.queue.length === 0) {
+    const isLimited = this.outbound() !== null || this.inbound() !== null;
+    if (!isLimited && this.inFlightBytes === 0 && this.queue.length === 0) {
       this.deliver(bytes, () => {});
       return;
     }
     for (let begin = 0; begin < bytes.length; begin += segmentBytes)
       this.queue.push(bytes.subarray(begin, begin + segmentBytes));
     this.queuedBytes += bytes.length;
-    this.pump();
+    this.sendNext();
   };
 
-  /** Bytes that wait outside the window, as a socket's own buffer would tell. */
+  /** Returns the number of bytes queued outside the window, like the send buffer of a socket. */
   readonly backlog = (): number => this.queuedBytes;
 
-  /** Drops what has not left yet. */
+  /** Drops the bytes that are still queued. */
   readonly discard = (): void => {
     this.queue.length = 0;
     this.queuedBytes = 0;
   };
 
-  private readonly pump = (): void => {
+  private readonly sendNext = (): void => {
     while (this.inFlightBytes < windowBytes) {
       const segment = this.queue.shift();
       if (segment === undefined) return;
       this.queuedBytes -= segment.length;
       this.inFlightBytes += segment.length;
       this.transmitOver(this.outbound(), segment, () =>
-        this.transmitOver(this.inbound(), segment, () => this.deliver(segment, () => this.delivered(segment.length))),
+        this.transmitOver(this.inbound(), segment, () => this.deliver(segment, () => this.onDelivered(segment.length))),
       );
     }
   };
@@ -94,8 +97,8 @@
     else link.transmit(segment.length, done);
   };
 
-  private readonly delivered = (bytes: number): void => {
+  private readonly onDelivered = (bytes: number): void => {
     this.inFlightBytes -= bytes;
-    this.pump();
+    this.sendNext();
   };
 }
--- a/packages/test-fleet/src/simulator/simMachine.ts
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -1,4 +1,4 @@
-/** A simulated machine: its process may crash, restart, pause, and see its clocks jump. */
+/** A simulated machine: its process can crash, restart and freeze, and its clocks can jump. */
 import type {
   HttpClient,
   Clock,
@@ -22,28 +22,28 @@
 const httpShutdownPollMs = 1;
 /** The wall clock of all machines at virtual time 0, in milliseconds since 1970. */
 const epochMs = 1_700_000_000_000;
-/** Messages of which there is one a request; keeping them would fill the memory. */
+/** Messages logged once per request; they are dropped to limit memory use. */
 const unloggedMessages = new Set(['request', 'denied']);
 
-/** Ports of one incarnation stop working once the machine crashes or restarts. */
+/** Provides the ports of its process; those of one incarnation stop working once the machine crashes or restarts. */
 export class SimMachine implements SimulatedMachine {
   isUp = true;
   isVanished = false;
   isFrozen = false;
   incarnation = 0;
-  /** Milliseconds by which the wall clock is off. */
+  /** Offset of the wall clock in milliseconds. */
   wallClockOffset = 0;
-  /** Milliseconds that the monotonic clock has missed in pauses. */
+  /** Milliseconds for which the monotonic clock stood still in pauses. */
   monotonicPauseMs = 0;
   outbound: SimLink | null = null;
   inbound: SimLink | null = null;
-  /** The disk, which outlasts the process. */
+  /** The disk, which survives the process. */
   disk: SimDisk;
   readonly postponed: ScheduledEvent[] = [];
   readonly crashListeners = new Set<(isReset: boolean) => void>();
   readonly openResponses = new Set<() => void>();
   private frozenAt: number | null = null;
-  private readonly listeners = new Map<string, (wire: RawConnection) => void>();
+  private readonly listeners = new Map<string, (connection: RawConnection) => void>();
   private readonly httpHandlers = new Map<string, WebHandler>();
 
   constructor(
@@ -53,11 +53,12 @@
     this.disk = new SimDisk((delayMs) => world.sleep(delayMs, this));
   }
 
-  readonly listenerAt = (address: string): ((wire: RawConnection) => void) | undefined => this.listeners.get(address);
+  readonly listenerAt = (address: string): ((connection: RawConnection) => void) | undefined =>
+    this.listeners.get(address);
 
   readonly handlerAt = (address: string): WebHandler | undefined => this.httpHandlers.get(address);
 
-  /** The clocks of this incarnation. */
+  /** Returns the clocks of the current incarnation. */
   readonly clock = (): Clock => {
     const { incarnation } = this;
     return {
@@ -86,15 +87,15 @@
   });
 
   private readonly log = (context: Record<string, unknown>): Log => {
-    const write = (message: string, more?: Record<string, unknown>): void => {
+    const write = (message: string, fields?: Record<string, unknown>): void => {
       if (unloggedMessages.has(message)) return;
       const { time, logLines } = this.world;
-      logLines.push({ at: time, machine: this.host, message, context: { ...context, ...more } });
+      logLines.push({ at: time, machine: this.host, message, context: { ...context, ...fields } });
     };
-    return { info: write, warn: write, error: write, child: (more) => this.log({ ...context, ...more }) };
+    return { info: write, warn: write, error: write, child: (fields) => this.log({ ...context, ...fields }) };
   };
 
-  /** The ports of a process that starts now. */
+  /** Returns the ports of a process that starts now. */
   readonly ports = (isLogging = true): Ports => {
     const { incarnation } = this;
     return {
@@ -110,8 +111,8 @@
 
   private readonly net = (incarnation: number): Net => ({
     dial: (address, timeoutMs) => connectTo(this, incarnation, address, timeoutMs),
-    listen: async (address, onWire) => {
-      this.listeners.set(address, onWire);
+    listen: async (address, accept) => {
+      this.listeners.set(address, accept);
       return ok({ close: async () => void this.listeners.delete(address) });
     },
   });
@@ -129,14 +130,17 @@
   /** Stops serving HTTP at the address. */
   readonly stopHttp = (address: string): void => void this.httpHandlers.delete(address);
 
-  /** As the program does when it exits: nothing new is taken, and answers under way get a while to reach their callers. */
+  /**
+   * Stops serving HTTP as the program does on exit: accepts no new requests, and waits up to 1 s for open responses to
+   * end.
+   */
   readonly shutDownHttp = async (): Promise<void> => {
     this.httpHandlers.clear();
     const until = this.world.time + httpShutdownMs;
     while (this.openResponses.size > 0 && this.world.time < until) await this.world.sleep(httpShutdownPollMs, this);
   };
 
-  /** The HTTP client of a process; requests of an incarnation that is gone never settle. */
+  /** Returns the HTTP client of a process; requests of an incarnation that has ended never resolve. */
   readonly httpClient = (incarnation = this.incarnation): HttpClient => ({
     close: async () => {},
     send: (request) =>
@@ -145,7 +149,7 @@
       }),
   });
 
-  /** Loses power: ends the process; of what was written but not synced, that share has reached the disk. */
+  /** Simulates a power loss: ends the process; the given share of the unsynced bytes survives on the disk. */
   readonly kill = (unsyncedShareKept = 0): void => {
     if (!this.isUp) return;
     this.killProcess();
@@ -154,8 +158,8 @@
   };
 
   /**
-   * Ends the process only: what it wrote stays readable, and what it had not synced is still lost if the machine loses
-   * power later.
+   * Ends only the process: the bytes that it wrote stay readable, and unsynced bytes are still lost if the machine
+   * loses power later.
    */
   readonly killProcess = (): void => {
     if (!this.isUp) return;
@@ -166,17 +170,17 @@
     this.listeners.clear();
     this.httpHandlers.clear();
     this.openResponses.clear();
-    for (const crashed of [...this.crashListeners]) crashed(!this.isVanished);
+    for (const onCrash of [...this.crashListeners]) onCrash(!this.isVanished);
     this.crashListeners.clear();
   };
 
-  /** Ends the machine so that the other ends of its connections do not notice. */
+  /** Ends the machine without resetting its connections, so that their other ends do not notice. */
   readonly vanish = (): void => {
     this.isVanished = true;
     this.kill();
   };
 
-  /** Starts the machine with its disk; disk faults are cleared. */
+  /** Starts the machine with the contents of its disk; the disk is no longer full and syncs succeed. */
   readonly boot = (): void => {
     this.isUp = true;
     this.isVanished = false;
@@ -185,13 +189,13 @@
     this.disk.faults.failsSync = false;
   };
 
-  /** Pauses the process: what comes due runs when it is thawed. */
+  /** Freezes the process: events that come due run when it is thawed. */
   readonly freeze = (): void => {
     this.isFrozen = true;
     this.frozenAt = this.world.time;
   };
 
-  /** @param stopsMonotonic the monotonic clock stood still in the pause, as on a suspended machine */
+  /** @param stopsMonotonic whether the monotonic clock stood still in the pause, as on a suspended machine */
   readonly thaw = (stopsMonotonic = false): void => {
     if (stopsMonotonic && this.isFrozen) this.monotonicPauseMs += this.world.time - (this.frozenAt ?? this.world.time);
     this.isFrozen = false;
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A deterministic discrete-event simulation of machines and their network. All time is virtual and all randomness comes
- * from one seed, so that a seed repeats its run to the event.
+ * A deterministic discrete-event simulation of machines and their network. Time is virtual and all randomness comes
+ * from one seed, so that two runs with the same seed have the same events.
  */
 import { Heap } from 'heap-js';
 import { seededRandom } from '../workload/sampleDeployments.js';
@@ -14,10 +14,10 @@
 
 const byTime = (a: ScheduledEvent, b: ScheduledEvent): number => a.at - b.at || a.order - b.order;
 
-/** Lets everything that waits on settled promises run. */
-const settled = (): Promise<void> => new Promise((done) => setImmediate(done));
+/** Resolves after all pending promise callbacks have run. */
+const promisesSettled = (): Promise<void> => new Promise((done) => setImmediate(done));
 
-/** The clock, the machines by host and the network between them. Times are virtual milliseconds. */
+/** Owns the clock, the machines by host and the network between them. Times are virtual milliseconds. */
 export class SimWorld implements Simulation {
   readonly random: () => number;
   /** All machines by host. */
@@ -26,16 +26,16 @@
   private readonly links: NetworkLinks;
   private readonly scheduled = new Heap<ScheduledEvent>(byTime);
   private order = 0;
-  /** Called with each write on a connection between two machines, before it is under way. */
+  /** Called with each write on a connection between two machines, before it is sent. */
   onWrite: ((from: string, to: string, bytes: Uint8Array) => void) | null = null;
   time = 0;
-  /** How many events happened. */
+  /** Number of events so far. */
   events = 0;
   /** A digest of the times and order of all events so far; equal for equal runs. */
   digest = 0;
 
   constructor(
-    /** All randomness comes from it. */
+    /** Seeds the random number generator. */
     readonly seed: number,
   ) {
     this.random = seededRandom(seed);
@@ -61,7 +61,7 @@
   /** See `NetworkLinks`. */
   readonly latency: NetworkLinks['latency'];
 
-  /** The machine with that host, made when it is first asked for. */
+  /** Returns the machine with the given host, and creates it on first use. */
   readonly machine = (host: string): SimMachine => {
     const known = this.machines.get(host);
     if (known !== undefined) return known;
@@ -70,7 +70,10 @@
     return machine;
   };
 
-  /** Calls back after the delay, unless the machine crashed or restarted in between; a paused one runs it later. */
+  /**
+   * Calls back after the delay, unless the machine crashes or restarts in between; on a frozen machine the event runs
+   * when it is thawed.
+   */
   readonly schedule = (machine: SimulatedMachine | null, delayMs: number, callback: () => void): ScheduledEvent => {
     const event: ScheduledEvent = {
       at: this.time + Math.max(0, delayMs),
@@ -84,21 +87,21 @@
     return event;
   };
 
-  /** Resolves after virtual time. */
+  /** Resolves after the given virtual time. */
   readonly sleep = (delayMs: number, machine: SimulatedMachine | null = null): Promise<void> =>
     new Promise((wake) => void this.schedule(machine, delayMs, wake));
 
-  /** Runs everything that happens within the span. */
+  /** Runs all events within the given duration. */
   readonly run = async (durationMs: number): Promise<void> => {
     const until = this.time + durationMs;
-    await settled();
+    await promisesSettled();
     for (let next = this.scheduled.peek(); next !== undefined && next.at <= until; next = this.scheduled.peek()) {
       this.scheduled.pop();
       if (!this.isDue(next)) continue;
       this.events += 1;
       this.digest = (Math.imul(this.digest, 31) + Math.floor(next.at * 16) + next.order) | 0;
       next.callback();
-      await settled();
+      await promisesSettled();
     }
     this.time = until;
   };
@@ -114,18 +117,18 @@
   };
 
   /**
-   * Runs until the test holds, and gives the virtual milliseconds that took.
+   * Runs until the condition holds, and returns the elapsed virtual milliseconds.
    *
-   * @throws Error with the seed, where it does not hold within `limitMs`
+   * @throws Error with the seed if the condition does not hold within `limitMs`
    */
-  readonly until = async (what: string, test: () => boolean, limitMs = timeoutMs): Promise<number> => {
-    const begin = this.time;
-    while (!test()) {
-      if (this.time - begin > limitMs)
+  readonly until = async (what: string, condition: () => boolean, limitMs = timeoutMs): Promise<number> => {
+    const startedAt = this.time;
+    while (!condition()) {
+      if (this.time - startedAt > limitMs)
         throw new Error(`seed ${this.seed}: timed out after ${limitMs} virtual ms: ${what}`);
       await this.run(pollMs);
     }
-    return this.time - begin;
+    return this.time - startedAt;
   };
 
   /** Blocks both directions between two machines. */
@@ -134,13 +137,13 @@
     this.blockLink(b, a);
   };
 
-  /** Ends a partition of two machines. */
+  /** Ends the partition between two machines. */
   readonly heal = (a: string, b: string): void => {
     this.unblockLink(a, b);
     this.unblockLink(b, a);
   };
 
-  /** Cuts a machine off from all others. */
+  /** Partitions a machine from all others. */
   readonly isolate = (host: string): void => {
     for (const other of this.machines.keys()) if (other !== host) this.partition(host, other);
   };
@@ -150,7 +153,10 @@
     for (const other of this.machines.keys()) this.heal(host, other);
   };
 
-  /** Gives a machine's connections a shared width each way, in bytes a second; the HTTP carriage is not narrowed. */
+  /**
+   * Limits the bandwidth that a machine's connections share, in bytes per second and direction; HTTP requests are not
+   * limited.
+   */
   readonly limitBandwidth = (host: string, bytesPerSecond: number): void => {
     const machine = this.machine(host);
     machine.outbound = new SimLink(this, bytesPerSecond);
--- a/packages/test-fleet/src/simulator/simulation.ts
+++ b/packages/test-fleet/src/simulator/simulation.ts
@@ -1,12 +1,12 @@
-/** What the parts of the simulator need of the world and of machines; the classes are in `simWorld` and `simMachine`. */
+/** Interfaces between the parts of the simulator; implemented in `simWorld` and `simMachine`. */
 import type { WebHandler, RawConnection } from '@martenworks/core-types';
 import type { SimLink } from './simLink.js';
 
-/** Something that happens at a virtual time, unless its machine crashed by then. */
+/** An event at a virtual time; it is dropped if its machine crashes before. */
 export interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
-  /** Null: it happens whatever becomes of the machines. */
+  /** Null for an event that belongs to no machine. */
   readonly machine: SimulatedMachine | null;
   readonly incarnation: number;
   readonly callback: () => void;
@@ -36,27 +36,27 @@
   readonly latency: (from: string, to: string) => number;
 }
 
-/** A machine as the network and the event queue see it. */
+/** A machine as the network and the event queue use it. */
 export interface SimulatedMachine {
   readonly world: Simulation;
   readonly host: string;
   readonly isUp: boolean;
-  /** The machine answers nothing, not even with a reset. */
+  /** The machine does not respond at all, not even with a reset. */
   readonly isVanished: boolean;
   readonly isFrozen: boolean;
-  /** Rises with each crash and each restart. */
+  /** Increases with each crash and each restart. */
   readonly incarnation: number;
-  /** The widths of the machine's link; null: unlimited. */
+  /** The limited links of the machine; null for unlimited bandwidth. */
   readonly outbound: SimLink | null;
   readonly inbound: SimLink | null;
-  /** Events that came due in a pause. */
+  /** Events that came due while the machine was frozen. */
   readonly postponed: ScheduledEvent[];
-  /** Called when the machine crashes; `isReset` tells whether the other ends notice. */
+  /** Called when the machine crashes; `isReset` says whether the other ends are notified. */
   readonly crashListeners: Set<(isReset: boolean) => void>;
-  /** Responses under way. */
+  /** Open responses. */
   readonly openResponses: Set<() => void>;
-  /** What accepts connections at the address, if anything does. */
-  readonly listenerAt: (address: string) => ((wire: RawConnection) => void) | undefined;
-  /** What answers HTTP requests at the address, if anything does. */
+  /** Returns the listener that accepts connections at the address, if any. */
+  readonly listenerAt: (address: string) => ((connection: RawConnection) => void) | undefined;
+  /** Returns the handler of HTTP requests at the address, if any. */
   readonly handlerAt: (address: string) => WebHandler | undefined;
 }
--- a/packages/test-fleet/src/workload/callSender.ts
+++ b/packages/test-fleet/src/workload/callSender.ts
@@ -1,9 +1,11 @@
-/** Sends sample requests to gateways as an outside caller, and records what became of each. */
+/** Sends sample requests to gateways as an external caller, and records the outcome of each. */
 import type { HttpClient } from '@martenworks/core-types';
 import { CompletionStream, completionBodies } from './completionResponse.js';
 import type { SampleRequest } from './sampleDeployments.js';
 
-/** One request of a caller and its outcome so far. Times are milliseconds of the fleet's clock; 0: not yet. */
+/**
+ * One request of a caller and its outcome so far. Times are milliseconds of the fleet's clock; 0 if not yet reached.
+ */
 export interface Call {
   readonly requestId: string;
   readonly request: SampleRequest;
@@ -11,30 +13,30 @@
   readonly sentAt: number;
   readonly idempotencyKey: string | null;
   outcome: 'open' | 'whole' | 'denied' | 'cut' | 'lost';
-  /** The HTTP status; 0 until the head arrived. */
+  /** The HTTP status; 0 until the response headers arrive. */
   status: number;
-  /** The error code of a rejection or of the network; empty without one. */
+  /** The error code of a rejection or of a network error; empty if there is none. */
   code: string;
-  /** Whether the request ran, as the response says. */
+  /** Whether the request ran according to the response: `yes`, `no` or `unknown`; empty if it does not say. */
   ran: string;
   retryAfter: string | null;
   text: string;
   endedAt: number;
   firstTokenAt: number;
-  /** The caller gave up before the end. */
+  /** The caller aborted the request before its end. */
   isAborted: boolean;
 }
 
-/** How a request is sent; by default without a key, streamed and with no deadline of the caller. */
+/** How a request is sent; by default without an idempotency key, streamed and without a deadline. */
 export interface SendOptions {
   readonly idempotencyKey?: string;
   readonly deadlineMs?: number;
   readonly signal?: AbortSignal;
-  /** Asks for one body in place of a stream. */
+  /** Requests a single body instead of a stream. */
   readonly isBuffered?: boolean;
 }
 
-/** What the sender needs of the fleet. */
+/** The parts of the fleet that the sender uses. */
 export interface CallTarget {
   readonly gatewayHosts: readonly string[];
   readonly now: () => number;
@@ -44,19 +46,19 @@
 type Request = Parameters<HttpClient['send']>[0];
 type Body = AsyncIterable<Uint8Array>;
 
-/** Keeps all calls in the order in which they were sent. */
+/** Sends calls and records them. */
 export class CallSender {
   /** All calls in the order in which they were sent. */
   readonly calls: Call[] = [];
   private sentCount = 0;
 
-  /** @param salt tells the request ids of several senders apart */
+  /** @param salt distinguishes the request ids of several senders */
   constructor(
     private readonly target: CallTarget,
     private readonly salt: string,
   ) {}
 
-  /** Sends to the gateway with that index and returns at once; the call's outcome changes as the response comes. */
+  /** Sends to the gateway with the given index and returns immediately; the call is updated as the response arrives. */
   readonly send = (request: SampleRequest, gatewayIndex: number, options: SendOptions = {}): Call => {
     const call: Call = {
       requestId: `call-${this.salt}${++this.sentCount}`,
@@ -76,7 +78,7 @@
     };
     this.calls.push(call);
     options.signal?.addEventListener('abort', () => (call.isAborted = call.endedAt === 0), { once: true });
-    void this.follow(call, options).then(() => (call.endedAt = this.target.now()));
+    void this.trackOutcome(call, options).then(() => (call.endedAt = this.target.now()));
     return call;
   };
 
@@ -100,7 +102,7 @@
     gate: () => true,
   });
 
-  private readonly follow = async (call: Call, options: SendOptions): Promise<void> => {
+  private readonly trackOutcome = async (call: Call, options: SendOptions): Promise<void> => {
     const response = await this.target.externalClient().send(this.requestOf(call, options));
     if (response.isErr()) {
       call.outcome = 'lost';
--- a/packages/test-fleet/src/workload/completionResponse.ts
+++ b/packages/test-fleet/src/workload/completionResponse.ts
@@ -1,44 +1,44 @@
-/** Reads the responses of the completions API: streams of server-sent events, whole bodies and errors. */
+/** Parses the responses of the completions API: streams of server-sent events, complete bodies and errors. */
 import { createParser } from 'eventsource-parser';
 
 type JsonObject = Readonly<Record<string, unknown>>;
 
 const asObject = (value: unknown): JsonObject =>
   typeof value === 'object' && value !== null ? (value as JsonObject) : {};
-const asText = (value: unknown): string => (typeof value === 'string' ? value : '');
+const asString = (value: unknown): string => (typeof value === 'string' ? value : '');
 
-/** The error object of a rejection or of a stream that failed. */
+/** The error object of a rejection or of a failed stream. */
 export interface CompletionError {
-  /** The stable error code; empty where the body has none. */
+  /** The stable error code; empty if the body has none. */
   readonly type: string;
-  /** Whether the request ran: `yes`, `no` or `unknown`; empty where the body does not say. */
+  /** Whether the request ran: `yes`, `no` or `unknown`; empty if the body does not say. */
   readonly ran: string;
 }
 
 const parsed = (text: string): JsonObject => asObject(JSON.parse(text) as unknown);
 const firstChoiceText = (body: JsonObject): string => {
   const choices: readonly unknown[] = Array.isArray(body.choices) ? body.choices : [];
-  return asText(asObject(choices[0]).text);
+  return asString(asObject(choices[0]).text);
 };
 
-/** Reads bodies that arrive whole. Each throws a `SyntaxError` where the text is no JSON. */
+/** Parses complete bodies. Each function throws a `SyntaxError` if the text is not JSON. */
 export const completionBodies = {
   error: (text: string): CompletionError => {
     const error = asObject(parsed(text).error);
-    return { type: asText(error.type), ran: asText(error.ran) };
+    return { type: asString(error.type), ran: asString(error.ran) };
   },
   text: (text: string): string => firstChoiceText(parsed(text)),
 };
 
-/** Collects one streamed completion. */
+/** Parses one streamed completion. */
 export class CompletionStream {
-  /** The text so far. */
+  /** The text received so far. */
   text = '';
-  /** The id of the run that answers; empty until the first chunk. */
+  /** The id of the run that generates the response; empty until the first chunk. */
   runId = '';
-  /** Set once the end marker came. */
+  /** Whether the end marker has arrived. */
   isEnded = false;
-  /** The error event, if one came. */
+  /** The error event, if one arrived. */
   error: CompletionError | null = null;
   private readonly decoder = new TextDecoder();
 
@@ -53,11 +53,11 @@
     },
   });
 
-  /** Takes the next bytes of the stream. */
+  /** Parses the next bytes of the stream. */
   readonly feed = (bytes: Uint8Array): void => this.parser.feed(this.decoder.decode(bytes, { stream: true }));
 
   private readonly addChunk = (chunk: JsonObject): void => {
-    if (this.runId === '') this.runId = asText(chunk.id);
+    if (this.runId === '') this.runId = asString(chunk.id);
     this.text += firstChoiceText(chunk);
     this.onChunk();
   };
--- a/packages/test-fleet/src/workload/loadGenerator.ts
+++ b/packages/test-fleet/src/workload/loadGenerator.ts
@@ -1,4 +1,4 @@
-/** Drives a fleet of real processes with open-loop traffic, and checks the text of every response. */
+/** Sends open-loop traffic to a fleet of real processes, and checks the text of every response. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Agent, request } from 'undici';
 import type { Dispatcher } from 'undici';
@@ -13,22 +13,22 @@
 const minWaitMs = 1;
 const maxRequestsPerSeed = 1_000_000;
 const appWeights = 'app-1';
-const groupWidth = 18;
+const groupColumnWidth = 18;
 
-/** How a request ended: `cut` before its end, `wrong` with a text that no run gave, `broken` without a response. */
+/** How a request ended: `cut` is a truncated response, `wrong` an unexpected text, `broken` no response at all. */
 type Ending = 'whole' | 'denied' | 'cut' | 'wrong' | 'broken';
 
-/** One request and how it ended. Times are milliseconds of the local monotonic clock. */
+/** One request and its result. Times are milliseconds of the local monotonic clock. */
 export interface Outcome {
   readonly kind: SampleRequest['kind'];
   readonly tier: string;
-  /** The HTTP status; 0 without a response. */
+  /** The HTTP status; 0 if there was no response. */
   readonly status: number;
-  /** The error code of a rejection or of the network; empty without one. */
+  /** The error code of a rejection or of a network error; empty if there is none. */
   readonly code: string;
   readonly ran: string;
   readonly outcome: Ending;
-  /** Time to the first token; 0 without one. */
+  /** Time to the first token; 0 if there was none. */
   readonly firstMs: number;
   readonly totalMs: number;
   readonly requestId: string;
@@ -36,13 +36,13 @@
   readonly runId: string;
 }
 
-/** What is sent, where and how often. */
+/** The requests to send: their targets, rate and duration. */
 export interface LoadPlan {
   readonly hosts: readonly string[];
   readonly ratePerSecond: number;
   readonly seconds: number;
   readonly seed: number;
-  /** The weights that replicas may answer with. */
+  /** Returns the weights that replicas may use at this time. */
   readonly weights: () => readonly string[];
   /** The share of requests with long prompts. */
   readonly longShare?: number;
@@ -79,10 +79,10 @@
   const { runId, text, isEnded, error } = stream;
   if (isBroken || !isEnded) return { status: 200, outcome: 'cut', code: 'cut', ran: 'unknown', firstMs, runId };
   if (error !== null) return { status: 200, outcome: 'wrong', code: 'cut', ran: 'unknown', firstMs, runId };
-  const isRight = [...weights, appWeights].some(
+  const isExpected = [...weights, appWeights].some(
     (name) => generatedText.fullText(sample.prompt, name, runId, sample.maxTokens) === text,
   );
-  return { status: 200, outcome: isRight ? 'whole' : 'wrong', firstMs, runId };
+  return { status: 200, outcome: isExpected ? 'whole' : 'wrong', firstMs, runId };
 };
 
 const send = async (
@@ -107,19 +107,19 @@
   return { code: '', ran: '', firstMs: 0, runId: '', ...result, kind, tier, totalMs, requestId, sentAt };
 };
 
-/** Sends at Poisson times whatever the fleet does, and resolves once every request has ended. */
+/** Sends requests with Poisson arrivals, independent of the responses, and resolves once every request has ended. */
 export const generateLoad = async (plan: LoadPlan): Promise<Outcome[]> => {
   const agent = new Agent({ connections: connectionsPerHost, pipelining: 1 });
   const random = seededRandom(plan.seed);
   const count = Math.floor(plan.ratePerSecond * plan.seconds);
-  const beganAt = performance.now();
+  const startedAt = performance.now();
   const pending: Promise<Outcome>[] = [];
-  let dueMs = 0;
+  let arrivalMs = 0;
   for (let at = 0; at < count; at += 1) {
-    dueMs += (-Math.log(1 - random()) * msPerSecond) / plan.ratePerSecond;
+    arrivalMs += (-Math.log(1 - random()) * msPerSecond) / plan.ratePerSecond;
     const sample = sampleWorkload.request(random, plan.seed * maxRequestsPerSeed + at, plan.longShare);
     const host = plan.hosts[Math.floor(random() * plan.hosts.length)] as string;
-    const waitMs = dueMs - (performance.now() - beganAt);
+    const waitMs = arrivalMs - (performance.now() - startedAt);
     if (waitMs > minWaitMs) await sleep(waitMs);
     pending.push(send(agent, host, sample, `load-${plan.seed}-${at}`, plan));
   }
@@ -136,16 +136,16 @@
 };
 
 const line = (group: string, outcomes: readonly Outcome[]): string => {
-  const whole = outcomes.filter(({ outcome }) => outcome === 'whole');
+  const complete = outcomes.filter(({ outcome }) => outcome === 'whole');
   const first = quantiles(
-    whole.map(({ firstMs }) => firstMs),
+    complete.map(({ firstMs }) => firstMs),
     [0.5, 0.95, 0.99],
   );
   const total = quantiles(
-    whole.map(({ totalMs }) => totalMs),
+    complete.map(({ totalMs }) => totalMs),
     [0.5, 0.99],
   );
-  return `${group.padEnd(groupWidth)} n=${outcomes.length} whole=${whole.length} first ${first} total ${total}`;
+  return `${group.padEnd(groupColumnWidth)} n=${outcomes.length} whole=${complete.length} first ${first} total ${total}`;
 };
 
 const lines = (outcomes: readonly Outcome[]): string[] => {
@@ -171,5 +171,5 @@
   return totals;
 };
 
-/** `lines` gives latencies by kind and tier in milliseconds, `counts` how many requests ended in which way. */
+/** `lines` returns latencies in milliseconds by kind and tier, `counts` the number of requests by ending. */
 export const summaries = { lines, counts };
--- a/packages/test-fleet/src/workload/sampleDeployments.ts
+++ b/packages/test-fleet/src/workload/sampleDeployments.ts
@@ -1,4 +1,4 @@
-/** Sample deployments: the users' two sites, their tenants, layout and requests, all drawn from a seed. */
+/** Sample deployments: the users' two sites, with their tenants, configuration and requests, generated from a seed. */
 import { createHash } from 'node:crypto';
 
 /** Size of a site and its rate of requests. */
@@ -14,7 +14,7 @@
   sawmill: { name: 'sawmill', replicaCount: 8, ratePerSecond: 180 },
 };
 
-/** A generator of numbers from 0 up to 1 (mulberry32); equal seeds give equal sequences. */
+/** Returns a generator of pseudo-random numbers in [0, 1) (mulberry32); equal seeds give equal sequences. */
 export const seededRandom = (seed: number): (() => number) => {
   let state = seed >>> 0 || 1;
   return () => {
@@ -40,7 +40,7 @@
 const longPrefixes = [0, 1, 2, 3, 4, 5].map((at) => pseudoText(`manual-${at}`, 24_000));
 const shortPrefix = pseudoText('assistant', 640);
 
-/** The kinds of requests; each is the name of a lane. */
+/** The kinds of requests; each kind has a lane of the same name. */
 export const requestKinds = ['confirm', 'query', 'diagnose', 'book'] as const;
 /** See `requestKinds`. */
 export type RequestKind = (typeof requestKinds)[number];
@@ -55,18 +55,18 @@
   readonly tier: string;
 }
 
-/** The first key of a tenant. */
+/** Returns the initial API key of a tenant. */
 export const keyOf = (tenant: string): string => `key-of-${tenant}-0001`;
 
 const tierOf = (tenant: string): string => (tenantNames.indexOf(tenant) < 4 ? 'prompt' : 'steady');
 
-/** The priority of each tier; lower runs first. */
+/** The priority of each tier; lower values run first. */
 const tiers = { prompt: 0, steady: 1, patient: 3 } as const;
 
-/** A tier that tenants of the sample deployments buy. */
+/** A tier of the sample deployments. */
 export type Tier = keyof typeof tiers;
 
-/** Tenants, tiers, the layout with given weights, and requests as the sites send them. */
+/** Tenants, tiers, the configuration with the given weights, and requests as the sites send them. */
 export const sampleWorkload = {
   tenantNames,
   tiers,
@@ -101,9 +101,9 @@
           : draw < longShare + 0.64 * (1 - longShare)
             ? 'confirm'
             : 'query';
-    const big = random() < 0.5;
+    const isLargeTenant = random() < 0.5;
     const tenant = (
-      big ? tenantNames[Math.floor(random() * 2)] : tenantNames[Math.floor(random() * tenantNames.length)]
+      isLargeTenant ? tenantNames[Math.floor(random() * 2)] : tenantNames[Math.floor(random() * tenantNames.length)]
     ) as string;
     const tail = ` ticket ${at} ${pseudoText(`tail-${at}`, 64)}`;
     const prompt =
--- a/packages/test-fleet/src/workload/trafficGenerator.ts
+++ b/packages/test-fleet/src/workload/trafficGenerator.ts
@@ -1,4 +1,4 @@
-/** Open-loop traffic with Poisson arrivals: plain requests, and requests under idempotency keys that callers retry. */
+/** Open-loop traffic with Poisson arrivals: plain requests, and requests with idempotency keys that callers retry. */
 import type { Call, CallSender } from './callSender.js';
 import { sampleWorkload } from './sampleDeployments.js';
 import type { RequestKind, SampleRequest } from './sampleDeployments.js';
@@ -13,32 +13,32 @@
 const maxCallerRetries = 3;
 const concurrentDuplicateShare = 0.4;
 const maxDuplicateDelayMs = 60;
-/** A draw that stands for an ordinary request. */
+/** A random value that selects an ordinary request. */
 const ordinaryDraw = 0.25;
 
-/** What the generator needs of the run it is part of. */
+/** The parts of the run that the generator uses. */
 export interface TrafficOptions {
   readonly now: () => number;
   readonly random: () => number;
   readonly after: (delayMs: number, callback: () => void) => void;
-  /** The indices of the gateways that are not lost for good. */
+  /** Returns the indices of the gateways that are not permanently lost. */
   readonly liveGateways: () => readonly number[];
-  /** Called with each key that no tenant was ever granted. */
+  /** Called with each key that was never granted to a tenant. */
   readonly onUnknownKey: (key: string) => void;
 }
 
-/** Each method starts traffic and returns at once. */
+/** Generates traffic; each method starts it and returns immediately. */
 export class TrafficGenerator {
   constructor(
     private readonly sender: CallSender,
     private readonly options: TrafficOptions,
   ) {}
 
-  /** @param hasAborts adds aborted requests, equal prompts of several tenants and unknown keys */
+  /** @param hasAborts whether to add aborted requests, equal prompts from several tenants and unknown keys */
   readonly start = (ratePerSecond: number, durationMs: number, longShare?: number, hasAborts = false): void =>
     this.repeat(ratePerSecond, durationMs, () => this.sendOrdinary(longShare, hasAborts));
 
-  /** Requests for once-only lanes under idempotency keys; callers retry until one is complete. */
+  /** Starts requests with idempotency keys for once-only lanes; callers retry until a response is complete. */
   readonly startKeyed = (ratePerSecond: number, durationMs: number): void =>
     this.repeat(ratePerSecond, durationMs, this.sendKeyed);
 
@@ -62,9 +62,9 @@
     const { random, after } = this.options;
     const request = sampleWorkload.request(random, this.sender.calls.length, longShare);
     const draw = hasAborts ? random() : ordinaryDraw;
-    const abortion = new AbortController();
-    if (draw < abortShare) after(random() * maxAbortDelayMs, () => abortion.abort());
-    this.sender.send(request, this.randomGateway(), { signal: abortion.signal });
+    const abortController = new AbortController();
+    if (draw < abortShare) after(random() * maxAbortDelayMs, () => abortController.abort());
+    this.sender.send(request, this.randomGateway(), { signal: abortController.signal });
     if (draw > 1 - duplicatePromptShare) this.sendDuplicatePrompt(request);
     if (draw > 0.5 && draw < 0.5 + unknownKeyShare) this.sendUnknownKey(request);
   };
--- a/packages/test-fleet/test/faultInjection.test.ts
+++ b/packages/test-fleet/test/faultInjection.test.ts
@@ -8,17 +8,17 @@
 } from '@martenworks/test-fleet';
 import type { PermanentLossKind } from '@martenworks/test-fleet';
 
-const manyFaultsSeeds = testLength.seeds({ always: [900, 901, 902, 903], longRun: [904, 905, 906, 907] });
+const concurrentFaultsSeeds = testLength.seeds({ always: [900, 901, 902, 903], longRun: [904, 905, 906, 907] });
 
-describe('storms', () => {
-  it('given one seed, when its storm is run twice, then both runs are the same to the event', async () => {
+describe('fault injection', () => {
+  it('given a seed, when its fault schedule runs twice, then both runs have the same events and report', async () => {
     const first = await new FaultInjectionRun({ seed: 77, faultCount: 8 }).run();
     const second = await new FaultInjectionRun({ seed: 77, faultCount: 8 }).run();
     expect(second).to.deep.equal(first);
   });
 
   for (const [at, kind] of faultKinds.entries()) {
-    it(`given this fault: ${kind}, when it is brought about, then no line of the never list is broken`, async () => {
+    it(`given the fault "${kind}", when it is injected, then no safety invariant is violated`, async () => {
       const report = await new FaultInjectionRun({
         seed: 500 + at,
         kinds: [kind],
@@ -31,8 +31,8 @@
     });
   }
 
-  for (const seed of manyFaultsSeeds) {
-    it(`given many faults at once, when storm ${seed} passes, then no line of the never list is broken`, async () => {
+  for (const seed of concurrentFaultsSeeds) {
+    it(`given many concurrent faults, when the fault schedule of seed ${seed} runs, then no safety invariant is violated`, async () => {
       const report = await new FaultInjectionRun({ seed, faultCount: 12 }).run();
       expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
     });
@@ -42,7 +42,7 @@
     ['sawmill', 50_000],
     ['stations', 53_000],
   ] as const) {
-    it(`given the users' full size (${size}), when storm ${seed} passes, then no line of the never list is broken`, async () => {
+    it(`given the users' full size (${size}), when the fault schedule of seed ${seed} runs, then no safety invariant is violated`, async () => {
       const report = await new FaultInjectionRun({ seed, faultCount: 10, ...deploymentSizes[size] }).run();
       expect(report.violations, JSON.stringify(report.injected)).to.deep.equal([]);
       expect(report.calls).to.be.greaterThan(5_000);
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -5,50 +5,50 @@
 import { FaultInjectionRun } from '@martenworks/test-fleet';
 import type { FaultKind, FaultSchedule } from '@martenworks/test-fleet';
 
-type Open<T> = { -readonly [K in keyof T]: T[K] };
-const loosened = <T extends object>(held: T): Open<T> & Record<string, unknown> =>
-  held as Open<T> & Record<string, unknown>;
+type Writable<T> = { -readonly [K in keyof T]: T[K] };
+const writable = <T extends object>(value: T): Writable<T> & Record<string, unknown> =>
+  value as Writable<T> & Record<string, unknown>;
 
-const carriageBroken =
+const withHttpClient =
   (wrap: (httpClient: HttpClient) => Partial<HttpClient>) =>
   (role: string, ports: Ports): Ports =>
     role === 'gateway' ? { ...ports, httpClient: { ...ports.httpClient, ...wrap(ports.httpClient) } } : ports;
 
-const diskBroken =
+const withDisk =
   (wrap: (disk: Disk) => Partial<Disk>) =>
   (role: string, ports: Ports): Ports =>
     role === 'control' ? { ...ports, disk: { ...ports.disk, ...wrap(ports.disk) } } : ports;
 
-const deafTo =
+const ignoring =
   (topic: 'change', from: number) =>
   (gateway: Gateway): void => {
-    const take = gateway.stateView.applyChange;
-    loosened(gateway.stateView).applyChange = (logIndex, change) =>
-      logIndex > from && topic === 'change' ? false : take(logIndex, change);
-    const whole = gateway.stateView.applySnapshot;
-    loosened(gateway.stateView).applySnapshot = (state) => (state.logIndex > from ? false : whole(state));
-    loosened(gateway.freshness).isFresh = () => gateway.stateView.logIndex() >= 0;
+    const applyChange = gateway.stateView.applyChange;
+    writable(gateway.stateView).applyChange = (logIndex, change) =>
+      logIndex > from && topic === 'change' ? false : applyChange(logIndex, change);
+    const applySnapshot = gateway.stateView.applySnapshot;
+    writable(gateway.stateView).applySnapshot = (state) => (state.logIndex > from ? false : applySnapshot(state));
+    writable(gateway.freshness).isFresh = () => gateway.stateView.logIndex() >= 0;
   };
 
-const upGeneration = 10;
+const initialLogIndex = 10;
 
-interface Break {
-  readonly what: string;
+interface Defect {
+  readonly description: string;
   readonly rule: string;
   readonly kinds: readonly FaultKind[];
   readonly plan: Omit<FaultSchedule, 'seed' | 'kinds'>;
-  /** The seed that is known to find the break, so that it is tried before the others. */
+  /** The seed that is known to detect the defect; it is tried before the others. */
   readonly firstSeed?: number;
 }
 
 const seeds = [1, 2, 3, 4];
 
-const seedsOf = ({ firstSeed }: Break): number[] =>
+const seedsOf = ({ firstSeed }: Defect): number[] =>
   firstSeed === undefined ? seeds : [firstSeed, ...seeds.filter((seed) => seed !== firstSeed)];
 
-const breaks: Break[] = [
+const defects: Defect[] = [
   {
-    what: 'every failed shot is held to be unsent',
+    description: 'every failed attempt counts as unsent',
     rule: 'runs twice',
     kinds: ['replica crashes', 'replica cuts streams'],
     plan: {
@@ -56,24 +56,24 @@
       ratePerSecond: 45,
       faultCount: 16,
       overrides: {
-        portsFor: carriageBroken((httpClient) => ({
+        portsFor: withHttpClient((httpClient) => ({
           send: async (request) => (await httpClient.send(request)).mapErr((fault) => ({ ...fault, isUnsent: true })),
         })),
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stages.sendStage).retry = (parcel: never) => gateway.stages.placementStage.enqueue(parcel);
+          writable(gateway.stages.sendStage).retry = (request: never) => gateway.stages.placementStage.enqueue(request);
         },
       },
     },
   },
   {
-    what: 'each counter grants its own claims',
+    description: 'each gateway grants its own claims',
     rule: 'runs twice',
     kinds: ['counter dies'],
     plan: {
       faultCount: 2,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.claims).acquire = async (key, digest) => ({
+          writable(gateway.claims).acquire = async (key, digest) => ({
             kind: 'claimed',
             claim: { key, turn: 0, claimant: { id: key, gateway: '', address: '', digest } },
           });
@@ -82,92 +82,92 @@
     },
   },
   {
-    what: 'a counter that was not the claimant frees the claim of a dead one',
+    description: 'a gateway that is not the claimant releases the claim of a crashed one',
     rule: 'runs twice',
     kinds: ['counter dies', 'counters die in a herd'],
     plan: {
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.claims).fetchState = async () => ({ kind: 'not run' });
+          writable(gateway.claims).fetchState = async () => ({ kind: 'not run' });
         },
       },
     },
   },
   {
-    what: 'what may have run is told as not run',
-    rule: 'not run, yet ran',
+    description: 'requests that may have run are reported as not run',
+    rule: 'reported as not run, but ran',
     kinds: ['replica cuts streams', 'replica crashes', 'key is revoked'],
     plan: {
       longShare: 0.4,
       overrides: {
         onGatewayStarted: (gateway) => {
-          const refuse = gateway.stages.rejector.reject;
-          loosened(gateway.stages.rejector).reject = (parcel, code, detail) => {
-            parcel.mayHaveRun = false;
-            refuse(parcel, code, detail);
+          const reject = gateway.stages.rejector.reject;
+          writable(gateway.stages.rejector).reject = (request, code, detail) => {
+            request.mayHaveRun = false;
+            reject(request, code, detail);
           };
         },
       },
     },
   },
   {
-    what: 'a cut stream is ended cleanly',
-    rule: 'wrong or cut answer looks whole',
+    description: 'a truncated stream ends as if it were complete',
+    rule: 'wrong or truncated response looks complete',
     kinds: ['replica cuts streams'],
     plan: {
       overrides: {
         onGatewayStarted: (gateway) => {
-          const next = loosened(gateway.stages.relayStage).nextEvent as (
+          const next = writable(gateway.stages.relayStage).nextEvent as (
             ...args: unknown[]
           ) => Promise<{ kind: string }>;
-          loosened(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
-            const piece = await next(...args);
-            return piece.kind === 'truncated' ? { kind: 'done' } : piece;
+          writable(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
+            const event = await next(...args);
+            return event.kind === 'truncated' ? { kind: 'done' } : event;
           };
         },
       },
     },
   },
   {
-    what: 'one piece in a hundred is dropped',
-    rule: 'wrong or cut answer looks whole',
+    description: 'one chunk in a hundred is dropped',
+    rule: 'wrong or truncated response looks complete',
     kinds: ['layout changes'],
     plan: {
       overrides: {
         onGatewayStarted: (gateway) => {
           let count = 0;
-          const next = loosened(gateway.stages.relayStage).nextEvent as (
+          const next = writable(gateway.stages.relayStage).nextEvent as (
             ...args: unknown[]
           ) => Promise<{ kind: string }>;
-          loosened(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
-            const piece = await next(...args);
+          writable(gateway.stages.relayStage).nextEvent = async (...args: unknown[]) => {
+            const event = await next(...args);
             count += 1;
-            return count % 100 === 0 && piece.kind === 'chunk' ? next(...args) : piece;
+            return count % 100 === 0 && event.kind === 'chunk' ? next(...args) : event;
           };
         },
       },
     },
   },
   {
-    what: 'the run is booked to another tenant',
-    rule: 'another tenant',
+    description: 'requests run for another tenant',
+    rule: 'ran for another tenant',
     kinds: ['layout changes'],
     plan: {
       overrides: {
-        portsFor: carriageBroken((httpClient) => ({
+        portsFor: withHttpClient((httpClient) => ({
           send: (request) => httpClient.send({ ...request, headers: { ...request.headers, 'x-tenant': 'north' } }),
         })),
       },
     },
   },
   {
-    what: 'a counter never hears of revoked keys and holds itself fresh',
-    rule: 'a key not granted',
+    description: 'gateways never learn of revoked keys and consider themselves up to date',
+    rule: 'ran with a key that is not granted',
     kinds: ['key is revoked'],
-    plan: { faultCount: 2, overrides: { onGatewayStarted: deafTo('change', upGeneration + 1) } },
+    plan: { faultCount: 2, overrides: { onGatewayStarted: ignoring('change', initialLogIndex + 1) } },
   },
   {
-    what: 'any holder is named, and isolated tenants run anywhere',
+    description: 'any replica is used as cache source, and isolated tenants run anywhere',
     rule: 'foreign KV (tenant)',
     firstSeed: 4,
     kinds: ['kv news is late'],
@@ -175,16 +175,16 @@
       longShare: 0.5,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stateView.tenantPartitions).mayBeSource = () => true;
-          loosened(gateway.stateView.tenantPartitions).mayRun = () => true;
-          const kept = gateway.stateView.index.match;
-          loosened(gateway.stateView.index).match = (...args) => ({ ...kept(...args), canBeSource: true });
+          writable(gateway.stateView.tenantPartitions).mayBeSource = () => true;
+          writable(gateway.stateView.tenantPartitions).mayRun = () => true;
+          const match = gateway.stateView.index.match;
+          writable(gateway.stateView.index).match = (...args) => ({ ...match(...args), canBeSource: true });
         },
       },
     },
   },
   {
-    what: 'holders are named whatever weights made their parts',
+    description: 'cache sources are used regardless of the weights that computed their blocks',
     rule: 'foreign KV (weights)',
     kinds: ['new weights'],
     plan: {
@@ -192,8 +192,8 @@
       faultCount: 3,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stateView).holdersIn = (poolName) => gateway.stateView.inPool(poolName);
-          loosened(gateway.stateView.index).reconcile = (
+          writable(gateway.stateView).holdersIn = (poolName) => gateway.stateView.inPool(poolName);
+          writable(gateway.stateView.index).reconcile = (
             (reconcile) => (records: Parameters<typeof reconcile>[0]) =>
               reconcile(records, () => 0)
           )(gateway.stateView.index.reconcile);
@@ -202,50 +202,50 @@
     },
   },
   {
-    what: 'a counter misses every change and holds itself fresh',
-    rule: 'an accepted change is not in force',
+    description: 'a gateway misses every change and considers itself up to date',
+    rule: 'an accepted change is not in effect',
     kinds: ['layout changes', 'many lanes'],
     plan: {
       overrides: {
         onGatewayStarted: (gateway) =>
-          gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
+          gateway.settings.name === 'counter-2' ? ignoring('change', initialLogIndex)(gateway) : undefined,
       },
     },
   },
   {
-    what: 'a counter that misses every change still starts old weights',
-    rule: 'old weights started',
+    description: 'a gateway that misses every change still starts requests on old weights',
+    rule: 'started on old weights',
     kinds: ['new weights'],
     plan: {
       faultCount: 2,
       overrides: {
         onGatewayStarted: (gateway) =>
-          gateway.settings.name === 'counter-2' ? deafTo('change', upGeneration)(gateway) : undefined,
+          gateway.settings.name === 'counter-2' ? ignoring('change', initialLogIndex)(gateway) : undefined,
       },
     },
   },
   {
-    what: 'the disk lies about syncing',
+    description: 'the disk reports syncs that it does not perform',
     rule: 'an accepted change is lost',
     kinds: ['control nodes die in a herd', 'layout changes', 'many lanes'],
     plan: {
       faultCount: 10,
       overrides: {
-        portsFor: diskBroken((disk) => ({
+        portsFor: withDisk((disk) => ({
           open: async (name) => (await disk.open(name)).map((file) => ({ ...file, sync: async () => ok(undefined) })),
         })),
       },
     },
   },
   {
-    what: 'a losing change is retried on a newer base under its own id',
-    rule: 'a losing change took effect',
+    description: 'a change rejected with a conflict is retried on a newer base with the same id',
+    rule: 'a rejected change took effect',
     kinds: ['rival changes'],
     plan: {
       overrides: {
         onControlNodeStarted: (controlNode) => {
           const config = controlNode.changeService.changeConfig;
-          loosened(controlNode.changeService).changeConfig = async (id, base, edit) => {
+          writable(controlNode.changeService).changeConfig = async (id, base, edit) => {
             const outcome = await config(id, base, edit);
             if (outcome.isErr() && outcome.error.code === 'conflict')
               void config(id, outcome.error.configLogIndex, edit);
@@ -256,14 +256,14 @@
     },
   },
   {
-    what: 'rivals are both told that they won',
+    description: 'conflicting changes are both reported as accepted',
     rule: 'an accepted change is lost',
     kinds: ['rival changes'],
     plan: {
       overrides: {
         onControlNodeStarted: (controlNode) => {
           const config = controlNode.changeService.changeConfig;
-          loosened(controlNode.changeService).changeConfig = async (id, base, edit) =>
+          writable(controlNode.changeService).changeConfig = async (id, base, edit) =>
             (await config(id, base, edit)).orElse((fault) =>
               fault.code === 'conflict' ? ok({ logIndex: base + 1, isRepeat: false }) : err(fault),
             );
@@ -272,30 +272,30 @@
     },
   },
   {
-    what: 'leaving replicas are held to be ready',
-    rule: 'a leaving replica got a request',
+    description: 'draining replicas count as ready',
+    rule: 'a draining replica got a request',
     kinds: ['replica leaves'],
     plan: {
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stateView).applyReplicas = (
-            (take) => (records: Parameters<typeof take>[0]) =>
-              take(records.map((record) => ({ ...record, state: 'ready' as const })))
+          writable(gateway.stateView).applyReplicas = (
+            (applyReplicas) => (records: Parameters<typeof applyReplicas>[0]) =>
+              applyReplicas(records.map((record) => ({ ...record, state: 'ready' as const })))
           )(gateway.stateView.applyReplicas);
         },
       },
     },
   },
   {
-    what: 'extra shots are not counted',
-    rule: 'extra shots',
+    description: 'retries do not count against the budget',
+    rule: 'retry budget exceeded',
     kinds: ['whole pool errs'],
     plan: {
       ratePerSecond: 60,
       faultCount: 3,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stages.sendStage).budgetOf = () => ({
+          writable(gateway.stages.sendStage).budgetOf = () => ({
             trySpend: () => true,
             recordFirstAttempt: () => {},
             remaining: () => 1,
@@ -305,14 +305,14 @@
     },
   },
   {
-    what: 'a counter that lost its control nodes never dials again',
-    rule: 'service still mostly absent',
+    description: 'a gateway that lost its control nodes never reconnects',
+    rule: 'service did not recover',
     kinds: ['all machines die', 'control nodes die in a herd'],
     plan: {
       faultCount: 3,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.peerPool).stop = () => {};
+          writable(gateway.peerPool).stop = () => {};
         },
         portsFor: (role, ports) =>
           role === 'gateway'
@@ -335,15 +335,15 @@
 const promptIn = (body: string | null): string => String((JSON.parse(body ?? '{}') as { prompt?: unknown }).prompt);
 
 const replaying = (splicesAt: number): ((httpClient: HttpClient) => Partial<HttpClient>) => {
-  const heard = new Map<string, Uint8Array[]>();
+  const responsesByPrompt = new Map<string, Uint8Array[]>();
   return (httpClient) => ({
     send: async (request) => {
       const response = await httpClient.send(request);
       if (response.isErr() || response.value.status !== 200 || !request.url.includes('/v1/')) return response;
       const prompt = promptIn(request.body as string | null);
       const own: Uint8Array[] = [];
-      const other = heard.get(prompt) ?? own;
-      heard.set(prompt, other);
+      const other = responsesByPrompt.get(prompt) ?? own;
+      responsesByPrompt.set(prompt, other);
       const body = async function* (): AsyncGenerator<Uint8Array> {
         let id = '';
         for await (const bytes of response.value.body) {
@@ -365,27 +365,27 @@
   });
 };
 
-breaks.push(
+defects.push(
   {
-    what: "an equal prompt is answered with another request's run",
-    rule: 'wrong or cut answer looks whole',
+    description: "an equal prompt gets the response of another request's run",
+    rule: 'wrong or truncated response looks complete',
     kinds: ['layout changes'],
-    plan: { faultCount: 1, overrides: { portsFor: carriageBroken(replaying(0)) } },
+    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replaying(0)) } },
   },
   {
-    what: 'two runs of one prompt are spliced',
-    rule: 'wrong or cut answer looks whole',
+    description: 'the responses of two runs of one prompt are spliced',
+    rule: 'wrong or truncated response looks complete',
     kinds: ['layout changes'],
-    plan: { faultCount: 1, overrides: { portsFor: carriageBroken(replaying(2)) } },
+    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replaying(2)) } },
   },
   {
-    what: 'tiers change on paper but not towards replicas',
-    rule: 'an accepted change is not in force',
+    description: 'a change of the tier does not reach the replicas',
+    rule: 'an accepted change is not in effect',
     kinds: ['layout is probed'],
     plan: {
       faultCount: 2,
       overrides: {
-        portsFor: carriageBroken((httpClient) => ({
+        portsFor: withHttpClient((httpClient) => ({
           send: (request) =>
             httpClient.send(
               request.body === null
@@ -397,31 +397,31 @@
     },
   },
   {
-    what: 'a losing or faulty change opens its lane all the same',
-    rule: 'a losing change took effect',
+    description: 'a rejected change opens its lane nevertheless',
+    rule: 'a rejected change took effect',
     kinds: ['rival changes', 'layout is probed'],
     plan: {
       faultCount: 3,
       overrides: {
         onGatewayStarted: (gateway) => {
           const view = gateway.stateView.view;
-          loosened(gateway.stateView).view = () => {
-            const held = view();
-            const query = held?.lanes.get('query');
-            if (held === null || query === undefined) return held;
-            const tenants = Object.assign(new Map(held.tenants), {
+          writable(gateway.stateView).view = () => {
+            const current = view();
+            const query = current?.lanes.get('query');
+            if (current === null || query === undefined) return current;
+            const tenants = Object.assign(new Map(current.tenants), {
               get: (name: string) => {
-                const tenant = held.tenants.get(name);
+                const tenant = current.tenants.get(name);
                 return tenant === undefined || name !== 'prober'
                   ? tenant
                   : { ...tenant, lanes: new Set([...tenant.lanes, query.index]) };
               },
             });
             return {
-              ...held,
+              ...current,
               tenants,
-              lanes: Object.assign(new Map(held.lanes), {
-                get: (name: string) => held.lanes.get(name) ?? (/^(rival|probe)-/.test(name) ? query : undefined),
+              lanes: Object.assign(new Map(current.lanes), {
+                get: (name: string) => current.lanes.get(name) ?? (/^(rival|probe)-/.test(name) ? query : undefined),
               }),
             };
           };
@@ -430,8 +430,8 @@
     },
   },
   {
-    what: 'a key granted anew still runs for its first holder',
-    rule: 'another tenant',
+    description: 'a key that is granted again still runs for its first tenant',
+    rule: 'ran for another tenant',
     kinds: ['key is revoked'],
     plan: {
       faultCount: 4,
@@ -439,14 +439,15 @@
         onGatewayStarted: (gateway) => {
           const first = new Map<string, string>();
           const view = gateway.stateView.view;
-          loosened(gateway.stateView).view = () => {
-            const held = view();
-            if (held === null) return null;
-            for (const [hash, grant] of Object.entries(held.keys)) if (!first.has(hash)) first.set(hash, grant.tenant);
+          writable(gateway.stateView).view = () => {
+            const current = view();
+            if (current === null) return null;
+            for (const [hash, grant] of Object.entries(current.keys))
+              if (!first.has(hash)) first.set(hash, grant.tenant);
             return {
-              ...held,
+              ...current,
               keys: Object.fromEntries(
-                Object.keys(held.keys).map((hash) => [hash, { tenant: first.get(hash) as string }]),
+                Object.keys(current.keys).map((hash) => [hash, { tenant: first.get(hash) as string }]),
               ),
             };
           };
@@ -455,21 +456,21 @@
     },
   },
   {
-    what: "a key that was never granted is taken for the first tenant's",
-    rule: 'a key not granted',
+    description: "a key that was never granted is accepted as the first tenant's",
+    rule: 'ran with a key that is not granted',
     kinds: ['layout changes'],
     plan: {
       faultCount: 1,
       overrides: {
         onGatewayStarted: (gateway) => {
           const view = gateway.stateView.view;
-          loosened(gateway.stateView).view = () => {
-            const held = view();
-            return held === null
+          writable(gateway.stateView).view = () => {
+            const current = view();
+            return current === null
               ? null
               : {
-                  ...held,
-                  keys: new Proxy(held.keys, {
+                  ...current,
+                  keys: new Proxy(current.keys, {
                     get: (keys, hash) => keys[hash as string] ?? { tenant: 'north' },
                     getOwnPropertyDescriptor: () => ({
                       configurable: true,
@@ -484,8 +485,8 @@
     },
   },
   {
-    what: 'a restarted counter has a full purse',
-    rule: 'extra shots',
+    description: 'a restarted gateway has a full retry budget',
+    rule: 'retry budget exceeded',
     firstSeed: 2,
     kinds: ['counters die in a herd', 'whole pool errs'],
     plan: {
@@ -495,43 +496,43 @@
       longShare: 0,
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.stages.sendStage).budgetOf = ((budgetOf) => (pool: string) => {
+          writable(gateway.stages.sendStage).budgetOf = ((budgetOf) => (pool: string) => {
             const budget = budgetOf(pool) as { tokens: number; isFilled?: boolean };
             if (budget.isFilled !== true)
               Object.assign(budget, { isFilled: true, tokens: 40, recordFirstAttempt: () => {} });
             return budget;
-          })(loosened(gateway.stages.sendStage).budgetOf as (pool: string) => unknown);
+          })(writable(gateway.stages.sendStage).budgetOf as (pool: string) => unknown);
         },
       },
     },
   },
   {
-    what: 'a machine lost for good takes the whole service with it',
-    rule: 'service still mostly absent',
+    description: 'the permanent loss of one machine stops the whole service',
+    rule: 'service did not recover',
     kinds: ['layout changes'],
     plan: {
       faultCount: 1,
       permanentLoss: 'control node lost for good',
       overrides: {
         onGatewayStarted: (gateway) => {
-          loosened(gateway.freshness).isFresh = () => gateway.freshness.freshNodeCount() === 3;
+          writable(gateway.freshness).isFresh = () => gateway.freshness.freshNodeCount() === 3;
         },
       },
     },
   },
 );
 
-describe('the judge', () => {
-  for (const broken of breaks) {
-    const { what, rule, kinds, plan } = broken;
-    it(`given a product broken so that ${what}, when storms come, then it tells: ${rule}`, async () => {
-      const heard: string[] = [];
-      for (const seed of seedsOf(broken)) {
-        if (heard.includes(rule)) break;
+describe('InvariantChecker', () => {
+  for (const defect of defects) {
+    const { description, rule, kinds, plan } = defect;
+    it(`given a fault in the product (${description}), when fault schedules run, then the violation "${rule}" is reported`, async () => {
+      const reportedRules: string[] = [];
+      for (const seed of seedsOf(defect)) {
+        if (reportedRules.includes(rule)) break;
         const report = await new FaultInjectionRun({ seed, kinds, faultCount: 6, ...plan }).run();
-        heard.push(...report.violations.map((told) => told.rule));
+        reportedRules.push(...report.violations.map((violation) => violation.rule));
       }
-      expect(heard).to.include(rule);
+      expect(reportedRules).to.include(rule);
     });
   }
 });
