--- a/packages/test-fleet/src/invariants/invariantChecker.ts
+++ b/packages/test-fleet/src/invariants/invariantChecker.ts
@@ -36,7 +36,7 @@
   readonly grantsByKey = new Map<string, Grant[]>();
   readonly probes: Probe[] = [];
   readonly drainNotices: DrainNotice[] = [];
-  /** The log position at which each accepted change was acknowledged, by its change id. */
+  /** The log index at which each accepted change was acknowledged, by change id. */
   readonly acceptedChanges = new Map<string, number>();
   /** The ids of rejected changes. */
   readonly rejectedChangeIds = new Set<string>();
--- a/packages/test-fleet/src/simulator/simMachine.ts
+++ b/packages/test-fleet/src/simulator/simMachine.ts
@@ -195,7 +195,11 @@
     this.frozenAt = this.world.time;
   };
 
-  /** @param stopsMonotonic whether the monotonic clock stood still in the pause, as on a suspended machine */
+  /**
+   * Resumes a frozen process and schedules its postponed events.
+   *
+   * @param stopsMonotonic whether the monotonic clock stood still in the pause, as on a suspended machine
+   */
   readonly thaw = (stopsMonotonic = false): void => {
     if (stopsMonotonic && this.isFrozen) this.monotonicPauseMs += this.world.time - (this.frozenAt ?? this.world.time);
     this.isFrozen = false;
--- a/packages/test-fleet/src/workload/trafficGenerator.ts
+++ b/packages/test-fleet/src/workload/trafficGenerator.ts
@@ -34,7 +34,11 @@
     private readonly options: TrafficOptions,
   ) {}
 
-  /** @param hasAborts whether to add aborted requests, equal prompts from several tenants and unknown keys */
+  /**
+   * Starts ordinary requests to random gateways.
+   *
+   * @param hasAborts whether to add aborted requests, equal prompts from several tenants and unknown keys
+   */
   readonly start = (ratePerSecond: number, durationMs: number, longShare?: number, hasAborts = false): void =>
     this.repeat(ratePerSecond, durationMs, () => this.sendOrdinary(longShare, hasAborts));
 
--- a/packages/test-fleet/test/invariantChecker.test.ts
+++ b/packages/test-fleet/test/invariantChecker.test.ts
@@ -19,7 +19,7 @@
   (role: string, ports: Ports): Ports =>
     role === 'control' ? { ...ports, disk: { ...ports.disk, ...wrap(ports.disk) } } : ports;
 
-const ignoring =
+const ignoringUpdates =
   (topic: 'change', from: number) =>
   (gateway: Gateway): void => {
     const applyChange = gateway.stateView.applyChange;
@@ -164,7 +164,7 @@
     description: 'gateways never learn of revoked keys and consider themselves up to date',
     rule: 'ran with a key that is not granted',
     kinds: ['key is revoked'],
-    plan: { faultCount: 2, overrides: { onGatewayStarted: ignoring('change', initialLogIndex + 1) } },
+    plan: { faultCount: 2, overrides: { onGatewayStarted: ignoringUpdates('change', initialLogIndex + 1) } },
   },
   {
     description: 'any replica is used as cache source, and isolated tenants run anywhere',
@@ -208,7 +208,7 @@
     plan: {
       overrides: {
         onGatewayStarted: (gateway) =>
-          gateway.settings.name === 'counter-2' ? ignoring('change', initialLogIndex)(gateway) : undefined,
+          gateway.settings.name === 'counter-2' ? ignoringUpdates('change', initialLogIndex)(gateway) : undefined,
       },
     },
   },
@@ -220,7 +220,7 @@
       faultCount: 2,
       overrides: {
         onGatewayStarted: (gateway) =>
-          gateway.settings.name === 'counter-2' ? ignoring('change', initialLogIndex)(gateway) : undefined,
+          gateway.settings.name === 'counter-2' ? ignoringUpdates('change', initialLogIndex)(gateway) : undefined,
       },
     },
   },
@@ -334,7 +334,7 @@
 
 const promptIn = (body: string | null): string => String((JSON.parse(body ?? '{}') as { prompt?: unknown }).prompt);
 
-const replaying = (splicesAt: number): ((httpClient: HttpClient) => Partial<HttpClient>) => {
+const replayingResponses = (spliceAt: number): ((httpClient: HttpClient) => Partial<HttpClient>) => {
   const responsesByPrompt = new Map<string, Uint8Array[]>();
   return (httpClient) => ({
     send: async (request) => {
@@ -350,11 +350,11 @@
           own.push(bytes);
           const text = Buffer.from(bytes).toString('utf8');
           id = /"id":"([^"]+)"/.exec(text)?.[1] ?? id;
-          const theirs = own.length > splicesAt ? other[own.length - 1] : undefined;
-          yield theirs === undefined || text.includes('[DONE]')
+          const replacement = own.length > spliceAt ? other[own.length - 1] : undefined;
+          yield replacement === undefined || text.includes('[DONE]')
             ? bytes
             : Buffer.from(
-                Buffer.from(theirs)
+                Buffer.from(replacement)
                   .toString('utf8')
                   .replace(/"id":"[^"]+"/, `"id":"${id}"`),
               );
@@ -370,13 +370,13 @@
     description: "an equal prompt gets the response of another request's run",
     rule: 'wrong or truncated response looks complete',
     kinds: ['layout changes'],
-    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replaying(0)) } },
+    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replayingResponses(0)) } },
   },
   {
     description: 'the responses of two runs of one prompt are spliced',
     rule: 'wrong or truncated response looks complete',
     kinds: ['layout changes'],
-    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replaying(2)) } },
+    plan: { faultCount: 1, overrides: { portsFor: withHttpClient(replayingResponses(2)) } },
   },
   {
     description: 'a change of the tier does not reach the replicas',
