--- a/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
+++ b/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
@@ -1,7 +1,7 @@
 /** A capacity estimate: a cost in the planned fleet, computed from measured runs. */
 import { maxFrameBytes } from '@martenworks/peer-transport';
 
-/** Limits per node: CPU ms per second, ms until done, and bytes in memory, per second on the network or in one frame. */
+/** Limits per node: CPU ms per second, ms until done, bytes in memory, bytes per second on the network or per frame. */
 export const budget = {
   cpuMs: 30,
   memoryBytes: 256_000_000,
--- a/packages/test-fleet/src/capacity/fleetSize.ts
+++ b/packages/test-fleet/src/capacity/fleetSize.ts
@@ -6,7 +6,7 @@
   readonly target: number;
 }
 
-/** The planned fleet. `nodes` are gateways or edges, `blocks` those of all prefix caches, `voters` the control nodes. */
+/** The planned fleet; `nodes` are gateways or edges, `blocks` those of all prefix caches, `voters` control nodes. */
 export const fleetSize = {
   nodes: 400,
   replicas: 1_000,
--- a/packages/test-fleet/src/capacity/peerCommands.ts
+++ b/packages/test-fleet/src/capacity/peerCommands.ts
@@ -39,10 +39,9 @@
   readonly sentBytes: number;
 }
 
-/** Messages and closed connections since `closeAll`; bytes and CPU microseconds since the process started. */
+/** Messages, and connections that the node closed, since `closeAll`; bytes and CPU time since the process started. */
 export interface PeerCounters {
   readonly loadMessages: number;
-  /** Connections that the measured node closed. */
   readonly closedConnections: number;
   readonly receivedBytes: number;
   readonly sentBytes: number;
--- a/packages/test-fleet/src/commands/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -59,7 +59,7 @@
   writeFileSync(join(values.out, 'slopes.svg'), plots.svg(measured));
 };
 
-/** Runs a probe in a process of its own, so that no other probe's heap affects it; null where it failed or timed out. */
+/** Runs a probe in a process of its own, so that no other probe's heap affects it; null if it failed or timed out. */
 const runProbe = (name: string, timeoutMs: number): Promise<ProbeOutcome | null> =>
   new Promise((resolve) => {
     const child = fork(probeFile, [name], { execArgv: ['--expose-gc', `--max-old-space-size=${heapMegabytes}`] });
--- a/packages/test-fleet/src/commands/priorityWaitCommand.ts
+++ b/packages/test-fleet/src/commands/priorityWaitCommand.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:urgency`: measures how long requests of each tier wait, and which prefills block them, on the simulated fleet. */
+/** `npm run measure:urgency`: measures how long simulated requests of each tier wait, and which prefills block them. */
 import { parseArgs } from 'node:util';
 import { sampleDeployments } from '../workload/sampleDeployments.js';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -200,7 +200,7 @@
     };
   };
 
-  /** Waits until the condition holds and returns the milliseconds that took; rejects after `timeoutMs`. */
+  /** Waits until the condition holds and returns the milliseconds it took; rejects after `timeoutMs`, default 15 s. */
   readonly until = async (what: string, condition: () => Promise<boolean>, timeoutMs = 15_000): Promise<number> => {
     const startedAt = performance.now();
     while (performance.now() - startedAt < timeoutMs) {
@@ -289,7 +289,7 @@
       throw new Error(`announcing the replicas failed: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
-  /** Replaces the whole layout; rejects where that is refused. */
+  /** Replaces the configuration; throws where the control node does not accept it. */
   readonly putConfiguration = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
     const current = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -1,4 +1,4 @@
-/** A fault-injection run on a fleet of real processes: the fleet, the invariant checker, and operator requests with retries. */
+/** A fault-injection run on real processes: the fleet, the invariant checker, and operator requests with retries. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { httpClients } from '@martenworks/upstream';
 import { InvariantChecker } from '../invariants/invariantChecker.js';
@@ -58,7 +58,7 @@
   readonly waitBetween = (lowMs: number, highMs: number): Promise<void> =>
     sleep(lowMs + this.random() * (highMs - lowMs));
 
-  /** Returns a number that makes the names of a change unique. */
+  /** Returns a number that no other change of this run uses in its names. */
   readonly nextChangeNumber = (): number => ++this.changeCount;
 
   /** Fetches the records of the emulated replicas for the checker. */
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -1,4 +1,4 @@
-/** Faults for real processes: kills, pauses, wiped data, rollouts, blocked and slow links, and configuration changes. */
+/** Faults for real processes: kills, pauses, wiped data, restarts, blocked and slow links, configuration changes. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { maxPropagationMs } from '../invariants/observations.js';
 import { sampleWorkload } from '../workload/sampleDeployments.js';
--- a/packages/test-fleet/src/runner/knownFailures.ts
+++ b/packages/test-fleet/src/runner/knownFailures.ts
@@ -62,8 +62,8 @@
 };
 
 /**
- * Returns a failure for each selected test without a result, so that a lost test does not pass unnoticed. Listed ones are
- * left out: they are reported as stale entries.
+ * Returns a failure for each selected test without a result, so that a lost test does not pass unnoticed. Excludes
+ * listed tests, which are reported as stale entries.
  */
 const notRun = (run: Run, listed: ReadonlySet<string>): Failure[] => {
   const reported = new Set(run.results.filter((result) => result.isTest).map((result) => result.title));
--- a/packages/test-fleet/src/runner/runTests.ts
+++ b/packages/test-fleet/src/runner/runTests.ts
@@ -1,6 +1,6 @@
 /**
- * The test runner: `runTests [--slowest N] [PART]` runs the testsFolder tests whose path contains PART, or all tests, in up
- * to eight worker threads, and exits with 0 if no test failed except those listed in KNOWN-RED.txt.
+ * The test runner: `runTests [--slowest N] [PART]` runs the compiled tests whose path contains PART, or all tests, in
+ * up to eight worker threads, and exits with 0 if no test failed except those listed in KNOWN-RED.txt.
  *
  * `--slowest N` prints the N slowest tests at the end of the run.
  */
--- a/packages/test-fleet/src/runner/slowestTests.ts
+++ b/packages/test-fleet/src/runner/slowestTests.ts
@@ -6,7 +6,7 @@
   readonly durationMs: number;
 }
 
-/** Returns a line with the total time of all tests, then a line for each of the `count` slowest tests, slowest first. */
+/** Returns a line with the total time of all tests, then a line per test of the `count` slowest, slowest first. */
 const lines = (tests: readonly TimedTest[], count: number): string[] => {
   const totalMs = tests.reduce((sum, { durationMs }) => sum + durationMs, 0);
   const slowest = [...tests].sort((a, b) => b.durationMs - a.durationMs).slice(0, count);
