--- a/packages/cli/test/openHandles.test.ts
+++ b/packages/cli/test/openHandles.test.ts
@@ -41,7 +41,7 @@
   return counts;
 };
 
-/** Counts them after the test framework has started its own timer for the test, which it does after the first turn. */
+/** Counts them once the test framework has started its timer for the test, after the first turn of the event loop. */
 const activeResourcesBefore = async (): Promise<Map<string, number>> => {
   await sleep(pollMs);
   return activeResources();
--- a/packages/cli/test/program.ts
+++ b/packages/cli/test/program.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 
 const programPath = fileURLToPath(new URL('martenworks.js', import.meta.resolve('@martenworks/cli')));
-/** Kills a program that hangs; far longer than a start takes on a heavily overloaded machine. */
+/** After this a program counts as hung; far longer than a start takes on a heavily overloaded machine. */
 const timeoutMs = 90_000;
 
 /** The result of a run; `code` is null if the program was killed. */
--- a/packages/core-types/test/background.test.ts
+++ b/packages/core-types/test/background.test.ts
@@ -2,19 +2,19 @@
 import { expect } from 'chai';
 import { BackgroundTaskError, uncaughtExceptions } from '@martenworks/core-types';
 
-interface Ended {
+interface ProcessExit {
   readonly exitCode: number;
   readonly stdout: string;
 }
 
-const brokenExitCode = 70;
+const crashExitCode = 70;
 
 /** Runs `body` in its own process, with the uncaught exception handler of the roles installed. */
-const inProcess = (body: string): Promise<Ended> => {
+const inProcess = (body: string): Promise<ProcessExit> => {
   const script = `
     import { background, uncaughtExceptions } from ${JSON.stringify(import.meta.resolve('@martenworks/core-types'))};
     const log = { error: (message, fields) => console.log(JSON.stringify({ message, ...fields })) };
-    uncaughtExceptions.installHandler(log, ${brokenExitCode});
+    uncaughtExceptions.installHandler(log, ${crashExitCode});
     ${body}
   `;
   return new Promise((resolve) => {
@@ -24,7 +24,7 @@
   });
 };
 
-const reportsOf = ({ stdout }: Ended): { code: string; task: string | null; cause: string }[] =>
+const reportsOf = ({ stdout }: ProcessExit): { code: string; task: string | null; cause: string }[] =>
   stdout
     .split('\n')
     .filter((line) => line.startsWith('{'))
@@ -32,39 +32,39 @@
 
 describe('background work', () => {
   it('given work that is rejected, when nobody awaits it, then one report with its code, task and cause is logged and the process ends', async () => {
-    const ended = await inProcess(`
+    const exit = await inProcess(`
       background.run('trim claims', Promise.reject(new Error('the disk is gone')));
       setTimeout(() => console.log('went on'), 1_000);
     `);
-    expect(ended.exitCode).to.equal(brokenExitCode);
-    expect(ended.stdout).not.to.include('went on');
-    const [report, ...more] = reportsOf(ended);
+    expect(exit.exitCode).to.equal(crashExitCode);
+    expect(exit.stdout).not.to.include('went on');
+    const [report, ...more] = reportsOf(exit);
     expect(more).to.deep.equal([]);
     expect(report).to.include({ code: 'BACKGROUND_TASK_FAILED', task: 'trim claims' });
     expect(report?.cause).to.match(/^Error: the disk is gone\n/);
   });
 
   it('given work that is rejected later and work that is rejected at once, when nobody awaits them, then the first rejection is reported and the process ends', async () => {
-    const ended = await inProcess(`
+    const exit = await inProcess(`
       background.run('later', new Promise((_, fail) => setTimeout(() => fail(new Error('later')), 200)));
       background.run('at once', (async () => { throw new Error('at once'); })());
     `);
-    expect(ended.exitCode).to.equal(brokenExitCode);
-    expect(reportsOf(ended).map(({ task }) => task)).to.deep.equal(['at once']);
+    expect(exit.exitCode).to.equal(crashExitCode);
+    expect(reportsOf(exit).map(({ task }) => task)).to.deep.equal(['at once']);
   });
 
   it('given work that is fulfilled, when nobody awaits it, then nothing is logged and the process continues', async () => {
-    const ended = await inProcess(`
+    const exit = await inProcess(`
       background.run('trim claims', Promise.resolve(1));
       setTimeout(() => console.log('went on'), 50);
     `);
-    expect(ended).to.deep.equal({ exitCode: 0, stdout: 'went on\n' });
+    expect(exit).to.deep.equal({ exitCode: 0, stdout: 'went on\n' });
   });
 
   it('given a rejection outside background work, when nobody handles it, then it is reported and the process ends', async () => {
-    const ended = await inProcess(`Promise.reject(new Error('forgotten'));`);
-    expect(ended.exitCode).to.equal(brokenExitCode);
-    expect(reportsOf(ended).map(({ code, task }) => ({ code, task }))).to.deep.equal([
+    const exit = await inProcess(`Promise.reject(new Error('forgotten'));`);
+    expect(exit.exitCode).to.equal(crashExitCode);
+    expect(reportsOf(exit).map(({ code, task }) => ({ code, task }))).to.deep.equal([
       { code: 'UNCAUGHT_EXCEPTION', task: null },
     ]);
   });
--- a/packages/write-ahead-log/test/killedProcess.test.ts
+++ b/packages/write-ahead-log/test/killedProcess.test.ts
@@ -4,7 +4,7 @@
 import type { OpenedLog, WriteAheadLogError } from '@martenworks/write-ahead-log';
 import { SimDisk, SimWorld } from '@martenworks/test-fleet';
 
-const keptShares: readonly number[] = [0, 0.5, 1];
+const survivingShares: readonly number[] = [0, 0.5, 1];
 const seedCount = 120;
 const stepsPerRun = 60;
 
@@ -46,9 +46,9 @@
     this.process = null;
   };
 
-  readonly losePower = (keptShare: number): void => {
+  readonly losePower = (survivingShare: number): void => {
     this.kill();
-    this.disk.crash(keptShare);
+    this.disk.crash(survivingShare);
   };
 
   readonly append = async (): Promise<void> => {
@@ -91,7 +91,7 @@
 
 describe('a log whose process is killed and whose machine loses power later', () => {
   it('given a process killed between writing a record and syncing it, when the next process appends to the log and power is lost, then the log opens with all acknowledged records', async () => {
-    for (const share of keptShares) {
+    for (const share of survivingShares) {
       const log = new LogUnderTest();
       await log.open();
       await log.append();
@@ -99,19 +99,21 @@
       await log.open();
       await log.append();
       log.losePower(share);
-      expect(await reopenFault(log), `share kept: ${share}`).to.equal(null);
+      expect(await reopenFault(log), `surviving share of unsynced bytes: ${share}`).to.equal(null);
     }
   });
 
   it('given a process killed between writing a record and syncing it, when the next process reads the record and power is lost, then the record is not lost', async () => {
-    for (const share of keptShares) {
+    for (const share of survivingShares) {
       const log = new LogUnderTest();
       await log.open();
       await log.append();
       await log.killBeforeSync();
       const recordCount = (await log.open())._unsafeUnwrap().records.length;
       log.losePower(share);
-      expect((await log.open())._unsafeUnwrap().records.length, `share kept: ${share}`).to.equal(recordCount);
+      expect((await log.open())._unsafeUnwrap().records.length, `surviving share of unsynced bytes: ${share}`).to.equal(
+        recordCount,
+      );
     }
   });
 
--- a/packages/write-ahead-log/test/writeAheadLog.test.ts
+++ b/packages/write-ahead-log/test/writeAheadLog.test.ts
@@ -32,13 +32,13 @@
     }
     const name = segmentsOf(disk)[0] as string;
     const size = ends[ends.length - 1] as number;
-    for (let cut = 0; cut <= size; cut += 1) {
+    for (let newSize = 0; newSize <= size; newSize += 1) {
       const copy = copyOf(disk);
       const file = copy.files.get(name);
       if (file === undefined) throw new Error('no file');
-      file.synced = file.synced.slice(0, cut);
+      file.synced = file.synced.slice(0, newSize);
       const reopened = await opened(copy);
-      const expectedCount = ends.filter((end) => end <= cut).length;
+      const expectedCount = ends.filter((end) => end <= newSize).length;
       expect(reopened.records.map((record) => (record as { at: number }).at)).to.deep.equal(
         Array.from({ length: expectedCount }, (_, at) => at),
       );
