--- a/packages/cli/src/commands/recover.ts
+++ b/packages/cli/src/commands/recover.ts
@@ -28,9 +28,9 @@
 const isValidMembership = (members: readonly Member[]): boolean =>
   members.length >= minMembers && members.length % 2 === 1 && members.every((member) => member.incarnation !== '');
 
-const recoverDirectory = async (dataDirectory: string, members: readonly Member[]): Promise<ExitCode> => {
+const recoverDataFolder = async (dataFolder: string, members: readonly Member[]): Promise<ExitCode> => {
   const log = logs.named('martenworks', { role: 'recover' });
-  const outcome = await recovery.recover(machine.disk(dataDirectory), machine.clock, machine.random, log, members);
+  const outcome = await recovery.recover(machine.disk(dataFolder), machine.clock, machine.random, log, members);
   if (outcome.isErr()) {
     process.stderr.write(`recovery failed: ${JSON.stringify(outcome.error)}\n`);
     return exitCodes.failed;
@@ -51,5 +51,5 @@
     process.stderr.write(recoverUsage);
     return exitCodes.invalidSettings;
   }
-  return recoverDirectory(values.data, members);
+  return recoverDataFolder(values.data, members);
 };
--- a/packages/cluster-membership/src/memberList.ts
+++ b/packages/cluster-membership/src/memberList.ts
@@ -28,7 +28,7 @@
   parse: (body: unknown): MemberEntry[] => (Array.isArray(body) ? body.filter(isEntry) : []),
 };
 
-/** Stores the newest hello of each other node; a node that no node has had contact with for two minutes is removed. */
+/** Stores the newest hello of each other node; removes a node after two minutes without contact with any node. */
 export class MemberList {
   private readonly members = new Map<string, KnownMember>();
 
--- a/packages/core-types/src/backendClient.ts
+++ b/packages/core-types/src/backendClient.ts
@@ -3,6 +3,7 @@
 import type { BackendError } from './errors.js';
 import type { PrefixCacheEvent, PromptPart, ReplicaEndpoint, RoutingTable } from './routing.js';
 
+/** A request to load weights; `holder` is the node that holds the lease for it, and `fence` its fencing token. */
 interface WeightsLoadRequest {
   readonly model: string;
   readonly version: number;
@@ -51,7 +52,7 @@
  */
 export interface BackendClient {
   readonly listReplicas: () => Promise<Result<readonly ReplicaEndpoint[], BackendError>>;
-  readonly requestWeightsLoad: (endpoint: ReplicaEndpoint, order: WeightsLoadRequest) => Promise<WeightsLoadOutcome>;
+  readonly requestWeightsLoad: (endpoint: ReplicaEndpoint, request: WeightsLoadRequest) => Promise<WeightsLoadOutcome>;
   readonly readReport: (endpoint: ReplicaEndpoint) => Promise<Result<ReplicaReport, BackendError>>;
   readonly prefixCacheEvents: (
     address: string,
--- a/packages/core-types/src/changeRecords.ts
+++ b/packages/core-types/src/changeRecords.ts
@@ -1,4 +1,4 @@
-/** The records of applied changes, by which a change that is sent again is recognized; the oldest are pruned. */
+/** Records applied changes, so that a change that is sent again is recognized, and prunes the oldest records. */
 import type { Change, ChangeRecord, CommittedState, PrunedChanges } from './committedState.js';
 
 const maxChangeRecords = 4096;
@@ -29,12 +29,12 @@
   return remaining;
 };
 
-const weightsId = /^weights\/(.+)\/(\d+)$/;
+const weightsIdPattern = /^weights\/(.+)\/(\d+)$/;
 
 const prune = (forgotten: PrunedChanges, id: string, { configVersion }: ChangeRecord): PrunedChanges => {
   if (configVersion !== undefined)
     return { ...forgotten, configVersion: Math.max(forgotten.configVersion, configVersion) };
-  const [, model, version] = weightsId.exec(id) ?? [];
+  const [, model, version] = weightsIdPattern.exec(id) ?? [];
   if (model === undefined) return forgotten;
   const newest = Math.max(forgotten.targetWeights[model] ?? 0, Number(version));
   return { ...forgotten, targetWeights: { ...forgotten.targetWeights, [model]: newest } };
--- a/packages/core-types/src/committedState.ts
+++ b/packages/core-types/src/committedState.ts
@@ -17,7 +17,7 @@
   readonly incarnation: string;
 }
 
-/** The record of a committed change, by which the same change is recognized when it is sent again. */
+/** The record of an applied change, with which the same change is recognized when it is sent again. */
 export interface ChangeRecord {
   readonly logIndex: number;
   readonly digest: string;
--- a/packages/core-types/src/controlMessages.ts
+++ b/packages/core-types/src/controlMessages.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * A compressed routing table, or a patch where `from` is the configuration version that it applies to: JSON in raw
- * deflate.
+ * A routing table, or a patch to configuration version `from` where that is not null, as JSON compressed with raw deflate
+ * (RFC 1951).
  */
 export interface PackedRoutingTable {
   readonly from: number | null;
@@ -86,8 +86,8 @@
 }
 
 /**
- * The progress of a replica that loads other weights: `version` is null while it loads, and the new version once it is
- * loaded.
+ * The progress of a replica that loads other weights: `version` is null while it loads, which edges assume to take `forMs`
+ * milliseconds, and the new version once it is loaded.
  */
 export interface WeightsUpdate {
   readonly id: string;
@@ -141,8 +141,9 @@
 
 /**
  * A report of cache misses that contradict the prefix index: the index has these parts at the address, but a response
- * shows that they were not cached. With `isDecided` there were enough misses to remove the parts from the index. With
- * `quarantineMs` the address does not count as caching them for that long, regardless of its events.
+ * shows that they were not cached. With `isDecided` there were enough misses to remove the parts from the index;
+ * without it there was one. With `quarantineMs` the address does not count as caching them for that long, regardless of its
+ * events.
  */
 export interface CacheMissReport {
   readonly address: string;
--- a/packages/core-types/src/ports/ports.ts
+++ b/packages/core-types/src/ports/ports.ts
@@ -1,4 +1,4 @@
-/** The interfaces between a node and the machine that it runs on; simulations implement them with simulated ones. */
+/** The interfaces between a node and the machine that it runs on; simulations have implementations of their own. */
 import type { Result } from 'neverthrow';
 import type { DiskError, NetworkError } from '../errors.js';
 
--- a/packages/core-types/src/replicaRecords.ts
+++ b/packages/core-types/src/replicaRecords.ts
@@ -28,13 +28,15 @@
   return JSON.stringify({ ...a, born: 0, sides: [] }) < JSON.stringify({ ...b, born: 0, sides: [] });
 };
 
+/** Added to the `sides` of an incarnation that was listed in two pools. */
 const movedSide = '*moved*';
+/** The `sides` of a record of an older release, which does not list them. */
 const unknownSide = '*unknown*';
 
 /**
  * Merges records of one replica. The merge is commutative and idempotent, so that nodes converge regardless of the
- * order in which they receive records. `withDefaults` completes a record of an older release, which has no sides, and
- * `isUpdate` returns whether a received record adds anything to the known one.
+ * order in which they receive records. `withDefaults` completes a record of an older release, and `isUpdate` returns
+ * whether a received record adds anything to the known one.
  */
 export const replicaRecords = {
   withDefaults: (record: ReplicaRecord): ReplicaRecord => ({
--- a/packages/peer-transport/src/peerConnections.ts
+++ b/packages/peer-transport/src/peerConnections.ts
@@ -44,10 +44,10 @@
     return new Promise((resolve) => {
       const connection: PeerConnection = new PeerConnection(raw.value, clock, log, own, {
         ...handlers,
-        onOpen: (joined) => {
+        onOpen: (opened) => {
           timer.cancel();
-          handlers.onOpen(joined);
-          resolve(ok(joined));
+          handlers.onOpen(opened);
+          resolve(ok(opened));
         },
       });
       const timer = clock.after(timeoutMs, () => {
--- a/packages/peer-transport/src/streams.ts
+++ b/packages/peer-transport/src/streams.ts
@@ -1,4 +1,4 @@
-/** The streams of a connection: messages on one stream stay in order, and those on different streams may overtake. */
+/** The streams of a connection: messages stay in order within a stream, and may overtake those of other streams. */
 
 /** The stream of topics that have no stream of their own. */
 const mainStream = 'main';
--- a/packages/upstream/src/gatedAgent.ts
+++ b/packages/upstream/src/gatedAgent.ts
@@ -23,7 +23,7 @@
 type GatedOptions = Dispatcher.DispatchOptions & { readonly gates?: RequestGates };
 type Abort = (cause?: Error) => void;
 
-/** The callbacks of undici's request handler that the checks are put in front of. */
+/** The callbacks of undici's request handler that the agent wraps. */
 interface RequestHandler {
   onConnect: (abort: Abort, context: unknown) => void;
   onHeaders: (status: number, headers: readonly Buffer[], resume: () => void, text: string) => boolean;
--- a/packages/upstream/src/replicaProtocol.ts
+++ b/packages/upstream/src/replicaProtocol.ts
@@ -160,7 +160,11 @@
   };
 };
 
-/** Encoding and decoding of the completion protocol. */
+/**
+ * Encodes and decodes the completion protocol. `send` makes one attempt, `events` yields the data of server-sent events,
+ * `assembleResponse` joins chunks into the body of a response without streaming, and `promptOf` returns the text of a
+ * request's prompt, or null where the body has no valid one.
+ */
 export const replicaProtocol = {
   assembleResponse,
   send: async (
--- a/packages/write-ahead-log/src/fileChain.ts
+++ b/packages/write-ahead-log/src/fileChain.ts
@@ -1,4 +1,4 @@
-/** The links between the files of a log, by which a missing file is detected: each file names its predecessor. */
+/** The links between the files of a log: each file names its predecessor, so that a missing file is detected. */
 
 /** The end of a log file: the number of the file, and the checksum of a segment's last batch or of the snapshot. */
 export interface Tip {
--- a/packages/write-ahead-log/src/snapshotFile.ts
+++ b/packages/write-ahead-log/src/snapshotFile.ts
@@ -14,7 +14,10 @@
 export interface StoredSnapshot {
   readonly state: unknown;
   readonly tip: Tip;
-  /** The tips to which the first segment after the snapshot may be linked. */
+  /**
+   * The tips to which the first segment after the snapshot may be linked: the snapshot itself, or the file before it where
+   * the write of the snapshot was reported as failed although it is on disk.
+   */
   readonly allowedPredecessors: readonly (Tip | null)[];
 }
 
