--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -68,7 +68,7 @@
       ...this.memberPeers.members().map((member) => member.address),
       ...this.hooks.extraAddresses(),
     ];
-    return new PeerPool(ports, hello, seeds, memberList, addresses, this.handlers(), this.timing.dialPace);
+    return new PeerPool(ports, hello, seeds, memberList, addresses, this.handlers(), this.timing.dialOptions);
   };
 
   private readonly createBootstrap = (): ClusterBootstrap => {
--- a/packages/control-plane/src/consensus/consensusOptions.ts
+++ b/packages/control-plane/src/consensus/consensusOptions.ts
@@ -18,7 +18,7 @@
   readonly keepaliveTimeoutMs: number;
   readonly leaseIntervalMs: number;
   readonly leaseTimeoutMs: number;
-  readonly dialPace?: DialOptions;
+  readonly dialOptions?: DialOptions;
   /** How long a member must be unreachable before a node of another name may replace it. */
   readonly replacementDelayMs?: number;
 }
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -39,9 +39,9 @@
 const weightsStepIntervalMs = 60;
 const { confirmTimeoutMs, weightsLease } = controlNodeSettings;
 
-const consensusPace: ConsensusTiming = {
-  ...controlNodeSettings.consensusPace,
-  dialPace: { timeoutMs: 700, maxBackoffMs: 400 },
+const consensusTiming: ConsensusTiming = {
+  ...controlNodeSettings.consensusTiming,
+  dialOptions: { timeoutMs: 700, maxBackoffMs: 400 },
 };
 
 /** Connects the components of a control node, and dispatches messages from edges and other control nodes. */
@@ -91,7 +91,7 @@
     this.consensus = new ConsensusMember(
       { ports, hello, memberList, seeds, acceptor, leases, terms, initialMemberCount: settings.voters },
       this.role(),
-      consensusPace,
+      consensusTiming,
     );
     this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
--- a/packages/control-plane/src/nodes/controlNodeSettings.ts
+++ b/packages/control-plane/src/nodes/controlNodeSettings.ts
@@ -18,7 +18,7 @@
   weightsLease: 'weights',
 
   /** Intervals and timeouts of the consensus group. */
-  consensusPace: {
+  consensusTiming: {
     voteTimeoutMs: 800,
     bootstrapIntervalMs: 150,
     membershipIntervalMs: 300,
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -33,7 +33,7 @@
 const confirmTimeoutMs = 700;
 const trimIntervalMs = 5_000;
 
-const consensusPace: ConsensusTiming = {
+const consensusTiming: ConsensusTiming = {
   voteTimeoutMs: 1_000,
   bootstrapIntervalMs: 200,
   membershipIntervalMs: 500,
@@ -99,7 +99,7 @@
     this.consensus = new ConsensusMember(
       { ports, hello: this.hello, memberList: this.memberList, seeds: settings.seeds, acceptor, leases },
       this.role(),
-      consensusPace,
+      consensusTiming,
     );
     this.peerPool = this.consensus.peerPool;
     this.proposer = this.consensus.proposer;
--- a/packages/model-check/src/modelNode.ts
+++ b/packages/model-check/src/modelNode.ts
@@ -23,7 +23,7 @@
 import type { SeededRandom } from './seededRandom.js';
 import type { VirtualClock } from './virtualClock.js';
 
-const { confirmTimeoutMs, consensusPace, weightsLease } = controlNodeSettings;
+const { confirmTimeoutMs, consensusTiming, weightsLease } = controlNodeSettings;
 const leaveTimeoutMs = 3_000;
 const orderGapMs = 200;
 const log = logs.silent();
@@ -144,7 +144,7 @@
     const member = new ConsensusMember(
       { ports, hello, memberList: new MemberList(clock, hello), seeds: [], acceptor, leases, terms },
       this.hooks(acceptor),
-      consensusPace,
+      consensusTiming,
     );
     const internals = member as unknown as MemberInternals;
     this.injectFault(internals, acceptor);
