--- a/packages/control-plane/src/api/replicaApi.ts
+++ b/packages/control-plane/src/api/replicaApi.ts
@@ -42,7 +42,7 @@
   logIndex: number,
 ): ReplicaRecord => {
   const hasReturned = known?.state === 'gone' || (known?.state === 'leaving' && announced.state === 'ready');
-  const isSame =
+  const isSameIncarnation =
     known !== undefined &&
     known.address === announced.address &&
     known.pool === (announced.pool ?? known.pool) &&
@@ -51,7 +51,8 @@
     name: announced.name,
     kind: announced.kind ?? 'replica',
     incarnation:
-      announced.incarnation ?? (known === undefined ? 1 : isSame ? known.incarnation : known.incarnation + 1),
+      announced.incarnation ??
+      (known === undefined ? 1 : isSameIncarnation ? known.incarnation : known.incarnation + 1),
     state: announced.state ?? 'ready',
     pool: announced.pool ?? known?.pool ?? 'default',
     address: announced.address,
@@ -189,7 +190,7 @@
 };
 
 /**
- * Returns the routes of one node. A majority of control nodes has an announcement on disk before it is acknowledged.
+ * Returns the routes of one node. An announcement is acknowledged once a majority of control nodes has it on disk.
  */
 export const replicaApi = (controlNode: GatewayControlNode): Hono => {
   const app = new Hono();
--- a/packages/control-plane/src/configuration/configService.ts
+++ b/packages/control-plane/src/configuration/configService.ts
@@ -1,4 +1,4 @@
-/** Proposes changes of the routing table and of the target weights versions to the consensus group. */
+/** Proposes changes of the routing table and of the target versions of weights to the consensus group. */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { digests } from '@martenworks/core-types';
@@ -30,7 +30,7 @@
   readonly applyTo: EditFunction;
 }
 
-/** Validates the resulting routing table as well, and caches the result for the last routing it was called with. */
+/** Adds validation of the resulting routing table to an edit, and caches the result for the last routing. */
 const withCachedCheck = (applyTo: EditFunction): EditFunction => {
   let last: { readonly current: ActiveRouting | null; readonly outcome: ReturnType<EditFunction> } | null = null;
   return (current) => {
--- a/packages/control-plane/src/configuration/gatewayPublisher.ts
+++ b/packages/control-plane/src/configuration/gatewayPublisher.ts
@@ -71,14 +71,14 @@
   private readonly update = (connection: PeerConnection): void => {
     const subscriber = this.subscribers.get(connection);
     if (subscriber === undefined) return;
-    const since = this.acceptor.logSuffixAfter(subscriber.sentLogIndex);
-    if (since.kind === 'nothing') return;
-    if (since.kind === 'checkpoint') {
-      connection.send('checkpoint', since.agreed);
-      subscriber.sentLogIndex = since.agreed.logIndex;
+    const suffix = this.acceptor.logSuffixAfter(subscriber.sentLogIndex);
+    if (suffix.kind === 'nothing') return;
+    if (suffix.kind === 'checkpoint') {
+      connection.send('checkpoint', suffix.agreed);
+      subscriber.sentLogIndex = suffix.agreed.logIndex;
       return;
     }
-    for (const committed of since.committed) {
+    for (const committed of suffix.committed) {
       connection.send('change', committed);
       subscriber.sentLogIndex = committed.logIndex;
     }
--- a/packages/control-plane/src/configuration/statePublisher.ts
+++ b/packages/control-plane/src/configuration/statePublisher.ts
@@ -142,13 +142,13 @@
   };
 
   /** Handles an edge's ping as an acknowledgement, and returns the reply. Times in milliseconds. */
-  readonly handlePing = (connection: PeerConnection, ping: EdgePing, majorityHeardMs: number | null): EdgePong => {
+  readonly handlePing = (connection: PeerConnection, ping: EdgePing, majorityContactAgeMs: number | null): EdgePong => {
     this.handleAck(connection, ping);
     return {
       logIndex: this.acceptor.committedState()?.logIndex ?? -1,
       edgeCount: this.edgeCount(),
-      hasMajority: majorityHeardMs !== null,
-      majorityHeardMs,
+      hasMajority: majorityContactAgeMs !== null,
+      majorityHeardMs: majorityContactAgeMs,
       listAgeMs: this.listAgeMs(),
     };
   };
--- a/packages/control-plane/src/consensus/acceptor.ts
+++ b/packages/control-plane/src/consensus/acceptor.ts
@@ -1,6 +1,6 @@
 /**
- * The Paxos acceptor of one control node. Promises, accepted changes and the committed state are written to disk before
- * they are reported. Paxos runs once per log index; only the slot after the committed state is open for votes.
+ * The Paxos acceptor of one control node. Paxos runs once per log index; only the slot after the committed state is open
+ * for votes.
  */
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -40,7 +40,7 @@
   private acceptedAt = 0;
   /** Identity of this log; a node that loses its disk gets a new one. Empty until `identify`. */
   incarnation = '';
-  /** Whether this log belongs to a new node, not to one that lost its disk; only a new node may bootstrap a cluster. */
+  /** Whether this log began on a new node, not after a disk loss; only a new node asks others for bootstrap votes. */
   isNewNode = true;
 
   constructor(
@@ -188,7 +188,7 @@
       return persisted.isOk();
     });
 
-  /** The vote that says why this node cannot vote on the slot; null if it can. */
+  /** The reply if this node cannot vote on the slot; null if it can. */
   private readonly refusal = (slot: number): Vote | null => {
     if (this.state === null) return { kind: 'unavailable', cause: 'unfounded' };
     if (slot < this.nextLogIndex()) return { kind: 'ahead', logIndex: this.state.logIndex };
@@ -219,7 +219,7 @@
       return persisted.isErr() ? { kind: 'unavailable', cause: 'disk' } : { kind: 'accepted' };
     });
 
-  /** Applies a chosen change. True if it is on disk, also from an earlier call; false after a gap or a disk failure. */
+  /** Applies a chosen change. True if it is on disk, also from an earlier call; false for a gap or a disk failure. */
   readonly commit = (committed: CommittedChange): Promise<boolean> =>
     this.commands.run(async () => {
       if (committed.logIndex !== this.nextLogIndex())
@@ -229,7 +229,7 @@
       return persisted.isOk();
     });
 
-  /** What was committed after a log index: up to 16 changes one by one, a larger gap as a snapshot. */
+  /** What was committed after a log index: up to 16 changes if all are in memory, otherwise a snapshot. */
   readonly logSuffixAfter = (logIndex: number): LogSuffix => {
     if (this.state === null) return { kind: 'nothing' };
     if (logIndex >= this.state.logIndex) return { kind: 'changes', committed: [] };
--- a/packages/control-plane/src/consensus/acceptorLog.ts
+++ b/packages/control-plane/src/consensus/acceptorLog.ts
@@ -38,8 +38,7 @@
 
 /**
  * The acceptor's complete state, with the field names on disk: `agreed` is the committed state, `live` the ballot state
- * of the open slot, `foundingVote` the vote for the initial members, and `isFresh` tells whether the log began on a new
- * node.
+ * of the open slot, `foundingVote` the vote for the initial members; `isFresh` is true if the log began on a new node.
  */
 export interface AcceptorSnapshot {
   readonly incarnation: string;
--- a/packages/control-plane/src/consensus/catchUp.ts
+++ b/packages/control-plane/src/consensus/catchUp.ts
@@ -1,9 +1,10 @@
 /**
  * Catch-up of a member that is behind the newest committed state.
  *
- * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state if that
- * is smaller, so the size of a snapshot bounds the cost. The member pulls the transfer page by page, one page and one
- * transfer at a time. After a fault it resumes where it stopped, at any source that encodes the same bytes.
+ * The source encodes what the member lacks as one transfer: the changes it missed, or a snapshot of the state if they
+ * are no longer in memory, or if they exceed one page and the snapshot is smaller. The size of a snapshot thus bounds
+ * the cost. The member pulls the transfer page by page, one page and one transfer at a time. After a fault it resumes
+ * where it stopped, at any source that encodes the same bytes.
  */
 import { createHash } from 'node:crypto';
 import { background, cbor } from '@martenworks/core-types';
@@ -168,7 +169,7 @@
     return true;
   };
 
-  /** Applies a complete transfer. After a failed write it is retained, and the next try needs no further page. */
+  /** Applies a complete transfer. After a failed write it is retained, and its bytes are not sent again. */
   private readonly applyTransfer = async (transfer: TransferProgress): Promise<boolean> => {
     const { kind, digest, pages } = transfer;
     const bytes = new Uint8Array(Buffer.concat(pages));
--- a/packages/control-plane/src/consensus/catchUpMessages.ts
+++ b/packages/control-plane/src/consensus/catchUpMessages.ts
@@ -10,9 +10,7 @@
   logIndex: 'stateHeld',
   /** Body `PageRequest`; the reply is `Page`, or null if the requester lacks nothing. */
   page: 'statePage',
-  /**
-   * Body null: tells the receiver that it is behind. It catches up from the sender, then replies with its log index.
-   */
+  /** Body null: the receiver is behind. It catches up from the sender, then replies with its log index. */
   behind: 'stateBehind',
 } as const;
 
--- a/packages/control-plane/src/consensus/compression.ts
+++ b/packages/control-plane/src/consensus/compression.ts
@@ -1,6 +1,6 @@
 /**
  * Encodes changes and committed states as CBOR (RFC 8949) compressed with raw deflate (RFC 1951), for the log and for
- * messages. A change is compressed once per process; its bytes are cached from the proposal to the log.
+ * messages. A change is compressed once per process: the proposal and the log use the same cached bytes.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { cbor, stateMachine } from '@martenworks/core-types';
--- a/packages/control-plane/src/consensus/consensusMember.ts
+++ b/packages/control-plane/src/consensus/consensusMember.ts
@@ -194,7 +194,7 @@
   /** Handlers for every connection of the node; topics that are not those of the consensus group go to the hooks. */
   readonly handlers = (): PeerHandlers => ({
     onOpen: (connection) => {
-      this.handleJoined(connection);
+      this.handleOpen(connection);
       this.hooks.onOpen(connection);
     },
     onClose: (connection) => this.hooks.onClose(connection),
@@ -213,7 +213,7 @@
   private readonly isNonMember = ({ incarnation }: Hello): boolean =>
     !this.memberPeers.members().some((member) => member.incarnation === incarnation);
 
-  private readonly handleJoined = (connection: PeerConnection): void => {
+  private readonly handleOpen = (connection: PeerConnection): void => {
     if (connection.peer === null) return;
     this.dependencies.memberList.recordContact(connection.peer);
     if (connection.peer.role !== 'control') return;
--- a/packages/control-plane/src/consensus/consensusMessages.ts
+++ b/packages/control-plane/src/consensus/consensusMessages.ts
@@ -16,7 +16,7 @@
   readonly change: Uint8Array;
 }
 
-/** A lease request with the incarnations of the voters as the requester knows them; earlier releases omit these. */
+/** A lease request with the voters' incarnations as the requester knows them; earlier releases omit `electorate`. */
 export interface ElectorateLeaseRequest extends LeaseRequest {
   readonly electorate?: readonly string[];
 }
--- a/packages/control-plane/src/consensus/legacyRecords.ts
+++ b/packages/control-plane/src/consensus/legacyRecords.ts
@@ -1,6 +1,6 @@
 /**
- * Converts records that releases up to peer protocol 3 wrote to disk under other field names. Each function returns a
- * value that already has the current form unchanged. Nothing is written in the legacy form.
+ * Converts records that releases up to peer protocol 3 wrote to disk under other field names. Values in the current form
+ * are returned unchanged. Nothing is written in the legacy form.
  */
 import type { Change, ChangeBody, ClaimState, CommittedState } from '@martenworks/core-types';
 
--- a/packages/control-plane/src/consensus/memberLeases.ts
+++ b/packages/control-plane/src/consensus/memberLeases.ts
@@ -55,7 +55,7 @@
   readonly grant = async (request: ElectorateLeaseRequest): Promise<LeaseReply | null> =>
     this.mayGrant(request.electorate ?? this.electorate()) ? this.dependencies.leases.table.grant(request) : null;
 
-  /** Handles a message that a peer releases leases. Malformed messages are ignored. */
+  /** Handles a peer's release of its leases; malformed messages are ignored. */
   readonly handleRelease = (body: unknown): void => {
     if (consensusMessages.isLeaseRequest(body)) this.dependencies.leases.table.release(body);
   };
--- a/packages/control-plane/src/consensus/proposer.ts
+++ b/packages/control-plane/src/consensus/proposer.ts
@@ -132,11 +132,11 @@
     buildChange: BuildChange,
     attempt: Attempt,
   ): Promise<Result<AppliedChange, ProposalError>> => {
-    for (let attemptNumber = 0; ; attemptNumber += 1) {
+    for (let retryCount = 0; ; retryCount += 1) {
       if (attempt.hasFailed() || this.clock.now() >= attempt.deadline) return attempt.fail(timeoutDetail);
       const state = this.acceptor.committedState();
       if (state === null) return attempt.fail('no cluster exists yet');
-      const earlierResult = this.earlierOutcome(state, attempt, attemptNumber === 0);
+      const earlierResult = this.earlierOutcome(state, attempt, retryCount === 0);
       const built = buildChange(state);
       if (earlierResult !== null || built.isErr()) {
         const newest = await this.readUntilDeadline(attempt);
@@ -150,7 +150,7 @@
           return ok({ logIndex: outcome.committed.logIndex, isRepeat: false });
         attempt.markNotProposed();
       } else if (outcome.kind === 'no majority' && !attempt.mayBeAccepted()) return attempt.fail(unreachableDetail);
-      else await this.backOff(attemptNumber);
+      else await this.backOff(retryCount);
     }
   };
 
@@ -175,14 +175,11 @@
   private readonly takeoverDelayMs = (): number => Math.min(ballotsBeforeTakeover * this.lastBallotMs, maxBackoffMs);
 
   /**
-   * Waits about as long as a ballot takes, longer after each attempt, so that proposers on slow disks do not collide.
+   * Waits about as long as a ballot takes, longer after each retry, so that proposers on slow disks do not collide.
    */
-  private readonly backOff = (attemptNumber: number): Promise<void> => {
+  private readonly backOff = (retryCount: number): Promise<void> => {
     const base = Math.min(Math.max(minBackoffMs, this.lastBallotMs), maxBackoffMs);
-    return timing.sleep(
-      this.clock,
-      base * (0.5 + this.random.fraction()) * Math.min(attemptNumber + 1, maxBackoffFactor),
-    );
+    return timing.sleep(this.clock, base * (0.5 + this.random.fraction()) * Math.min(retryCount + 1, maxBackoffFactor));
   };
 
   /** Applies what another member has committed after this node's log index. */
--- a/packages/control-plane/src/membership/bootstrapMessages.ts
+++ b/packages/control-plane/src/membership/bootstrapMessages.ts
@@ -1,7 +1,10 @@
 /** Messages with which control nodes bootstrap a consensus group. */
 import type { Member } from '@martenworks/core-types';
 
-/** The status of a control node; `logIndex` is -1 while it belongs to no cluster. */
+/**
+ * The status of a control node. `logIndex` is -1 while it belongs to no cluster, `foundingVote` the initial members that
+ * it voted for, and `syncedFrom` the incarnations of the members whose data outside the committed state it copied.
+ */
 export interface MemberStatus {
   readonly incarnation: string;
   readonly logIndex: number;
--- a/packages/control-plane/src/membership/clusterBootstrap.ts
+++ b/packages/control-plane/src/membership/clusterBootstrap.ts
@@ -66,7 +66,8 @@
       .slice(0, this.memberCount);
 
   /**
-   * Bootstraps the cluster with the members that a majority has already voted for, else collects votes for `members`.
+   * Bootstraps the cluster with the members that a majority has voted for, if they are other than `members`. Otherwise
+   * collects votes for `members`, unless a node has voted for others or this node is not new.
    */
   private readonly proposeMembers = async (
     members: readonly Member[],
--- a/packages/control-plane/src/membership/membership.ts
+++ b/packages/control-plane/src/membership/membership.ts
@@ -95,7 +95,7 @@
 
   /**
    * The member that a joining node may replace: only the member of its own name if there is one, which must be lost or
-   * leaving; otherwise a leaving member, or one that has been lost for long.
+   * leaving; otherwise a leaving member, or one that is down and has been lost for longer than the replacement delay.
    */
   private readonly memberToReplace = (joining: Member, members: readonly Member[]): Member | undefined => {
     const sameName = members.find((member) => member.name === joining.name);
@@ -131,7 +131,7 @@
     );
   };
 
-  /** Replaces one member by a joining node that has caught up, if there are such. */
+  /** Replaces one lost or leaving member by a joining node that has caught up, if both exist. */
   readonly step = async (): Promise<void> => {
     const state = this.acceptor.committedState();
     if (state === null || !this.acceptor.isVoter()) return;
@@ -171,9 +171,8 @@
   };
 
   /**
-   * Why the swap may not be proposed on `state`; null if it may. Checked on every attempt, since `state` may be newer
-   * than the one that `memberStatus` was compared with: a joining node must have reported the log index of the
-   * proposal's state.
+   * Why the swap may not be proposed on `state`; null if it may. Checked before every ballot, since `state` may be newer
+   * than the one that `memberStatus` was compared with, and the joining node must have reported at least its log index.
    */
   private readonly swapRefusal = (
     state: CommittedState,
--- a/packages/control-plane/src/nodes/controlNode.ts
+++ b/packages/control-plane/src/nodes/controlNode.ts
@@ -90,7 +90,7 @@
     const { memberList } = this;
     this.consensus = new ConsensusMember(
       { ports, hello, memberList, seeds, acceptor, leases, terms, initialMemberCount: settings.voters },
-      this.role(),
+      this.hooks(),
       consensusTiming,
     );
     this.peerPool = this.consensus.peerPool;
@@ -151,7 +151,7 @@
       clock,
       log,
       this.endpointList.all,
-      this.weightTargets,
+      this.rolloutTargets,
       () => this.leaseManager.fencingTokenOf(weightsLease),
       () => this.settings.name,
       (update) => this.statePublisher.sendToAll('weights', update),
@@ -198,7 +198,7 @@
     return ok(undefined);
   };
 
-  private readonly weightTargets = (): { pool: string; model: string; version: number }[] => {
+  private readonly rolloutTargets = (): { pool: string; model: string; version: number }[] => {
     const state = this.acceptor.committedState();
     return (state?.routing?.table.pools ?? []).flatMap(({ name, engine }) =>
       (engine?.models ?? []).flatMap((model) => {
@@ -232,21 +232,21 @@
     for (const [address, ids] of idsByAddress) this.prefixCaches.updateReplicaIds(address, ids);
   };
 
-  private readonly prepareUpkeep = async (): Promise<void> => {
+  private readonly beforeMembershipCheck = async (): Promise<void> => {
     this.statePublisher.closeIdleConnections();
     this.reconcilePrefixCaches();
     if (this.acceptor.committedState() === null) return;
     await this.consensus.catchUp.fromNewestPeer();
   };
 
-  private readonly role = (): ConsensusHooks => ({
+  private readonly hooks = (): ConsensusHooks => ({
     extraAddresses: () => [],
     isDown: () => true,
     wantedLeases: () => (this.acceptor.isVoter() ? [weightsLease] : []),
     leasesChanged: () => {},
     requiresSync: false,
     syncedFrom: () => [],
-    beforeMembershipCheck: this.prepareUpkeep,
+    beforeMembershipCheck: this.beforeMembershipCheck,
     sharedMembers: (entries) => entries.filter(({ hello }) => hello.role === 'control'),
     onOpen: (connection) => {
       if (connection.peer?.role !== 'control') return;
@@ -312,8 +312,8 @@
   };
 
   /**
-   * Returns the newest committed state, after committing what a majority had accepted; null if no majority replied in
-   * time.
+   * Returns the newest committed state, after committing what a majority had accepted; null if no majority confirmed it
+   * within 700 ms.
    */
   readonly confirmedState = async (): Promise<CommittedState | null> => {
     const startedAt = this.ports.clock.now();
--- a/packages/control-plane/src/nodes/gatewayControlNode.ts
+++ b/packages/control-plane/src/nodes/gatewayControlNode.ts
@@ -98,7 +98,7 @@
     );
     this.consensus = new ConsensusMember(
       { ports, hello: this.hello, memberList: this.memberList, seeds: settings.seeds, acceptor, leases },
-      this.role(),
+      this.hooks(),
       consensusTiming,
     );
     this.peerPool = this.consensus.peerPool;
@@ -149,7 +149,7 @@
     return ok(undefined);
   };
 
-  private readonly prepareUpkeep = async (): Promise<void> => {
+  private readonly beforeMembershipCheck = async (): Promise<void> => {
     this.gatewayPublisher.closeIdleConnections();
     await this.catchUp();
     await this.repairIndex();
@@ -186,7 +186,7 @@
     }
   };
 
-  private readonly role = (): ConsensusHooks => ({
+  private readonly hooks = (): ConsensusHooks => ({
     extraAddresses: () => this.failureDetector.watcherAddresses(),
     isDown: this.failureVerdicts.isDown,
     wantedLeases: () =>
@@ -197,7 +197,7 @@
     leasesChanged: () => this.kvEventFollower.reconcile(this.replicaTable.records()),
     requiresSync: true,
     syncedFrom: () => [...this.replicaRegistry.syncedFrom],
-    beforeMembershipCheck: this.prepareUpkeep,
+    beforeMembershipCheck: this.beforeMembershipCheck,
     sharedMembers: (entries) => entries,
     onOpen: () => {},
     onClose: (connection) => {
--- a/packages/control-plane/src/prefixcache/kvEventFollower.ts
+++ b/packages/control-plane/src/prefixcache/kvEventFollower.ts
@@ -18,14 +18,14 @@
 
 interface Followed {
   readonly incarnation: number;
-  readonly follower: KvEventSubscription;
+  readonly subscription: KvEventSubscription;
 }
 
 /** Maintains the prefix index, sends its events to gateways in batches, and relays them to other control nodes. */
 export class KvEventFollower {
   private readonly index = new PrefixIndex(maxAgeMs);
   private readonly followed = new Map<string, Followed>();
-  private readonly fenceGate = new FencingTokenCheck();
+  private readonly tokenCheck = new FencingTokenCheck();
   private batch: KvCacheEvent[] = [];
   private readonly batchTimer: RepeatingTimer;
 
@@ -33,7 +33,7 @@
     private readonly ports: Ports,
     private readonly sendToGateways: (events: readonly KvCacheEvent[]) => void,
     private readonly relay: (relayed: RelayedKvEvents) => void,
-    private readonly fenceOf: (replica: string) => number | null,
+    private readonly fencingTokenOf: (replica: string) => number | null,
   ) {
     this.batchTimer = new RepeatingTimer(ports.clock, () => batchIntervalMs, this.sendBatch);
   }
@@ -45,7 +45,7 @@
     this.sendToGateways(events);
     const fences: Record<string, number> = {};
     for (const { replica } of events) {
-      const fence = this.fenceOf(replica);
+      const fence = this.fencingTokenOf(replica);
       if (fence !== null) fences[replica] = fence;
     }
     this.relay({ fences, events });
@@ -54,11 +54,11 @@
   /** Applies events from another control node; those with a fencing token below the highest one seen are dropped. */
   readonly applyRelayed = ({ fences, events }: RelayedKvEvents): void => {
     const now = this.ports.clock.now();
-    const admitted = events.filter(
-      ({ replica }) => fences[replica] !== undefined && this.fenceGate.accepts(replica, fences[replica]),
+    const accepted = events.filter(
+      ({ replica }) => fences[replica] !== undefined && this.tokenCheck.accepts(replica, fences[replica]),
     );
-    for (const event of admitted) this.index.apply(event, now);
-    if (admitted.length > 0) this.sendToGateways(admitted);
+    for (const event of accepted) this.index.apply(event, now);
+    if (accepted.length > 0) this.sendToGateways(accepted);
   };
 
   /** Returns the replicas whose events have a gap, so that a full index snapshot is needed. */
@@ -73,18 +73,18 @@
     this.index.reconcile(records, () => 0);
     const wanted = new Map(
       records
-        .filter((record) => record.state !== 'gone' && this.fenceOf(record.name) !== null)
+        .filter((record) => record.state !== 'gone' && this.fencingTokenOf(record.name) !== null)
         .map((record) => [record.name, record]),
     );
     for (const [name, followed] of this.followed) {
       if (wanted.get(name)?.incarnation === followed.incarnation) continue;
-      followed.follower.stop();
+      followed.subscription.stop();
       this.followed.delete(name);
     }
     for (const record of wanted.values()) {
       if (this.followed.has(record.name)) continue;
       const { httpClient, clock, random, log } = this.ports;
-      const follower = kvEvents.subscribe(
+      const subscription = kvEvents.subscribe(
         httpClient,
         clock,
         random,
@@ -94,12 +94,12 @@
         () => this.index.lastSeqOf(record.name, record.incarnation),
         this.handleEvent,
       );
-      this.followed.set(record.name, { incarnation: record.incarnation, follower });
+      this.followed.set(record.name, { incarnation: record.incarnation, subscription });
     }
   };
 
   private readonly handleEvent = (event: KvCacheEvent): void => {
-    if (this.fenceOf(event.replica) === null) return;
+    if (this.fencingTokenOf(event.replica) === null) return;
     this.index.apply(event, this.ports.clock.now());
     this.batch.push(event);
   };
@@ -119,6 +119,6 @@
   /** Stops following replicas and sending batches. */
   readonly stop = (): void => {
     this.batchTimer.stop();
-    for (const followed of this.followed.values()) followed.follower.stop();
+    for (const followed of this.followed.values()) followed.subscription.stop();
   };
 }
--- a/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
+++ b/packages/control-plane/src/prefixcache/prefillNoticeRelay.ts
@@ -5,8 +5,7 @@
 const maxBatchSize = 2_000;
 
 /**
- * Collects notices for some milliseconds and sends them in one message. A prefill that starts and ends within a batch
- * is left out.
+ * Collects notices for 15 ms and sends them in one message. A prefill that starts and ends within a batch is left out.
  */
 export class PrefillNoticeRelay {
   private readonly batch = new Map<string, PrefillNotice>();
--- a/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
+++ b/packages/control-plane/src/prefixcache/prefixCacheFollower.ts
@@ -72,7 +72,7 @@
     this.scheduleBatch();
   };
 
-  /** Removes prompt parts that responses on an edge showed to be missing; only new events can add them again. */
+  /** Removes prompt parts that responses through an edge showed to be missing; only new events can add them again. */
   readonly handleCacheMiss = ({ address, salt, parts, isDecided }: CacheMissReport): void => {
     const contents = this.prefixCaches.get(address);
     if (contents === undefined || !isDecided) return;
--- a/packages/control-plane/test/maintenance.test.ts
+++ b/packages/control-plane/test/maintenance.test.ts
@@ -106,13 +106,13 @@
     expect(fleet.gateways.map((gateway) => gateway?.freshness.isFresh())).to.deep.equal([true, true, false]);
     expect(fleet.world.logLines.some((line) => line.context.cause === 'peer protocol version mismatch')).to.equal(true);
     const checker = new InvariantChecker(fleet);
-    const ask = {
+    const request = {
       ...sampleWorkload.request(fleet.world.random, 1),
       kind: 'query' as const,
       tenant: 'north',
       key: keyOf('north'),
     };
-    const calls = [0, 1, 2].map((at) => checker.send(ask, at));
+    const calls = [0, 1, 2].map((at) => checker.send(request, at));
     await fleet.world.run(3_000);
     expect(calls.map((call) => call.outcome)).to.deep.equal(['whole', 'whole', 'denied']);
     expect([calls[2]?.code, calls[2]?.ran]).to.deep.equal(['not_fresh', 'no']);
--- a/packages/control-plane/test/proposer.test.ts
+++ b/packages/control-plane/test/proposer.test.ts
@@ -147,7 +147,7 @@
   });
 
   it('given a change that a majority accepted but that is not committed, when another node serves a read or rejects a change, then it commits the pending change first', async () => {
-    for (const trigger of ['read', 'refusal'] as const) {
+    for (const trigger of ['read', 'rejection'] as const) {
       const cluster = await createCluster(3, 5);
       const { world, nodes } = cluster;
       cluster.isDelivered = (from, _, topic) => !(from === '10.0.0.1' && topic === 'commit');
