--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -228,7 +228,7 @@
    * Milliseconds since a majority of the members was known to be alive: the time of the ping less the age of the
    * majority's messages that the pong states.
    */
-  readonly sinceMajorityContactMs = (): number => this.ports.clock.now() - this.lastMajorityContactAt;
+  readonly majorityContactAgeMs = (): number => this.ports.clock.now() - this.lastMajorityContactAt;
 
   /** The control connections for the operators' pages, as JSON. */
   readonly status = (): Record<string, unknown> => ({
--- a/packages/edge-proxy/src/edgeProxy.ts
+++ b/packages/edge-proxy/src/edgeProxy.ts
@@ -161,7 +161,7 @@
 
   private readonly isControlLost = (): boolean =>
     this.settings.controlLossTimeoutMs !== null &&
-    this.control.sinceMajorityContactMs() > this.settings.controlLossTimeoutMs;
+    this.control.majorityContactAgeMs() > this.settings.controlLossTimeoutMs;
 
   private readonly connectionLimit = (pool: string): number => {
     const limit = this.view?.pool(pool)?.connectionLimit ?? null;
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -56,7 +56,7 @@
 
   private readonly reindex = (): void => {
     this.index.reconcile(this.replicaRecords.values(), this.cacheEpochOf);
-    this.tenantPartitions.align(this.replicaRecords.values(), this.state, this.clock.now());
+    this.tenantPartitions.reconcile(this.replicaRecords.values(), this.state, this.clock.now());
   };
 
   /** Applies the change that follows the current state; returns false if it has another log index. */
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -52,7 +52,7 @@
    * Assigns the ready replicas to the tenants of the committed state. While a replica's assignment is unchanged, it keeps
    * the time at which it was made.
    */
-  readonly align = (records: Iterable<ReplicaRecord>, state: CommittedState | null, now: number): void => {
+  readonly reconcile = (records: Iterable<ReplicaRecord>, state: CommittedState | null, now: number): void => {
     if (state === null) return;
     const isolated = Object.entries(state.config.tenants).filter(([, tenant]) => tenant.isolated);
     const served = new Set(Object.values(state.config.lanes).map((lane) => lane.pool));
