--- a/packages/gateway/test/grants.test.ts
+++ b/packages/gateway/test/grants.test.ts
@@ -207,7 +207,7 @@
       ).to.equal(200);
   });
 
-  it('given a replica that is announced in another pool, when its incarnation is unchanged, then the announcement is rejected with its path, and without an incarnation it is a new one', async () => {
+  it('given a replica that is announced in another pool, when the incarnation is unchanged, then the announcement is rejected with the path of the pool, and when it is omitted, then the replica gets a new one', async () => {
     const { fleet } = await startFleet();
     const announce = (more: Record<string, unknown>) =>
       fleet.finish(
@@ -228,7 +228,7 @@
     expect((newIncarnation.body.replicas as { incarnation: number }[])[0]?.incarnation).to.equal(2);
   });
 
-  it('given two pools with different weights, when a change assigns the same store to both, then it is rejected with its path', async () => {
+  it('given two pools with different weights, when a change assigns the same store to both, then the change is rejected with the path of the store', async () => {
     const { fleet } = await startFleet();
     const reply = await fleet.finish(
       fleet.callControlNode(
