--- a/packages/gateway/src/claims/claims.ts
+++ b/packages/gateway/src/claims/claims.ts
@@ -41,7 +41,7 @@
 const newestTurn = (poll: PollResult, turn: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.turn), turn);
 
-const newestRound = (poll: PollResult, round: number): number =>
+const newestBallotRound = (poll: PollResult, round: number): number =>
   poll.states.reduce((newest, { state }) => Math.max(newest, state.promised?.[0] ?? 0), round);
 
 /** The claimant accepted under the highest ballot among the promises, which Paxos requires to be proposed again. */
@@ -59,7 +59,7 @@
   /** Outcomes of the requests that this gateway claimed. */
   readonly responseStore = new ResponseStore();
   private readonly quorum: ClaimQuorum;
-  private round = 0;
+  private ballotRound = 0;
 
   constructor(
     private readonly ports: Ports,
@@ -91,9 +91,9 @@
     let turn = 0;
     for (let round = 0; round < maxRounds && clock.now() < deadlineAt; round += 1) {
       if (round > 0) await timing.sleep(clock, backoffStepMs * round * (0.5 + random.fraction()));
-      const ballot: ClaimBallot = [++this.round, own.id];
+      const ballot: ClaimBallot = [++this.ballotRound, own.id];
       const promises = await this.quorum.poll('claimPrepare', { key, turn, ballot });
-      this.round = newestRound(promises, this.round);
+      this.ballotRound = newestBallotRound(promises, this.ballotRound);
       const currentTurn = newestTurn(promises, turn);
       if (currentTurn > turn) {
         turn = currentTurn;
--- a/packages/gateway/src/gatewayRequest.ts
+++ b/packages/gateway/src/gatewayRequest.ts
@@ -48,7 +48,7 @@
   ended: [],
 };
 
-/** Isolation scopes of cached prompts: the tenant's name if it is isolated, null for the scope that the others share. */
+/** Isolation scopes of cached prompts: the name of an isolated tenant, or null for the scope that the others share. */
 export const isolationScopes = {
   /** The scope of a tenant. */
   ofTenant: (tenant: TenantView): string | null => (tenant.tenant.isolated ? tenant.name : null),
--- a/packages/gateway/src/pipeline/placementQueries.ts
+++ b/packages/gateway/src/pipeline/placementQueries.ts
@@ -1,4 +1,4 @@
-/** Builds the input of the placement algorithm: which replicas may run a request, and which may have cached its prefix. */
+/** Builds the placement algorithm's input: which replicas may run a request, and which may have cached its prefix. */
 import type { Contention, ReplicaRecord } from '@martenworks/core-types';
 import type { PlacementQuery } from '@martenworks/prefix-index';
 import { isolationScopes } from '../gatewayRequest.js';
--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -156,7 +156,7 @@
   readonly recordTransferExcess = (holder: string, receiver: string, excessMs: number): void =>
     this.queries.transferTracker.record(holder, receiver, excessMs);
 
-  /** Called when the state has changed: rejects a request that lost its grant, and requeues one whose pool or tier changed. */
+  /** Called when the state has changed: rejects a request that lost its grant, requeues one whose pool or tier changed. */
   readonly recheckGrant = (request: GatewayRequest): void => {
     const { lane, tenant } = request;
     if (lane === null || tenant === null) return;
--- a/packages/gateway/src/pipeline/replicaAttempt.ts
+++ b/packages/gateway/src/pipeline/replicaAttempt.ts
@@ -10,8 +10,8 @@
 
 /** Statuses for which the request itself is at fault, so that other replicas would reject it too. */
 const requestErrorStatuses: ReadonlySet<number> = new Set([400, 413, 414, 415, 422]);
-/** Statuses of a replica that is full, if the response has a `retry-after` header. */
-const busyStatuses: ReadonlySet<number> = new Set([429, 503]);
+/** Statuses that mean that the replica is full, if the response has a `retry-after` header. */
+const replicaFullStatuses: ReadonlySet<number> = new Set([429, 503]);
 const msPerSecond = 1_000;
 
 /** The decisions made when the request was placed. */
@@ -117,7 +117,7 @@
     else this.handleErrorStatus(error);
   };
 
-  /** Queues a request that was not sent again, without counting a retry. */
+  /** Queues the request again; no retry is counted, since it was not sent. */
   private readonly requeue = (): void => {
     this.abandon();
     if (this.request.isEnded) return;
@@ -151,7 +151,7 @@
       this.followUp.rejector.reject(this.request, 'bad_request', `the replica rejected the request: ${cause}`);
       return;
     }
-    if (status === null || !busyStatuses.has(status) || retryAfterSeconds === null) {
+    if (status === null || !replicaFullStatuses.has(status) || retryAfterSeconds === null) {
       this.handleFailure('replica_failed', cause);
       return;
     }
--- a/packages/gateway/src/pipeline/sendStage.ts
+++ b/packages/gateway/src/pipeline/sendStage.ts
@@ -81,7 +81,7 @@
     return { placed, grant: { lane, tenant }, weights: view.pools.get(lane.poolName)?.weights ?? '' };
   };
 
-  /** Sends a placed request and starts the relay; resolves once the first chunk has arrived or the attempt has ended. */
+  /** Sends a placed request and starts the relay; resolves once the first chunk arrived or the attempt ended. */
   readonly send = async (request: GatewayRequest, placed: Placement): Promise<void> => {
     const plan = this.planOf(request, placed);
     if (plan === null) return;
--- a/packages/gateway/src/pipeline/stages.ts
+++ b/packages/gateway/src/pipeline/stages.ts
@@ -104,9 +104,9 @@
     this.placementStage.placeAllQueued();
   };
 
-  private readonly recheckAttempt = (request: GatewayRequest, isOnceNow: boolean): void => {
+  private readonly recheckAttempt = (request: GatewayRequest, isAtMostOnceNow: boolean): void => {
     const { activeAttempt } = request;
-    request.isAtMostOnce ||= isOnceNow;
+    request.isAtMostOnce ||= isAtMostOnceNow;
     const record = activeAttempt === null ? undefined : this.context.stateView.record(activeAttempt.replica);
     if (
       activeAttempt !== null &&
--- a/packages/gateway/src/state/stateView.ts
+++ b/packages/gateway/src/state/stateView.ts
@@ -16,7 +16,7 @@
 
 const maxPrefixAgeMs = 600_000;
 
-/** Applies the control nodes' changes in log order, and calls `onChange` after each change of the state or the replicas. */
+/** Applies the control nodes' changes in log order; calls `onChange` after each change of the state or the replicas. */
 export class StateView {
   /** Index of the prompt prefixes that each replica has cached. */
   readonly index = new PrefixIndex(maxPrefixAgeMs);
@@ -102,15 +102,15 @@
     );
 
   /**
-   * The replicas and the store whose cached prefixes a pool may use: their contents were computed with its current weights.
-   * A store is left out while the pool serves isolated tenants, because it would be shared.
+   * The replicas and the store whose cached prefixes a pool may use, because they were computed with its current
+   * weights. The store is left out while the pool serves isolated tenants, because all tenants would share it.
    */
   readonly holdersIn = (poolName: string, store: string | null): ReplicaRecord[] => {
     const { state } = this;
     if (state === null) return [];
-    const isStoreShared = stateMachine.servesIsolatedTenants(state.config, poolName);
+    const servesIsolatedTenants = stateMachine.servesIsolatedTenants(state.config, poolName);
     const isOfPool = (record: ReplicaRecord): boolean =>
-      record.kind === 'replica' ? record.pool === poolName : record.name === store && !isStoreShared;
+      record.kind === 'replica' ? record.pool === poolName : record.name === store && !servesIsolatedTenants;
     return this.records().filter(
       (record) => record.state === 'ready' && isOfPool(record) && record.born >= this.cacheEpochOf(record),
     );
