--- a/packages/test-fleet/src/faults/configurationChanges.ts
+++ b/packages/test-fleet/src/faults/configurationChanges.ts
@@ -4,8 +4,8 @@
 import type { FaultContext, Injections } from './faultContext.js';
 import type { ConfigurationBase } from './operatorClient.js';
 
-const prober = 'prober';
-const rivalCount = 3;
+const probeClaim = 'prober';
+const conflictingChangeCount = 3;
 const probeRounds = 2;
 const manyLanesCount = 200;
 
@@ -19,7 +19,7 @@
  */
 const sendConflictingChanges = async ({ checker, operator, state, wait }: FaultContext): Promise<void> => {
   const { base } = await operator.readConfiguration();
-  const names = Array.from({ length: rivalCount }, () => `rival-${++state.probeCount}`);
+  const names = Array.from({ length: conflictingChangeCount }, () => `rival-${++state.probeCount}`);
   const isAccepted = await Promise.all(
     names.map((name, at) => {
       const tiers = { steady: { rank: 1, horizonMs: 20_000 + at } };
@@ -91,8 +91,8 @@
 /** Accepted changes must take effect in time, and rejected ones never. */
 export const configurationChanges = {
   'layout changes': changeTier,
-  'rival changes': (context) => context.withClaim(prober, () => sendConflictingChanges(context)),
-  'layout is probed': (context) => context.withClaim(prober, () => probeChanges(context)),
+  'rival changes': (context) => context.withClaim(probeClaim, () => sendConflictingChanges(context)),
+  'layout is probed': (context) => context.withClaim(probeClaim, () => probeChanges(context)),
   'many lanes': addManyLanes,
   'new weights': (context) => context.withClaim('weights', () => changeWeights(context)),
 } satisfies Injections;
