--- a/packages/edge-proxy/src/control/controlConnection.ts
+++ b/packages/edge-proxy/src/control/controlConnection.ts
@@ -174,7 +174,7 @@
   };
 
   private readonly pingOne = (connection: PeerConnection): void => {
-    const askedAt = this.ports.clock.now();
+    const sentAt = this.ports.clock.now();
     background.run(
       'ping a control node',
       connection
@@ -184,14 +184,14 @@
             if (reply.error.code === 'timeout' && connection.idleMs() >= pingTimeoutMs) connection.close();
             return;
           }
-          if (edgeMessages.isPong(reply.value)) this.handlePong(connection, reply.value, askedAt);
+          if (edgeMessages.isPong(reply.value)) this.handlePong(connection, reply.value, sentAt);
         }),
     );
   };
 
-  private readonly handlePong = (connection: PeerConnection, pong: EdgePong, askedAt: number): void => {
+  private readonly handlePong = (connection: PeerConnection, pong: EdgePong, sentAt: number): void => {
     if (pong.majorityHeardMs !== null)
-      this.lastMajorityContactAt = Math.max(this.lastMajorityContactAt, askedAt - pong.majorityHeardMs);
+      this.lastMajorityContactAt = Math.max(this.lastMajorityContactAt, sentAt - pong.majorityHeardMs);
     this.scorer.recordPong(connection, pong);
     this.recordEdgeCount(pong.edgeCount);
     this.receiver.handleAnnouncement(connection, pong.logIndex);
@@ -214,8 +214,8 @@
 
   private readonly recordEdgeCount = (edges: number): void => {
     const now = this.ports.clock.now();
-    const isOver = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountWindows;
-    if (edges >= this.edgeCountReport.edges || isOver) this.edgeCountReport = { edges: Math.max(1, edges), at: now };
+    const isExpired = now - this.edgeCountReport.at > this.settings.retryBudgetWindowMs * edgeCountWindows;
+    if (edges >= this.edgeCountReport.edges || isExpired) this.edgeCountReport = { edges: Math.max(1, edges), at: now };
   };
 
   /**
--- a/packages/edge-proxy/src/control/stateReceiver.ts
+++ b/packages/edge-proxy/src/control/stateReceiver.ts
@@ -81,8 +81,8 @@
       return;
     }
     const base = { configVersion: current, routingTable: this.latest?.table ?? null };
-    const opened = packedRoutingTables.unpack(packedTable, base);
-    if (opened.isOk()) this.apply({ ...message, table: opened.value });
+    const unpacked = packedRoutingTables.unpack(packedTable, base);
+    if (unpacked.isOk()) this.apply({ ...message, table: unpacked.value });
     else this.fetch(connection, 0);
   };
 
@@ -104,8 +104,8 @@
   private readonly isSourcePushPending = (): boolean => {
     const source = this.options.source();
     if (source === null || !this.isAhead(source) || this.options.scorer.isUnresponsive(source)) return false;
-    const sinceMs = Math.max(this.announced.get(source)?.at ?? 0, this.receivedAt);
-    return this.options.clock.now() - sinceMs < sourceTimeoutMs;
+    const waitingSince = Math.max(this.announced.get(source)?.at ?? 0, this.receivedAt);
+    return this.options.clock.now() - waitingSince < sourceTimeoutMs;
   };
 
   /** `configVersion` is the version that a patch may build on; 0 requests a complete table. */
--- a/packages/edge-proxy/src/forwarding/attempt.ts
+++ b/packages/edge-proxy/src/forwarding/attempt.ts
@@ -182,12 +182,12 @@
     return this.context.weightsTargets.mayStartWithin(model, version, this.startWithinMs);
   };
 
-  /** Called just before the first byte is written: checks that the admission and the placement still hold. */
+  /** Called just before the first byte is written; returns false if the admission or the placement is no longer valid. */
   private readonly gate = (): boolean => {
     const { tracked } = this.placed;
-    const isReplicaOpen =
+    const isReplicaAvailable =
       !tracked.endpoint.isLeaving && !tracked.isRemoved && !this.context.replicaTracker.health.isUnavailable(tracked);
-    if (this.stopCause !== null || !isReplicaOpen || !this.mayStillStart()) return false;
+    if (this.stopCause !== null || !isReplicaAvailable || !this.mayStillStart()) return false;
     if (!this.context.isStillAdmitted(this.request.admission)) return false;
     this.isWritten = true;
     this.request.progress.mayHaveRun = true;
--- a/packages/edge-proxy/src/ingress/callerConnection.ts
+++ b/packages/edge-proxy/src/ingress/callerConnection.ts
@@ -36,8 +36,8 @@
 
   /**
    * Closes the connection because its bytes form no request or arrive too slowly. `response` is written only if no other
-   * response is pending: a request that was received in full may be running, and the caller would take the status as
-   * the answer to it.
+   * response is pending: a request that was received in full may be running, and the caller would take this one as
+   * the response to it.
    */
   readonly closeWith = (response: string): void => {
     if (!this.socket.writable) this.socket.destroy();
--- a/packages/edge-proxy/src/ingress/rejectionWriter.ts
+++ b/packages/edge-proxy/src/ingress/rejectionWriter.ts
@@ -16,8 +16,12 @@
 
 /** Writes a rejection as a complete response with a JSON body, which HEAD omits (RFC 9110, section 9.3.2). */
 export const rejectionWriter = {
-  write: (wire: HeaderCodec, call: Call, { status, message, retryAfterMs, closesConnection }: Rejection): void => {
-    const bytes = Buffer.from(wire.rejectionBody(message), 'utf8');
+  write: (
+    headerCodec: HeaderCodec,
+    call: Call,
+    { status, message, retryAfterMs, closesConnection }: Rejection,
+  ): void => {
+    const bytes = Buffer.from(headerCodec.rejectionBody(message), 'utf8');
     const headers = ['Content-Type', 'application/json', 'Content-Length', String(bytes.length)];
     if (retryAfterMs !== null) headers.push('Retry-After', (retryAfterMs / msPerSecond).toFixed(retryAfterDecimals));
     const writer = call.respond(status, headers, closesConnection);
--- a/packages/edge-proxy/src/prefixcache/promptTiming.ts
+++ b/packages/edge-proxy/src/prefixcache/promptTiming.ts
@@ -8,7 +8,7 @@
 import type { ExpectedHit } from './staleEntryDetector.js';
 import type { Placement } from '../routing/placement.js';
 
-/** Names of the metrics that count placements by prompt length and source of the prefix. */
+/** Names of the metrics that count placements. */
 export const placementMetrics = {
   /**
    * The counter of a placement, by the length of its prompt, the source of its prefix, and whether rendezvous hashing
--- a/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
+++ b/packages/edge-proxy/src/prefixcache/staleEntryDetector.ts
@@ -129,8 +129,8 @@
   };
 
   /**
-   * Records the report of another edge. Its strike counts as a first one, so that the next strike of this edge decides; an
-   * eviction that it decided is only recorded here.
+   * Records the report of another edge. Its strike counts as a first one, so that the next strike of this edge decides. If
+   * the other edge decided on an eviction, that is recorded here; the caller evicts the entry.
    */
   readonly recordReport = (update: CacheMissReport): void => {
     const now = this.clock.now();
--- a/packages/edge-proxy/src/routing/holderSelector.ts
+++ b/packages/edge-proxy/src/routing/holderSelector.ts
@@ -39,7 +39,7 @@
     const expectedHit = this.expectedHit(context, chosen, salt, indexed);
     const isStored = chosen.isCached && cachingStore !== null && holder === cachingStore.address;
     const isStorable = cachingStore === null && promptAffinity.isWorthStoring(query.metadata.parts, affinity);
-    const mayFindNothing = holder === null || holder === preferredStore?.address;
+    const isMissExpected = holder === null || holder === preferredStore?.address;
     return {
       ...chosen,
       holder,
@@ -47,7 +47,7 @@
       affinityPart: affinity.part,
       expectedHit,
       secondExpectedHit: isStored ? context.lookup.expectedHit(cachingStore.address, salt, context.pullMs) : null,
-      isFullPrefill: expectedHit === null && !chosen.isBeingPrefilled && mayFindNothing,
+      isFullPrefill: expectedHit === null && !chosen.isBeingPrefilled && isMissExpected,
     };
   };
 
@@ -99,7 +99,10 @@
     return holders.find(isInSameZone) ?? holders[0];
   };
 
-  /** Another edge may already have placed the prefix on the replica that rendezvous hashing ranks first. */
+  /**
+   * The healthy replica that rendezvous hashing ranks first, where another edge may already have placed the prefix; null
+   * if the chosen replica itself ranks first.
+   */
   private readonly likelyHolder = ({ preferred }: PlacementContext, tracked: TrackedReplica): string | null => {
     if (preferred[0] === tracked) return null;
     const likely = preferred.find((other) => other !== tracked && !this.replicaTracker.health.isSuspect(other));
--- a/packages/edge-proxy/src/routing/placement.ts
+++ b/packages/edge-proxy/src/routing/placement.ts
@@ -7,7 +7,7 @@
 export interface ScoredCandidate {
   readonly tracked: TrackedReplica;
   /**
-   * Version of the request's model that the replica runs; null where the request names no model or the replica none.
+   * Version of the request's model that the replica runs; null if the request names no model or no version is known.
    */
   readonly version: number | null;
   /** Scope of prefix cache keys for this model, version and customer; null where no cache entry may be used. */
--- a/packages/edge-proxy/src/routing/replicaTracker.ts
+++ b/packages/edge-proxy/src/routing/replicaTracker.ts
@@ -27,9 +27,9 @@
   private readonly byPool = new Map<string, TrackedReplica[]>();
   private readonly announcedPrefills = new Map<string, { readonly replica: string; readonly tokens: number }>();
 
-  /** Health of the tracked replicas. */
+  /** Suspicion, backoff and error rates, by the outcomes of this edge's attempts. */
   readonly health: ReplicaHealth;
-  /** Prefill rates of the tracked replicas. */
+  /** Estimated prefill rates, by the times to the first response chunk. */
   readonly prefillRates = new PrefillRates();
 
   constructor(private readonly clock: Clock) {
--- a/packages/edge-proxy/src/routing/trackedReplica.ts
+++ b/packages/edge-proxy/src/routing/trackedReplica.ts
@@ -29,7 +29,6 @@
 
 /** Creates the record of a replica that appears in the endpoint list. */
 export const trackedReplicas = {
-  /** Creates the record of a replica of which only the endpoint is known. */
   of: (endpoint: ReplicaEndpoint): TrackedReplica => ({
     endpoint,
     running: 0,
--- a/packages/edge-proxy/src/routing/weightsEligibility.ts
+++ b/packages/edge-proxy/src/routing/weightsEligibility.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Decides by weights version whether a replica is eligible for a request: one with superseded weights only while enough
- * time remains for the request to start before those may no longer be used.
+ * Decides by weights version whether a replica is eligible for a request. One on superseded weights is eligible only
+ * while the request has enough time to start before they may no longer be used.
  */
 export class WeightsEligibility {
   constructor(private readonly targets: WeightsTargetSource) {}
--- a/packages/edge-proxy/src/routing/weightsTargets.ts
+++ b/packages/edge-proxy/src/routing/weightsTargets.ts
@@ -5,7 +5,7 @@
 const maxVersions = 8;
 /** Share of `versionMs` within which a request sent to superseded weights must start; the rest is a safety margin. */
 const startWindowShare = 0.9;
-/** Share of `versionMs` by which a delayed request must be due to start; otherwise it is not sent any more. */
+/** A request delayed after its placement is sent only if its start window ends within this share of `versionMs`. */
 const sendWindowShare = 0.95;
 
 interface AnnouncedVersion {
--- a/packages/edge-proxy/test/callerConnections.test.ts
+++ b/packages/edge-proxy/test/callerConnections.test.ts
@@ -116,7 +116,7 @@
         await caller.until(() => caller.received().length > 0);
         caller.socket.resetAndDestroy();
         await untilClosed(replica.requests[0] as ReplicaRequest);
-        const next = await fixture.ask('once', 'POST', 'two', 'with length');
+        const next = await fixture.sendRequest('once', 'POST', 'two', 'with length');
         expect([next?.status, next?.body, next?.isComplete]).to.deep.equal([200, bodyOf('once', 'two'), true]);
         expect(replica.requests.map(({ tryId }) => tryId)).to.deep.equal(['one', 'two']);
       },
@@ -164,7 +164,7 @@
             () => (isReset ? caller.socket.resetAndDestroy() : caller.socket.end()),
           );
           await untilCallerClosed(caller);
-          const next = await fixture.ask('once', 'POST', 'two', 'with length');
+          const next = await fixture.sendRequest('once', 'POST', 'two', 'with length');
           expect([next?.status, replica.requests.map(({ tryId }) => tryId)]).to.deep.equal([200, ['two']]);
           expect(caller.responses(['POST']).some(({ status }) => status < 400)).to.equal(false);
         });
@@ -198,7 +198,7 @@
     });
 
   for (const isStarted of [false, true])
-    it(`given a request ${isStarted ? 'whose response has started' : 'that is running'}, when its caller sends bytes that form no request, then the edge sends no response of its own in its place`, async () => {
+    it(`given a request ${isStarted ? 'whose response has started' : 'that is running'}, when its caller sends bytes that form no request, then the edge sends no 400 in place of the replica's response`, async () => {
       await withEdge(
         (request) => {
           if (isStarted) request.socket.write(`${streamHead('one')}${encodeChunk(eventText('one', 1))}`);
@@ -216,7 +216,7 @@
       );
     });
 
-  it('given a running request, when its caller starts another and does not finish it, then no 408 is sent in its place, since that would mean that it has not run', async () => {
+  it('given a running request, when its caller starts another and does not finish it, then no 408 is sent in place of its response, since that would mean that it has not run', async () => {
     await withEdge(
       () => {},
       async (fixture, replica) => {
@@ -252,7 +252,7 @@
   it('given a replica that refuses connections, when a request that may run only once arrives, then it is rejected as not run and no replica received it', async () => {
     await withEdge(respond, async (fixture, replica) => {
       replica.close();
-      const response = await fixture.ask('once', 'POST', 'one', 'with length');
+      const response = await fixture.sendRequest('once', 'POST', 'one', 'with length');
       expect([response?.status, replica.requests.length]).to.deep.equal([503, 0]);
       expect(response?.head.toLowerCase()).to.include('retry-after');
     });
--- a/packages/edge-proxy/test/controlNodeStub.ts
+++ b/packages/edge-proxy/test/controlNodeStub.ts
@@ -74,7 +74,7 @@
       onOpen: (connection) => void this.connections.add(connection),
       onClose: this.forget,
       onMessage: this.receive,
-      onCall: async (_, topic) => this.answerRequest(topic),
+      onCall: async (_, topic) => this.handleCall(topic),
     });
     this.listener = listening._unsafeUnwrap();
   };
@@ -134,7 +134,7 @@
     members: this.members,
   });
 
-  private readonly answerState = (): EdgeStateMessage => {
+  private readonly stateReply = (): EdgeStateMessage => {
     this.statesSent += 1;
     return this.message();
   };
@@ -147,8 +147,8 @@
     listAgeMs: 0,
   });
 
-  private readonly answerRequest = (topic: string): unknown => {
-    if (topic === 'state') return this.answerState();
+  private readonly handleCall = (topic: string): unknown => {
+    if (topic === 'state') return this.stateReply();
     if (topic === 'ping') return this.pong();
     return topic === 'memberList' ? [{ hello: this.hello(), ageMs: 0 }] : null;
   };
--- a/packages/edge-proxy/test/edgeHarness.ts
+++ b/packages/edge-proxy/test/edgeHarness.ts
@@ -232,8 +232,8 @@
   maxEventGapMs: 50,
 });
 
-const routingTableOf = (times: Timeouts): RoutingTable => ({
-  routes: routeKinds.map((kind) => routeOf(kind, times)),
+const routingTableOf = (timeouts: Timeouts): RoutingTable => ({
+  routes: routeKinds.map((kind) => routeOf(kind, timeouts)),
   pools: [{ name: 'p', connectionLimit: null, engine: null }],
   stores: [],
   customers: null,
@@ -304,7 +304,7 @@
 
   static readonly open = async (
     replicas: readonly RawReplica[],
-    times: Timeouts = longTimeouts,
+    timeouts: Timeouts = longTimeouts,
   ): Promise<EdgeFixture> => {
     for (const replica of replicas) await replica.open();
     const edgeHost = randomLoopbackHost();
@@ -345,7 +345,7 @@
     edge.applyState({
       logIndex: 1,
       configVersion: 1,
-      table: routingTableOf(times),
+      table: routingTableOf(timeouts),
       targetWeights: {},
       weightsAges: {},
       members: [],
@@ -366,7 +366,7 @@
     weights: {},
   });
 
-  /** Updates the endpoint list so that it holds exactly these replicas. */
+  /** Updates the endpoint list to exactly these replicas. */
   readonly setEndpoints = (replicas: readonly RawReplica[]): void =>
     this.edge.applyEndpoints({
       isWhole: false,
@@ -378,7 +378,7 @@
   readonly warmUp = async (): Promise<void> => {
     for (const replica of this.replicas) {
       this.setEndpoints([replica]);
-      await this.ask('repeatable', 'GET', `warm-${replica.id}`, 'none');
+      await this.sendRequest('repeatable', 'GET', `warm-${replica.id}`, 'none');
     }
     this.setEndpoints(this.replicas);
   };
@@ -386,7 +386,7 @@
   readonly caller = (): RawCaller => new RawCaller(this.edgeHost);
 
   /** Sends one request on a new connection; returns null if the connection ended before a response head. */
-  readonly ask = async (
+  readonly sendRequest = async (
     kind: RouteKind,
     method: string,
     tryId: string,
--- a/packages/edge-proxy/test/edgeMessages.test.ts
+++ b/packages/edge-proxy/test/edgeMessages.test.ts
@@ -1,4 +1,4 @@
-/** The checks of messages from control nodes accept everything that those send, and nothing that lacks a field. */
+/** Validation accepts every message that control nodes send, and rejects one that lacks a field. */
 import { expect } from 'chai';
 import { edgeMessages } from '@martenworks/edge-proxy';
 import type {
--- a/packages/edge-proxy/test/parts.test.ts
+++ b/packages/edge-proxy/test/parts.test.ts
@@ -354,7 +354,7 @@
     expect(place(withRemainder(1_000))?.holder).to.equal('10.9.0.1:9000');
   });
 
-  it('given a store whose events are not followed, when a prompt is placed, then it is neither pulled from nor uploaded to', () => {
+  it('given a store whose events are not followed, when a prompt is placed, then the store is neither pulled from nor uploaded to', () => {
     const { place } = setUp();
     expect(place(longPrompt('manual'))?.store).to.equal(null);
     expect(place(longPrompt('manual'))?.holder).to.not.equal('10.9.0.1:9000');
@@ -387,7 +387,7 @@
     expect(prefixCaches.isCached('x', 's', 'p', 20_000)).to.equal(false);
   });
 
-  it('given an own observation, when no event confirms it, then it is trusted for a limited time only', async () => {
+  it('given an observation of this edge, when no event confirms it, then it is trusted for a limited time only', async () => {
     const { prefixCaches, world } = setUp();
     prefixCaches.recordObserved('x', 's', 'p');
     await world.run(2_900);
--- a/packages/edge-proxy/test/replicaConnections.test.ts
+++ b/packages/edge-proxy/test/replicaConnections.test.ts
@@ -311,7 +311,7 @@
   );
   try {
     if (isWarmedUp) await fixture.warmUp();
-    const response = await fixture.ask(kind, method, testedId, body);
+    const response = await fixture.sendRequest(kind, method, testedId, body);
     return { response, requests: fixture.requestsOf(testedId) };
   } finally {
     await fixture.close();
@@ -350,14 +350,14 @@
   return observations;
 };
 
-const mayRepeat = (kind: RouteKind): boolean => kind === 'repeatable' || kind === 'resumable stream';
+const isRetryable = (kind: RouteKind): boolean => kind === 'repeatable' || kind === 'resumable stream';
 
 /** Expected number of starts, and outcome: a complete 200, a truncated 200, or an error that leaves the outcome open. */
 const expected = (effect: FaultEffect, kind: RouteKind): { starts: number; outcome: string } => {
   if (effect === 'harmless') return { starts: 1, outcome: 'complete 200' };
   if (effect === 'not run') return { starts: 2, outcome: 'complete 200' };
   if (effect === 'no response')
-    return mayRepeat(kind) ? { starts: 2, outcome: 'complete 200' } : { starts: 1, outcome: 'outcome unknown' };
+    return isRetryable(kind) ? { starts: 2, outcome: 'complete 200' } : { starts: 1, outcome: 'outcome unknown' };
   return kind === 'resumable stream' ? { starts: 2, outcome: 'complete 200' } : { starts: 1, outcome: 'truncated 200' };
 };
 
@@ -393,7 +393,7 @@
   this.timeout(60_000);
 
   for (const fault of faults)
-    it(`given ${fault.name}, when it hits a request of any route kind, method and body, then no caller gets a foreign response or a truncated one that looks complete, and a request that may not be repeated starts once`, async () => {
+    it(`given ${fault.name}, when it hits a request of any route kind, method and body, then no caller gets a foreign response or a truncated one that looks complete, and a request that must not be repeated starts once`, async () => {
       const cases = testCasesOf(fault);
       const observations = await runAll(fault, cases);
       const wrong = cases.flatMap((testCase, at) => {
@@ -426,8 +426,8 @@
     });
     const fixture = await EdgeFixture.open([replica]);
     try {
-      const first = await fixture.ask('once', 'POST', 'one', 'with length');
-      const next = await fixture.ask('once', 'POST', 'two', 'with length');
+      const first = await fixture.sendRequest('once', 'POST', 'one', 'with length');
+      const next = await fixture.sendRequest('once', 'POST', 'two', 'with length');
       expect([first?.status, next?.status]).to.deep.equal([502, 200]);
       expect(replica.requests.map(({ tryId }) => tryId)).to.deep.equal(['one', 'two']);
     } finally {
@@ -456,12 +456,17 @@
           const kind = routeKinds[randomBelow(routeKinds.length)] as RouteKind;
           const method = ['GET', 'POST', 'PUT', 'DELETE'][randomBelow(4)] as string;
           const tryId = `c${caller}-${at}`;
-          const response = await fixture.ask(kind, method, tryId, bodyKinds[randomBelow(bodyKinds.length)] as BodyKind);
+          const response = await fixture.sendRequest(
+            kind,
+            method,
+            tryId,
+            bodyKinds[randomBelow(bodyKinds.length)] as BodyKind,
+          );
           const requests = fixture.requestsOf(tryId);
           const ran = requests.filter((request) => !reportedNotRun.has(request));
           const expectedBody = expectedChunks({ target: pathOf(kind), tryId, lastEventId: 0 }).join('');
           if (response?.status === 200 && response.isComplete && response.body === expectedBody) completed += 1;
-          if (!mayRepeat(kind) && ran.length > 1)
+          if (!isRetryable(kind) && ran.length > 1)
             wrong.push(`${tryId} (${kind} ${method}) started ${ran.length} times`);
           if (response === null) continue;
           if (response.status === 200 && !expectedBody.startsWith(response.body)) wrong.push(`${tryId}: other bytes`);
--- a/packages/edge-proxy/test/staleIndex.test.ts
+++ b/packages/edge-proxy/test/staleIndex.test.ts
@@ -75,7 +75,7 @@
 });
 
 describe('strikes against index entries', () => {
-  it('given two late responses in a row, when the second was sent after the first, then the entry is evicted, and the next one quarantines it', async () => {
+  it('given two late responses in a row, when the second request was sent after the first response, then the entry is evicted, and the next late response quarantines it', async () => {
     const { lateResponse } = setUp();
     expect(await lateResponse()).to.deep.equal({ kind: 'strike' });
     expect(await lateResponse()).to.deep.equal({ kind: 'evict', quarantineMs: null });
@@ -83,7 +83,7 @@
     expect(await lateResponse()).to.deep.equal({ kind: 'evict', quarantineMs: 30_000 });
   });
 
-  it('given two late responses of one burst, when both were sent before the first arrived, then they count as one', async () => {
+  it('given two late responses of one burst, when both requests were sent before the first response arrived, then they count as one strike', async () => {
     const { detector, timing, world } = setUp();
     const sent = timing();
     await world.run(340);
@@ -118,7 +118,7 @@
     expect((await of('e')).kind).to.equal('strike');
   });
 
-  it('given strikes of other edges, when they are reported, then they alone evict nothing, but a further own strike does', async () => {
+  it('given strikes of other edges, when they are reported, then they alone evict nothing, but a further strike of this edge does', async () => {
     const { detector, lateResponse } = setUp();
     const report = { address, salt, parts: [part], isDecided: false, quarantineMs: null };
     detector.recordReport(report);
@@ -138,7 +138,7 @@
     expect(isCached()).to.equal(true);
   });
 
-  it('given a quarantined entry, when events and own responses report it, then it counts only after the quarantine', async () => {
+  it("given a quarantined entry, when events and this edge's responses report it, then it counts only after the quarantine", async () => {
     const { prefixCaches, isCached, world } = setUp();
     prefixCaches.quarantine(address, salt, part, 15_000);
     prefixCaches.apply([cacheUpdate()]);
--- a/packages/edge-proxy/test/weightsTargets.test.ts
+++ b/packages/edge-proxy/test/weightsTargets.test.ts
@@ -36,7 +36,7 @@
     expect(targets.startWindowMs(model, 1)).to.equal(0);
   });
 
-  it('given a request placed in time and delayed since, when it is about to be sent, then it is rejected once it could start beyond the limit', async () => {
+  it('given a request placed in time and delayed since, when it is about to be sent, then it may be sent only if it cannot start beyond the limit', async () => {
     const { world, targets } = targetsWith({ version: 2, msAgo: 0 });
     await world.run(5_000);
     const startWindowMs = targets.startWindowMs(model, 1);
--- a/packages/prefix-index/src/prefixIndex.ts
+++ b/packages/prefix-index/src/prefixIndex.ts
@@ -184,7 +184,7 @@
   private readonly tenantIdFromName = (name: string): number =>
     name === '?' ? unknownTenant : name === '' ? sharedTenant : this.tenants.indexOf(name);
 
-  /** Returns the number of entries per replica, for the operator pages. */
+  /** Returns the number of entries per replica, for the operators' pages. */
   readonly sizes = (): {
     replica: string;
     incarnation: number;
--- a/packages/prefix-index/src/tenantPartitions.ts
+++ b/packages/prefix-index/src/tenantPartitions.ts
@@ -131,7 +131,7 @@
     );
   };
 
-  /** Returns each replica's assignment, for the operator pages. */
+  /** Returns each replica's assignment, for the operators' pages. */
   readonly roles = (): { replica: string; role: string }[] =>
     [...this.assignments].map(([replica, assignment]) => ({ replica, role: assignment.role }));
 }
--- a/packages/prefix-index/test/cacheSources.test.ts
+++ b/packages/prefix-index/test/cacheSources.test.ts
@@ -128,7 +128,7 @@
     expect(checker.violations()).to.deep.equal([]);
   });
 
-  it('given pulls that take longer than a prefill, when the gateway has measured it, then no source is named; and sources are named again once pulls are fast', async () => {
+  it('given pulls that take longer than a prefill, when the gateway has measured them, then no source is named; and sources are named again once pulls are fast', async () => {
     const { fleet, checker } = await startFleet(34, 4, configOf([]));
     for (const replica of fleet.runningReplicas.values()) replica.faults.pullDelayMs = 1_500;
     let pullsAfterLearning = 0;
--- a/packages/route-table/src/routeLookup.ts
+++ b/packages/route-table/src/routeLookup.ts
@@ -57,7 +57,7 @@
   };
 }
 
-/** Picks a pool at random by the weights of a route; `fraction` is a random number in [0, 1). */
+/** Picks a pool in proportion to the traffic shares of a route; `fraction` is a random number in [0, 1). */
 export const shares = {
   draw: (route: Route, fraction: number): string => {
     const total = route.shares.reduce((sum, weighted) => sum + weighted.share, 0);
--- a/packages/route-table/src/routingTables.ts
+++ b/packages/route-table/src/routingTables.ts
@@ -30,7 +30,7 @@
     if (!(route.timeoutMs > 0)) errors.push({ path: `${path}/horizonMs`, message: 'must be above 0' });
     if (!(route.maxAttempts >= 1)) errors.push({ path: `${path}/shots`, message: 'must be 1 or more' });
     if (route.shares.some((one) => !(one.share >= 0)) || !(route.shares.reduce((sum, one) => sum + one.share, 0) > 0))
-      errors.push({ path: `${path}/shares`, message: 'must have weights that sum to more than 0' });
+      errors.push({ path: `${path}/shares`, message: 'must be 0 or more and sum to more than 0' });
     for (const { pool } of route.shares)
       if (!poolNames.has(pool)) errors.push({ path: `${path}/shares`, message: `refers to unknown pool ${pool}` });
     return errors;
@@ -52,7 +52,7 @@
 
 /**
  * Returns what makes a routing table invalid beyond its schema: unknown pools, two routes with the same host and prefix,
- * weights that sum to 0, no timeout, a key of two customers. Source: PROTOCOL's list of invalid configurations.
+ * shares that sum to 0, no timeout, a key of two customers. Source: PROTOCOL's list of invalid configurations.
  */
 const errorsOf = (routingTable: RoutingTable): RoutingTableError[] => [
   ...routeErrorsOf(routingTable),
--- a/packages/route-table/test/routingTables.test.ts
+++ b/packages/route-table/test/routingTables.test.ts
@@ -45,7 +45,7 @@
       '/ways/0/shares',
     ],
     [
-      'weights that sum to 0',
+      'shares that sum to 0',
       routingTable({
         routes: [
           route({
@@ -58,7 +58,7 @@
       }),
       '/ways/0/shares',
     ],
-    ['a route without weights', routingTable({ routes: [route({ shares: [] })] }), '/ways/0/shares'],
+    ['a route without shares', routingTable({ routes: [route({ shares: [] })] }), '/ways/0/shares'],
     ['a route without a timeout', routingTable({ routes: [route({ timeoutMs: 0 })] }), '/ways/0/horizonMs'],
     [
       'two routes with the same host and path prefix',
@@ -119,7 +119,7 @@
     expect(isRetryable({ kind: 'stream', isResumable: true })).to.equal(true);
   });
 
-  it('given weights of 90, 0 and 10, when pools are drawn with evenly spaced fractions, then each pool gets its share and the pool of weight 0 gets none', () => {
+  it('given shares of 90, 0 and 10, when pools are drawn with evenly spaced fractions, then each pool gets its share and the pool of share 0 gets none', () => {
     const weightedRoute = route({
       shares: [
         { pool: 'a', share: 90 },
