--- a/packages/gateway/src/pipeline/placementStage.ts
+++ b/packages/gateway/src/pipeline/placementStage.ts
@@ -12,7 +12,7 @@
 import type { Rejector } from './rejector.js';
 import type { StageContext } from './stageContext.js';
 
-/** A request is rejected if its expected wait exceeds this share of the time to its deadline. */
+/** A request is rejected if its expected wait exceeds this share of the time to its deadline: a safety margin. */
 const maxWaitShare = 0.5;
 
 /** Queues and places the requests of all pools. */
@@ -70,7 +70,7 @@
     }
     const now = this.context.ports.clock.now();
     if (queue.waiting.expectedWaitMs(tenant.name, now) > (request.deadlineAt - now) * maxWaitShare) {
-      this.rejector.reject(request, 'no_capacity', 'the expected wait exceeds the deadline');
+      this.rejector.reject(request, 'no_capacity', 'the expected wait is too long for the deadline');
       return;
     }
     request.markQueued();
@@ -98,7 +98,7 @@
     const now = this.context.ports.clock.now();
     for (const [, queue] of this.queues.entries()) {
       for (const request of queue.waiting.predictedDeadlineMisses(now, ({ deadlineAt }) => deadlineAt))
-        this.rejector.reject(request, 'no_capacity', 'the expected wait exceeds the deadline');
+        this.rejector.reject(request, 'no_capacity', 'the expected wait is too long for the deadline');
     }
     for (const [poolName] of this.queues.entries()) this.placeQueued(poolName);
   };
@@ -156,7 +156,7 @@
   readonly recordTransferExcess = (holder: string, receiver: string, excessMs: number): void =>
     this.queries.transferTracker.record(holder, receiver, excessMs);
 
-  /** Called when the state has changed: rejects a request that lost its grant, requeues one whose pool or tier changed. */
+  /** Called when the state changed: rejects a request that lost its grant, requeues one whose pool or tier changed. */
   readonly recheckGrant = (request: GatewayRequest): void => {
     const { lane, tenant } = request;
     if (lane === null || tenant === null) return;
--- a/packages/gateway/src/pipeline/poolQueues.ts
+++ b/packages/gateway/src/pipeline/poolQueues.ts
@@ -41,7 +41,7 @@
     return (queue.byTier.get(tenant.tierName) ?? 0) >= Math.max(1, share);
   };
 
-  /** Adds a request. If the queue is full, removes and returns the request that `FairQueue.put` displaces; else null. */
+  /** Adds a request. If the queue is full, removes and returns the one that `FairQueue.put` displaces; else null. */
   readonly put = (
     queue: PoolQueue,
     tenant: TenantView,
--- a/packages/gateway/src/state/freshness.ts
+++ b/packages/gateway/src/state/freshness.ts
@@ -5,7 +5,7 @@
 const maxPongAgeMs = 1_500;
 /** How long a control node may report an accepted change that is not committed here. */
 const maxPendingMs = 500;
-/** A pong is stale if the wall clock jumped by more than this since its ping: the machine may have been suspended. */
+/** How far the wall clock may drift from the monotonic clock after a ping; a larger jump means a suspended machine. */
 const maxClockJumpMs = 1_000;
 
 interface ReceivedPong {
--- a/packages/inspector/src/statusReader.ts
+++ b/packages/inspector/src/statusReader.ts
@@ -58,7 +58,7 @@
   return new Map(await Promise.all([...addresses].sort().map(read)));
 };
 
-/** Finds all nodes through the control nodes at these addresses and reads their status; null if none responds. */
+/** Reads the status of all nodes, found through the control nodes at `addresses`; null if none of them responds. */
 export const readFleet = async (
   requestNode: NodeRequest,
   addresses: readonly string[],
