--- a/packages/core-types/src/stateMachine.ts
+++ b/packages/core-types/src/stateMachine.ts
@@ -25,6 +25,7 @@
     (tenant) => tenant.isolated && tenant.lanes.some((lane) => config.lanes[lane]?.pool === pool),
   );
 
+/** By store: the weights of the pools that use it, and whether one of them serves isolated tenants (`isMixed`). */
 const storeUses = (config: GatewayConfig): Map<string, { weights: string; isMixed: boolean }> => {
   const uses = new Map<string, { weights: string; isMixed: boolean }>();
   for (const [name, pool] of Object.entries(config.pools)) {
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -75,7 +75,7 @@
   http: { parse: parsers.text, help: 'IP:PORT for HTTP: clients, or operators and the platform' },
   operators: { parse: parsers.text, help: 'IP:PORT for operator pages, on a private network (none)' },
   seeds: { parse: parsers.list, help: 'IP:PORT of three other nodes, separated by commas' },
-  data: { parse: parsers.text, help: 'data directory' },
+  data: { parse: parsers.text, help: 'data folder of a control node' },
   gatewayCount: { parse: parsers.count, help: 'number of gateways that share the retry budget (9)' },
   bodyLimitBytes: { parse: parsers.count, help: 'maximum size of a request body (4194304)' },
   queueLimit: { parse: parsers.count, help: 'maximum number of requests queued in one stage (512)' },
