--- a/packages/model-check/src/livenessPhase.ts
+++ b/packages/model-check/src/livenessPhase.ts
@@ -92,9 +92,9 @@
       await this.fleet.drain();
       const messages = network.inFlight.splice(0);
       for (const message of messages) network.deliver(message);
-      let hasWritten = false;
-      for (const node of nodes) while (node.disk.completeSync()) hasWritten = true;
-      if (messages.length === 0 && !hasWritten) break;
+      let hasSynced = false;
+      for (const node of nodes) while (node.disk.completeSync()) hasSynced = true;
+      if (messages.length === 0 && !hasSynced) break;
     }
     this.checker().observe(this.observations());
   };
