--- a/packages/control-plane/src/configuration/changeService.ts
+++ b/packages/control-plane/src/configuration/changeService.ts
@@ -18,7 +18,7 @@
 const checkGrant = (state: CommittedState, tenantName: string, tenant: Tenant | null): Result<void, ProposalError> => {
   if (state.config.tenants[tenantName] !== undefined) return ok(undefined);
   if (tenant === null)
-    return err(proposalErrors.rejected([{ path: '/tenant', message: `names the absent tenant ${tenantName}` }]));
+    return err(proposalErrors.rejected([{ path: '/tenant', message: `refers to unknown tenant ${tenantName}` }]));
   return gatewayConfigs
     .check({ ...state.config, tenants: { ...state.config.tenants, [tenantName]: tenant } })
     .map(() => undefined)
