--- a/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
+++ b/packages/test-fleet/src/capacity/estimates/capacityEstimate.ts
@@ -24,7 +24,7 @@
   readonly formula: string;
   /** The budget that applies to it, if any. */
   readonly budgetItem: keyof typeof budget | null;
-  /** Set where the formula scales a run beyond the measured sizes. */
+  /** Set if the formula scales a run beyond the measured sizes. */
   readonly isScaled?: true;
   readonly value: (costOf: CostOf) => number;
 }
--- a/packages/test-fleet/src/capacity/measuring.ts
+++ b/packages/test-fleet/src/capacity/measuring.ts
@@ -28,7 +28,7 @@
 /** Resolves after `ms` milliseconds of wall-clock time. */
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Waits until the condition holds; resolves to false where it did not within `timeoutMs`. */
+/** Waits until the condition holds; resolves to false if it does not within `timeoutMs`. */
 export const until = async (condition: () => boolean, timeoutMs: number, pollMs = 2): Promise<boolean> => {
   const endAt = performance.now() + timeoutMs;
   while (!condition()) {
--- a/packages/test-fleet/src/capacity/model.ts
+++ b/packages/test-fleet/src/capacity/model.ts
@@ -22,7 +22,7 @@
 
 type Status = 'runs today and measured' | 'modelled from a slope' | 'not built';
 
-/** An estimate with its value at the planned size, which is NaN where a run is missing. */
+/** An estimate with its value at the planned size, which is NaN if a run is missing. */
 interface EvaluatedEstimate {
   readonly id: string;
   readonly value: number;
--- a/packages/test-fleet/src/capacity/peerProcess.ts
+++ b/packages/test-fleet/src/capacity/peerProcess.ts
@@ -20,16 +20,16 @@
 
 const meter = new Meter();
 const net = metered(machine.net(null), meter);
-const routingTable = new StateView(machine.clock, () => {});
+const stateView = new StateView(machine.clock, () => {});
 const replicaTracker = new ReplicaTracker(machine.clock);
 const connections: PeerConnection[] = [];
 const counters = { loadMessages: 0, closedConnections: 0 };
 let appliesUpdates = false;
 
 const applyUpdate = (topic: string, body: unknown): void => {
-  if (topic === 'replicas') routingTable.applyReplicas(body as ReplicaRecord[]);
-  else if (topic === 'indexSnapshot') routingTable.applyIndexSnapshot(body as PrefixIndexSnapshot);
-  else if (topic === 'kv') routingTable.applyKvEvents(body as KvCacheEvent[]);
+  if (topic === 'replicas') stateView.applyReplicas(body as ReplicaRecord[]);
+  else if (topic === 'indexSnapshot') stateView.applyIndexSnapshot(body as PrefixIndexSnapshot);
+  else if (topic === 'kv') stateView.applyKvEvents(body as KvCacheEvent[]);
 };
 
 const handlers: PeerHandlers = {
--- a/packages/test-fleet/src/capacity/probes/routeIndex.ts
+++ b/packages/test-fleet/src/capacity/probes/routeIndex.ts
@@ -73,10 +73,10 @@
   let next = 0;
   return routeSamples.backendClient({
     prefixCacheEvents: async (address) => {
-      const update = pages.get(address) ?? [];
+      const page = pages.get(address) ?? [];
       pages.delete(address);
-      next += update.length;
-      return ok({ epoch: 'e', next, isLost: false, events: update });
+      next += page.length;
+      return ok({ epoch: 'e', next, isLost: false, events: page });
     },
   });
 };
@@ -124,7 +124,7 @@
     for (const batch of batches.splice(0))
       sent.push({
         frame: encodeUpdates(batch),
-        events: batch.reduce((sum, { events: update }) => sum + update.length, 0),
+        events: batch.reduce((sum, { events: page }) => sum + page.length, 0),
       });
   };
   for (const target of partCounts) {
@@ -137,8 +137,8 @@
 
 const batchBytes = (events: number): number => {
   const [endpoint] = routeSamples.endpoints(1);
-  const update = range(events).map(routeSamples.cacheEvent);
-  return encodeUpdates([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: update }]).length;
+  const page = range(events).map(routeSamples.cacheEvent);
+  return encodeUpdates([{ address: endpoint?.address ?? '', isWhole: false, isHeard: true, events: page }]).length;
 };
 
 /** Measures by the number of followed replicas and of cached parts. */
--- a/packages/test-fleet/src/commands/capacityCommand.ts
+++ b/packages/test-fleet/src/commands/capacityCommand.ts
@@ -37,7 +37,7 @@
   --from FILE       runs no probe; computes the estimates and the plot from this slopes.json
 `;
 
-/** A run of one probe; `outcome` is null where it failed. */
+/** A run of one probe; `outcome` is null if it failed. */
 interface ProbeRun {
   readonly name: string;
   readonly seconds: number;
--- a/packages/test-fleet/src/commands/faultInjectionSummary.ts
+++ b/packages/test-fleet/src/commands/faultInjectionSummary.ts
@@ -8,14 +8,14 @@
 const kindWidth = 40;
 const tierWidth = 8;
 
-/** The result of one run; `report` is null where the run ended with an error. */
+/** The result of one run; `report` is null if the run ended with an error. */
 export interface RunResult {
   readonly schedule: FaultSchedule;
   readonly report: FaultInjectionReport | null;
   readonly injected: Record<string, number>;
   /** The error that ended the run, or empty. */
   readonly error: string;
-  /** The log, where an invariant was violated or the run ended with an error. */
+  /** The log, if an invariant was violated or the run ended with an error. */
   readonly logLines: readonly string[];
 }
 
--- a/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
+++ b/packages/test-fleet/src/faults/crashesAfterAcknowledgement.ts
@@ -3,7 +3,7 @@
 import type { FaultContext, Injections } from './faultContext.js';
 import { startKeyTraffic } from './keyedTraffic.js';
 
-const votePolls = 300;
+const maxVoterPolls = 300;
 
 const acknowledgeChange = async (context: FaultContext, at: number): Promise<void> => {
   const { fleet, operator } = context;
@@ -57,7 +57,7 @@
     fleet.killControlNode(at, losesDisk);
     await context.waitBetween(100, 3_000);
     await fleet.bootControlNode(at);
-    if (losesDisk) await context.waitUntilVoter(at, votePolls);
+    if (losesDisk) await context.waitUntilVoter(at, maxVoterPolls);
   }, true);
 
 /** An acknowledged change must survive the crash. */
--- a/packages/test-fleet/src/faults/diskFaults.ts
+++ b/packages/test-fleet/src/faults/diskFaults.ts
@@ -1,14 +1,14 @@
 /** Disk faults of control nodes. */
 import type { FaultContext, Injections } from './faultContext.js';
 
-const votePolls = 300;
+const maxVoterPolls = 300;
 
 const loseDisk = (context: FaultContext): Promise<void> | null =>
   context.withRandomControlNode(async (at) => {
     context.fleet.killControlNode(at, true);
     await context.waitBetween(100, 3_000);
     await context.fleet.bootControlNode(at);
-    await context.waitUntilVoter(at, votePolls);
+    await context.waitUntilVoter(at, maxVoterPolls);
   }, true);
 
 const stall = (context: FaultContext): Promise<void> | null =>
--- a/packages/test-fleet/src/faults/faultContext.ts
+++ b/packages/test-fleet/src/faults/faultContext.ts
@@ -8,7 +8,7 @@
 import type { FaultKind } from './faultSchedule.js';
 import { OperatorClient } from './operatorClient.js';
 
-const votePollMs = 100;
+const voterPollMs = 100;
 const controlNodes = [0, 1, 2];
 
 /** Counters with which injections generate unique names. */
@@ -132,11 +132,12 @@
   /**
    * Waits until a control node is a voter.
    *
-   * @throws Error if it is not within `polls` polls of 100 ms
+   * @throws Error if it is not within `maxPolls` polls of 100 ms
    */
-  readonly waitUntilVoter = async (at: number, polls: number): Promise<void> => {
+  readonly waitUntilVoter = async (at: number, maxPolls: number): Promise<void> => {
     const isVoter = (): boolean => this.fleet.controlNodes[at]?.acceptor.isVoter() === true;
-    for (let poll = 0; poll < polls && !isVoter(); poll += 1) await this.wait(votePollMs);
-    if (!isVoter()) throw new Error('the empty control node did not become a voter');
+    for (let poll = 0; poll < maxPolls && !isVoter(); poll += 1) await this.wait(voterPollMs);
+    if (!isVoter())
+      throw new Error(`control node ${at + 1} did not become a voter within ${maxPolls * voterPollMs} ms`);
   };
 }
--- a/packages/test-fleet/src/faults/operatorClient.ts
+++ b/packages/test-fleet/src/faults/operatorClient.ts
@@ -54,7 +54,7 @@
       if (response.status === 200) return;
       await this.world.sleep(retryMs);
     }
-    throw new Error('no control node accepted the request');
+    throw new Error(`no control node accepted the request in ${maxAttempts} attempts`);
   };
 
   /** Reads the current configuration version from a random control node; retries until one responds. */
--- a/packages/test-fleet/src/processes/faultProxy.ts
+++ b/packages/test-fleet/src/processes/faultProxy.ts
@@ -23,7 +23,7 @@
     public target: string,
   ) {}
 
-  /** Starts listening; rejects where the address cannot be bound. */
+  /** Starts listening; rejects if the address cannot be bound. */
   readonly open = (): Promise<void> =>
     new Promise((resolve, reject) => {
       const { host, port } = addresses.split(this.address);
--- a/packages/test-fleet/src/processes/localFleet.ts
+++ b/packages/test-fleet/src/processes/localFleet.ts
@@ -179,7 +179,7 @@
     );
   };
 
-  /** Sends an HTTP request to `HOST:PORT`; rejects where it cannot be reached. */
+  /** Sends an HTTP request to `HOST:PORT`; rejects if it cannot be reached. */
   readonly call = async (
     host: string,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE',
@@ -289,7 +289,7 @@
       throw new Error(`announcing the replicas failed: ${announced.status} ${JSON.stringify(announced.body)}`);
   };
 
-  /** Replaces the configuration; throws where the control node does not accept it. */
+  /** Replaces the configuration; throws if the control node does not accept it. */
   readonly putConfiguration = async (config: Record<string, unknown>, at = 0): Promise<Reply> => {
     const current = await this.call(`${this.controlNodeHosts[at]}:7101`, 'GET', '/operator/layout');
     const put = await this.call(`${this.controlNodeHosts[at]}:7101`, 'PUT', '/operator/layout', config, {
--- a/packages/test-fleet/src/processes/processFaultRun.ts
+++ b/packages/test-fleet/src/processes/processFaultRun.ts
@@ -12,7 +12,7 @@
 const acceptRetryMs = 200;
 const readRetryMs = 100;
 const changeRetryMs = 150;
-const voteTimeoutMs = 40_000;
+const voterTimeoutMs = 40_000;
 const rejectedStatuses = new Set([409, 422]);
 /** Separates the random sequences of consecutive seeds. */
 const seedFactor = 7_919;
@@ -39,13 +39,13 @@
     seed: number,
   ) {
     this.random = seededRandom(seed * seedFactor);
-    const outside = httpClients.real(null);
+    const externalClient = httpClients.real(null);
     const observed: ObservedFleet = {
       gatewayHosts: fleet.gatewayHosts,
       now,
       random: this.random,
       after: (delayMs, callback) => void setTimeout(callback, delayMs),
-      externalClient: () => outside,
+      externalClient: () => externalClient,
       replicaIncarnations: () => this.replicas,
     };
     this.checker = new InvariantChecker(observed, `${seed}-`);
@@ -66,7 +66,7 @@
     this.replicas = await this.fleet.replicaIncarnations();
   };
 
-  /** Sends a request to one control node; the status is 0 where it cannot be reached. */
+  /** Sends a request to one control node; the status is 0 if it cannot be reached. */
   readonly call = (
     at: number,
     method: Method,
@@ -81,7 +81,7 @@
   /**
    * Sends a request to random control nodes until one accepts it.
    *
-   * @throws Error where none accepts it within 300 attempts
+   * @throws Error if none accepts it within 300 attempts
    */
   readonly retryUntilAccepted = async (send: (at: number) => Promise<Reply>): Promise<void> => {
     for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
@@ -135,7 +135,7 @@
     await this.waitBetween(300, 2_000);
     this.fleet.startControlNode(at);
     const isVoter = async (): Promise<boolean> => (await this.call(at, 'GET', '/operator/status')).body.voter === true;
-    await this.fleet.until(`control node ${at + 1} to become a voter`, isVoter, voteTimeoutMs);
+    await this.fleet.until(`control node ${at + 1} to become a voter`, isVoter, voterTimeoutMs);
   };
 
   /** Starts a new incarnation of a replica and announces it to the control nodes. */
--- a/packages/test-fleet/src/processes/processFaults.ts
+++ b/packages/test-fleet/src/processes/processFaults.ts
@@ -31,13 +31,13 @@
   await run.fleet.signal(name, 'SIGCONT');
 };
 
-const disturbProxy = async (
+const injectProxyFault = async (
   run: ProcessFaultRun,
   proxy: FaultProxy | undefined,
-  disturb: (proxy: FaultProxy) => void,
+  inject: (proxy: FaultProxy) => void,
   minMs: number,
 ): Promise<void> => {
-  if (proxy !== undefined) disturb(proxy);
+  if (proxy !== undefined) inject(proxy);
   await run.waitBetween(minMs, 5_000);
   proxy?.heal();
 };
@@ -112,10 +112,10 @@
 
 const changeWeights: ProcessFault = async ({ change, checker: { weightsChanges } }) => {
   const weights = `weights-${weightsChanges.length}`;
-  const marker = { sentAt: now(), acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
-  weightsChanges.push(marker);
-  if (await change({ pools: { main: { weights } } })) marker.acknowledgedAt = now();
-  else weightsChanges.splice(weightsChanges.indexOf(marker), 1);
+  const weightsChange = { sentAt: now(), acknowledgedAt: Number.POSITIVE_INFINITY, pool: 'main', weights };
+  weightsChanges.push(weightsChange);
+  if (await change({ pools: { main: { weights } } })) weightsChange.acknowledgedAt = now();
+  else weightsChanges.splice(weightsChanges.indexOf(weightsChange), 1);
 };
 
 const addManyLanes: ProcessFault = (run) => {
@@ -183,13 +183,13 @@
   'replica killed and replaced': killReplica,
   'replica leaves and is replaced': drainReplica,
   'replica silent': (run, { replica }) =>
-    disturbProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.block('*'), 500),
+    injectProxyFault(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.block('*'), 500),
   'replica slow to reach': (run, { replica }) =>
-    disturbProxy(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.delay(100 + run.random() * 500), 500),
+    injectProxyFault(run, run.fleet.replicaProxies.get(replica), (proxy) => proxy.delay(100 + run.random() * 500), 500),
   'control node link cut': (run, { controlNode }) =>
-    disturbProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.block('*'), 500),
+    injectProxyFault(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.block('*'), 500),
   'control node link slow': (run, { controlNode }) =>
-    disturbProxy(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.delay(50 + run.random() * 350), 1_000),
+    injectProxyFault(run, run.fleet.peerProxies[controlNode], (proxy) => proxy.delay(50 + run.random() * 350), 1_000),
   'counter cut from two control nodes': partitionGateway,
   'whole fleet rolled out': rollingRestartAll,
   'new weights': changeWeights,
--- a/packages/test-fleet/src/runner/knownFailures.ts
+++ b/packages/test-fleet/src/runner/knownFailures.ts
@@ -1,6 +1,6 @@
 /** Reads the list of tests that are known to fail, and decides whether a test run passes given that list. */
 
-/** The outcome of a test, or of a hook or worker that failed; `error` is null where a test passed. */
+/** The outcome of a test, or of a hook or worker that failed; `error` is null if the test passed. */
 export interface TestResult {
   readonly title: string;
   readonly error: string | null;
--- a/packages/test-fleet/src/simulator/simDisk.ts
+++ b/packages/test-fleet/src/simulator/simDisk.ts
@@ -40,7 +40,7 @@
    * Called before each operation that changes the disk, so that a test can copy the disk as a power loss would leave
    * it, or end the process before the operation.
    */
-  beforeMutation: (step: DiskMutation) => void = () => {};
+  beforeMutation: (mutation: DiskMutation) => void = () => {};
   /** The bytes of each file by name. */
   readonly files = new Map<string, FileBytes>();
   /** The active faults. */
--- a/packages/test-fleet/src/simulator/simHttpExchange.ts
+++ b/packages/test-fleet/src/simulator/simHttpExchange.ts
@@ -68,7 +68,7 @@
   private readonly latencyOut = (): number => this.world.latency(this.caller.host, this.target.host);
   private readonly latencyBack = (): number => this.world.latency(this.target.host, this.caller.host);
   private readonly isReturnPathBlocked = (): boolean => this.world.isBlocked(this.target.host, this.caller.host);
-  private readonly isTargetSame = (): boolean => this.target.incarnation === this.targetIncarnation;
+  private readonly isSameIncarnation = (): boolean => this.target.incarnation === this.targetIncarnation;
 
   private readonly finish = (outcome: Result<HttpClientResponse, NetworkError>): void => {
     if (this.isSettled) return;
@@ -87,7 +87,7 @@
 
   private readonly onConnected = (): void => {
     if (this.isSettled) return;
-    this.isConnected = this.isTargetSame() && this.target.isUp;
+    this.isConnected = this.isSameIncarnation() && this.target.isUp;
     if (!this.isConnected) this.fail('ECONNREFUSED', true);
     else if (!this.request.gate()) this.fail('GATED', true);
     else this.send();
@@ -126,7 +126,7 @@
     }
     this.target.openResponses.add(this.onEnded);
     void Promise.resolve(handler(this.receivedRequest())).then((response) => {
-      if (this.isTargetSame() && this.target.isUp) this.sendHead(response);
+      if (this.isSameIncarnation() && this.target.isUp) this.sendHead(response);
     });
   };
 
@@ -161,7 +161,7 @@
         else if (this.isReturnPathBlocked()) this.world.schedule(null, retransmitMs, attempt);
         else
           this.world.schedule(this.caller, this.latencyBack(), () =>
-            resolve(!this.handlerAbort.signal.aborted || this.isTargetSame()),
+            resolve(!this.handlerAbort.signal.aborted || this.isSameIncarnation()),
           );
       };
       attempt();
@@ -181,7 +181,7 @@
         read.catch(() => {});
         const next = signal.aborted ? 'broken' : await Promise.race([read, broken]);
         if (this.isUnresponsive) await aborted(this.callerAbort.signal);
-        if (next === 'broken' || !this.isTargetSame() || !(await this.transmitChunk())) throw resetError();
+        if (next === 'broken' || !this.isSameIncarnation() || !(await this.transmitChunk())) throw resetError();
         isDone = next.done;
         if (next.done) return;
         yield next.value;
--- a/packages/test-fleet/src/simulator/simWorld.ts
+++ b/packages/test-fleet/src/simulator/simWorld.ts
@@ -9,7 +9,7 @@
 import { SimMachine } from './simMachine.js';
 import type { LogLine, ScheduledEvent, SimulatedMachine, Simulation } from './simulation.js';
 
-const timeoutMs = 30_000;
+const defaultTimeoutMs = 30_000;
 const pollMs = 20;
 
 const byTime = (a: ScheduledEvent, b: ScheduledEvent): number => a.at - b.at || a.order - b.order;
@@ -29,7 +29,7 @@
   /** Called with each write on a connection between two machines, before it is sent. */
   onWrite: ((from: string, to: string, bytes: Uint8Array) => void) | null = null;
   time = 0;
-  /** Number of events so far. */
+  /** Number of events run so far. */
   events = 0;
   /** A digest of the times and order of all events so far; equal for equal runs. */
   digest = 0;
@@ -119,13 +119,13 @@
   /**
    * Runs until the condition holds, and returns the elapsed virtual milliseconds.
    *
-   * @throws Error with the seed if the condition does not hold within `limitMs`
+   * @throws Error with the seed if the condition does not hold within `timeoutMs`
    */
-  readonly until = async (what: string, condition: () => boolean, limitMs = timeoutMs): Promise<number> => {
+  readonly until = async (what: string, condition: () => boolean, timeoutMs = defaultTimeoutMs): Promise<number> => {
     const startedAt = this.time;
     while (!condition()) {
-      if (this.time - startedAt > limitMs)
-        throw new Error(`seed ${this.seed}: timed out after ${limitMs} virtual ms: ${what}`);
+      if (this.time - startedAt > timeoutMs)
+        throw new Error(`seed ${this.seed}: timed out after ${timeoutMs} virtual ms: ${what}`);
       await this.run(pollMs);
     }
     return this.time - startedAt;
--- a/packages/test-fleet/src/simulator/simulation.ts
+++ b/packages/test-fleet/src/simulator/simulation.ts
@@ -2,7 +2,7 @@
 import type { WebHandler, RawConnection } from '@martenworks/core-types';
 import type { SimLink } from './simLink.js';
 
-/** An event at a virtual time; it is dropped if its machine crashes before. */
+/** An event at a virtual time; it is dropped if its machine crashes or restarts first. */
 export interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
@@ -53,7 +53,7 @@
   readonly postponed: ScheduledEvent[];
   /** Called when the machine crashes; `isReset` says whether the other ends are notified. */
   readonly crashListeners: Set<(isReset: boolean) => void>;
-  /** Open responses. */
+  /** One entry per open response. */
   readonly openResponses: Set<() => void>;
   /** Returns the listener that accepts connections at the address, if any. */
   readonly listenerAt: (address: string) => ((connection: RawConnection) => void) | undefined;
